--- /dev/null
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -0,0 +1,291 @@
+package reachloom.gossip.wire;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.nio.BufferUnderflowException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.HexFormat;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import reachloom.revision.Ballot;
+import reachloom.revision.Revision;
+import reachloom.revision.Vote;
+import reachloom.revision.Word;
+
+/**
+ * The wire form of every revision message, fixed by bytes that an earlier version wrote (resources
+ * {@code golden/revision-messages}): what is stored is decoded, each field is compared, and
+ * encoding it again gives the stored bytes. A difference means that two versions in one cluster
+ * would no longer understand each other; the resources are never written anew to make this test
+ * pass.
+ */
+class RevisionMessageGoldenTest {
+  private static final String RESOURCES = "/golden/revision-messages/";
+  private static final long ISSUED_AT_MILLIS = 1_700_000_000_123L;
+  private static final long MARK = -0x0123456789abcdefL;
+
+  @Test
+  void have() {
+    Word.Have have = golden("have", Word.Have.class);
+    assertEquals(0x0102030405060708L, have.inForce());
+    assertEquals(MARK, have.mark());
+    assertEquals(Long.MAX_VALUE, have.known());
+  }
+
+  @Test
+  void noticeWithThreeVotes() {
+    Word.Notice notice = golden("notice", Word.Notice.class);
+    assertRevision(notice.revision());
+    assertEquals(3, notice.votes().size());
+    assertVote("issuer-1", 1, 64, notice.votes().get(0));
+    assertVote("issuer-2", 2, 64, notice.votes().get(1));
+    assertVote("a-name-of-thirty-two-characters-", 3, 64, notice.votes().get(2));
+  }
+
+  @Test
+  void noticeWithoutVotes() {
+    Word.Notice notice = golden("notice-without-votes", Word.Notice.class);
+    assertRevision(notice.revision());
+    assertEquals(List.of(), notice.votes());
+  }
+
+  @Test
+  void want() {
+    Word.Want want = golden("want", Word.Want.class);
+    assertEquals(8, want.number());
+    assertEquals(7, want.base());
+    assertEquals(MARK, want.baseMark());
+    assertEquals(65_535, want.from());
+  }
+
+  @Test
+  void piece() {
+    Word.Piece piece = golden("piece", Word.Piece.class);
+    assertEquals(8, piece.number());
+    assertEquals(7, piece.base());
+    assertEquals(25, piece.index());
+    assertEquals(65_535, piece.of());
+    assertArrayEquals(bytes(0x80, 640), piece.bytes());
+  }
+
+  @Test
+  void emptyPiece() {
+    Word.Piece piece = golden("piece-empty", Word.Piece.class);
+    assertEquals(8, piece.number());
+    assertEquals(0, piece.base());
+    assertEquals(0, piece.index());
+    assertEquals(1, piece.of());
+    assertArrayEquals(new byte[0], piece.bytes());
+  }
+
+  @Test
+  void acknowledgementOfWhatIsInForce() {
+    Word.Acknowledgement acknowledgement = golden("acknowledgement", Word.Acknowledgement.class);
+    assertEquals(8, acknowledgement.number());
+    assertEquals(MARK, acknowledgement.mark());
+    assertEquals("", acknowledgement.refusal());
+  }
+
+  @Test
+  void acknowledgementWithARefusal() {
+    Word.Acknowledgement acknowledgement =
+        golden("acknowledgement-refused", Word.Acknowledgement.class);
+    assertEquals(9, acknowledgement.number());
+    assertEquals(MARK, acknowledgement.mark());
+    assertEquals("settings: 'x' is not known (line 3)", acknowledgement.refusal());
+  }
+
+  @Test
+  void census() {
+    Word.Census census = golden("census", Word.Census.class);
+    assertEquals(0xfe02, census.place());
+    assertEquals(8, census.number());
+    assertEquals(60_000, census.members());
+    assertEquals(58, census.inForce());
+    assertEquals(40_001, census.refused());
+    assertEquals(List.of("gateway-9", "gateway-10"), census.lacking());
+    assertEquals(Integer.MAX_VALUE, census.longest());
+  }
+
+  @Test
+  void censusOfAPlaceWhereAllHaveIt() {
+    Word.Census census = golden("census-complete", Word.Census.class);
+    assertEquals(0x0102, census.place());
+    assertEquals(8, census.number());
+    assertEquals(59, census.members());
+    assertEquals(59, census.inForce());
+    assertEquals(0, census.refused());
+    assertEquals(List.of(), census.lacking());
+    assertEquals(0, census.longest());
+  }
+
+  @Test
+  void aDurationBeyondTheFieldIsWrittenAsTheLargest() {
+    Word.Census tooLong =
+        new Word.Census(
+            0xfe02, 8, 60_000, 58, 40_001, List.of("gateway-9", "gateway-10"), 1L << 40);
+    assertArrayEquals(stored("census"), encoded(tooLong));
+  }
+
+  @Test
+  void prepare() {
+    Word.Prepare prepare = golden("prepare", Word.Prepare.class);
+    assertBallot(3, "issuer-2", prepare.ballot());
+    assertEquals(8, prepare.number());
+  }
+
+  @Test
+  void promiseOfOneThatHasAcceptedNothing() {
+    Word.Promise promise = golden("promise", Word.Promise.class);
+    assertBallot(3, "issuer-2", promise.ballot());
+    assertEquals(8, promise.number());
+    assertEquals(Ballot.NONE, promise.acceptedUnder());
+    assertNull(promise.accepted());
+  }
+
+  @Test
+  void promiseWithAnAcceptedRevision() {
+    Word.Promise promise = golden("promise-accepted", Word.Promise.class);
+    assertBallot(4, "issuer-3", promise.ballot());
+    assertEquals(8, promise.number());
+    assertBallot(3, "issuer-2", promise.acceptedUnder());
+    assertRevision(promise.accepted());
+  }
+
+  @Test
+  void propose() {
+    Word.Propose propose = golden("propose", Word.Propose.class);
+    assertBallot(3, "issuer-2", propose.ballot());
+    assertRevision(propose.revision());
+  }
+
+  @Test
+  void accepted() {
+    Word.Accepted accepted = golden("accepted", Word.Accepted.class);
+    assertBallot(3, "issuer-2", accepted.ballot());
+    assertEquals(8, accepted.number());
+    assertVote("issuer-1", 1, 64, accepted.vote());
+  }
+
+  @Test
+  void acceptedWithTheLongestSignature() {
+    Word.Accepted accepted = golden("accepted-long-signature", Word.Accepted.class);
+    assertBallot(3, "issuer-2", accepted.ballot());
+    assertEquals(8, accepted.number());
+    assertVote("issuer-1", 1, 255, accepted.vote());
+  }
+
+  @Test
+  void rejected() {
+    Word.Rejected rejected = golden("rejected", Word.Rejected.class);
+    assertBallot(3, "issuer-2", rejected.ballot());
+    assertBallot(0x0102030405060708L, "issuer-3", rejected.promised());
+  }
+
+  /** What an issuer signs, and what the next revision names as the one before. */
+  @Test
+  void theHashChainOfARevision() {
+    Revision revision = golden("propose", Word.Propose.class).revision();
+    assertArrayEquals(stored("revision-chain"), revision.chain());
+    assertEquals(ByteBuffer.wrap(stored("revision-chain")).getLong(), revision.mark());
+  }
+
+  /** A message of a kind not known here, then one with a field more than is known here. */
+  @Test
+  void whatALaterVersionAddsIsSkipped() {
+    List<Word> read = WordCodec.words(ByteBuffer.wrap(stored("later-version")));
+    assertEquals(2, read.size());
+    Word.Have have = assertInstanceOf(Word.Have.class, read.get(0));
+    assertEquals(7, have.inForce());
+    assertEquals(MARK, have.mark());
+    assertEquals(8, have.known());
+    Word.Acknowledgement acknowledgement =
+        assertInstanceOf(Word.Acknowledgement.class, read.get(1));
+    assertEquals(8, acknowledgement.number());
+    assertEquals("not known: '?'", acknowledgement.refusal());
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "malformed-negative-number",
+        "malformed-document-too-large",
+        "malformed-ten-votes",
+        "malformed-blank-in-name",
+        "malformed-length-beyond-the-end"
+      })
+  void whatCanNotBeOneIsRefused(String name) {
+    ByteBuffer in = ByteBuffer.wrap(stored(name));
+    assertThrows(BufferUnderflowException.class, () -> WordCodec.words(in));
+  }
+
+  // ---- Fields that several messages have ----
+
+  private static void assertRevision(Revision revision) {
+    assertEquals(0x0102030405060708L, revision.number());
+    assertArrayEquals(bytes(0x20, Revision.HASH), revision.previous());
+    assertArrayEquals(bytes(0xa0, Revision.HASH), revision.digest());
+    assertEquals(Revision.MOST_DOCUMENT, revision.size());
+    assertEquals(ISSUED_AT_MILLIS, revision.issuedAt());
+    assertEquals("issuer-2", revision.issuer());
+  }
+
+  private static void assertBallot(long round, String issuer, Ballot ballot) {
+    assertEquals(round, ballot.round());
+    assertEquals(issuer, ballot.issuer());
+  }
+
+  private static void assertVote(String issuer, int firstByte, int length, Vote vote) {
+    assertEquals(issuer, vote.issuer());
+    assertArrayEquals(bytes(firstByte, length), vote.signature());
+  }
+
+  /** So many bytes, each one more than the one before. */
+  private static byte[] bytes(int first, int length) {
+    byte[] bytes = new byte[length];
+    for (int i = 0; i < length; i++) {
+      bytes[i] = (byte) (first + i);
+    }
+    return bytes;
+  }
+
+  // ---- Stored bytes ----
+
+  /** The one message that is stored there, after it was seen that it is encoded as it is stored. */
+  private static <T extends Word> T golden(String name, Class<T> type) {
+    byte[] stored = stored(name);
+    List<Word> read = WordCodec.words(ByteBuffer.wrap(stored));
+    assertEquals(1, read.size());
+    T message = assertInstanceOf(type, read.get(0));
+    assertArrayEquals(stored, encoded(message));
+    return message;
+  }
+
+  private static byte[] encoded(Word message) {
+    ByteBuffer out = ByteBuffer.allocate(WordCodec.size(message));
+    WordCodec.put(out, message);
+    assertEquals(0, out.remaining(), "the size that was told");
+    return out.array();
+  }
+
+  /** The bytes of a resource: hexadecimal digits, with comments from '#' to the end of a line. */
+  private static byte[] stored(String name) {
+    try (InputStream in =
+        RevisionMessageGoldenTest.class.getResourceAsStream(RESOURCES + name + ".hex")) {
+      String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
+      return HexFormat.of().parseHex(text.replaceAll("#.*", "").replaceAll("\\s", ""));
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+}
