--- /dev/null
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
@@ -0,0 +1,125 @@
+package reachloom.gateway.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+import reachloom.Decisions.EngineInfo;
+import reachloom.Decisions.EngineState;
+import reachloom.config.Member;
+
+/**
+ * The bytes between a gateway and the change log, against those that version 09d85ed wrote and
+ * read. The stored files stand for all change logs that are deployed: a test here that fails means
+ * that the wire format has changed, never that a file is to be written anew.
+ */
+class ChangeLogGoldenTest {
+  private static final String FOLDER = "change-log";
+  private static final int ZONES = 3;
+  private static final int KINDS = 2;
+  private static final long MILLISECOND = 1_000_000; // nanoseconds
+
+  private static final Member UP =
+      member(
+          new EngineInfo(
+              "s-00c41f7a", EngineState.UP, 1, 2, 2, 1.5, 1_700_000_000_123L * MILLISECOND),
+          "127.1.2.3",
+          41_000);
+  private static final Member DRAINING =
+      member(new EngineInfo("s-00000001", EngineState.DRAINING, 0, 0, 0, 1.0, 0), "10.0.0.1", 4100);
+  private static final Member GONE =
+      member(
+          new EngineInfo(
+              "s-ffffffff", EngineState.GONE, 0, 1, 65_535, 4_294_967.295, 7 * MILLISECOND),
+          "255.255.255.255",
+          65_535);
+  private static final Member UNKNOWN_STATE =
+      member(new EngineInfo("s-00000002", EngineState.DRAINING, 0, 0, 1, 0.25, 0), "127.0.0.1", 1);
+
+  private static final Map<String, Change> READ = read();
+  private static final Map<String, ByteBuffer> WRITTEN = written();
+
+  private static Map<String, Change> read() {
+    Map<String, Change> read = new LinkedHashMap<>();
+    read.put("nothing-new", new Change(41, true, false, List.of()));
+    read.put("whole-list", new Change(4, false, true, List.of(UP, DRAINING)));
+    read.put("whole-list-empty", new Change(5, false, true, List.of()));
+    read.put("changes", new Change(6, false, false, List.of(DRAINING, GONE)));
+    read.put("changes-up", new Change(7, false, false, List.of(UP)));
+    read.put("changes-unknown-state", new Change(8, false, false, List.of(UNKNOWN_STATE)));
+    read.put("changes-empty", new Change(Long.MAX_VALUE, false, false, List.of()));
+    return read;
+  }
+
+  private static Map<String, ByteBuffer> written() {
+    Map<String, ByteBuffer> written = new LinkedHashMap<>();
+    written.put("hello-at-event-41", ChangeLogDecoder.hello(41));
+    written.put("hello-for-all-events", ChangeLogDecoder.hello(0));
+    return written;
+  }
+
+  private static Member member(EngineInfo info, String address, int port) {
+    try {
+      return new Member(info, new InetSocketAddress(InetAddress.getByName(address), port));
+    } catch (UnknownHostException e) {
+      throw new IllegalArgumentException(e);
+    }
+  }
+
+  static Stream<Arguments> frames() {
+    return READ.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+  }
+
+  static Stream<Arguments> hellos() {
+    return WRITTEN.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+  }
+
+  private static Decoder<Change> decoder() {
+    return new ChangeLogDecoder(ZONES, KINDS);
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("frames")
+  void storedFramesAreReadWithAllTheirFieldsHoweverTheyAreCut(String name, Change expected) {
+    byte[] stored = GoldenHex.read(FOLDER, name);
+    assertEquals(
+        List.of(expected), Feeds.alike(stored, ChangeLogGoldenTest::decoder, change -> change));
+  }
+
+  @Test
+  void storedFramesThatFollowEachOtherAreReadAsOneByOne() {
+    byte[][] stored =
+        READ.keySet().stream().map(name -> GoldenHex.read(FOLDER, name)).toArray(byte[][]::new);
+    List<Change> read = new ArrayList<>();
+    byte[] stream = Feeds.join(stored);
+    assertNull(decoder().feed(stream, 0, stream.length, read::add));
+    assertEquals(List.copyOf(READ.values()), read);
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("hellos")
+  void hellosAreWrittenAsTheStoredBytes(String name, ByteBuffer written) {
+    assertEquals(GoldenHex.hex(GoldenHex.read(FOLDER, name)), GoldenHex.hex(written));
+  }
+
+  @Test
+  void eachStoredFileIsLookedAt() {
+    TreeSet<String> names = new TreeSet<>(READ.keySet());
+    names.addAll(WRITTEN.keySet());
+    assertEquals(names, GoldenHex.names(FOLDER));
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
@@ -0,0 +1,177 @@
+package reachloom.gateway.wire;
+
+import static java.nio.charset.StandardCharsets.ISO_8859_1;
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * The bytes between a gateway and its engines, against those that version 09d85ed wrote and read.
+ * The stored files stand for all engines that are deployed: a test here that fails means that the
+ * wire format has changed, never that a file is to be written anew.
+ */
+class EngineLinesGoldenTest {
+  private static final String COMMANDS = "engine-lines/commands";
+  private static final String ANSWERS = "engine-lines/answers";
+  private static final String REQUEST = "9f3c00d1b2a47e58";
+  private static final String KEY = "91f03b7c55d20a64";
+  private static final String PROBE = "p41";
+  private static final String ROWS = "a\tb\tc\n\u00e4\t\t\u20ac\n";
+  private static final Map<String, ByteBuffer> WRITTEN = written();
+  private static final Map<String, Fields> READ = read();
+
+  /** All fields of an answer, with the body's bytes as digits so that answers can be compared. */
+  private record Fields(String id, NodeAnswer.Word word, Map<String, String> fields, String body) {
+    Fields(NodeAnswer answer) {
+      this(answer.id(), answer.word(), answer.fields(), GoldenHex.hex(answer.body()));
+    }
+  }
+
+  private static Map<String, ByteBuffer> written() {
+    Bytes plain = new Bytes("<select 1>".getBytes(UTF_8), 1, 8);
+    byte[] binary =
+        "select \"\u00c3\u00a4\u00e2\u0082\u00ac\"\r\nfrom \0t\u00ff\r\n".getBytes(ISO_8859_1);
+    Map<String, ByteBuffer> written = new LinkedHashMap<>();
+    written.put("ask", NodeWriter.ask(REQUEST, "report", 150, null, 1, plain));
+    written.put("ask-with-key", NodeWriter.ask(REQUEST, "load", 1, KEY, 1, plain));
+    written.put("ask-with-priority", NodeWriter.ask(REQUEST, "report", 25_000, null, 0, plain));
+    written.put(
+        "ask-with-key-and-priority",
+        NodeWriter.ask(REQUEST, "load", 150, KEY, 3, Bytes.of(binary)));
+    written.put(
+        "ask-with-empty-statement",
+        NodeWriter.ask(REQUEST, "report", 150, null, 1, Bytes.of(new byte[0])));
+    written.put("quit", NodeWriter.quit(REQUEST));
+    written.put("prio", NodeWriter.priority(REQUEST, 0));
+    written.put("next", NodeWriter.next(REQUEST, 1023));
+    written.put("free", NodeWriter.free(REQUEST));
+    written.put("info", NodeWriter.probe(PROBE, true));
+    written.put("noop", NodeWriter.probe(PROBE, false));
+    return written;
+  }
+
+  private static Map<String, Fields> read() {
+    Map<String, Fields> read = new LinkedHashMap<>();
+    read.put(
+        "ok-one-page",
+        answer(
+            NodeAnswer.Word.OK,
+            Map.of(
+                "fetches",
+                "1",
+                "effort",
+                "12",
+                "high",
+                "3.5",
+                "use",
+                "util:0.5;queue:2;x0:0.25;x1:0"),
+            ROWS.getBytes(UTF_8)));
+    read.put(
+        "ok-first-of-pages",
+        answer(
+            NodeAnswer.Word.OK,
+            Map.of("fetches", "1024", "effort", "0.5", "high", "0"),
+            ROWS.getBytes(UTF_8)));
+    read.put("ok-without-rows", answer(NodeAnswer.Word.OK, Map.of("fetches", "1")));
+    read.put(
+        "ok-body-with-line-ends",
+        answer(
+            NodeAnswer.Word.OK,
+            Map.of("fetches", "1"),
+            "a\tb\r\nc\n\r\n\0\u00ff".getBytes(ISO_8859_1)));
+    read.put(
+        "ok-largest-body",
+        answer(
+            NodeAnswer.Word.OK,
+            Map.of("fetches", "1"),
+            ("x".repeat(5994) + "\tb\tcd\n").getBytes(UTF_8)));
+    read.put("rows", answer(NodeAnswer.Word.ROWS, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
+    read.put("busy", answer(NodeAnswer.Word.BUSY, Map.of()));
+    read.put(
+        "busy-with-report",
+        answer(NodeAnswer.Word.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
+    read.put("err", answer(NodeAnswer.Word.ERR, Map.of(), "no such table".getBytes(UTF_8)));
+    read.put("void", answer(NodeAnswer.Word.VOID, Map.of()));
+    read.put(
+        "note-so-far", answer(NodeAnswer.Word.NOTE, Map.of("detail", "so_far", "figure", "0.25")));
+    read.put(
+        "note-lacking", answer(NodeAnswer.Word.NOTE, Map.of("detail", "lacking", "figure", "12")));
+    read.put(
+        "note-waiting", answer(NodeAnswer.Word.NOTE, Map.of("detail", "waiting", "figure", "2")));
+    read.put(
+        "up-with-report",
+        probeAnswer(NodeAnswer.Word.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
+    read.put("up", probeAnswer(NodeAnswer.Word.UP, Map.of()));
+    read.put("down", probeAnswer(NodeAnswer.Word.DOWN, Map.of()));
+    read.put("unknown-word", answer(NodeAnswer.Word.OTHER, Map.of(), "xyz".getBytes(UTF_8)));
+    read.put(
+        "unreadable-fields",
+        answer(
+            NodeAnswer.Word.OK, Map.of("fetches", "1", "twice", "2", "note", "a=b", "empty", "")));
+    return read;
+  }
+
+  private static Fields answer(NodeAnswer.Word word, Map<String, String> fields) {
+    return answer(word, fields, new byte[0]);
+  }
+
+  private static Fields answer(NodeAnswer.Word word, Map<String, String> fields, byte[] body) {
+    return new Fields(REQUEST, word, fields, GoldenHex.hex(body));
+  }
+
+  private static Fields probeAnswer(NodeAnswer.Word word, Map<String, String> fields) {
+    return new Fields(PROBE, word, fields, "");
+  }
+
+  static Stream<Arguments> commands() {
+    return WRITTEN.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+  }
+
+  static Stream<Arguments> answers() {
+    return READ.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("commands")
+  void commandsAreWrittenAsTheStoredBytes(String name, ByteBuffer written) {
+    assertEquals(GoldenHex.hex(GoldenHex.read(COMMANDS, name)), GoldenHex.hex(written));
+  }
+
+  @ParameterizedTest(name = "{0}")
+  @MethodSource("answers")
+  void storedAnswersAreReadWithAllTheirFieldsHoweverTheyAreCut(String name, Fields expected) {
+    byte[] stored = GoldenHex.read(ANSWERS, name);
+    assertEquals(List.of(expected), Feeds.alike(stored, NodeDecoder::new, Fields::new));
+  }
+
+  @Test
+  void storedAnswersThatFollowEachOtherAreReadAsOneByOne() {
+    byte[][] stored =
+        READ.keySet().stream().map(name -> GoldenHex.read(ANSWERS, name)).toArray(byte[][]::new);
+    List<Fields> read = new ArrayList<>();
+    byte[] stream = Feeds.join(stored);
+    String fault =
+        new NodeDecoder().feed(stream, 0, stream.length, answer -> read.add(new Fields(answer)));
+    assertNull(fault);
+    assertEquals(List.copyOf(READ.values()), read);
+  }
+
+  @Test
+  void eachStoredFileIsLookedAt() {
+    assertEquals(new TreeSet<>(WRITTEN.keySet()), GoldenHex.names(COMMANDS));
+    assertEquals(new TreeSet<>(READ.keySet()), GoldenHex.names(ANSWERS));
+  }
+}
