--- /dev/null
+++ b/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
@@ -0,0 +1,221 @@
+package reachloom.config;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.lang.reflect.RecordComponent;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.AfterAll;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Configuration, settings and document files under {@code golden/config}: a file that can be used
+ * gives exactly the values in the {@code .values} file beside it, any other exactly its line in
+ * {@code error-lines.txt}. The resources were written by commit 09d85ed; operators and tools rely
+ * on both.
+ *
+ * <p>Values are compared by position, without the names of types and components, so that the
+ * resources stay as they are when those are renamed.
+ */
+class ConfigurationGoldenTest {
+  private static final Path ROOT = Path.of("src/test/resources/golden/config");
+  private static final String VALUES = ".values";
+  private static final Locale USUAL = Locale.getDefault();
+
+  /** The validator of the JDK words its messages by the locale. */
+  @BeforeAll
+  static void useEnglishMessages() {
+    Locale.setDefault(Locale.ENGLISH);
+  }
+
+  @AfterAll
+  static void restoreLocale() {
+    Locale.setDefault(USUAL);
+  }
+
+  static Stream<Path> usableFiles() throws IOException {
+    return files().filter(ConfigurationGoldenTest::isUsable);
+  }
+
+  static Stream<Path> faultyFiles() throws IOException {
+    return files().filter(file -> !isUsable(file));
+  }
+
+  private static Stream<Path> files() throws IOException {
+    try (Stream<Path> all = Files.walk(ROOT)) {
+      return all
+          .filter(file -> file.toString().matches(".*\\.(json|xml)"))
+          .sorted()
+          .toList()
+          .stream();
+    }
+  }
+
+  private static boolean isUsable(Path file) {
+    return file.getFileName().toString().startsWith("good-");
+  }
+
+  /** The error line of each faulty file, by its path below {@link #ROOT}. */
+  private static Map<String, String> errorLines() throws IOException {
+    Map<String, String> lines = new TreeMap<>();
+    for (String line : Files.readAllLines(ROOT.resolve("error-lines.txt"))) {
+      String[] parts = line.split(" \\| ", 2);
+      lines.put(parts[0], parts[1]);
+    }
+    return lines;
+  }
+
+  @ParameterizedTest
+  @MethodSource("usableFiles")
+  void aUsableFileGivesTheRecordedValues(Path file) throws Exception {
+    Path values = file.resolveSibling(file.getFileName() + VALUES);
+    assertEquals(Files.readString(values), describe(read(file)));
+  }
+
+  @ParameterizedTest
+  @MethodSource("faultyFiles")
+  void aFaultyFileGivesTheRecordedErrorLine(Path file) throws IOException {
+    ConfigException error = assertThrows(ConfigException.class, () -> read(file));
+    assertEquals(errorLines().get(ROOT.relativize(file).toString()), error.getMessage());
+  }
+
+  @Test
+  void eachRecordedErrorLineBelongsToAFile() throws IOException {
+    List<String> files = faultyFiles().map(file -> ROOT.relativize(file).toString()).toList();
+    assertEquals(files, List.copyOf(errorLines().keySet()));
+    assertEquals(105, files.size());
+    assertEquals(12, usableFiles().count());
+  }
+
+  @Test
+  void aFileThatIsAbsentOrNotNamedGivesItsErrorLine() {
+    Path absent = ROOT.resolve("gateway/absent.json");
+    assertEquals(
+        absent + ": cannot be read (NoSuchFileException)",
+        assertThrows(ConfigException.class, () -> GatewayConfig.fromFile(absent, Map.of()))
+            .getMessage());
+    assertEquals(
+        "LB_CONFIG: the environment does not name the configuration file",
+        assertThrows(ConfigException.class, () -> GatewayConfig.fromEnvironment(Map.of()))
+            .getMessage());
+    String absentSettings = ROOT.resolve("settings/absent.xml").toString();
+    assertEquals(
+        absentSettings + ": cannot be read (NoSuchFileException)",
+        assertThrows(ConfigException.class, () -> LocalSettings.read(absentSettings, Map.of()))
+            .getMessage());
+  }
+
+  @Test
+  void theSettingsKeysThatAReloadNamesAreTheRecordedOnes() throws Exception {
+    LocalSettings old = settings("good-gossip.xml");
+    LocalSettings next = settings("good-all-keys.xml");
+    assertEquals(
+        List.of(
+            "gossip cluster",
+            "gossip listen",
+            "gossip periodMs",
+            "gossip bytesPerSecond",
+            "gossip configuration"),
+        old.fixed(next));
+    assertEquals(
+        List.of(
+            "clients idleTimeoutMs",
+            "gossip identity",
+            "gossip authority",
+            "gossip revoked",
+            "gossip seed"),
+        old.taken(next));
+    assertEquals(List.of("gossip"), old.fixed(settings("good-empty.xml")));
+    GatewayConfig configuration = gateway("good-defaults.json");
+    assertEquals(
+        List.of("limits.sockets", "settings"), configuration.fixed(gateway("good-all-keys.json")));
+  }
+
+  private static LocalSettings settings(String name) throws ConfigException {
+    return LocalSettings.read(ROOT.resolve("settings").resolve(name).toString(), Map.of());
+  }
+
+  private static GatewayConfig gateway(String name) throws ConfigException {
+    return GatewayConfig.fromFile(ROOT.resolve("gateway").resolve(name), Map.of());
+  }
+
+  private static Object read(Path file) throws ConfigException, IOException {
+    return switch (file.getParent().getFileName().toString()) {
+      case "gateway" -> GatewayConfig.fromFile(file, Map.of());
+      case "settings" -> LocalSettings.read(file.toString(), Map.of());
+      case "document" -> MergePatch.read(Files.readAllBytes(file));
+      default -> throw new AssertionError(file + ": no reader for its folder");
+    };
+  }
+
+  /** One component of the outermost record a line. */
+  private static String describe(Object value) throws ReflectiveOperationException {
+    StringBuilder text = new StringBuilder();
+    for (Object component : components(value)) {
+      text.append(words(component)).append('\n');
+    }
+    return text.toString();
+  }
+
+  private static List<Object> components(Object value) throws ReflectiveOperationException {
+    List<Object> values = new ArrayList<>();
+    for (RecordComponent component : value.getClass().getRecordComponents()) {
+      component.getAccessor().setAccessible(true);
+      values.add(component.getAccessor().invoke(value));
+    }
+    return values;
+  }
+
+  private static String words(Object value) throws ReflectiveOperationException {
+    if (value == null || value.equals(Optional.empty()) || value.equals(OptionalLong.empty())) {
+      return "absent";
+    }
+    if (value instanceof Optional<?> present) {
+      return words(present.get());
+    }
+    if (value instanceof OptionalLong present) {
+      return Long.toString(present.getAsLong());
+    }
+    if (value instanceof Record) {
+      return joined(components(value), "(", ")");
+    }
+    if (value instanceof List<?> list) {
+      return joined(list, "[", "]");
+    }
+    if (value instanceof Enum<?> constant) { // the name may change, what it stands for may not
+      return "#" + constant.ordinal();
+    }
+    if (value instanceof InetSocketAddress address) {
+      return address.getAddress().getHostAddress() + ":" + address.getPort();
+    }
+    if (value instanceof Path path) {
+      Path folder = ROOT.toAbsolutePath();
+      return path.startsWith(folder) ? folder.relativize(path).toString() : path.toString();
+    }
+    return value.toString();
+  }
+
+  private static String joined(List<?> values, String open, String close)
+      throws ReflectiveOperationException {
+    List<String> words = new ArrayList<>();
+    for (Object value : values) {
+      words.add(words(value));
+    }
+    return words.stream().collect(Collectors.joining(", ", open, close));
+  }
+}
