--- /dev/null
+++ b/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
@@ -0,0 +1,183 @@
+package reachloom.gossip.wire;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import reachloom.evidence.Claim;
+import reachloom.gossip.GoldenResources;
+import reachloom.gossip.Packet;
+import reachloom.membership.Message;
+import reachloom.membership.News;
+import reachloom.membership.State;
+import reachloom.revision.Ballot;
+import reachloom.revision.Word;
+
+/**
+ * Stored datagrams, one of each message and of each section, are decoded to the same values and
+ * encoded to the same bytes. The stored signatures are zeros: no codec looks at them.
+ */
+class DatagramGoldenTest {
+  private static final long SENDER_ADDRESS = 0x0a00_0001L << 16 | 7946;
+  private static final long MEMBER_ADDRESS = 0xc0a8_fe01L << 16 | 65_535;
+  private static final long INCARNATION = 1_700_000_001_000_000_002L;
+  private static final long SEQUENCE_NUMBER = 0x0102_0304_0506_0708L;
+  private static final long TIME_MILLIS = 1_700_000_000_123L;
+  private static final int CLUSTER_CHECKSUM = 0x426b_212b;
+  private static final int KNOWN_CERTIFICATE_MARK = 0x89ab_cdef;
+  private static final long MILLISECOND_NANOS = 1_000_000;
+  private static final byte[] CERTIFICATE =
+      "a certificate, opaque".getBytes(StandardCharsets.UTF_8);
+
+  private static final List<News> ALL_STATES =
+      List.of(
+          new News("gateway-2", MEMBER_ADDRESS, 17, State.ALIVE, ""),
+          new News("gateway-3", MEMBER_ADDRESS - 1, 0, State.SUSPECT, "gateway-1"),
+          new News("gateway-4", 0, Long.MAX_VALUE, State.DEAD, "gateway-2", 0x0203),
+          new News("g", 1, 1, State.LEFT, "", 0xffff));
+
+  private static final List<Claim> CLAIMS =
+      List.of(
+          new Claim("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5 * MILLISECOND_NANOS),
+          new Claim("s-1", -1, 0, 0, 1, Integer.MAX_VALUE * MILLISECOND_NANOS));
+
+  private static final List<Word> WORDS =
+      List.of(
+          new Word.Have(7, -5, 8),
+          new Word.Acknowledgement(7, 0x1122_3344_5566_7788L, "settings: no such key"),
+          new Word.Prepare(new Ballot(3, "issuer-2"), 8));
+
+  private static final Map<String, Packet> PACKETS = packets();
+
+  private static Map<String, Packet> packets() {
+    Map<String, Packet> packets = new LinkedHashMap<>();
+    packets.put("ping", packet(new Message.Ping(0x1011_1213_1415_1617L, "gateway-2")));
+    packets.put("ping-unnamed", packet(new Message.Ping(-7, "")));
+    packets.put("ack", packet(new Message.Ack(Long.MAX_VALUE)));
+    packets.put("ping-request", packet(new Message.PingRequest(9, "gateway-4", MEMBER_ADDRESS)));
+    packets.put("nack", packet(new Message.Nack(0)));
+    packets.put(
+        "pull",
+        packet(new Message.Pull("gateway-1", "gateway-9", 0xcafe_babe, List.of(0, 1, 65_535))));
+    packets.put("pull-to-end", packet(new Message.Pull("gateway-9", "", 5, List.of())));
+    packets.put("part", packet(new Message.Part(false, ALL_STATES)));
+    packets.put("part-more", packet(new Message.Part(true, ALL_STATES.subList(0, 1))));
+    packets.put("leave", packet(new Message.Leave()));
+    packets.put("tell", packet(new Message.Tell()));
+    packets.put("status", packet(new Message.Status(0x0102)));
+    packets.put("status-page", packet(new Message.StatusPage(1, 3, "instance g1\nrefused {}\n")));
+    packets.put("section-news", packet(0, ALL_STATES, List.of(), List.of()));
+    packets.put("section-claims", packet(0, List.of(), CLAIMS, List.of()));
+    packets.put("section-words", packet(0, List.of(), List.of(), WORDS));
+    packets.put("section-place", packet(0x0102, List.of(), List.of(), List.of()));
+    packets.put("all-sections", packet(0x0102, ALL_STATES, CLAIMS, WORDS));
+    packets.put("certificate", packet(new Message.Ack(1)));
+    return packets;
+  }
+
+  private static Packet packet(Message message) {
+    return new Packet("gateway-1", SENDER_ADDRESS, INCARNATION, message, List.of(), List.of());
+  }
+
+  private static Packet packet(int place, List<News> news, List<Claim> claims, List<Word> words) {
+    return new Packet(
+        "gateway-1", SENDER_ADDRESS, place, INCARNATION, new Message.Tell(), news, claims, words);
+  }
+
+  static Set<String> names() {
+    return PACKETS.keySet();
+  }
+
+  private static byte[] certificate(String name) {
+    return name.equals("certificate") ? CERTIFICATE : null;
+  }
+
+  /** Encodes a packet as a whole datagram, with zeros for its signature. */
+  private static byte[] encode(Packet packet, byte[] certificate) {
+    byte[] unsigned =
+        GossipCodec.write(
+            GossipCodec.cluster("golden"),
+            packet,
+            SEQUENCE_NUMBER,
+            TIME_MILLIS,
+            certificate,
+            KNOWN_CERTIFICATE_MARK);
+    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
+  }
+
+  @ParameterizedTest
+  @MethodSource("names")
+  void storedDatagramIsDecodedToTheSameValues(String name) throws Exception {
+    byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
+    Packet expected = PACKETS.get(name);
+    Head header = GossipCodec.head(stored);
+    assertEquals(CLUSTER_CHECKSUM, header.cluster());
+    assertEquals("gateway-1", header.sender());
+    assertEquals(SEQUENCE_NUMBER, header.seq());
+    assertEquals(TIME_MILLIS, header.time());
+    assertEquals(SENDER_ADDRESS, header.address());
+    assertEquals(INCARNATION, header.incarnation());
+    assertEquals(KNOWN_CERTIFICATE_MARK, header.knows());
+    assertArrayEquals(certificate(name), header.certificate());
+    assertEquals(stored.length - GossipCodec.SIGNATURE, header.end());
+    Packet decoded = GossipCodec.read(stored, header);
+    assertEquals(expected.sender(), decoded.sender());
+    assertEquals(expected.address(), decoded.address());
+    assertEquals(expected.place(), decoded.place());
+    assertEquals(expected.incarnation(), decoded.incarnation());
+    assertEquals(expected.message(), decoded.message());
+    assertEquals(expected.news(), decoded.news());
+    assertEquals(expected.claims(), decoded.claims());
+    assertEquals(expected.words(), decoded.words());
+    assertEquals(expected, decoded);
+  }
+
+  @ParameterizedTest
+  @MethodSource("names")
+  void decodedDatagramIsEncodedToTheStoredBytes(String name) throws Exception {
+    byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
+    Head header = GossipCodec.head(stored);
+    byte[] encoded = encode(GossipCodec.read(stored, header), header.certificate());
+    assertArrayEquals(stored, encoded);
+  }
+
+  @ParameterizedTest
+  @MethodSource("names")
+  void storedDatagramHasTheSizeThatWasPlanned(String name) throws Exception {
+    byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
+    Packet packet = PACKETS.get(name);
+    byte[] certificate = certificate(name);
+    int planned =
+        GossipCodec.size(
+                packet.sender(), packet.message(), certificate == null ? 0 : certificate.length)
+            + packet.news().stream().mapToInt(GossipCodec::size).sum()
+            + packet.claims().stream().mapToInt(GossipCodec::size).sum()
+            + GossipCodec.riding(packet.place(), packet.words());
+    assertEquals(planned, stored.length + GossipCodec.UDP);
+  }
+
+  @Test
+  void eachKindOfMessageHasAStoredDatagram() {
+    Set<Class<?>> kinds =
+        Stream.of(Message.class.getPermittedSubclasses()).collect(Collectors.toSet());
+    Set<Class<?>> stored =
+        PACKETS.values().stream().map(p -> p.message().getClass()).collect(Collectors.toSet());
+    assertEquals(kinds, stored);
+  }
+
+  @Test
+  void clusterAndCertificateHaveTheStoredChecksums() {
+    assertEquals(CLUSTER_CHECKSUM, GossipCodec.cluster("golden"));
+    assertEquals(0x32cd_db79, GossipCodec.mark(CERTIFICATE));
+  }
+}
