--- a/decisions/src/main/java/reachloom/Choice.java
+++ b/decisions/src/main/java/reachloom/Choice.java
@@ -1,6 +1,6 @@
 package reachloom;
 
-// Types, events and actions of this module: decisions/src/main/java/reachloom/Decisions.java.
+// Types, events and actions of this module: decisions/src/main/java/reachloom/scheduler/api.
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,6 +15,23 @@
 import java.util.stream.Stream;
 import reachloom.discovery.StartTimes;
 import reachloom.latency.LatencyRatios;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.DeduplicationScope;
+import reachloom.scheduler.api.EngineCapabilities;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineKind;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.QueryClass;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
+import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.scheduler.api.SchedulingRules;
 import reachloom.spread.EngineOrder;
 import reachloom.spread.Share;
 import reachloom.spread.Subset;
@@ -33,7 +50,7 @@
  * methods stand in the order in which a query lives; docs/design.md gives the reasons and the
  * conditions of each exception.
  */
-public final class Choice implements Decisions, Decisions.Events {
+public final class Choice implements SchedulerEvents {
   private static final double SECOND = 1e9; // nanoseconds
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
@@ -138,8 +155,8 @@
   private static final long TICK_TOKEN = 0;
   private static final long WATCH_TOKEN = 1;
 
-  private final Actions actions;
-  private Settings settings;
+  private final SchedulerActions actions;
+  private SchedulerSettings settings;
   private SplittableRandom random;
   private long startedAt;
   private int self;
@@ -185,14 +202,14 @@
   private SlidingSum extrasInSpan;
 
   /** A module that acts through the given front. */
-  public Choice(Actions actions) {
+  public Choice(SchedulerActions actions) {
     this.actions = actions;
   }
 
   // ---- The gateway and its engines ----
 
   @Override
-  public void start(long now, long seed, Settings s) {
+  public void start(long now, long seed, SchedulerSettings s) {
     settings = s;
     share = new Share(s.gateways());
     startedAt = now;
@@ -217,9 +234,9 @@
   }
 
   @Override
-  public void engines(long now, boolean complete, List<EngineInfo> entries) {
+  public void engines(long now, boolean complete, List<EngineEndpoint> entries) {
     Set<String> named = new LinkedHashSet<>();
-    for (EngineInfo entry : entries) {
+    for (EngineEndpoint entry : entries) {
       named.add(entry.name());
       Engine old = engines.get(entry.name());
       if (old == null || entry.since() > old.info.since()) {
@@ -238,7 +255,7 @@
     if (complete) {
       engines.values().stream()
           .filter(e -> !named.contains(e.name))
-          .forEach(e -> tell(now, e, EngineState.GONE));
+          .forEach(e -> tell(now, e, EngineState.REMOVED));
     }
     List<Engine> up = order.all();
     ratios.up(up);
@@ -260,7 +277,7 @@
     if (state == EngineState.UP && now < e.coldUntil) {
       cold.add(e);
     }
-    if (state == EngineState.GONE) {
+    if (state == EngineState.REMOVED) {
       gone.add(e);
     }
   }
@@ -272,12 +289,12 @@
     accused.remove(e);
   }
 
-  private Engine started(long now, EngineInfo entry, boolean asChange) {
+  private Engine started(long now, EngineEndpoint entry, boolean asChange) {
     Engine e = new Engine(entry.name());
-    Kind kind =
+    EngineKind kind =
         entry.kind() < settings.kinds().size()
             ? settings.kinds().get(entry.kind())
-            : new Kind(0, 0);
+            : new EngineKind(0, 0);
     e.cores = kind.cores() > 0 ? kind.cores() : Math.max(1, entry.weight());
     e.memoryMb = kind.memoryMb();
     e.bound = mostThreads(e);
@@ -427,7 +444,7 @@
   }
 
   /** Learns from an answer what its class takes and how its engine compares. */
-  private void learn(long now, Attempt a, AttemptEnd end) {
+  private void learn(long now, Attempt a, AttemptResult end) {
     QueryRecord q = a.query;
     ClassRecord c = classes.get(q.query.queryClass());
     Engine e = a.engine;
@@ -497,7 +514,7 @@
   }
 
   private static boolean busy(long now, Engine e) {
-    Report r = now - e.reportAt < REPORT_AGE ? e.report : null;
+    LoadReport r = now - e.reportAt < REPORT_AGE ? e.report : null;
     return r != null
         && (r.util() > BUSY || r.queue() >= 1 || r.memoryShare() > BUSY || r.diskShare() > BUSY);
   }
@@ -578,7 +595,7 @@
    * Work that may be sent to a cold engine within one slot; the engine is taken to warm up late.
    */
   private double coldBudget(long now, Engine e) {
-    Rules r = settings.rules();
+    SchedulingRules r = settings.rules();
     double age = Math.max(0, 1 - (double) (e.coldUntil - now) / r.coldTime());
     double share = r.coldShare() + (1 - r.coldShare()) * age * age;
     return COLD_MARGIN * r.fallMultiple() * share * BUSY_CORES * e.cores * seconds(coldSlotTime());
@@ -594,7 +611,7 @@
 
   /** Whether a further attempt there keeps the rule on effects; a first one always does. */
   private boolean repeatAllowed(long now, QueryRecord q, Engine e) {
-    if (q.firstRunAt < 0 || q.kind.effect() == Effect.SAFE) {
+    if (q.firstRunAt < 0 || q.kind.effect() == Idempotency.IDEMPOTENT) {
       return true;
     }
     boolean inGroup =
@@ -603,7 +620,7 @@
           case ZONE -> e.info.zone() == q.firstRunOn.info.zone();
           case CELL -> e.info.cell() == q.firstRunOn.info.cell();
         };
-    return q.kind.effect() == Effect.KEYED
+    return q.kind.effect() == Idempotency.IDEMPOTENT_BY_KEY
         && inGroup
         && now < q.firstRunAt + q.kind.keyWindow() - 2 * settings.tick();
   }
@@ -781,7 +798,7 @@
 
   /** Grant and priority, where the engines heed them. */
   private void setTerms(QueryRecord q) {
-    Traits traits = settings.traits();
+    EngineCapabilities traits = settings.traits();
     int priority = dense(q) ? 3 : 1;
     ClassRecord c = classes.get(q.query.queryClass());
     double grant = traits.grants() && c.memory.count > 0 ? memory(q) : 0;
@@ -827,7 +844,7 @@
   }
 
   @Override
-  public void note(long now, Note note) {
+  public void note(long now, ProgressReport note) {
     QueryRecord q = queries.get(note.query());
     if (q == null || note.attempt() >= q.attempts.size()) {
       return;
@@ -835,17 +852,17 @@
     Attempt a = q.attempts.get(note.attempt());
     a.engine.lastSign = now;
     a.lastNote = now;
-    a.inLine = note.kind() == NoteKind.MEMORY_WAIT;
+    a.inLine = note.kind() == ProgressKind.MEMORY_WAIT;
     a.engine.fullUntil =
         a.inLine ? now + FULL_REST : a.engine.fullUntil; // as good as a full refusal
-    if (note.kind() == NoteKind.LOAD_WAIT) {
+    if (note.kind() == ProgressKind.LOAD_WAIT) {
       a.engine.heldGroups.put(q.query.group(), now + LOAD_MARK);
       if (canMove(now, a)) {
         cancel(a); // it has done nothing yet, and a load takes long
       }
-    } else if (note.kind() == NoteKind.PROGRESS) {
+    } else if (note.kind() == ProgressKind.PROGRESS) {
       a.share = note.amount();
-      if (a.query.kind.effect() == Effect.SAFE && badPlan(now, a) && canMove(now, a)) {
+      if (a.query.kind.effect() == Idempotency.IDEMPOTENT && badPlan(now, a) && canMove(now, a)) {
         cancel(a);
       }
     }
@@ -868,7 +885,7 @@
   /** Gives up an attempt of a query that is over, or that may go elsewhere or be answered. */
   private void cancel(Attempt a) {
     QueryRecord q = a.query;
-    boolean free = q.over || !q.streaming && q.kind.effect() != Effect.UNSAFE;
+    boolean free = q.over || !q.streaming && q.kind.effect() != Idempotency.NOT_IDEMPOTENT;
     if (free && !a.ended && !a.abandoned && settings.limits().cancel()) {
       a.abandoned = true;
       actions.cancel(q.query.id(), a.number);
@@ -884,7 +901,7 @@
 
   /** The rule on further attempts, and the most attempts of one query. */
   private boolean furtherAllowed(long now, QueryRecord q) {
-    Rules r = settings.rules();
+    SchedulingRules r = settings.rules();
     return q.attempts.size() < settings.limits().maxAttempts()
         && (r.lookBack() <= 0
             || extrasInSpan.sum(now) + 1
@@ -894,7 +911,7 @@
   // ---- The end of an attempt ----
 
   @Override
-  public void end(long now, AttemptEnd end) {
+  public void end(long now, AttemptResult end) {
     QueryRecord q = queries.get(end.query());
     if (q == null || end.attempt() >= q.attempts.size()) {
       return;
@@ -911,7 +928,7 @@
     release(now, false);
   }
 
-  private void settle(long now, QueryRecord q, Attempt a, AttemptEnd end) {
+  private void settle(long now, QueryRecord q, Attempt a, AttemptResult end) {
     a.ended = true;
     q.out--;
     a.engine.remove(a);
@@ -926,26 +943,28 @@
   }
 
   /** Health by symptom: errors, resets and failed connects are trouble, an answer ends it. */
-  private void judge(long now, Attempt a, AttemptEnd end) {
+  private void judge(long now, Attempt a, AttemptResult end) {
     Engine e = a.engine;
-    boolean reset = end.outcome() == Outcome.RESET && now - e.resetAt >= ONE_BREAK;
+    boolean reset = end.outcome() == AttemptOutcome.RESET && now - e.resetAt >= ONE_BREAK;
     e.resetAt = reset ? now : e.resetAt;
-    a.erred = end.outcome() == Outcome.ERROR && !end.over();
-    if (end.outcome() == Outcome.ERROR && !a.erred || reset || end.outcome() == Outcome.UNREACHED) {
+    a.erred = end.outcome() == AttemptOutcome.ERROR && !end.over();
+    if (end.outcome() == AttemptOutcome.ERROR && !a.erred
+        || reset
+        || end.outcome() == AttemptOutcome.UNREACHED) {
       noteTrouble(now, e, ERRORS_BAD);
-    } else if (end.outcome() == Outcome.SERVED) {
+    } else if (end.outcome() == AttemptOutcome.SERVED) {
       noteErrors(now, a.query, true);
       e.errors -= ERROR_WEIGHT * e.errors;
       e.lastSign = now;
       e.troubles = e.errors <= ERRORS_BAD ? 0 : e.troubles;
       notePool(false);
       learn(now, a, end);
-    } else if (end.outcome() == Outcome.FULL) {
+    } else if (end.outcome() == AttemptOutcome.FULL) {
       e.fullUntil = now + FULL_REST;
       e.restUntil = Math.max(e.restUntil, e.fullUntil); // also one that hangs is full after a while
       e.bound = Math.max(widest, Math.min(e.bound, e.threads) * BOUND_CUT);
       notePool(true);
-    } else if (end.outcome() == Outcome.TIMEOUT) {
+    } else if (end.outcome() == AttemptOutcome.TIMEOUT) {
       noteStrain(e, 1, cost(a.query));
     }
   }
@@ -1035,8 +1054,9 @@
     noteErrors(now, q, false);
     boolean harmless =
         q.firstRunAt < 0 && q.out == 0
-            || q.kind.effect() == Effect.SAFE
-            || q.kind.effect() == Effect.KEYED && q.kind.scope() == Scope.ALL;
+            || q.kind.effect() == Idempotency.IDEMPOTENT
+            || q.kind.effect() == Idempotency.IDEMPOTENT_BY_KEY
+                && q.kind.scope() == DeduplicationScope.ALL;
     if (harmless) {
       long retryAfter =
           !settings.limits().retryAfter()
@@ -1188,7 +1208,7 @@
   }
 
   @Override
-  public void probed(long now, String engine, boolean answered, Report report) {
+  public void probed(long now, String engine, boolean answered, LoadReport report) {
     Engine e = engines.get(engine);
     if (e == null) {
       return;
@@ -1218,7 +1238,7 @@
     }
   }
 
-  private void noteReport(long now, Engine e, Report report) {
+  private void noteReport(long now, Engine e, LoadReport report) {
     if (report != null && now > stalledUntil) {
       watch(now, e);
       e.report = report;
--- a/decisions/src/main/java/reachloom/evidence/Ledger.java
+++ b/decisions/src/main/java/reachloom/evidence/Ledger.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import reachloom.Decisions.Outcome;
+import reachloom.scheduler.api.AttemptOutcome;
 
 /**
  * What this instance itself has seen of each engine, over the latest span, in slices of a second.
@@ -23,7 +23,7 @@
      * wanted} is false where its query was over before: one given up by its client says nothing of
      * the engine.
      */
-    public static Seen of(Outcome outcome, boolean wanted) {
+    public static Seen of(AttemptOutcome outcome, boolean wanted) {
       return switch (outcome) {
         case SERVED -> SERVED;
         case ERROR, RESET, UNREACHED -> FAILED;
--- /dev/null
+++ b/decisions/src/main/java/reachloom/scheduler/api/LoadReport.java
@@ -0,0 +1,4 @@
+package reachloom.scheduler.api;
+
+/** A load report; a value that the engines do not tell is 0. */
+public record LoadReport(double util, double queue, double memoryShare, double diskShare) {}
--- /dev/null
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerLimits.java
@@ -0,0 +1,10 @@
+package reachloom.scheduler.api;
+
+/** What is allowed. */
+public record SchedulerLimits(
+    int maxAttempts,
+    boolean cancel,
+    boolean probes,
+    boolean secondCopies,
+    boolean retryAfter,
+    long maxRetryAfter) {}
--- a/decisions/src/main/java/reachloom/state/ClassRecord.java
+++ b/decisions/src/main/java/reachloom/state/ClassRecord.java
@@ -1,6 +1,6 @@
 package reachloom.state;
 
-import reachloom.Decisions.QueryClass;
+import reachloom.scheduler.api.QueryClass;
 
 /** What a gateway has learned of one class. */
 public final class ClassRecord {
--- a/decisions/src/main/java/reachloom/state/Engine.java
+++ b/decisions/src/main/java/reachloom/state/Engine.java
@@ -4,14 +4,14 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Report;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.LoadReport;
 
 /** What a gateway knows of one engine. */
 public final class Engine {
   public final String name;
-  public EngineInfo info;
+  public EngineEndpoint info;
   public EngineState state = EngineState.UP;
   public double cores;
   public double memoryMb;
@@ -68,7 +68,7 @@
   /** Its place in the list as it was told; a new process keeps that of the one before. */
   public long number;
 
-  public Report report;
+  public LoadReport report;
   public long reportAt;
   public boolean probing;
   public long probedAt;
--- a/decisions/src/main/java/reachloom/state/QueryRecord.java
+++ b/decisions/src/main/java/reachloom/state/QueryRecord.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.QueryClass;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.QueryClass;
 
 /** A query that the gateway has taken, until it is answered and nothing of it is out. */
 public final class QueryRecord {
--- a/decisions/src/test/java/reachloom/Bench.java
+++ b/decisions/src/test/java/reachloom/Bench.java
@@ -2,30 +2,30 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Effect;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Kind;
-import reachloom.Decisions.Limits;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Overbooked;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.QueryClass;
-import reachloom.Decisions.Report;
-import reachloom.Decisions.Rules;
-import reachloom.Decisions.Scope;
-import reachloom.Decisions.Settings;
-import reachloom.Decisions.Tenant;
-import reachloom.Decisions.Traits;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.DeduplicationScope;
+import reachloom.scheduler.api.EngineCapabilities;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineKind;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.OvercommitPolicy;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.QueryClass;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerLimits;
+import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.scheduler.api.SchedulingRules;
+import reachloom.scheduler.api.TenantQuota;
 
 /**
  * One gateway on a scripted clock: events go in by short calls, actions are kept as lines of text.
  */
-final class Bench implements Actions {
+final class Bench implements SchedulerActions {
   static final long MS = 1_000_000;
   static final long SECOND = 1000 * MS;
   static final int QUICK = 0;
@@ -38,8 +38,8 @@
   int gateways = 1;
   int self;
   long seed = 7;
-  Effect longEffect = Effect.SAFE;
-  Scope scope = Scope.ALL;
+  Idempotency longEffect = Idempotency.IDEMPOTENT;
+  DeduplicationScope scope = DeduplicationScope.ALL;
   List<Integer> longKinds = List.of();
   boolean ordered;
   long orderSettle;
@@ -51,12 +51,12 @@
   double probePrice;
   boolean grants;
   long notePeriod;
-  Overbooked overbooked = Overbooked.WAIT;
-  List<Tenant> tenants = List.of();
+  OvercommitPolicy overbooked = OvercommitPolicy.WAIT;
+  List<TenantQuota> tenants = List.of();
   double memoryMb;
   private long ticksDue;
 
-  Bench start(EngineInfo... engines) {
+  Bench start(EngineEndpoint... engines) {
     List<QueryClass> classes =
         List.of(
             new QueryClass(
@@ -65,8 +65,8 @@
                 5 * SECOND,
                 1,
                 0.1,
-                Effect.SAFE,
-                Scope.ALL,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 false,
                 false,
@@ -97,7 +97,7 @@
                 20 * SECOND,
                 12,
                 0.5,
-                Effect.KEYED,
+                Idempotency.IDEMPOTENT_BY_KEY,
                 scope,
                 keyWindow,
                 ordered,
@@ -110,7 +110,7 @@
     choice.start(
         now,
         seed,
-        new Settings(
+        new SchedulerSettings(
             gateways,
             self,
             0,
@@ -121,10 +121,10 @@
             probePrice,
             0.1,
             classes,
-            List.of(new Kind(8, memoryMb), new Kind(8, memoryMb)),
+            List.of(new EngineKind(8, memoryMb), new EngineKind(8, memoryMb)),
             tenants,
-            new Limits(5, true, reports, false, true, 2 * SECOND),
-            new Rules(
+            new SchedulerLimits(5, true, reports, false, true, 2 * SECOND),
+            new SchedulingRules(
                 20 * MS,
                 0.3,
                 10 * SECOND,
@@ -134,20 +134,20 @@
                 lookBack,
                 extraFree,
                 extraShare),
-            new Traits(grants, true, reports, notePeriod, 0.5, overbooked)));
+            new EngineCapabilities(grants, true, reports, notePeriod, 0.5, overbooked)));
     list(engines);
     return this;
   }
 
-  static EngineInfo up(String name) {
+  static EngineEndpoint up(String name) {
     return engine(name, EngineState.UP, 0, 0);
   }
 
-  static EngineInfo engine(String name, EngineState state, int kind, long since) {
-    return new EngineInfo(name, state, kind, 0, name.charAt(0), 1, since);
+  static EngineEndpoint engine(String name, EngineState state, int kind, long since) {
+    return new EngineEndpoint(name, state, kind, 0, name.charAt(0), 1, since);
   }
 
-  void list(EngineInfo... engines) {
+  void list(EngineEndpoint... engines) {
     choice.engines(now, true, List.of(engines));
   }
 
@@ -161,21 +161,22 @@
     choice.arrive(now, new Query(id, queryClass, tenant, key, time, cost, 100, 3, false));
   }
 
-  void end(String id, int attempt, String engine, Outcome outcome, double seconds, boolean over) {
+  void end(
+      String id, int attempt, String engine, AttemptOutcome outcome, double seconds, boolean over) {
     long spent = (long) (seconds * SECOND);
-    choice.end(now, new AttemptEnd(id, attempt, engine, outcome, spent, over, 0, 0, null));
+    choice.end(now, new AttemptResult(id, attempt, engine, outcome, spent, over, 0, 0, null));
   }
 
   void served(String id, String engine, double seconds) {
-    end(id, 0, engine, Outcome.SERVED, seconds, true);
+    end(id, 0, engine, AttemptOutcome.SERVED, seconds, true);
   }
 
   void note(String id, String engine, double share) {
-    choice.note(now, new Note(id, 0, engine, NoteKind.PROGRESS, share));
+    choice.note(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, share));
   }
 
   void report(String engine, double util) {
-    choice.probed(now, engine, true, new Report(util, 0, 0, 0));
+    choice.probed(now, engine, true, new LoadReport(util, 0, 0, 0));
   }
 
   /** Lets time pass; the module's timers come due. */
--- a/decisions/src/test/java/reachloom/ChoiceTest.java
+++ b/decisions/src/test/java/reachloom/ChoiceTest.java
@@ -18,16 +18,16 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import reachloom.Decisions.Effect;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Report;
-import reachloom.Decisions.Scope;
-import reachloom.Decisions.Tenant;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.DeduplicationScope;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.TenantQuota;
 
 /** The decisions, by scripted events and asserted actions; no bench is needed. */
 class ChoiceTest {
@@ -185,7 +185,7 @@
     assertEquals(0, count(sent, "send second"));
     assertEquals(1, count(sent, "send other"), "one blocked key holds up nobody else");
     String on = sent.get(0).substring("send first ".length());
-    b.end("first", 0, on, Outcome.TIMEOUT, 1, true);
+    b.end("first", 0, on, AttemptOutcome.TIMEOUT, 1, true);
     b.pass(400 * MS);
     assertEquals(0, count(b.take(), "send second"), "the key rests after a time-out");
     b.pass(200 * MS);
@@ -199,11 +199,11 @@
     b.arrive("early", KEYED, 0.1);
     b.arrive("late", KEYED, 0.1);
     List<String> sent = b.take();
-    b.end("early", 0, sent.get(0).substring(11), Outcome.ERROR, 0, false);
+    b.end("early", 0, sent.get(0).substring(11), AttemptOutcome.ERROR, 0, false);
     assertEquals(1, count(b.take(), "send early"));
     b.pass(15 * SECOND);
     b.take();
-    b.end("late", 0, sent.get(1).substring(10), Outcome.ERROR, 15, false);
+    b.end("late", 0, sent.get(1).substring(10), AttemptOutcome.ERROR, 15, false);
     assertEquals(List.of("refuse late 1s"), b.take());
   }
 
@@ -213,7 +213,7 @@
     b.start(pool(3, 0));
     b.arrive("q", Bench.KEYED, 0.1, 0, "k");
     String first = b.take().get(0).split(" ")[2];
-    b.end("q", 0, first, Outcome.RESET, 0.1, false);
+    b.end("q", 0, first, AttemptOutcome.RESET, 0.1, false);
     assertEquals(1, count(b.take(), "send q"));
     assertTrue(b.choice.mayStart(b.now, "q", 1));
     assertFalse(
@@ -223,27 +223,27 @@
   @Test
   void neverRepeatsOrRefusesWhatMayHaveRunOnce() {
     Bench b = new Bench();
-    b.longEffect = Effect.UNSAFE;
+    b.longEffect = Idempotency.NOT_IDEMPOTENT;
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 1);
     b.take();
-    b.end("q", 0, "a", Outcome.RESET, 0.1, false);
+    b.end("q", 0, "a", AttemptOutcome.RESET, 0.1, false);
     assertEquals(List.of("fail q"), b.take());
     b.arrive("r", LONG, 1);
     b.take();
-    b.end("r", 0, "a", Outcome.UNREACHED, 0.1, false);
+    b.end("r", 0, "a", AttemptOutcome.UNREACHED, 0.1, false);
     assertEquals(1, count(b.take(), "send r"), "an attempt that never ran leaves all open");
   }
 
   @Test
   void failsRatherThanRefusesWhereOnlyACellDropsRepeats() {
     Bench b = new Bench();
-    b.scope = Scope.CELL;
+    b.scope = DeduplicationScope.CELL;
     b.start(up("a"), up("b"));
     b.arrive("q", KEYED, 1);
     String on = b.take().get(0).substring("send q ".length());
     b.list(up(on.equals("a") ? "b" : "a"));
-    b.end("q", 0, on, Outcome.RESET, 0.1, false);
+    b.end("q", 0, on, AttemptOutcome.RESET, 0.1, false);
     assertEquals(List.of("fail q"), b.take());
   }
 
@@ -253,9 +253,9 @@
     b.arrive("q", QUICK, 0.1);
     b.take();
     b.pass(5 * SECOND);
-    b.end("q", 0, "a", Outcome.TIMEOUT, 5, false);
+    b.end("q", 0, "a", AttemptOutcome.TIMEOUT, 5, false);
     assertEquals(1, b.take().size());
-    b.end("q", 0, "a", Outcome.TIMEOUT, 5, false);
+    b.end("q", 0, "a", AttemptOutcome.TIMEOUT, 5, false);
     assertEquals(List.of(), b.take(), "one final answer only");
   }
 
@@ -268,9 +268,9 @@
     b.arrive("q", QUICK, 0.1);
     b.arrive("r", QUICK, 0.1);
     b.take();
-    b.end("q", 0, "a", Outcome.FULL, 0, false);
+    b.end("q", 0, "a", AttemptOutcome.FULL, 0, false);
     assertEquals(1, count(b.take(), "send q"));
-    b.end("r", 0, "a", Outcome.FULL, 0, false);
+    b.end("r", 0, "a", AttemptOutcome.FULL, 0, false);
     assertEquals(List.of("refuse r 1s"), b.take(), "the budget of one is spent");
   }
 
@@ -299,7 +299,8 @@
     for (int i = 0; i < 40; i++) {
       b.arrive("q" + i, QUICK, 0.1);
       String on = b.take().get(0).substring(("send q" + i + " ").length());
-      b.end("q" + i, 0, on, on.equals("a") ? Outcome.ERROR : Outcome.SERVED, 0.1, true);
+      b.end(
+          "q" + i, 0, on, on.equals("a") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, 0.1, true);
     }
     for (int i = 0; i < 30; i++) {
       b.arrive("r" + i, QUICK, 0.1);
@@ -315,7 +316,7 @@
       b.arrive("bad" + i, QUICK, 0.1);
       for (int n = 0; n < 5; n++) {
         String sent = b.actions.get(b.actions.size() - 1);
-        b.end("bad" + i, n, sent.substring(sent.length() - 1), Outcome.ERROR, 0.001, false);
+        b.end("bad" + i, n, sent.substring(sent.length() - 1), AttemptOutcome.ERROR, 0.001, false);
       }
       assertEquals("refuse bad" + i + " 1s", b.actions.get(b.actions.size() - 1));
     }
@@ -335,10 +336,10 @@
     List<String> ids = IntStream.range(0, 3).mapToObj(i -> "q" + i).toList();
     ids.forEach(id -> b.arrive(id, QUICK, 0.1));
     b.list(up("a"), up("b"));
-    ids.forEach(id -> b.end(id, 0, "a", Outcome.ERROR, 0.001, false));
+    ids.forEach(id -> b.end(id, 0, "a", AttemptOutcome.ERROR, 0.001, false));
     for (String id : ids) {
       assertTrue(b.actions.contains("send " + id + " b"), "sent on to the other engine");
-      b.end(id, 1, "b", Outcome.SERVED, 0.1, true);
+      b.end(id, 1, "b", AttemptOutcome.SERVED, 0.1, true);
     }
     b.take();
     for (int i = 10; i < 40; i++) {
@@ -356,7 +357,7 @@
     b.list(up("a"), up("b"));
     b.take();
     for (int i = 0; i < 10; i++) {
-      b.end("q" + i, 0, "a", Outcome.RESET, 0.1, false);
+      b.end("q" + i, 0, "a", AttemptOutcome.RESET, 0.1, false);
     }
     for (int i = 10; i < 60; i++) {
       b.arrive("q" + i, QUICK, 0.1);
@@ -385,7 +386,7 @@
     b.pass(50 * MS);
     assertEquals(1, count(b.actions, "cancel lost 0"), b.actions.toString());
     assertEquals(0, count(b.take(), "cancel o" + (other - 1)));
-    b.end("lost", 0, on, Outcome.CANCELLED, 1, false);
+    b.end("lost", 0, on, AttemptOutcome.CANCELLED, 1, false);
     assertEquals(List.of("send lost " + (on.equals("a") ? "b" : "a")), b.take());
   }
 
@@ -454,7 +455,7 @@
   void aTenantBeyondItsShareGivesWayUnderPressure() {
     Bench b = new Bench();
     b.reports = true;
-    b.tenants = List.of(new Tenant(2), new Tenant(50));
+    b.tenants = List.of(new TenantQuota(2), new TenantQuota(50));
     b.start(up("a"));
     press(b, "a");
     b.actions.clear();
@@ -483,9 +484,9 @@
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 0.5);
     String on = b.take().get(0).substring("send q ".length());
-    b.choice.note(b.now, new Note("q", 0, on, NoteKind.LOAD_WAIT, 2));
+    b.choice.note(b.now, new ProgressReport("q", 0, on, ProgressKind.LOAD_WAIT, 2));
     assertEquals(List.of("cancel q 0"), b.take());
-    b.end("q", 0, on, Outcome.CANCELLED, 0.1, false);
+    b.end("q", 0, on, AttemptOutcome.CANCELLED, 0.1, false);
     assertEquals(List.of("send q " + (on.equals("a") ? "b" : "a")), b.take());
   }
 
@@ -498,7 +499,7 @@
       b.arrive("q" + i, LONG, 1);
     }
     assertEquals(40, count(b.take(), "send"));
-    b.choice.note(b.now, new Note("q0", 0, "a", NoteKind.MEMORY_WAIT, 1));
+    b.choice.note(b.now, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
     for (int round = 0; round < 3; round++) {
       b.pass(400 * MS);
       for (int i = 1; i < 40; i++) {
@@ -537,10 +538,10 @@
     assertEquals(7, count(b.take(), "send"), "sixteen threads, two a core");
   }
 
-  private static EngineInfo[] pool(int size, long since) {
+  private static EngineEndpoint[] pool(int size, long since) {
     return IntStream.range(0, size)
         .mapToObj(i -> engine("e" + i, EngineState.UP, 0, since))
-        .toArray(EngineInfo[]::new);
+        .toArray(EngineEndpoint[]::new);
   }
 
   @Test
@@ -551,7 +552,7 @@
       b.start(pool(30, 0));
       for (int i = 0; i < 20; i++) {
         b.arrive("f" + i, QUICK, 0.1);
-        b.end("f" + i, 0, b.take().get(0).split(" ")[2], Outcome.FULL, 0, true);
+        b.end("f" + i, 0, b.take().get(0).split(" ")[2], AttemptOutcome.FULL, 0, true);
       }
       b.pass(600 * MS);
       b.take();
@@ -619,7 +620,7 @@
                         a[1],
                         0,
                         a[2],
-                        Outcome.FULL,
+                        AttemptOutcome.FULL,
                         0,
                         true)); // signs of pressure: the pool is not calm
       }
@@ -646,7 +647,7 @@
         taken.stream()
             .filter(a -> a.startsWith("send"))
             .map(a -> a.split(" "))
-            .forEach(a -> b.end(a[1], 0, a[2], Outcome.FULL, 0, true));
+            .forEach(a -> b.end(a[1], 0, a[2], AttemptOutcome.FULL, 0, true));
       }
       // Ten queries a second pay for a clock at the one price, and not at the other.
       assertTrue(
@@ -714,7 +715,7 @@
   void aFewQueriesAtOnceAreNotBeyondATenantsShare() {
     Bench b = new Bench();
     b.gateways = 300;
-    b.tenants = List.of(new Tenant(60));
+    b.tenants = List.of(new TenantQuota(60));
     b.start();
     for (int i = 0; i < 6; i++) {
       b.arrive("q" + i, QUICK, 0.1);
@@ -742,7 +743,7 @@
     Bench b = new Bench().start(up("a"), up("b"));
     b.arrive("q", QUICK, 0.1);
     String full = b.take().get(0).substring("send q ".length());
-    b.end("q", 0, full, Outcome.FULL, 0, false);
+    b.end("q", 0, full, AttemptOutcome.FULL, 0, false);
     for (int i = 0; i < 10; i++) {
       b.arrive("r" + i, QUICK, 0.1);
     }
@@ -811,14 +812,14 @@
       b.gateways = 50;
       b.memoryMb = 80_000; // enough that it binds nobody
       String[] names = IntStream.range(0, 10).mapToObj(i -> "e" + i).toArray(String[]::new);
-      b.start(IntStream.range(0, 10).mapToObj(i -> up("e" + i)).toArray(EngineInfo[]::new));
+      b.start(IntStream.range(0, 10).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
       for (int k = 0; k < (hot == 0 ? 5 : 25); k++) {
         b.arrive("own" + k, LONG, 5);
       }
       b.pass(100 * MS);
       List<String> own = b.take().stream().filter(a -> a.startsWith("send")).toList();
       for (int i = 0; i < 100; i++) { // from its half on all are busy
-        b.choice.probed(b.now, names[i % 10], true, new Report(i < 50 ? 0.5 : 1, 0, 0.03, 0));
+        b.choice.probed(b.now, names[i % 10], true, new LoadReport(i < 50 ? 0.5 : 1, 0, 0.03, 0));
         b.pass(100 * MS);
       }
       b.pass(2 * SECOND); // no engine is known to be busy any more, but the pool is pressed
@@ -837,7 +838,7 @@
   void aGatewayKeepsToSomeOfManyEngines() {
     Bench b = new Bench();
     b.gateways = 100;
-    b.start(IntStream.range(0, 60).mapToObj(i -> up("e" + i)).toArray(EngineInfo[]::new));
+    b.start(IntStream.range(0, 60).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
     List<String> met = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
       b.arrive("q" + i, QUICK, 0.05);
--- a/decisions/src/test/java/reachloom/ColdSlotsTest.java
+++ b/decisions/src/test/java/reachloom/ColdSlotsTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Outcome;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
 
 /** What a fleet of gateways that do not talk sends to a cold engine, all together. */
 class ColdSlotsTest {
@@ -43,7 +43,7 @@
           if (action.startsWith("send ")) {
             sent.add(at);
             String id = action.split(" ")[1];
-            b.end(id, 0, "a", Outcome.SERVED, 0.02, true);
+            b.end(id, 0, "a", AttemptOutcome.SERVED, 0.02, true);
           }
         }
         b.take();
@@ -113,12 +113,12 @@
       b.gateways = gateways;
       b.self = g;
       b.seed = 1000 + g;
-      List<EngineInfo> engines =
+      List<EngineEndpoint> engines =
           new ArrayList<>(List.of(Bench.engine("a", EngineState.UP, 0, b.now)));
       for (char name = 'b'; name <= 'j'; name++) {
         engines.add(Bench.up(String.valueOf(name)));
       }
-      fleet.add(b.start(engines.toArray(EngineInfo[]::new)));
+      fleet.add(b.start(engines.toArray(EngineEndpoint[]::new)));
     }
     long start = fleet.get(0).now;
     TreeMap<Long, List<String[]>> ends = new TreeMap<>();
@@ -187,7 +187,7 @@
     String other = first.equals("a") ? "b" : "a";
     b.list(Bench.engine(first, EngineState.DRAINING, 0, 0), Bench.up(other));
     assertFalse(b.choice.mayStart(b.now, "q", 0), "its engine is leaving");
-    b.end("q", 0, first, Outcome.NOT_SENT, 0, false);
+    b.end("q", 0, first, AttemptOutcome.NOT_SENT, 0, false);
     assertEquals(List.of("send q " + other), b.take());
     assertTrue(b.choice.mayStart(b.now, "q", 1));
     b.choice.leave(b.now, "q");
--- a/decisions/src/test/java/reachloom/evidence/CorroborationTest.java
+++ b/decisions/src/test/java/reachloom/evidence/CorroborationTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import reachloom.Decisions.Outcome;
 import reachloom.evidence.Corroboration.Belief;
 import reachloom.evidence.Ledger.Seen;
+import reachloom.scheduler.api.AttemptOutcome;
 
 /** What others say is weighed, and own evidence goes before it. */
 class CorroborationTest {
@@ -186,11 +186,11 @@
 
   @Test
   void whatAnEndTellsOfAnEngine() {
-    assertEquals(Seen.SERVED, Seen.of(Outcome.SERVED, false));
-    assertEquals(Seen.LOST, Seen.of(Outcome.CANCELLED, true));
-    assertNull(Seen.of(Outcome.CANCELLED, false), "its client has left");
-    assertNull(Seen.of(Outcome.FULL, true), "a full engine is not a sick one");
-    assertEquals(Seen.FAILED, Seen.of(Outcome.RESET, true));
+    assertEquals(Seen.SERVED, Seen.of(AttemptOutcome.SERVED, false));
+    assertEquals(Seen.LOST, Seen.of(AttemptOutcome.CANCELLED, true));
+    assertNull(Seen.of(AttemptOutcome.CANCELLED, false), "its client has left");
+    assertNull(Seen.of(AttemptOutcome.FULL, true), "a full engine is not a sick one");
+    assertEquals(Seen.FAILED, Seen.of(AttemptOutcome.RESET, true));
   }
 
   @Test
--- a/gateway/src/main/java/reachloom/benchlink/ActionWriter.java
+++ b/gateway/src/main/java/reachloom/benchlink/ActionWriter.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import reachloom.Decisions.Actions;
+import reachloom.scheduler.api.SchedulerActions;
 
 /** Writes the actions of one instance into the reply that is being put together. */
-final class ActionWriter implements Actions {
+final class ActionWriter implements SchedulerActions {
   private final String instance;
   private JsonGenerator out;
 
--- a/gateway/src/main/java/reachloom/benchlink/BenchLink.java
+++ b/gateway/src/main/java/reachloom/benchlink/BenchLink.java
@@ -20,44 +20,45 @@
 import java.util.Map;
 import java.util.Set;
 import reachloom.Choice;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Report;
 import reachloom.config.SettingsReader;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
 
 /** The simulator's wire: batches of events in, one reply each out, for many instances at once. */
 public final class BenchLink {
-  private static final Map<String, Outcome> OUTCOMES =
+  private static final Map<String, AttemptOutcome> OUTCOMES =
       Map.of(
           "S",
-          Outcome.SERVED,
+          AttemptOutcome.SERVED,
           "E",
-          Outcome.ERROR,
+          AttemptOutcome.ERROR,
           "F",
-          Outcome.FULL,
+          AttemptOutcome.FULL,
           "T",
-          Outcome.TIMEOUT,
+          AttemptOutcome.TIMEOUT,
           "C",
-          Outcome.UNREACHED,
+          AttemptOutcome.UNREACHED,
           "R",
-          Outcome.RESET,
+          AttemptOutcome.RESET,
           "X",
-          Outcome.CANCELLED,
+          AttemptOutcome.CANCELLED,
           "N",
-          Outcome.NOT_SENT);
+          AttemptOutcome.NOT_SENT);
   private static final Map<String, EngineState> STATES =
-      Map.of("up", EngineState.UP, "draining", EngineState.DRAINING, "removed", EngineState.GONE);
+      Map.of(
+          "up", EngineState.UP, "draining", EngineState.DRAINING, "removed", EngineState.REMOVED);
 
   private final ObjectMapper mapper =
       new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
-  private final Map<Integer, List<EngineInfo>> sheets = new HashMap<>();
+  private final Map<Integer, List<EngineEndpoint>> sheets = new HashMap<>();
   private final Map<String, Instance> instances = new HashMap<>();
   private final Set<String> unknownEvents = new HashSet<>();
   private final Factory factory;
@@ -65,11 +66,11 @@
 
   /** Makes the decision module of an instance. */
   interface Factory {
-    Events create(Actions actions);
+    SchedulerEvents create(SchedulerActions actions);
   }
 
   /** Neighbours are null where instances may not talk. */
-  private record Instance(Events events, ActionWriter actions, Neighbours neighbours) {}
+  private record Instance(SchedulerEvents events, ActionWriter actions, Neighbours neighbours) {}
 
   /** A link whose instances each hold a {@link Choice}. */
   public BenchLink(PrintStream err) {
@@ -179,7 +180,7 @@
     }
   }
 
-  private static Instance instance(JsonNode item, Events events, ActionWriter writer) {
+  private static Instance instance(JsonNode item, SchedulerEvents events, ActionWriter writer) {
     JsonNode info = item.path("bootInfo");
     Neighbours others =
         !info.path("limits").path("peers").asBoolean()
@@ -194,7 +195,8 @@
     return new Instance(events, writer, others);
   }
 
-  private void deliver(long now, String name, JsonNode item, Events events, Neighbours others)
+  private void deliver(
+      long now, String name, JsonNode item, SchedulerEvents events, Neighbours others)
       throws MalformedBatchException {
     switch (name) {
       case "NewInstance" ->
@@ -207,14 +209,14 @@
       case "Progress" ->
           events.note(
               now,
-              new Note(
+              new ProgressReport(
                   text(item, "handle", name),
                   item.path("sendNo").asInt(),
                   item.path("node").asText(),
                   noteKind(item),
                   item.path("amount").asDouble()));
       case "Finished" -> {
-        AttemptEnd end = attemptEnd(item, name);
+        AttemptResult end = attemptEnd(item, name);
         if (others != null) {
           others.ended(now, end);
         }
@@ -247,14 +249,14 @@
     }
   }
 
-  private void engines(long now, JsonNode item, Events events, Neighbours others)
+  private void engines(long now, JsonNode item, SchedulerEvents events, Neighbours others)
       throws MalformedBatchException {
     String how = text(item, "how", "BackendsChanged");
     if (how.equals("unavailable")) {
       events.listUnavailable(now);
       return;
     }
-    List<EngineInfo> entries = sheets.get(item.path("sheet").asInt());
+    List<EngineEndpoint> entries = sheets.get(item.path("sheet").asInt());
     if (entries == null) {
       throw new MalformedBatchException("list " + item.path("sheet") + " was never defined");
     }
@@ -264,12 +266,12 @@
     events.engines(now, !how.equals("update"), entries);
   }
 
-  private static List<EngineInfo> entries(JsonNode list) throws MalformedBatchException {
-    List<EngineInfo> read = new ArrayList<>();
+  private static List<EngineEndpoint> entries(JsonNode list) throws MalformedBatchException {
+    List<EngineEndpoint> read = new ArrayList<>();
     for (JsonNode host : list.path("hosts")) {
       // A state not known here reads as draining: nothing new is sent.
       read.add(
-          new EngineInfo(
+          new EngineEndpoint(
               text(host, "node", "a list entry"),
               STATES.getOrDefault(host.path("state").asText("up"), EngineState.DRAINING),
               host.path("type").asInt(),
@@ -295,14 +297,15 @@
         item.path("againByClient").asBoolean());
   }
 
-  private static AttemptEnd attemptEnd(JsonNode item, String name) throws MalformedBatchException {
+  private static AttemptResult attemptEnd(JsonNode item, String name)
+      throws MalformedBatchException {
     long bill = item.path("bill").asLong();
     // An ending not known here reads as one that may have run.
-    return new AttemptEnd(
+    return new AttemptResult(
         text(item, "handle", name),
         item.path("sendNo").asInt(),
         item.path("node").asText(),
-        OUTCOMES.getOrDefault(item.path("ending").asText(), Outcome.ERROR),
+        OUTCOMES.getOrDefault(item.path("ending").asText(), AttemptOutcome.ERROR),
         item.path("spent").asLong(),
         item.path("noMore").asBoolean(),
         bill / 4096,
@@ -310,18 +313,19 @@
         report(item.path("telemetry")));
   }
 
-  private static NoteKind noteKind(JsonNode item) {
+  private static ProgressKind noteKind(JsonNode item) {
     return switch (item.path("sort").asInt()) {
-      case 1 -> NoteKind.PROGRESS;
-      case 2 -> NoteKind.SPILL;
-      case 3 -> item.path("amount").asInt() == 2 ? NoteKind.LOAD_WAIT : NoteKind.MEMORY_WAIT;
-      default -> NoteKind.OTHER;
+      case 1 -> ProgressKind.PROGRESS;
+      case 2 -> ProgressKind.SPILL;
+      case 3 ->
+          item.path("amount").asInt() == 2 ? ProgressKind.LOAD_WAIT : ProgressKind.MEMORY_WAIT;
+      default -> ProgressKind.OTHER;
     };
   }
 
-  private static Report report(JsonNode values) {
+  private static LoadReport report(JsonNode values) {
     return values.isObject()
-        ? new Report(
+        ? new LoadReport(
             values.path("util").asDouble(),
             values.path("queue").asDouble(),
             values.path("x0").asDouble(),
--- a/gateway/src/main/java/reachloom/benchlink/Neighbours.java
+++ b/gateway/src/main/java/reachloom/benchlink/Neighbours.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Outcome;
 import reachloom.evidence.Claim;
 import reachloom.evidence.Corroboration;
 import reachloom.evidence.Corroboration.Belief;
 import reachloom.evidence.Courier;
 import reachloom.evidence.Ledger;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.SchedulerEvents;
 
 /** Carries shared evidence over the simulator's messages between instances; decides nothing. */
 final class Neighbours {
@@ -26,7 +26,7 @@
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long REVIEW = 250 * MILLISECOND;
 
-  private final Events module;
+  private final SchedulerEvents module;
   private final ActionWriter actions;
   private final Ledger ledger = new Ledger();
   private final Corroboration corroboration = new Corroboration(ledger);
@@ -37,26 +37,31 @@
   private long nextReview;
 
   Neighbours(
-      Events module, ActionWriter actions, int self, int instances, double price, long seed) {
+      SchedulerEvents module,
+      ActionWriter actions,
+      int self,
+      int instances,
+      double price,
+      long seed) {
     this.module = module;
     this.actions = actions;
     courier = new Courier(self, instances, price, new SplittableRandom(seed));
   }
 
-  void engines(boolean whole, List<EngineInfo> entries) {
+  void engines(boolean whole, List<EngineEndpoint> entries) {
     if (whole) {
       engines.clear();
       byMark.clear();
     }
-    for (EngineInfo e : entries) {
+    for (EngineEndpoint e : entries) {
       Long old =
-          e.state() == EngineState.GONE
+          e.state() == EngineState.REMOVED
               ? engines.remove(e.name())
               : engines.put(e.name(), e.since());
       if (old != null) { // a process that has started anew inherits nothing of the one before
         byMark.remove(mark(e.name(), old));
       }
-      if (e.state() != EngineState.GONE) {
+      if (e.state() != EngineState.REMOVED) {
         byMark.put(mark(e.name(), e.since()), e.name());
       }
     }
@@ -69,10 +74,10 @@
     return (int) sum.getValue();
   }
 
-  void ended(long now, AttemptEnd end) {
+  void ended(long now, AttemptResult end) {
     Ledger.Seen seen = Ledger.Seen.of(end.outcome(), !end.over());
     Long since = engines.get(end.engine());
-    if (seen != null && since != null && !(end.over() && end.outcome() != Outcome.SERVED)) {
+    if (seen != null && since != null && !(end.over() && end.outcome() != AttemptOutcome.SERVED)) {
       ledger.note(now, end.engine(), since, seen);
       courier.seen(seen);
     }
--- a/gateway/src/main/java/reachloom/config/GatewayConfig.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfig.java
@@ -18,9 +18,9 @@
 import java.util.function.UnaryOperator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Settings;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.SchedulerSettings;
 
 /**
  * What a gateway on sockets is told at its start: where it listens, its limits, the engines known
@@ -34,7 +34,7 @@
     InetSocketAddress changeLog,
     long lastEvent,
     List<Member> known,
-    Settings settings,
+    SchedulerSettings settings,
     Names names,
     Transport transport) {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
@@ -54,7 +54,7 @@
           "terminating",
           EngineState.DRAINING,
           "terminated",
-          EngineState.GONE);
+          EngineState.REMOVED);
 
   /**
    * Names by which the wire calls what the settings number; a name's place in its list is its
@@ -220,7 +220,7 @@
       }
       last = Math.max(last, event.path("seq").asLong());
     }
-    members.values().removeIf(m -> m.info().state() == EngineState.GONE);
+    members.values().removeIf(m -> m.info().state() == EngineState.REMOVED);
     JsonNode seq = known.path("seq");
     if (!seq.isIntegralNumber() || seq.asLong() < 0) {
       throw new ConfigException("known.seq: is not a whole number from 0 up");
@@ -236,7 +236,7 @@
     // A state not known here reads as draining: nothing new is sent.
     EngineState state = STATES.getOrDefault(host.path("health").asText(), EngineState.DRAINING);
     return new Member(
-        new EngineInfo(
+        new EngineEndpoint(
             id,
             state,
             place(host, "class", names.kinds(), where),
--- a/gateway/src/main/java/reachloom/config/Member.java
+++ b/gateway/src/main/java/reachloom/config/Member.java
@@ -1,7 +1,7 @@
 package reachloom.config;
 
 import java.net.InetSocketAddress;
-import reachloom.Decisions.EngineInfo;
+import reachloom.scheduler.api.EngineEndpoint;
 
 /** An engine as the list of engines tells it: what decisions need, and where it listens. */
-public record Member(EngineInfo info, InetSocketAddress address) {}
+public record Member(EngineEndpoint info, InetSocketAddress address) {}
--- a/gateway/src/main/java/reachloom/config/SettingsReader.java
+++ b/gateway/src/main/java/reachloom/config/SettingsReader.java
@@ -4,27 +4,45 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import reachloom.Decisions.Effect;
-import reachloom.Decisions.Kind;
-import reachloom.Decisions.Limits;
-import reachloom.Decisions.Overbooked;
-import reachloom.Decisions.QueryClass;
-import reachloom.Decisions.Rules;
-import reachloom.Decisions.Scope;
-import reachloom.Decisions.Settings;
-import reachloom.Decisions.Tenant;
-import reachloom.Decisions.Traits;
+import reachloom.scheduler.api.DeduplicationScope;
+import reachloom.scheduler.api.EngineCapabilities;
+import reachloom.scheduler.api.EngineKind;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.OvercommitPolicy;
+import reachloom.scheduler.api.QueryClass;
+import reachloom.scheduler.api.SchedulerLimits;
+import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.scheduler.api.SchedulingRules;
+import reachloom.scheduler.api.TenantQuota;
 
 /**
  * Reads the settings object of a starting instance. Absent settings mean "none" or "not allowed".
  */
 public final class SettingsReader {
-  private static final Map<String, Effect> EFFECTS =
-      Map.of("repeatable", Effect.SAFE, "by_key", Effect.KEYED, "once", Effect.UNSAFE);
-  private static final Map<String, Scope> SCOPES =
-      Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL);
-  private static final Map<String, Overbooked> OVERBOOKED =
-      Map.of("queue", Overbooked.WAIT, "trim", Overbooked.SHRINK, "swap", Overbooked.PAGE);
+  private static final Map<String, Idempotency> EFFECTS =
+      Map.of(
+          "repeatable",
+          Idempotency.IDEMPOTENT,
+          "by_key",
+          Idempotency.IDEMPOTENT_BY_KEY,
+          "once",
+          Idempotency.NOT_IDEMPOTENT);
+  private static final Map<String, DeduplicationScope> SCOPES =
+      Map.of(
+          "all",
+          DeduplicationScope.ALL,
+          "zone",
+          DeduplicationScope.ZONE,
+          "cell",
+          DeduplicationScope.CELL);
+  private static final Map<String, OvercommitPolicy> OVERBOOKED =
+      Map.of(
+          "queue",
+          OvercommitPolicy.WAIT,
+          "trim",
+          OvercommitPolicy.SHRINK,
+          "swap",
+          OvercommitPolicy.PAGE);
 
   private SettingsReader() {}
 
@@ -32,7 +50,7 @@
    * The settings in that object, or what is wrong with them: a reference to a kind or zone not
    * listed.
    */
-  public static Settings checked(JsonNode root) throws ConfigException {
+  public static SchedulerSettings checked(JsonNode root) throws ConfigException {
     int index = 0;
     for (JsonNode c : root.path("classes")) {
       String where = "settings.classes[" + index++ + "].";
@@ -55,10 +73,10 @@
   }
 
   /** The settings in that object. */
-  public static Settings read(JsonNode root) {
+  public static SchedulerSettings read(JsonNode root) {
     JsonNode special = root.path("specifics");
     JsonNode prices = root.path("deductions");
-    return new Settings(
+    return new SchedulerSettings(
         Math.max(1, root.path("balancers").asInt()),
         root.path("selfIndex").asInt(-1),
         root.path("zone").asInt(),
@@ -88,8 +106,8 @@
               c.path("giveUp").asLong(),
               c.path("worth").asDouble(),
               c.path("lateValue").asDouble(),
-              EFFECTS.getOrDefault(c.path("effect").asText(), Effect.UNSAFE),
-              SCOPES.getOrDefault(c.path("dedupScope").asText(), Scope.CELL),
+              EFFECTS.getOrDefault(c.path("effect").asText(), Idempotency.NOT_IDEMPOTENT),
+              SCOPES.getOrDefault(c.path("dedupScope").asText(), DeduplicationScope.CELL),
               c.path("keyTtl").asLong(),
               c.path("fifoByKey").asBoolean(),
               c.path("stream").asBoolean(),
@@ -108,26 +126,26 @@
     return List.copyOf(read);
   }
 
-  private static List<Kind> kinds(JsonNode root, JsonNode special) {
+  private static List<EngineKind> kinds(JsonNode root, JsonNode special) {
     int count = Math.max(root.path("kinds").size(), special.path("cpuOfKind").size());
-    List<Kind> read = new ArrayList<>();
+    List<EngineKind> read = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       read.add(
-          new Kind(
+          new EngineKind(
               special.path("cpuOfKind").path(i).asInt(),
               special.path("ramOfKindMb").path(i).asDouble()));
     }
     return List.copyOf(read);
   }
 
-  private static List<Tenant> tenants(JsonNode orgs) {
-    List<Tenant> read = new ArrayList<>();
-    orgs.forEach(o -> read.add(new Tenant(o.path("quotaPerS").asDouble())));
+  private static List<TenantQuota> tenants(JsonNode orgs) {
+    List<TenantQuota> read = new ArrayList<>();
+    orgs.forEach(o -> read.add(new TenantQuota(o.path("quotaPerS").asDouble())));
     return List.copyOf(read);
   }
 
-  private static Limits limits(JsonNode limits) {
-    return new Limits(
+  private static SchedulerLimits limits(JsonNode limits) {
+    return new SchedulerLimits(
         limits.path("maxAttempts").asInt(Integer.MAX_VALUE),
         limits.path("mayCancel").asBoolean(),
         limits.path("probes").asBoolean(),
@@ -136,8 +154,8 @@
         limits.path("maxRetryAfter").asLong(Long.MAX_VALUE));
   }
 
-  private static Rules rules(JsonNode rules) {
-    return new Rules(
+  private static SchedulingRules rules(JsonNode rules) {
+    return new SchedulingRules(
         rules.path("graceToAnswer").asLong(),
         rules.path("coldFrom").asDouble(),
         rules.path("cold").asLong(),
@@ -149,14 +167,14 @@
         rules.path("extraPerRequest").asDouble());
   }
 
-  private static Traits traits(JsonNode root, JsonNode special) {
+  private static EngineCapabilities traits(JsonNode root, JsonNode special) {
     String via = root.path("stats").path("via").asText();
-    return new Traits(
+    return new EngineCapabilities(
         special.path("grants").asBoolean(),
         special.path("takesPriority").asBoolean(),
         "pull".equals(via) || "piggyback".equals(via),
         special.path("notePeriod").asLong(),
         special.path("largestShare").asDouble(1),
-        OVERBOOKED.getOrDefault(special.path("overbooked").asText(), Overbooked.WAIT));
+        OVERBOOKED.getOrDefault(special.path("overbooked").asText(), OvercommitPolicy.WAIT));
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/ChangeLog.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLog.java
@@ -11,7 +11,6 @@
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import reachloom.Decisions.EngineState;
 import reachloom.config.Member;
 import reachloom.discovery.Watch;
 import reachloom.gateway.tables.Deadlines.Deadline;
@@ -20,6 +19,7 @@
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.Listener;
 import reachloom.gateway.wire.Sockets;
+import reachloom.scheduler.api.EngineState;
 
 /** Follows the change log from the last event held; the list held stays while it is away. */
 final class ChangeLog {
@@ -206,7 +206,7 @@
       parts.clear();
     }
     for (Member m : change.members()) {
-      if (m.info().state() == EngineState.GONE) {
+      if (m.info().state() == EngineState.REMOVED) {
         parts.remove(m.info().name());
       } else {
         parts.put(m.info().name(), m);
--- a/gateway/src/main/java/reachloom/gateway/Engines.java
+++ b/gateway/src/main/java/reachloom/gateway/Engines.java
@@ -15,10 +15,6 @@
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Report;
 import reachloom.config.GatewayConfig.Transport;
 import reachloom.config.Member;
 import reachloom.gateway.tables.Attempt;
@@ -34,6 +30,10 @@
 import reachloom.gateway.wire.Numbers;
 import reachloom.gateway.wire.Rows;
 import reachloom.gateway.wire.Sockets;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
 
 /**
  * Connections to engines, and the attempts and probes on them. Connections belong to engines by
@@ -85,11 +85,11 @@
      */
     boolean mayStart(Attempt attempt);
 
-    void ended(Attempt attempt, Outcome outcome);
+    void ended(Attempt attempt, AttemptOutcome outcome);
 
-    void noted(Attempt attempt, NoteKind kind, double amount);
+    void noted(Attempt attempt, ProgressKind kind, double amount);
 
-    void probed(String engine, boolean answered, Report report);
+    void probed(String engine, boolean answered, LoadReport report);
   }
 
   private static final class Peer {
@@ -154,7 +154,7 @@
     }
     for (Member m : members) {
       Peer peer = peers.computeIfAbsent(m.info().name(), n -> new Peer());
-      peer.member = m.info().state() == EngineState.GONE ? null : m;
+      peer.member = m.info().state() == EngineState.REMOVED ? null : m;
       for (Link l : List.copyOf(peer.links)) {
         if (l.since < m.info().since()) {
           close(l, false, "the engine has started anew");
@@ -211,7 +211,7 @@
   void send(Attempt a) {
     Link link = link(a.engine, a);
     if (link == null) {
-      loop.later(() -> end(a, Outcome.UNREACHED));
+      loop.later(() -> end(a, AttemptOutcome.UNREACHED));
       return;
     }
     a.link = link;
@@ -234,7 +234,7 @@
       for (Attempt a : List.copyOf(l.waiting)) {
         if (!watcher.mayStart(a)) {
           l.waiting.remove(a);
-          loop.later(() -> end(a, Outcome.NOT_SENT));
+          loop.later(() -> end(a, AttemptOutcome.NOT_SENT));
           refused = true;
         } else if (l.session != null && l.session.getScheduledWriteBytes() <= MOST_HANDED) {
           l.waiting.remove(a);
@@ -356,7 +356,7 @@
     }
   }
 
-  private void end(Attempt a, Outcome outcome) {
+  private void end(Attempt a, AttemptOutcome outcome) {
     if (a.link != null) {
       a.link.open.remove(a.request.id, a);
       rest(a.link);
@@ -384,7 +384,7 @@
     }
   }
 
-  private void probed(Link l, String tag, boolean answered, Report report) {
+  private void probed(Link l, String tag, boolean answered, LoadReport report) {
     if (l.probes.containsKey(tag)) {
       loop.deadlines().cancel(l.probes.remove(tag));
       rest(l);
@@ -523,9 +523,9 @@
       Reach reach = a.reach();
       boolean mayStillGo = reach == Reach.NOT_WHOLE && !hasEnded;
       // A dial that this machine could not make is no evidence against the engine.
-      Outcome broken =
-          reach == Reach.NOT_CONNECTED && l.failedHere ? Outcome.NOT_SENT : reach.broken;
-      loop.later(() -> watcher.ended(a, mayStillGo ? Outcome.RESET : broken));
+      AttemptOutcome broken =
+          reach == Reach.NOT_CONNECTED && l.failedHere ? AttemptOutcome.NOT_SENT : reach.broken;
+      loop.later(() -> watcher.ended(a, mayStillGo ? AttemptOutcome.RESET : broken));
     }
     for (String tag : tags) {
       loop.deadlines().cancel(l.probes.remove(tag));
@@ -613,7 +613,7 @@
     l.lastHeard = loop.now();
     l.suspect = false;
     l.begunAt = Long.MAX_VALUE;
-    Report report = report(answer.fields().get("use"));
+    LoadReport report = report(answer.fields().get("use"));
     if (l.probes.containsKey(answer.id())) {
       switch (answer.word()) {
         case UP, DOWN -> probed(l, answer.id(), answer.word() == NodeAnswer.Word.UP, report);
@@ -632,10 +632,13 @@
     switch (answer.word()) {
       case OK -> firstPage(l, a, answer);
       case ROWS -> furtherPage(l, a, answer);
-      case BUSY -> end(a, Outcome.FULL);
-      case ERR -> end(a, Outcome.ERROR);
+      case BUSY -> end(a, AttemptOutcome.FULL);
+      case ERR -> end(a, AttemptOutcome.ERROR);
       case VOID ->
-          end(a, Outcome.NOT_SENT); // over before it came: it never ran, and no engine is at fault
+          end(
+              a,
+              AttemptOutcome
+                  .NOT_SENT); // over before it came: it never ran, and no engine is at fault
       case NOTE -> note(a, answer);
       default -> spoilt(l, answer.word() + " to a request");
     }
@@ -682,14 +685,14 @@
           gathered,
           l.engine);
       write(l, NodeWriter.free(a.request.id));
-      end(a, Outcome.ERROR);
+      end(a, AttemptOutcome.ERROR);
     } else if (a.pages.size() < a.pageCount) {
       write(l, NodeWriter.next(a.request.id, a.pages.size()));
     } else {
       if (a.pageCount > 1) {
         write(l, NodeWriter.free(a.request.id));
       }
-      end(a, Outcome.SERVED);
+      end(a, AttemptOutcome.SERVED);
     }
   }
 
@@ -705,17 +708,17 @@
 
   private void note(Attempt a, NodeAnswer answer) {
     double amount = Numbers.real(answer.fields().get("figure"), 0);
-    NoteKind kind =
+    ProgressKind kind =
         switch (answer.fields().getOrDefault("detail", "")) {
-          case "so_far" -> NoteKind.PROGRESS;
-          case "lacking" -> NoteKind.SPILL;
-          case "waiting" -> amount == 2 ? NoteKind.LOAD_WAIT : NoteKind.MEMORY_WAIT;
-          default -> NoteKind.OTHER;
+          case "so_far" -> ProgressKind.PROGRESS;
+          case "lacking" -> ProgressKind.SPILL;
+          case "waiting" -> amount == 2 ? ProgressKind.LOAD_WAIT : ProgressKind.MEMORY_WAIT;
+          default -> ProgressKind.OTHER;
         };
     watcher.noted(a, kind, amount);
   }
 
-  private static Report report(String use) {
+  private static LoadReport report(String use) {
     if (use == null) {
       return null;
     }
@@ -726,7 +729,7 @@
         values.put(value.substring(0, colon), Numbers.real(value.substring(colon + 1), 0));
       }
     }
-    return new Report(
+    return new LoadReport(
         values.getOrDefault("util", 0.0),
         values.getOrDefault("queue", 0.0),
         values.getOrDefault("x0", 0.0),
--- a/gateway/src/main/java/reachloom/gateway/Gateway.java
+++ b/gateway/src/main/java/reachloom/gateway/Gateway.java
@@ -12,14 +12,6 @@
 import java.util.function.Function;
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Report;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
 import reachloom.gateway.tables.Attempt;
@@ -39,13 +31,21 @@
 import reachloom.gateway.wire.TableGroup;
 import reachloom.gateway.wire.ThriftReader;
 import reachloom.gateway.wire.ThriftWriter;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
 
 /**
  * One gateway on sockets: tells the decision module what happens, in order, and does what it says.
  * It translates, keeps time and keeps bounds; it decides nothing. All of it runs on the loop's
  * thread.
  */
-public final class Gateway implements Actions, Engines.Watcher {
+public final class Gateway implements SchedulerActions, Engines.Watcher {
   private static final Logger LOG = System.getLogger(Gateway.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final AttributeKey CLIENT = new AttributeKey(Gateway.class, "client");
@@ -101,7 +101,7 @@
 
   private final GatewayConfig config;
   private final Loop loop;
-  private final Events module;
+  private final SchedulerEvents module;
   private final Sockets sockets;
   private final Closing closing;
   private final Engines engines;
@@ -125,7 +125,8 @@
   private long answerBy = Long.MAX_VALUE;
 
   /** A gateway that has not started; the factory makes its decision module. */
-  public Gateway(GatewayConfig config, Loop loop, Function<Actions, Events> factory) {
+  public Gateway(
+      GatewayConfig config, Loop loop, Function<SchedulerActions, SchedulerEvents> factory) {
     this.config = config;
     this.loop = loop;
     module = factory.apply(this);
@@ -592,7 +593,7 @@
     answer(r, r.attempts.isEmpty() ? ThriftWriter.busy(r.seq) : ThriftWriter.failed(r.seq));
     tell(() -> module.leave(loop.now(), r.id));
     for (Attempt a : List.copyOf(r.attempts)) {
-      finish(a, Outcome.CANCELLED); // those that the module may not call off
+      finish(a, AttemptOutcome.CANCELLED); // those that the module may not call off
     }
     drop(r);
   }
@@ -657,7 +658,7 @@
   }
 
   @Override
-  public void ended(Attempt a, Outcome outcome) {
+  public void ended(Attempt a, AttemptOutcome outcome) {
     finish(a, outcome);
   }
 
@@ -665,7 +666,7 @@
    * Ends an attempt here; the module hears of it at once, or once the engine knows that it is given
    * up.
    */
-  private void finish(Attempt a, Outcome outcome) {
+  private void finish(Attempt a, AttemptOutcome outcome) {
     if (a.ended) {
       return;
     }
@@ -673,7 +674,7 @@
     loop.deadlines().cancel(a.timeout);
     boolean givenUp = outcome.mayRunOn && a.reach != Reach.NOT_CONNECTED;
     engines.withdraw(a);
-    if (outcome == Outcome.SERVED && !a.request.over) {
+    if (outcome == AttemptOutcome.SERVED && !a.request.over) {
       answer(
           a.request, ThriftWriter.answer(a.request.seq, a.pages.stream().map(Bytes::of).toList()));
     }
@@ -687,14 +688,14 @@
     }
   }
 
-  private void told(Attempt a, Outcome outcome) {
+  private void told(Attempt a, AttemptOutcome outcome) {
     Request r = a.request;
     r.out--;
     long now = loop.now();
-    boolean served = outcome == Outcome.SERVED;
+    boolean served = outcome == AttemptOutcome.SERVED;
     RequestLog.ended(a, outcome, now - a.sentAt);
-    AttemptEnd end =
-        new AttemptEnd(
+    AttemptResult end =
+        new AttemptResult(
             r.id,
             a.number,
             a.engine,
@@ -713,12 +714,15 @@
   }
 
   @Override
-  public void noted(Attempt a, NoteKind kind, double amount) {
-    tell(() -> module.note(loop.now(), new Note(a.request.id, a.number, a.engine, kind, amount)));
+  public void noted(Attempt a, ProgressKind kind, double amount) {
+    tell(
+        () ->
+            module.note(
+                loop.now(), new ProgressReport(a.request.id, a.number, a.engine, kind, amount)));
   }
 
   @Override
-  public void probed(String engine, boolean answered, Report report) {
+  public void probed(String engine, boolean answered, LoadReport report) {
     tell(() -> module.probed(loop.now(), engine, answered, report));
   }
 
@@ -739,7 +743,7 @@
     r.out++;
     boolean allowed = !r.over && until > now && a.number < config.settings().limits().maxAttempts();
     if (!allowed) {
-      loop.later(() -> finish(a, Outcome.NOT_SENT));
+      loop.later(() -> finish(a, AttemptOutcome.NOT_SENT));
       return;
     }
     if (a.number > 0) {
@@ -762,7 +766,7 @@
   public void cancel(String query, int attempt) {
     Request r = byId.get(query);
     if (r != null && attempt < r.attempts.size()) {
-      loop.later(() -> finish(r.attempts.get(attempt), Outcome.CANCELLED));
+      loop.later(() -> finish(r.attempts.get(attempt), AttemptOutcome.CANCELLED));
     }
   }
 
--- a/gateway/src/main/java/reachloom/gateway/Observer.java
+++ b/gateway/src/main/java/reachloom/gateway/Observer.java
@@ -1,8 +1,8 @@
 package reachloom.gateway;
 
 import java.util.List;
-import reachloom.Decisions.Outcome;
 import reachloom.config.Member;
+import reachloom.scheduler.api.AttemptOutcome;
 
 /** Hears, on the loop, what a gateway learns of its engines. */
 public interface Observer {
@@ -10,5 +10,5 @@
   void engines(boolean whole, List<Member> members);
 
   /** An attempt is over; {@code wanted} is false where its request was over before. */
-  void ended(String engine, Outcome outcome, boolean wanted);
+  void ended(String engine, AttemptOutcome outcome, boolean wanted);
 }
--- a/gateway/src/main/java/reachloom/gateway/RequestFields.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestFields.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.regex.Pattern;
-import reachloom.Decisions.Effect;
 import reachloom.config.GatewayConfig;
 import reachloom.gateway.wire.Numbers;
+import reachloom.scheduler.api.Idempotency;
 
 /**
  * What a client says of a request beside its statement, checked.
@@ -42,6 +42,6 @@
   }
 
   private boolean keyed(GatewayConfig config) {
-    return config.settings().classes().get(queryClass).effect() == Effect.KEYED;
+    return config.settings().classes().get(queryClass).effect() == Idempotency.IDEMPOTENT_BY_KEY;
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/RequestLog.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestLog.java
@@ -2,9 +2,9 @@
 
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import reachloom.Decisions.Outcome;
 import reachloom.gateway.tables.Attempt;
 import reachloom.gateway.tables.Request;
+import reachloom.scheduler.api.AttemptOutcome;
 
 /**
  * Log lines that follow a request by its id: what became of attempts that were not served, each
@@ -32,8 +32,8 @@
   }
 
   /** An attempt has ended after so many nanoseconds; one that was served needs no line. */
-  static void ended(Attempt a, Outcome outcome, long spent) {
-    if (outcome != Outcome.SERVED) {
+  static void ended(Attempt a, AttemptOutcome outcome, long spent) {
+    if (outcome != AttemptOutcome.SERVED) {
       ATTEMPTS.log(
           Level.INFO,
           "request {0} ({1}): attempt {2} at {3} ended as {4} after {5} ms",
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Rehearsal.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/Rehearsal.java
@@ -18,15 +18,6 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Report;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
 import reachloom.gateway.tables.Deadlines;
@@ -37,13 +28,22 @@
 import reachloom.gateway.wire.TableGroup;
 import reachloom.gateway.wire.ThriftReader;
 import reachloom.gateway.wire.ThriftWriter;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
 
 /**
  * Plays made-up queries through a decision module of its own and through the codecs, and asks the
  * gateway's own address whether it is there. A virtual machine compiles code while it first runs:
  * without this, the first clients would pay for it.
  */
-final class Rehearsal implements Actions {
+final class Rehearsal implements SchedulerActions {
   private static final Logger LOG = System.getLogger(Rehearsal.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long LONGEST =
@@ -67,7 +67,7 @@
   private record Sent(String query, int attempt, String engine, long at) {}
 
   private final GatewayConfig config;
-  private final Events module;
+  private final SchedulerEvents module;
   private final ArrayDeque<Sent> out = new ArrayDeque<>();
   private final Map<String, Integer> attempts = new LinkedHashMap<>();
   private final Deadlines timers = new Deadlines();
@@ -75,7 +75,7 @@
   private long now;
   private int answered;
 
-  Rehearsal(GatewayConfig config, Function<Actions, Events> factory) {
+  Rehearsal(GatewayConfig config, Function<SchedulerActions, SchedulerEvents> factory) {
     this.config = config;
     module = factory.apply(this);
   }
@@ -112,7 +112,7 @@
   /** Plays one query after the other for as long as that says; gives how many were served. */
   int play(BooleanSupplier goOn) {
     now = MILLISECOND;
-    List<EngineInfo> engines = config.known().stream().map(Member::info).toList();
+    List<EngineEndpoint> engines = config.known().stream().map(Member::info).toList();
     module.start(now, config.seed(), config.settings());
     module.engines(now, true, engines);
     byte[] page = "a\tb\tc\n".repeat(PAGE / 6).getBytes(StandardCharsets.UTF_8);
@@ -164,7 +164,8 @@
 
   private void end(Sent s, int i, byte[] page) {
     if (i % NOTE_EACH == 0) {
-      module.note(now, new Note(s.query(), s.attempt(), s.engine(), NoteKind.PROGRESS, 0.5));
+      module.note(
+          now, new ProgressReport(s.query(), s.attempt(), s.engine(), ProgressKind.PROGRESS, 0.5));
     }
     byte[] head =
         (s.query() + " OK fetches=1,effort=40,high=64 " + page.length + "\r\n")
@@ -186,11 +187,11 @@
           attempts.remove(a.id());
           module.end(
               now,
-              new AttemptEnd(
+              new AttemptResult(
                   a.id(),
                   s.attempt(),
                   s.engine(),
-                  Outcome.SERVED,
+                  AttemptOutcome.SERVED,
                   now - s.at(),
                   true,
                   40,
@@ -289,7 +290,8 @@
   @Override
   public void probe(String engine) {
     timers.add(
-        now + MILLISECOND, () -> module.probed(now, engine, true, new Report(0.5, 0, 0.5, 0.5)));
+        now + MILLISECOND,
+        () -> module.probed(now, engine, true, new LoadReport(0.5, 0, 0.5, 0.5)));
   }
 
   @Override
--- a/gateway/src/main/java/reachloom/gateway/tables/Attempt.java
+++ b/gateway/src/main/java/reachloom/gateway/tables/Attempt.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.mina.core.future.WriteFuture;
-import reachloom.Decisions.Report;
 import reachloom.gateway.tables.Deadlines.Deadline;
+import reachloom.scheduler.api.LoadReport;
 
 /** One attempt of a request. */
 public final class Attempt {
@@ -33,7 +33,7 @@
   public int size;
   public long costMs;
   public double memoryMb;
-  public Report report;
+  public LoadReport report;
 
   /** An attempt that starts now. */
   public Attempt(Request request, int number, String engine, long sentAt, long until) {
--- a/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
 
 /** Frames of the change log. */
 public final class ChangeLogDecoder implements Decoder<Change> {
@@ -86,7 +86,7 @@
     EngineState state =
         switch (record.get()) {
           case 0 -> EngineState.UP;
-          case 2 -> EngineState.GONE;
+          case 2 -> EngineState.REMOVED;
           default -> EngineState.DRAINING;
         };
     int zone = record.get() & LOW_BYTE;
@@ -97,8 +97,8 @@
     }
     int cell = record.getShort() & LOW_SHORT;
     double weight = GatewayConfig.weight(record.getInt() & 0xffffffffL);
-    EngineInfo info =
-        new EngineInfo(id, state, kind, zone, cell, weight, record.getLong() * MILLISECOND);
+    EngineEndpoint info =
+        new EngineEndpoint(id, state, kind, zone, cell, weight, record.getLong() * MILLISECOND);
     try {
       return new Member(info, new InetSocketAddress(InetAddress.getByAddress(address), port));
     } catch (UnknownHostException e) { // four bytes are always an address
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -13,8 +13,6 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Outcome;
 import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
 import reachloom.config.Member;
@@ -30,6 +28,8 @@
 import reachloom.membership.Message;
 import reachloom.membership.News;
 import reachloom.revision.Word;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.EngineState;
 import reachloom.time.WallClock;
 
 /**
@@ -211,7 +211,7 @@
       engines.stream().filter(e -> !named.contains(e)).toList().forEach(this::gone);
     }
     for (Member m : members) {
-      if (m.info().state() == EngineState.GONE) {
+      if (m.info().state() == EngineState.REMOVED) {
         gone(m.info().name());
       } else {
         engines.add(m.info().name());
@@ -226,7 +226,7 @@
   }
 
   @Override
-  public void ended(String engine, Outcome outcome, boolean wanted) {
+  public void ended(String engine, AttemptOutcome outcome, boolean wanted) {
     Ledger.Seen seen = Ledger.Seen.of(outcome, wanted);
     if (seen != null) {
       gossip.seen(loop.now(), engine, seen);
--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -44,8 +44,7 @@
   void choicePointsToItsInterfaceFirst() throws IOException {
     List<String> head = Files.readAllLines(CHOICE).subList(0, 5);
     assertTrue(
-        head.stream()
-            .anyMatch(l -> l.contains("decisions/src/main/java/reachloom/Decisions.java")));
+        head.stream().anyMatch(l -> l.contains("decisions/src/main/java/reachloom/scheduler/api")));
   }
 
   @Test
@@ -63,7 +62,7 @@
     // Numbers other than the plain ones of bookkeeping and units have no place in holders or
     // interface.
     Pattern number = Pattern.compile("(?<![\\w.\"])(?!(?:0|1|-1|2|1e9)(?![\\w.]))\\d[\\w.]*");
-    assertNone(number, PURE.resolve("state"), PURE.resolve("Decisions.java"));
+    assertNone(number, PURE.resolve("state"), PURE.resolve("scheduler/api"));
   }
 
   @Test
@@ -72,7 +71,7 @@
         Pattern.compile(
             "\\b(Relay|Busy|Surrender|StopAttempt|SoundOut|WakeAt|LimitsFor|gatewayId"
                 + "|sendNo|patienceLeft|wantMb|dataGroup|qos|billing|relation)\\b");
-    assertNone(wire, CHOICE, PURE.resolve("Decisions.java"), PURE.resolve("state"));
+    assertNone(wire, CHOICE, PURE.resolve("scheduler/api"), PURE.resolve("state"));
   }
 
   @Test
@@ -109,7 +108,7 @@
   void packagesDependOneWay() throws IOException {
     Pattern up = Pattern.compile("import reachloom\\.(Choice|benchlink|gateway)\\b");
     assertNone(
-        up, MAIN.resolve("config"), PURE.resolve("state"), CHOICE, PURE.resolve("Decisions.java"));
+        up, MAIN.resolve("config"), PURE.resolve("state"), CHOICE, PURE.resolve("scheduler/api"));
     Pattern wire =
         Pattern.compile(
             "import reachloom\\.(Choice|benchlink|state|gateway\\.(wire|lifecycle))\\b");
--- a/gateway/src/test/java/reachloom/benchlink/BenchLinkProbe.java
+++ b/gateway/src/test/java/reachloom/benchlink/BenchLinkProbe.java
@@ -5,8 +5,8 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.function.Function;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.Events;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
 
 /** Opens the simulator's front to tests of other packages. */
 public final class BenchLinkProbe {
@@ -14,7 +14,10 @@
 
   /** Plays batches to modules of that factory. */
   public static void serve(
-      Function<Actions, Events> factory, InputStream in, OutputStream out, PrintStream err)
+      Function<SchedulerActions, SchedulerEvents> factory,
+      InputStream in,
+      OutputStream out,
+      PrintStream err)
       throws IOException {
     new BenchLink(err, factory::apply).serve(in, out);
   }
--- a/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
+++ b/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
@@ -14,10 +14,10 @@
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 import reachloom.Choice;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
 
 /** The adapter on lines of text. */
 class BenchLinkTest {
@@ -138,7 +138,7 @@
 
   @Test
   void tellsAWaitForALoadFromOneForMemory() throws IOException {
-    List<NoteKind> kinds = new ArrayList<>();
+    List<ProgressKind> kinds = new ArrayList<>();
     String note =
         "{\"cmd\":\"Progress\",\"gatewayId\":\"gateway_0\",\"handle\":\"01\","
             + "\"sort\":3,\"amount\":";
@@ -147,14 +147,14 @@
             events(
                 (method, arguments) -> {
                   if (method.equals("note")) {
-                    kinds.add(((Note) arguments[1]).kind());
+                    kinds.add(((ProgressReport) arguments[1]).kind());
                   }
                 }),
         batch(1, START, note + "1}", note + "2}"));
-    assertEquals(List.of(NoteKind.MEMORY_WAIT, NoteKind.LOAD_WAIT), kinds);
+    assertEquals(List.of(ProgressKind.MEMORY_WAIT, ProgressKind.LOAD_WAIT), kinds);
   }
 
-  private static Events broken(Actions actions) {
+  private static SchedulerEvents broken(SchedulerActions actions) {
     return events(
         (method, arguments) -> {
           if (method.equals("arrive")) {
@@ -163,11 +163,11 @@
         });
   }
 
-  private static Events events(BiConsumer<String, Object[]> heard) {
-    return (Events)
+  private static SchedulerEvents events(BiConsumer<String, Object[]> heard) {
+    return (SchedulerEvents)
         Proxy.newProxyInstance(
-            Events.class.getClassLoader(),
-            new Class<?>[] {Events.class},
+            SchedulerEvents.class.getClassLoader(),
+            new Class<?>[] {SchedulerEvents.class},
             (proxy, method, arguments) -> {
               heard.accept(method.getName(), arguments);
               return null;
--- a/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.Decisions.EngineState;
+import reachloom.scheduler.api.EngineState;
 
 /** The configuration: what is read, the defaults, and the key that each message names. */
 class GatewayConfigTest {
--- a/gateway/src/test/java/reachloom/gateway/EndingsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EndingsTest.java
@@ -15,11 +15,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -73,7 +74,7 @@
                 other.address())
             .replace("\"dialTimeout\":250000000", "\"dialTimeout\":9000000000");
     serve(text, a -> scripted());
-    next(reachloom.Decisions.Settings.class);
+    next(SchedulerSettings.class);
     next(List.class);
   }
 
@@ -111,10 +112,12 @@
       await(() -> held("connections") == 1);
       allowed = false;
       changeLog.add(1, other, 1);
-      assertEquals(EngineInfo.class, next(List.class).get(0).getClass());
-      AttemptEnd end = next(AttemptEnd.class);
+      assertEquals(EngineEndpoint.class, next(List.class).get(0).getClass());
+      AttemptResult end = next(AttemptResult.class);
       assertEquals(
-          Outcome.NOT_SENT, end.outcome(), "told when the list tells, not when the dial comes up");
+          AttemptOutcome.NOT_SENT,
+          end.outcome(),
+          "told when the list tells, not when the dial comes up");
       allowed = true;
       act(() -> actions.send(q.id(), OTHER, 0));
       assertEquals(NodeStandIn.ROW, c.reply().body());
@@ -266,7 +269,7 @@
       go.countDown();
       assertEquals("QUIT " + q.id(), connection.line());
       assertNull(connection.line(), "and then the end, no reset");
-      assertEquals(Outcome.CANCELLED, next(AttemptEnd.class).outcome());
+      assertEquals(AttemptOutcome.CANCELLED, next(AttemptResult.class).outcome());
     }
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/FrontsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/FrontsTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Report;
-import reachloom.Decisions.Settings;
 import reachloom.benchlink.BenchLinkProbe;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerEvents;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -40,7 +40,7 @@
   private ChangeLogStandIn changeLog;
 
   /** A module that notes what it is told, and does nothing by itself. */
-  static class Recorder implements Events {
+  static class Recorder implements SchedulerEvents {
     private final java.util.Collection<Object> told;
 
     Recorder(java.util.Collection<Object> told) {
@@ -48,12 +48,12 @@
     }
 
     @Override
-    public void start(long now, long seed, Settings settings) {
+    public void start(long now, long seed, SchedulerSettings settings) {
       told.add(settings);
     }
 
     @Override
-    public void engines(long now, boolean complete, List<EngineInfo> entries) {
+    public void engines(long now, boolean complete, List<EngineEndpoint> entries) {
       told.add(entries);
     }
 
@@ -76,12 +76,12 @@
     }
 
     @Override
-    public void note(long now, Note note) {
+    public void note(long now, ProgressReport note) {
       told.add(note);
     }
 
     @Override
-    public void end(long now, AttemptEnd end) {
+    public void end(long now, AttemptResult end) {
       told.add(end);
     }
 
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void probed(long now, String engine, boolean answered, Report report) {
+    public void probed(long now, String engine, boolean answered, LoadReport report) {
       told.add(report == null ? List.of(engine, answered) : List.of(engine, answered, report));
     }
   }
@@ -113,7 +113,7 @@
     serve(
         GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node),
         a -> new Recorder(told));
-    next(Settings.class);
+    next(SchedulerSettings.class);
     next(List.class);
   }
 
@@ -170,10 +170,10 @@
               q.repeat()));
       assertTrue(q.timeLeft() > 1_000_000_000 && q.timeLeft() <= 1_500_000_000, "in nanoseconds");
       act(() -> actions.send(q.id(), "s-00000001", 0));
-      sockets.add(next(Note.class));
-      AttemptEnd e = next(AttemptEnd.class);
+      sockets.add(next(ProgressReport.class));
+      AttemptResult e = next(AttemptResult.class);
       sockets.add(
-          new AttemptEnd(
+          new AttemptResult(
               e.query(),
               e.attempt(),
               e.engine(),
@@ -219,11 +219,11 @@
             at[0] = System.nanoTime();
             actions.cancel(q.id(), 0);
           });
-      AttemptEnd end = next(AttemptEnd.class);
+      AttemptResult end = next(AttemptResult.class);
       // Without the pause a further attempt could come to another engine before the QUIT comes to
       // this one.
       assertTrue(System.nanoTime() - at[0] >= 5_000_000);
-      assertEquals(Outcome.CANCELLED, end.outcome());
+      assertEquals(AttemptOutcome.CANCELLED, end.outcome());
       act(() -> actions.refuse(q.id(), 0));
       assertEquals("BUSY", c.reply().kind());
     }
@@ -235,10 +235,12 @@
       Query q = taken(c, "select 1 /* hang */");
       act(() -> actions.send(q.id(), "s-00000099", 0));
       assertEquals(
-          Outcome.UNREACHED, next(AttemptEnd.class).outcome(), "an engine that is not known");
+          AttemptOutcome.UNREACHED,
+          next(AttemptResult.class).outcome(),
+          "an engine that is not known");
       act(() -> actions.send(q.id(), "s-00000001", 30_000_000));
-      AttemptEnd late = next(AttemptEnd.class);
-      assertEquals(Outcome.TIMEOUT, late.outcome());
+      AttemptResult late = next(AttemptResult.class);
+      assertEquals(AttemptOutcome.TIMEOUT, late.outcome());
       assertEquals(1, late.attempt());
       act(
           () -> {
@@ -249,10 +251,11 @@
       Query second = taken(c, "select 1 /* err */");
       for (int i = 0; i < config.settings().limits().maxAttempts(); i++) {
         act(() -> actions.send(second.id(), "s-00000001", 0));
-        assertEquals(Outcome.ERROR, next(AttemptEnd.class).outcome());
+        assertEquals(AttemptOutcome.ERROR, next(AttemptResult.class).outcome());
       }
       act(() -> actions.send(second.id(), "s-00000001", 0));
-      assertEquals(Outcome.NOT_SENT, next(AttemptEnd.class).outcome(), "beyond the most attempts");
+      assertEquals(
+          AttemptOutcome.NOT_SENT, next(AttemptResult.class).outcome(), "beyond the most attempts");
     }
   }
 
@@ -261,9 +264,9 @@
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* slow first */");
       act(() -> actions.send(q.id(), "s-00000001", 20_000_000));
-      assertEquals(Outcome.TIMEOUT, next(AttemptEnd.class).outcome());
+      assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
       act(() -> actions.send(q.id(), "s-00000001", 0));
-      assertEquals(Outcome.SERVED, next(AttemptEnd.class).outcome());
+      assertEquals(AttemptOutcome.SERVED, next(AttemptResult.class).outcome());
       // The first connection's late answer is another one, and must not be taken for this one's.
       assertEquals("second\t\t\n", c.reply().body());
       assertEquals(2, node.connections());
@@ -288,17 +291,17 @@
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* allnotes */");
       act(() -> actions.send(q.id(), "s-00000001", 0));
-      List<NoteKind> kinds = new ArrayList<>();
+      List<ProgressKind> kinds = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
-        kinds.add(next(Note.class).kind());
+        kinds.add(next(ProgressReport.class).kind());
       }
       assertEquals(
           List.of(
-              NoteKind.PROGRESS,
-              NoteKind.SPILL,
-              NoteKind.MEMORY_WAIT,
-              NoteKind.LOAD_WAIT,
-              NoteKind.OTHER),
+              ProgressKind.PROGRESS,
+              ProgressKind.SPILL,
+              ProgressKind.MEMORY_WAIT,
+              ProgressKind.LOAD_WAIT,
+              ProgressKind.OTHER),
           kinds);
     }
   }
@@ -312,9 +315,11 @@
       changeLog.add(1, node, 0, System.currentTimeMillis());
       next(List.class);
       assertEquals(
-          Outcome.RESET, next(AttemptEnd.class).outcome(), "it may have run on the old process");
+          AttemptOutcome.RESET,
+          next(AttemptResult.class).outcome(),
+          "it may have run on the old process");
       act(() -> actions.send(q.id(), "s-00000001", 20_000_000));
-      assertEquals(Outcome.TIMEOUT, next(AttemptEnd.class).outcome());
+      assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
       assertEquals(2, node.connections());
     }
   }
@@ -327,7 +332,7 @@
         node.commands.clear();
         Query q = taken(c, "select 1 /* hang */", "limit", limit[0]);
         act(() -> actions.send(q.id(), "s-00000001", 0));
-        assertEquals(Outcome.TIMEOUT, next(AttemptEnd.class).outcome());
+        assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
         String ask =
             node.commands.stream().filter(l -> l.startsWith("ASK")).findFirst().orElseThrow();
         long budget = Long.parseLong(ask.replaceAll(".*budget=(\\d+).*", "$1"));
--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -15,10 +15,10 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Query;
 import reachloom.config.GatewayConfig;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
@@ -35,7 +35,7 @@
 
   final Loop loop = new Loop();
   GatewayConfig config;
-  Actions actions;
+  SchedulerActions actions;
   Gateway gateway;
 
   /** Hears of engines beside the module, or null. */
@@ -48,7 +48,7 @@
   volatile String sendAtOnceTo;
 
   /** Starts the gateway: it listens, and follows its change log. */
-  void serve(String text, Function<Actions, Events> module) throws Exception {
+  void serve(String text, Function<SchedulerActions, SchedulerEvents> module) throws Exception {
     config = config(text);
     gateway =
         new Gateway(
@@ -67,7 +67,7 @@
   }
 
   /** A module that notes what it is told and does little by itself: as the two fields say. */
-  Events scripted() {
+  SchedulerEvents scripted() {
     return new FrontsTest.Recorder(told) {
       @Override
       public boolean mayStart(long now, String query, int attempt) {
--- a/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
@@ -21,12 +21,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Settings;
 import reachloom.config.GatewayConfig;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
@@ -42,7 +42,7 @@
   final GatewayConfig config;
   final Gateway gateway;
   final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-  Actions actions;
+  SchedulerActions actions;
 
   /** Where the noting module sends each query as it arrives; null for nowhere. */
   volatile Function<Query, String> sendTo = q -> null;
@@ -61,12 +61,13 @@
   /** A gateway with the noting module. */
   OrdersGateway(Path folder, String text) throws Exception {
     this(folder, text, null);
-    assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof Settings);
+    assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof SchedulerSettings);
     assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof List);
   }
 
   /** A gateway with a module of its own. */
-  OrdersGateway(Path folder, String text, Function<Actions, Events> module) throws Exception {
+  OrdersGateway(Path folder, String text, Function<SchedulerActions, SchedulerEvents> module)
+      throws Exception {
     config =
         GatewayConfig.fromFile(Files.writeString(folder.resolve("config.json"), text), Map.of());
     gateway =
@@ -115,7 +116,7 @@
     }
 
     @Override
-    public void end(long now, AttemptEnd end) {
+    public void end(long now, AttemptResult end) {
       super.end(now, end);
       if (sendAgainTo != null && !end.over() && end.attempt() == 0) {
         actions.send(end.query(), sendAgainTo, 0);
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfClientsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfClientsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.Decisions.Query;
+import reachloom.scheduler.api.Query;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import reachloom.Choice;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Outcome;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
 import reachloom.discovery.Watch;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.EngineState;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
@@ -51,7 +51,7 @@
           }
 
           @Override
-          public void ended(String engine, Outcome outcome, boolean judged) {
+          public void ended(String engine, AttemptOutcome outcome, boolean judged) {
             // not looked at
           }
         };
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import reachloom.Choice;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.Query;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
@@ -128,8 +128,8 @@
     return gateway.next(Query.class);
   }
 
-  private AttemptEnd nextEnd() throws InterruptedException {
-    return gateway.next(AttemptEnd.class);
+  private AttemptResult nextEnd() throws InterruptedException {
+    return gateway.next(AttemptResult.class);
   }
 
   private static String answer(String id, String body) {
@@ -151,11 +151,11 @@
       kill.of(engine);
       gateway.awaitQueued(2);
       go.countDown();
-      assertEquals(Outcome.UNREACHED, nextEnd().outcome());
+      assertEquals(AttemptOutcome.UNREACHED, nextEnd().outcome());
       gateway.act(() -> gateway.actions.send(q.id(), OTHER, 0));
-      assertEquals(Outcome.SERVED, nextEnd().outcome());
+      assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
       assertEquals(NodeStandIn.ROW, c.reply().body());
-      gateway.nothingMore(AttemptEnd.class);
+      gateway.nothingMore(AttemptResult.class);
     }
   }
 
@@ -171,10 +171,10 @@
       gateway.allHasBeenDealtWith(); // so that it is written
       kill.of(engine);
       assertEquals(
-          Outcome.RESET, nextEnd().outcome(), "the gateway can't tell that nobody read it");
+          AttemptOutcome.RESET, nextEnd().outcome(), "the gateway can't tell that nobody read it");
       gateway.act(() -> gateway.actions.fail(q.id()));
       assertEquals("FAILED", c.reply().kind());
-      gateway.nothingMore(AttemptEnd.class);
+      gateway.nothingMore(AttemptResult.class);
       await(() -> gateway.held("connections") == 0);
     }
   }
@@ -218,7 +218,7 @@
             assertEquals(
                 1, new DataInputStream(taken.getInputStream()).readLong(), "after the same event");
             taken.getOutputStream().write(up(3, other.address(), 0));
-            assertEquals("s-00000003", ((EngineInfo) gateway.next(List.class).get(0)).name());
+            assertEquals("s-00000003", ((EngineEndpoint) gateway.next(List.class).get(0)).name());
           }
         }
       }
@@ -256,8 +256,8 @@
         first.say(answer(q.id(), "a\tb\tc\n").substring(0, cut));
         first.socket.setSoLinger(reset, 0);
         first.socket.close();
-        AttemptEnd end = nextEnd();
-        assertEquals(Outcome.RESET, end.outcome());
+        AttemptResult end = nextEnd();
+        assertEquals(AttemptOutcome.RESET, end.outcome());
         assertEquals(0, end.attempt());
         gateway.act(() -> gateway.actions.cancel(q.id(), 0)); // too late: it has ended
         gateway.act(() -> gateway.actions.send(q.id(), ENGINE, 0)); // under the same id
@@ -265,10 +265,10 @@
         assertTrue(second.request().startsWith("ASK " + q.id()));
         second.say(answer(q.id(), "x\ty\tz\n"));
         end = nextEnd();
-        assertEquals(Outcome.SERVED, end.outcome());
+        assertEquals(AttemptOutcome.SERVED, end.outcome());
         assertEquals(1, end.attempt());
         assertEquals("x\ty\tz\n", c.reply().body());
-        gateway.nothingMore(AttemptEnd.class);
+        gateway.nothingMore(AttemptResult.class);
         second.socket.close();
         await(() -> gateway.held("connections") == 0);
       }
@@ -302,14 +302,14 @@
       gateway.allHasBeenDealtWith();
       second.say(answer(q.id(), "x\ty\tz\n"));
       assertEquals("x\ty\tz\n", c.reply().body());
-      assertEquals(EngineInfo.class, gateway.next(List.class).get(0).getClass());
-      AttemptEnd end = nextEnd();
-      assertEquals(Outcome.RESET, end.outcome());
+      assertEquals(EngineEndpoint.class, gateway.next(List.class).get(0).getClass());
+      AttemptResult end = nextEnd();
+      assertEquals(AttemptOutcome.RESET, end.outcome());
       assertEquals(0, end.attempt());
       end = nextEnd();
-      assertEquals(Outcome.SERVED, end.outcome());
+      assertEquals(AttemptOutcome.SERVED, end.outcome());
       assertEquals(1, end.attempt());
-      gateway.nothingMore(AttemptEnd.class);
+      gateway.nothingMore(AttemptResult.class);
     }
   }
 
@@ -326,7 +326,7 @@
       Connection first = engine.accept();
       assertTrue(first.request().startsWith("ASK " + q.id()));
       first.say(answer(q.id(), "a\tb\tc\n") + "00000000000000ff NO");
-      assertEquals(Outcome.SERVED, nextEnd().outcome());
+      assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
       assertEquals("a\tb\tc\n", c.reply().body());
       assertNull(first.line(), "it rests until the gateway ends it, in order");
       first.say("TE - 0\r\n\r\n");
@@ -335,9 +335,9 @@
       Connection second = engine.accept();
       assertTrue(second.request().startsWith("ASK " + next.id()));
       second.say(answer(next.id(), "x\ty\tz\n"));
-      assertEquals(Outcome.SERVED, nextEnd().outcome());
+      assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
       assertEquals("x\ty\tz\n", c.reply().body());
-      gateway.nothingMore(AttemptEnd.class);
+      gateway.nothingMore(AttemptResult.class);
     }
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfStopTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfStopTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Settings;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -56,7 +56,7 @@
             .replace("\"dialTimeout\":250000000", "\"dialTimeout\":9000000000")
             .replace("\"sockets\":1024", "\"sockets\":96");
     serve(text, a -> scripted());
-    next(Settings.class);
+    next(SchedulerSettings.class);
     next(List.class);
     sendAtOnceTo = ENGINE; // as the module does in service
     act(() -> actions.probe(ENGINE));
@@ -150,7 +150,7 @@
       all.get(0).execute("select 1");
       answer(next(Query.class));
       assertEquals("ANSWER", all.get(0).reply().kind());
-      next(AttemptEnd.class);
+      next(AttemptResult.class);
       ThriftClient half = all.remove(1);
       half.begin("select 2");
       nothingSentOn(); // the half is read
@@ -233,7 +233,7 @@
         go.countDown();
         answer(next(Query.class));
         assertEquals("ANSWER", asks.reply().kind());
-        next(AttemptEnd.class);
+        next(AttemptResult.class);
         assertTrue(givesWay.ended(), "no reset");
         givesWay.execute("select 2");
         nothingSentOn();
--- a/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.Settings;
 import reachloom.config.GatewayConfig;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
@@ -76,7 +76,7 @@
     Object event = told.poll(10, TimeUnit.SECONDS);
     assertTrue(event instanceof List<?>, "told " + event);
     return ((List<?>) event)
-        .stream().map(e -> ((EngineInfo) e).name().substring(9)).sorted().toList();
+        .stream().map(e -> ((EngineEndpoint) e).name().substring(9)).sorted().toList();
   }
 
   private Loop start(HeldPeer log) throws Exception {
@@ -87,7 +87,7 @@
     Gateway gateway = new Gateway(config, loop, a -> new FrontsTest.Recorder(told));
     loop.post(0, gateway::start);
     NodeStandIn.daemon(loop);
-    assertTrue(told.poll(10, TimeUnit.SECONDS) instanceof Settings);
+    assertTrue(told.poll(10, TimeUnit.SECONDS) instanceof SchedulerSettings);
     assertEquals(List.of(), names());
     return loop;
   }
--- a/gateway/src/test/java/reachloom/gateway/tables/TablesTest.java
+++ b/gateway/src/test/java/reachloom/gateway/tables/TablesTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import reachloom.Decisions.Outcome;
+import reachloom.scheduler.api.AttemptOutcome;
 
 /** Slots with generations, deadlines in one order, and what a broken attempt proves. */
 class TablesTest {
@@ -93,13 +93,13 @@
 
   @Test
   void onlyWhatWasWholeOnTheWireMayHaveRun() {
-    assertEquals(Outcome.UNREACHED, Reach.NOT_CONNECTED.broken);
-    assertEquals(Outcome.UNREACHED, Reach.NOT_WHOLE.broken);
+    assertEquals(AttemptOutcome.UNREACHED, Reach.NOT_CONNECTED.broken);
+    assertEquals(AttemptOutcome.UNREACHED, Reach.NOT_WHOLE.broken);
     // What waits to be written goes out later, before the word that gives it up.
-    assertEquals(Outcome.TIMEOUT, Reach.NOT_WHOLE.expired);
-    assertEquals(Outcome.UNREACHED, Reach.NOT_CONNECTED.expired);
-    assertEquals(Outcome.RESET, Reach.OUT.broken);
-    assertEquals(Outcome.TIMEOUT, Reach.OUT.expired);
-    assertEquals(Outcome.RESET, Reach.ANSWERING.broken);
+    assertEquals(AttemptOutcome.TIMEOUT, Reach.NOT_WHOLE.expired);
+    assertEquals(AttemptOutcome.UNREACHED, Reach.NOT_CONNECTED.expired);
+    assertEquals(AttemptOutcome.RESET, Reach.OUT.broken);
+    assertEquals(AttemptOutcome.TIMEOUT, Reach.OUT.expired);
+    assertEquals(AttemptOutcome.RESET, Reach.ANSWERING.broken);
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import reachloom.Decisions.EngineState;
+import reachloom.scheduler.api.EngineState;
 
 /** Frames of the change log. */
 class ChangeLogDecoderTest {
@@ -50,7 +50,7 @@
     assertEquals(7_000_000, member.info().since());
     assertEquals(2, member.info().cell());
     assertEquals(
-        List.of(EngineState.DRAINING, EngineState.GONE),
+        List.of(EngineState.DRAINING, EngineState.REMOVED),
         read.get(2).members().stream().map(m -> m.info().state()).toList());
   }
 
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
 import reachloom.config.Member;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
 
 /**
  * The bytes between a gateway and the change log, against those that version 09d85ed wrote and
@@ -35,20 +35,24 @@
 
   private static final Member UP =
       member(
-          new EngineInfo(
+          new EngineEndpoint(
               "s-00c41f7a", EngineState.UP, 1, 2, 2, 1.5, 1_700_000_000_123L * MILLISECOND),
           "127.1.2.3",
           41_000);
   private static final Member DRAINING =
-      member(new EngineInfo("s-00000001", EngineState.DRAINING, 0, 0, 0, 1.0, 0), "10.0.0.1", 4100);
+      member(
+          new EngineEndpoint("s-00000001", EngineState.DRAINING, 0, 0, 0, 1.0, 0),
+          "10.0.0.1",
+          4100);
   private static final Member GONE =
       member(
-          new EngineInfo(
-              "s-ffffffff", EngineState.GONE, 0, 1, 65_535, 4_294_967.295, 7 * MILLISECOND),
+          new EngineEndpoint(
+              "s-ffffffff", EngineState.REMOVED, 0, 1, 65_535, 4_294_967.295, 7 * MILLISECOND),
           "255.255.255.255",
           65_535);
   private static final Member UNKNOWN_STATE =
-      member(new EngineInfo("s-00000002", EngineState.DRAINING, 0, 0, 1, 0.25, 0), "127.0.0.1", 1);
+      member(
+          new EngineEndpoint("s-00000002", EngineState.DRAINING, 0, 0, 1, 0.25, 0), "127.0.0.1", 1);
 
   private static final Map<String, Change> READ = read();
   private static final Map<String, ByteBuffer> WRITTEN = written();
@@ -72,7 +76,7 @@
     return written;
   }
 
-  private static Member member(EngineInfo info, String address, int port) {
+  private static Member member(EngineEndpoint info, String address, int port) {
     try {
       return new Member(info, new InetSocketAddress(InetAddress.getByName(address), port));
     } catch (UnknownHostException e) {
--- a/lab/src/main/java/reachloom/lab/fleet/Baseline.java
+++ b/lab/src/main/java/reachloom/lab/fleet/Baseline.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Effect;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.QueryClass;
-import reachloom.Decisions.Report;
-import reachloom.Decisions.Settings;
 import reachloom.lab.rig.Plan;
 import reachloom.lab.rig.World;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.QueryClass;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.model.EngineModel;
 import reachloom.standin.model.EngineModel.Mood;
 
@@ -30,7 +30,7 @@
  * Plain policies to compare with, in simulated time only: they send at once, try again where the
  * class allows, and give up where nothing is left. None of them is part of the gateway.
  */
-final class Baseline implements Events {
+final class Baseline implements SchedulerEvents {
   /** How an engine is chosen. */
   enum Rule {
     /** Any. */
@@ -57,14 +57,14 @@
   private record Sent(Query query, List<String> tried) {}
 
   private final Rule rule;
-  private final Actions actions;
+  private final SchedulerActions actions;
   private final World world;
   private final Late late;
-  private final Map<String, EngineInfo> engines = new LinkedHashMap<>();
+  private final Map<String, EngineEndpoint> engines = new LinkedHashMap<>();
   private final Map<String, Integer> out = new HashMap<>();
-  private final Map<String, Report> reports = new HashMap<>();
+  private final Map<String, LoadReport> reports = new HashMap<>();
   private final Map<String, Sent> open = new HashMap<>();
-  private Settings settings;
+  private SchedulerSettings settings;
   private SplittableRandom random;
 
   /** What the oracles of one run see: the state of all engines, 50 ms old. */
@@ -90,7 +90,7 @@
     }
   }
 
-  Baseline(Rule rule, Actions actions, World world, Late late) {
+  Baseline(Rule rule, SchedulerActions actions, World world, Late late) {
     this.rule = rule;
     this.actions = actions;
     this.world = world;
@@ -115,15 +115,15 @@
   }
 
   @Override
-  public void start(long now, long seed, Settings s) {
+  public void start(long now, long seed, SchedulerSettings s) {
     settings = s;
     random = new SplittableRandom(seed);
     actions.timer(PROBE_GAP, 0);
   }
 
   @Override
-  public void engines(long now, boolean complete, List<EngineInfo> entries) {
-    for (EngineInfo e : entries) {
+  public void engines(long now, boolean complete, List<EngineEndpoint> entries) {
+    for (EngineEndpoint e : entries) {
       if (e.state() == EngineState.UP) {
         engines.put(e.name(), e);
       } else {
@@ -183,7 +183,7 @@
   }
 
   @Override
-  public void end(long now, AttemptEnd end) {
+  public void end(long now, AttemptResult end) {
     out.merge(end.engine(), -1, Integer::sum);
     Sent s = open.get(end.query());
     if (s == null) {
@@ -192,8 +192,8 @@
     QueryClass kind = settings.classes().get(s.query.queryClass());
     if (end.over()) {
       open.remove(end.query());
-    } else if (end.outcome() == Outcome.TIMEOUT
-        || kind.effect() == Effect.UNSAFE && end.outcome().mayHaveRun) {
+    } else if (end.outcome() == AttemptOutcome.TIMEOUT
+        || kind.effect() == Idempotency.NOT_IDEMPOTENT && end.outcome().mayHaveRun) {
       actions.fail(s.query.id());
       open.remove(s.query.id());
     } else {
@@ -210,7 +210,7 @@
   }
 
   @Override
-  public void probed(long now, String engine, boolean answered, Report report) {
+  public void probed(long now, String engine, boolean answered, LoadReport report) {
     if (answered) {
       reports.put(engine, report);
     }
@@ -232,7 +232,7 @@
   }
 
   @Override
-  public void note(long now, Note note) {
+  public void note(long now, ProgressReport note) {
     // Progress tells these policies nothing.
   }
 
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -6,17 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Events;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.Report;
-import reachloom.Decisions.Settings;
 import reachloom.config.SettingsReader;
 import reachloom.lab.rig.Conditions;
 import reachloom.lab.rig.Director;
@@ -26,6 +15,17 @@
 import reachloom.lab.rig.Workload;
 import reachloom.lab.rig.Workload.Arrival;
 import reachloom.lab.rig.World;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerEvents;
+import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.model.Agenda;
 import reachloom.standin.model.EngineModel;
 
@@ -56,7 +56,7 @@
 
   /** Makes the decisions of a gateway. */
   interface Policy {
-    Events make(Actions actions, World world, int gateway);
+    SchedulerEvents make(SchedulerActions actions, World world, int gateway);
   }
 
   private final Plan plan;
@@ -187,10 +187,10 @@
   }
 
   /** One gateway: carries out what its decisions say. */
-  private final class Front implements Actions {
+  private final class Front implements SchedulerActions {
     private final int number;
     private final int zone;
-    private final Settings settings;
+    private final SchedulerSettings settings;
     private final Map<String, Open> open = new LinkedHashMap<>();
     private final Map<Integer, Long> links = new HashMap<>();
 
@@ -199,7 +199,7 @@
 
     private final List<Runnable> waiting = new ArrayList<>();
     private final long clockOff;
-    private Events module;
+    private SchedulerEvents module;
     private boolean up;
     private boolean halted;
     private long changedAt;
@@ -310,7 +310,7 @@
             if (view.isDown() || !up) {
               return;
             }
-            List<EngineInfo> news =
+            List<EngineEndpoint> news =
                 view.log.subList(Math.min(heardOf, view.log.size()), view.log.size()).stream()
                     .map(e -> info(e.engine()))
                     .toList();
@@ -324,8 +324,8 @@
           waitingFirst);
     }
 
-    private EngineInfo info(World.Listed l) {
-      return new EngineInfo(
+    private EngineEndpoint info(World.Listed l) {
+      return new EngineEndpoint(
           World.name(l.id()),
           EngineState.values()[l.state()],
           plan.isLarge(l.id()) ? 1 : 0,
@@ -401,14 +401,14 @@
       long deadline = a.at() + a.of().deadline();
       tell(
           life,
-          () -> finish(o, place, Outcome.TIMEOUT, 0, 0),
+          () -> finish(o, place, AttemptOutcome.TIMEOUT, 0, 0),
           deadline - Math.min(AHEAD, (deadline - a.at()) / AHEAD_PART) - time.now());
       int engineZone = plan.zoneOfEngine(e.id);
       World.Link link = world.link(zone, engineZone);
       long way = way(link, engineZone);
       long up = connect(e.id, way);
       if (up == CLOSED) {
-        tell(life, () -> finish(o, place, Outcome.RESET, 0, 0), 2 * way);
+        tell(life, () -> finish(o, place, AttemptOutcome.RESET, 0, 0), 2 * way);
         return;
       }
       long arrives = up + way;
@@ -430,7 +430,7 @@
       EngineModel e = t.engine;
       if (e.mood() == EngineModel.Mood.DOWN) {
         disconnect(e.id);
-        answer(link, way, () -> finish(o, place, Outcome.UNREACHED, 0, 0));
+        answer(link, way, () -> finish(o, place, AttemptOutcome.UNREACHED, 0, 0));
         return;
       }
       int mine = life;
@@ -440,13 +440,15 @@
             public void served(double work, double memoryMb) {
               truth.ended(t.seen, time.now());
               answer(
-                  link, way, () -> finish(o, place, Outcome.SERVED, (long) (work * 1e3), memoryMb));
+                  link,
+                  way,
+                  () -> finish(o, place, AttemptOutcome.SERVED, (long) (work * 1e3), memoryMb));
             }
 
             @Override
             public void error() {
               truth.ended(t.seen, time.now());
-              answer(link, way, () -> finish(o, place, Outcome.ERROR, 0, 0));
+              answer(link, way, () -> finish(o, place, AttemptOutcome.ERROR, 0, 0));
             }
 
             @Override
@@ -458,7 +460,8 @@
                     () ->
                         module.note(
                             clock(),
-                            new Note(a.id(), place, World.name(e.id), NoteKind.PROGRESS, share)));
+                            new ProgressReport(
+                                a.id(), place, World.name(e.id), ProgressKind.PROGRESS, share)));
               }
             }
 
@@ -466,13 +469,14 @@
             public void died() {
               truth.ended(t.seen, time.now());
               disconnect(e.id);
-              answer(link, way, () -> finish(o, place, Outcome.RESET, 0, 0));
+              answer(link, way, () -> finish(o, place, AttemptOutcome.RESET, 0, 0));
             }
           };
       boolean runs = e.ask(a.id(), a.work(), a.of().threads(), a.of().memoryMb(), asker);
       t.seen = truth.came(a.number(), e.id, number, time.now(), t.sentAt, runs);
       if (!runs) {
-        Outcome why = e.mood() == EngineModel.Mood.DOWN ? Outcome.RESET : Outcome.FULL;
+        AttemptOutcome why =
+            e.mood() == EngineModel.Mood.DOWN ? AttemptOutcome.RESET : AttemptOutcome.FULL;
         answer(link, way, () -> finish(o, place, why, 0, 0));
       }
     }
@@ -483,21 +487,21 @@
       }
     }
 
-    private void finish(Open o, int place, Outcome outcome, long costMs, double memoryMb) {
+    private void finish(Open o, int place, AttemptOutcome outcome, long costMs, double memoryMb) {
       Out t = o.tries.get(place);
       if (t.over) {
         return;
       }
       t.over = true;
-      if (outcome == Outcome.TIMEOUT) {
+      if (outcome == AttemptOutcome.TIMEOUT) {
         quit(o, t);
       }
-      if (outcome == Outcome.SERVED && !o.over) {
+      if (outcome == AttemptOutcome.SERVED && !o.over) {
         settle(o, Truth.Answer.SERVED);
       }
       module.end(
           clock(),
-          new AttemptEnd(
+          new AttemptResult(
               o.arrival.id(),
               place,
               World.name(t.engine.id),
@@ -522,7 +526,7 @@
             t.quit = true;
             t.engine.quit(o.arrival.id());
             truth.ended(t.seen, time.now());
-            tell(life, () -> finish(o, place, Outcome.RESET, 0, 0), NEAR);
+            tell(life, () -> finish(o, place, AttemptOutcome.RESET, 0, 0), NEAR);
           }
         }
       }
@@ -548,7 +552,7 @@
       Open o = open.get(query);
       if (o != null && !o.tries.get(attempt).over) {
         quit(o, o.tries.get(attempt));
-        tell(life, () -> finish(o, attempt, Outcome.CANCELLED, 0, 0), FAREWELL);
+        tell(life, () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0), FAREWELL);
       }
     }
 
@@ -596,7 +600,7 @@
                 life,
                 () ->
                     module.probed(
-                        clock(), engine, true, new Report(l.util(), l.queue(), l.memory(), 0)),
+                        clock(), engine, true, new LoadReport(l.util(), l.queue(), l.memory(), 0)),
                 way);
           },
           arrives);
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import reachloom.Choice;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Effect;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Kind;
-import reachloom.Decisions.Limits;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Overbooked;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.QueryClass;
-import reachloom.Decisions.Rules;
-import reachloom.Decisions.Scope;
-import reachloom.Decisions.Settings;
-import reachloom.Decisions.Tenant;
-import reachloom.Decisions.Traits;
 import reachloom.evidence.Ledger;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.DeduplicationScope;
+import reachloom.scheduler.api.EngineCapabilities;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineKind;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.OvercommitPolicy;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.QueryClass;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerLimits;
+import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.scheduler.api.SchedulingRules;
+import reachloom.scheduler.api.TenantQuota;
 
 /**
  * Engines and queries beside the gossip of a {@link VirtualCluster}: each instance hosts the real
@@ -133,7 +133,7 @@
     return asked;
   }
 
-  private Settings settings(int self) {
+  private SchedulerSettings settings(int self) {
     QueryClass one =
         new QueryClass(
             AIM,
@@ -141,8 +141,8 @@
             DEADLINE,
             1,
             0.1,
-            Effect.SAFE,
-            Scope.ALL,
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
             0,
             false,
             false,
@@ -151,7 +151,7 @@
             1,
             false,
             false);
-    return new Settings(
+    return new SchedulerSettings(
         gateways,
         self,
         0,
@@ -162,15 +162,15 @@
         0,
         0.1,
         List.of(one),
-        List.of(new Kind(CORES, 0)),
-        List.of(new Tenant(0)),
-        new Limits(4, true, false, false, true, SECOND),
-        new Rules(20 * MILLISECOND, 0.3, 0, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
-        new Traits(false, false, false, NOTES, 0.5, Overbooked.WAIT));
+        List.of(new EngineKind(CORES, 0)),
+        List.of(new TenantQuota(0)),
+        new SchedulerLimits(4, true, false, false, true, SECOND),
+        new SchedulingRules(20 * MILLISECOND, 0.3, 0, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
+        new EngineCapabilities(false, false, false, NOTES, 0.5, OvercommitPolicy.WAIT));
   }
 
   /** One gateway's decisions, and what they act on. */
-  private final class Front implements Actions {
+  private final class Front implements SchedulerActions {
     private final VirtualCluster.Node node;
     private final Choice choice = new Choice(this);
     private final Map<String, Open> open = new LinkedHashMap<>();
@@ -194,7 +194,7 @@
           now(),
           true,
           engines.values().stream()
-              .map(e -> new EngineInfo(e.name, EngineState.UP, 0, 0, 0, 1, 0))
+              .map(e -> new EngineEndpoint(e.name, EngineState.UP, 0, 0, 0, 1, 0))
               .toList());
       if (gossip) {
         engines.keySet().forEach(e -> node.gossip.engine(e, 0));
@@ -240,7 +240,7 @@
       o.tries.add(t);
       o.metSick |= e.sick;
       cluster.agenda.at(
-          o.arrivedAt + DEADLINE - DEADLINE / 20, () -> end(o, number, Outcome.TIMEOUT));
+          o.arrivedAt + DEADLINE - DEADLINE / 20, () -> end(o, number, AttemptOutcome.TIMEOUT));
       if (e.sick) {
         return;
       }
@@ -254,7 +254,8 @@
             at,
             () -> {
               if (!t.over) {
-                choice.note(now(), new Note(o.id, number, engine, NoteKind.PROGRESS, done));
+                choice.note(
+                    now(), new ProgressReport(o.id, number, engine, ProgressKind.PROGRESS, done));
               }
             });
       }
@@ -263,29 +264,29 @@
           () -> {
             e.running--;
             if (!e.sick) {
-              end(o, number, Outcome.SERVED);
+              end(o, number, AttemptOutcome.SERVED);
             }
           });
     }
 
-    private void end(Open o, int number, Outcome outcome) {
+    private void end(Open o, int number, AttemptOutcome outcome) {
       Try t = o.tries.get(number);
       if (t.over) {
         return;
       }
       t.over = true;
-      if (gossip && (!o.over || outcome == Outcome.SERVED)) {
+      if (gossip && (!o.over || outcome == AttemptOutcome.SERVED)) {
         node.gossip.seen(
             node.clock(),
             t.engine.name,
-            outcome == Outcome.SERVED ? Ledger.Seen.SERVED : Ledger.Seen.LOST);
+            outcome == AttemptOutcome.SERVED ? Ledger.Seen.SERVED : Ledger.Seen.LOST);
       }
-      if (outcome == Outcome.SERVED && !o.over) {
+      if (outcome == AttemptOutcome.SERVED && !o.over) {
         settle(o, true);
       }
       choice.end(
           now(),
-          new AttemptEnd(
+          new AttemptResult(
               o.id, number, t.engine.name, outcome, now() - t.sentAt, o.over, 0, 0, null));
       drop(o);
     }
@@ -294,7 +295,7 @@
     public void cancel(String query, int attempt) {
       Open o = open.get(query);
       if (o != null) {
-        cluster.agenda.at(now(), () -> end(o, attempt, Outcome.CANCELLED));
+        cluster.agenda.at(now(), () -> end(o, attempt, AttemptOutcome.CANCELLED));
       }
     }
 
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
@@ -12,8 +12,6 @@
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
 import reachloom.Choice;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Outcome;
 import reachloom.config.ConfigException;
 import reachloom.config.GatewayConfig;
 import reachloom.config.GossipSettings;
@@ -24,6 +22,8 @@
 import reachloom.gateway.Observer;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.Identity;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.EngineState;
 import reachloom.spread.Subset;
 
 /**
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void ended(String engine, Outcome outcome, boolean wanted) {
+    public void ended(String engine, AttemptOutcome outcome, boolean wanted) {
       if (gossip != null) {
         gossip.ended(engine, outcome, wanted);
       }
@@ -153,7 +153,7 @@
   private void see() {
     for (due += rate * SEE / 1e9; due >= 1; due--) {
       if (!first.isEmpty()) {
-        gossip.ended(first.get(random.nextInt(first.size())), Outcome.SERVED, true);
+        gossip.ended(first.get(random.nextInt(first.size())), AttemptOutcome.SERVED, true);
       }
     }
     loop.deadlines().add(loop.now() + SEE, this::see);
--- a/lab/src/test/java/reachloom/gateway/EngineList.java
+++ b/lab/src/test/java/reachloom/gateway/EngineList.java
@@ -1,13 +1,13 @@
 package reachloom.gateway;
 
 import java.util.List;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Report;
 import reachloom.config.GatewayConfig.Transport;
 import reachloom.config.Member;
 import reachloom.gateway.tables.Attempt;
 import reachloom.gateway.wire.Sockets;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.ProgressKind;
 
 /** The gateway's list of engines, without a connection to any, for measurements. */
 public final class EngineList {
@@ -32,17 +32,17 @@
               }
 
               @Override
-              public void ended(Attempt attempt, Outcome outcome) {
+              public void ended(Attempt attempt, AttemptOutcome outcome) {
                 // there are none
               }
 
               @Override
-              public void noted(Attempt attempt, NoteKind kind, double amount) {
+              public void noted(Attempt attempt, ProgressKind kind, double amount) {
                 // there are none
               }
 
               @Override
-              public void probed(String engine, boolean answered, Report report) {
+              public void probed(String engine, boolean answered, LoadReport report) {
                 // there are none
               }
             },
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -24,9 +24,6 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Outcome;
 import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
 import reachloom.config.Member;
@@ -36,6 +33,9 @@
 import reachloom.gossip.net.Identity;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.membership.Message;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineState;
 
 /** Gossip on real sockets, keys and certificates, all on loopback. */
 class GossipSocketsTest {
@@ -72,7 +72,7 @@
                     .mapToObj(
                         i ->
                             new Member(
-                                new EngineInfo("s-0000000" + i, EngineState.UP, 0, 0, 0, 1, 0),
+                                new EngineEndpoint("s-0000000" + i, EngineState.UP, 0, 0, 0, 1, 0),
                                 listen))
                     .toList());
             node.start();
@@ -209,7 +209,7 @@
     awaitMembers(3, one, two, three);
     for (Instance i : List.of(two, three)) {
       for (int k = 0; k < 3; k++) {
-        i.loop.post(0, () -> i.node.ended(ENGINE, Outcome.TIMEOUT, true));
+        i.loop.post(0, () -> i.node.ended(ENGINE, AttemptOutcome.TIMEOUT, true));
       }
     }
     await(x -> one.hearsay.stream().anyMatch(l -> l >= 0.5));
@@ -218,7 +218,7 @@
     assertTrue(status.contains("member g2 127.0.0.1:" + two.listen.getPort() + " ALIVE"), status);
     assertFalse(status.contains("member asker"), "who asks is no member");
     for (int k = 0; k < 3; k++) {
-      one.loop.post(0, () -> one.node.ended(ENGINE, Outcome.SERVED, true));
+      one.loop.post(0, () -> one.node.ended(ENGINE, AttemptOutcome.SERVED, true));
     }
     await(x -> one.hearsay.stream().reduce((a, b) -> b).orElse(1.0) == 0.0);
     three.loop.post(0, three.node::stop);
--- a/lab/src/test/java/reachloom/lab/slopes/Desk.java
+++ b/lab/src/test/java/reachloom/lab/slopes/Desk.java
@@ -7,32 +7,32 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import reachloom.Choice;
-import reachloom.Decisions.Actions;
-import reachloom.Decisions.AttemptEnd;
-import reachloom.Decisions.Effect;
-import reachloom.Decisions.EngineInfo;
-import reachloom.Decisions.EngineState;
-import reachloom.Decisions.Kind;
-import reachloom.Decisions.Limits;
-import reachloom.Decisions.Note;
-import reachloom.Decisions.NoteKind;
-import reachloom.Decisions.Outcome;
-import reachloom.Decisions.Overbooked;
-import reachloom.Decisions.Query;
-import reachloom.Decisions.QueryClass;
-import reachloom.Decisions.Report;
-import reachloom.Decisions.Rules;
-import reachloom.Decisions.Scope;
-import reachloom.Decisions.Settings;
-import reachloom.Decisions.Tenant;
-import reachloom.Decisions.Traits;
+import reachloom.scheduler.api.AttemptOutcome;
+import reachloom.scheduler.api.AttemptResult;
+import reachloom.scheduler.api.DeduplicationScope;
+import reachloom.scheduler.api.EngineCapabilities;
+import reachloom.scheduler.api.EngineEndpoint;
+import reachloom.scheduler.api.EngineKind;
+import reachloom.scheduler.api.EngineState;
+import reachloom.scheduler.api.Idempotency;
+import reachloom.scheduler.api.LoadReport;
+import reachloom.scheduler.api.OvercommitPolicy;
+import reachloom.scheduler.api.ProgressKind;
+import reachloom.scheduler.api.ProgressReport;
+import reachloom.scheduler.api.Query;
+import reachloom.scheduler.api.QueryClass;
+import reachloom.scheduler.api.SchedulerActions;
+import reachloom.scheduler.api.SchedulerLimits;
+import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.scheduler.api.SchedulingRules;
+import reachloom.scheduler.api.TenantQuota;
 
 /**
  * One gateway of 580 at 724 queries a second, on a clock of its own, with so many engines that are
  * all well: what the benchmarks of the decisions ask it. Each query is served after it was out for
  * some time.
  */
-final class Desk implements Actions {
+final class Desk implements SchedulerActions {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long SECOND = 1_000 * MILLISECOND;
   private static final int GATEWAYS = 580;
@@ -43,11 +43,11 @@
   private static final double MEMORY = 16_384;
   private static final int ZONES = 10;
   private static final long SPENT = 40 * MILLISECOND;
-  private static final Report WELL = new Report(0.5, 0, 0.4, 0);
+  private static final LoadReport WELL = new LoadReport(0.5, 0, 0.4, 0);
   private static final int WARM = 4_000;
 
   final Choice choice = new Choice(this);
-  final List<EngineInfo> list = new ArrayList<>();
+  final List<EngineEndpoint> list = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(1);
   private final Map<String, String> sent = new LinkedHashMap<>();
   private final ArrayDeque<String> probes = new ArrayDeque<>();
@@ -66,19 +66,19 @@
   }
 
   /** One that has just been told that list, and got no query. */
-  static Desk listed(List<EngineInfo> engines) {
+  static Desk listed(List<EngineEndpoint> engines) {
     return new Desk(engines, false);
   }
 
-  private static List<EngineInfo> some(int engines) {
-    List<EngineInfo> some = new ArrayList<>();
+  private static List<EngineEndpoint> some(int engines) {
+    List<EngineEndpoint> some = new ArrayList<>();
     for (int i = 0; i < engines; i++) {
       some.add(engine(i, 0));
     }
     return some;
   }
 
-  private Desk(List<EngineInfo> engines, boolean reports) {
+  private Desk(List<EngineEndpoint> engines, boolean reports) {
     list.addAll(engines);
     List<QueryClass> classes =
         List.of(
@@ -88,8 +88,8 @@
                 5 * SECOND,
                 1,
                 0.1,
-                Effect.SAFE,
-                Scope.ALL,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 false,
                 false,
@@ -104,8 +104,8 @@
                 20 * SECOND,
                 8,
                 0.3,
-                Effect.KEYED,
-                Scope.ALL,
+                Idempotency.IDEMPOTENT_BY_KEY,
+                DeduplicationScope.ALL,
                 15 * SECOND,
                 false,
                 false,
@@ -117,7 +117,7 @@
     choice.start(
         now,
         1,
-        new Settings(
+        new SchedulerSettings(
             GATEWAYS,
             1,
             0,
@@ -128,16 +128,17 @@
             PROBE_PRICE,
             0.08,
             classes,
-            List.of(new Kind(CORES, MEMORY)),
-            List.of(new Tenant(0)),
-            new Limits(4, true, reports, false, true, 2 * SECOND),
-            new Rules(20 * MILLISECOND, 0.3, 10 * SECOND, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
-            new Traits(false, false, reports, SECOND / 2, 0.5, Overbooked.WAIT)));
+            List.of(new EngineKind(CORES, MEMORY)),
+            List.of(new TenantQuota(0)),
+            new SchedulerLimits(4, true, reports, false, true, 2 * SECOND),
+            new SchedulingRules(
+                20 * MILLISECOND, 0.3, 10 * SECOND, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
+            new EngineCapabilities(false, false, reports, SECOND / 2, 0.5, OvercommitPolicy.WAIT)));
     choice.engines(now, true, list);
   }
 
-  static EngineInfo engine(int number, long since) {
-    return new EngineInfo(
+  static EngineEndpoint engine(int number, long since) {
+    return new EngineEndpoint(
         String.format("s-%08x", number + 1), EngineState.UP, 0, number % ZONES, 0, 1, since);
   }
 
@@ -176,14 +177,15 @@
   void note(String id) {
     String engine = sent.get(id);
     if (engine != null) {
-      choice.note(now, new Note(id, 0, engine, NoteKind.PROGRESS, 0.5));
+      choice.note(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, 0.5));
     }
   }
 
   void end(String id) {
     String engine = sent.remove(id);
     if (engine != null) {
-      choice.end(now, new AttemptEnd(id, 0, engine, Outcome.SERVED, SPENT, true, 30, 100, null));
+      choice.end(
+          now, new AttemptResult(id, 0, engine, AttemptOutcome.SERVED, SPENT, true, 30, 100, null));
     }
   }
 
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -8,7 +8,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import reachloom.Decisions.EngineInfo;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
 import reachloom.discovery.Watch;
@@ -16,6 +15,7 @@
 import reachloom.gateway.wire.Change;
 import reachloom.gateway.wire.ChangeLogDecoder;
 import reachloom.lab.slopes.Fit.Point;
+import reachloom.scheduler.api.EngineEndpoint;
 
 /**
  * What the list of engines takes, by its length: bytes, processor time of the thread to read and to
@@ -86,7 +86,7 @@
       Change[] all = new Change[1];
       count("decode a whole frame, us", () -> all[0] = decode(Lists.whole(++number, engines)));
       watch.heard(number, true, false);
-      List<EngineInfo> infos = all[0].members().stream().map(Member::info).toList();
+      List<EngineEndpoint> infos = all[0].members().stream().map(Member::info).toList();
       count(
           "apply a whole list in the decisions, us",
           () -> desk.choice.engines(desk.now, true, infos));
@@ -170,7 +170,7 @@
       config.add(new Point(s.engines, keptBy(s::read)));
     }
     for (Size s : sizes) {
-      List<EngineInfo> infos = s.read().known().stream().map(Member::info).toList();
+      List<EngineEndpoint> infos = s.read().known().stream().map(Member::info).toList();
       decisions.add(new Point(s.engines, keptBy(() -> Desk.listed(infos))));
     }
     for (Size s : sizes) {
