--- a/decisions/src/main/java/reachloom/Choice.java
+++ b/decisions/src/main/java/reachloom/Choice.java
@@ -209,13 +209,15 @@
   // ---- The gateway and its engines ----
 
   @Override
-  public void start(long now, long seed, SchedulerSettings s) {
+  public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
     share = new Share(s.gateways());
     startedAt = now;
     random = new SplittableRandom(seed);
     self =
-        s.self() >= 0 ? s.self() : random.nextInt(s.gateways()); // where it is not told, by chance
+        s.selfIndex() >= 0
+            ? s.selfIndex()
+            : random.nextInt(s.gateways()); // where it is not told, by chance
     order = new EngineOrder(new Subset(self));
     fleet = s.gateways();
     s.classes().forEach(c -> classes.add(new ClassRecord(c)));
@@ -223,23 +225,23 @@
         .forEach(
             t -> tenants.add(new TokenBucket(t.quotaPerSecond() / s.gateways(), TENANT_LEAST)));
     widest = s.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
-    meanWorth = s.classes().stream().mapToDouble(QueryClass::worth).average().orElse(0);
-    takenInSpan = new SlidingSum(s.rules().lookBack() - 2 * s.tick());
-    extrasInSpan = new SlidingSum(s.rules().lookBack() + 2 * s.tick());
+    meanWorth = s.classes().stream().mapToDouble(QueryClass::priorityWeight).average().orElse(0);
+    takenInSpan = new SlidingSum(s.rules().retryBudgetWindowNanos() - 2 * s.tickNanos());
+    extrasInSpan = new SlidingSum(s.rules().retryBudgetWindowNanos() + 2 * s.tickNanos());
     if (s.subscribe()) {
-      actions.watch();
+      actions.watchEndpoints();
     }
     lastTick = now;
-    actions.timer(TICK, TICK_TOKEN);
+    actions.setTimer(TICK, TICK_TOKEN);
   }
 
   @Override
-  public void engines(long now, boolean complete, List<EngineEndpoint> entries) {
+  public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
     Set<String> named = new LinkedHashSet<>();
     for (EngineEndpoint entry : entries) {
       named.add(entry.name());
       Engine old = engines.get(entry.name());
-      if (old == null || entry.since() > old.info.since()) {
+      if (old == null || entry.incarnation() > old.info.incarnation()) {
         Engine started = started(now, entry, !complete);
         started.number = old == null ? listed++ : old.number;
         engines.put(entry.name(), started); // nothing known of the old process holds
@@ -300,8 +302,9 @@
     e.bound = mostThreads(e);
     e.boundChangedAt = now;
     e.lastSign = now;
-    e.startedAt = entry.since() > 0 ? startTimes.ownTime(now, entry.since(), asChange) : 0;
-    e.coldUntil = entry.since() > 0 ? e.startedAt + settings.rules().coldTime() : 0;
+    e.startedAt =
+        entry.incarnation() > 0 ? startTimes.ownTime(now, entry.incarnation(), asChange) : 0;
+    e.coldUntil = entry.incarnation() > 0 ? e.startedAt + settings.rules().slowStartNanos() : 0;
     return e;
   }
 
@@ -310,18 +313,18 @@
   }
 
   @Override
-  public void listUnavailable(long now) {
+  public void onEndpointsUnavailable(long now) {
     if (settings.subscribe()) {
-      actions.timer((long) SECOND, WATCH_TOKEN);
+      actions.setTimer((long) SECOND, WATCH_TOKEN);
     }
   }
 
   // ---- Arrival ----
 
   @Override
-  public void arrive(long now, Query query) {
+  public void onQuery(long now, Query query) {
     QueryClass kind = settings.classes().get(query.queryClass());
-    long time = Math.min(kind.deadline(), query.timeLeft());
+    long time = Math.min(kind.deadlineNanos(), query.remainingNanos());
     QueryRecord q = new QueryRecord(query, kind, taken++, now, now + time);
     queries.put(query.id(), q);
     takenInSpan.add(now, 1);
@@ -407,24 +410,29 @@
   /** Seconds that the query takes on an engine of that ratio. */
   private double estimate(QueryRecord q, double ratio) {
     ClassRecord c = classes.get(q.query.queryClass());
-    return (q.query.cost() > 0 ? seconds(q.query.cost()) * c.factor : c.time.value) * ratio;
+    return (q.query.estimatedCostNanos() > 0
+            ? seconds(q.query.estimatedCostNanos()) * c.factor
+            : c.time.value)
+        * ratio;
   }
 
   /** Seconds of work of all its threads, as far as it is known. */
   private double cost(QueryRecord q) {
-    return q.query.cost() > 0 ? seconds(q.query.cost()) : usualCost(q);
+    return q.query.estimatedCostNanos() > 0 ? seconds(q.query.estimatedCostNanos()) : usualCost(q);
   }
 
   private double usualCost(QueryRecord q) {
     ClassRecord c = classes.get(q.query.queryClass());
-    return c.cost.count > 0 ? c.cost.value : seconds(c.kind.deadline()) * UNKNOWN_COST;
+    return c.cost.count > 0 ? c.cost.value : seconds(c.kind.deadlineNanos()) * UNKNOWN_COST;
   }
 
   private double memory(QueryRecord q) {
     ClassRecord c = classes.get(q.query.queryClass());
     double need =
-        q.query.memoryMb() > 0 ? q.query.memoryMb() * c.memoryFactor.value : c.memory.value;
-    return settings.traits().grants() ? need * GRANT_MARGIN : need;
+        q.query.estimatedMemoryMb() > 0
+            ? q.query.estimatedMemoryMb() * c.memoryFactor.value
+            : c.memory.value;
+    return settings.traits().memoryGrants() ? need * GRANT_MARGIN : need;
   }
 
   /** Whether it is the process of that name that the list tells of now, and in use. */
@@ -434,12 +442,12 @@
 
   private void learnCost(QueryRecord q) {
     ClassRecord c = classes.get(q.query.queryClass());
-    if (q.query.cost() > 0) {
-      c.cost.add(seconds(q.query.cost()), LEARN_WEIGHT);
+    if (q.query.estimatedCostNanos() > 0) {
+      c.cost.add(seconds(q.query.estimatedCostNanos()), LEARN_WEIGHT);
       c.factor =
           c.served.count > 0
               ? c.factor
-              : c.kind.aim() / SECOND / c.cost.value; // the design's start
+              : c.kind.latencyObjectiveNanos() / SECOND / c.cost.value; // the design's start
     }
   }
 
@@ -448,21 +456,24 @@
     QueryRecord q = a.query;
     ClassRecord c = classes.get(q.query.queryClass());
     Engine e = a.engine;
-    double time = seconds(end.spent());
-    if (end.costMs() > 0 && q.query.cost() <= 0) {
+    double time = seconds(end.elapsedNanos());
+    if (end.costMs() > 0 && q.query.estimatedCostNanos() <= 0) {
       c.cost.add(end.costMs() / 1e3, LEARN_WEIGHT);
     }
     if (end.memoryMb() > 0) {
       c.memory.add(end.memoryMb(), LEARN_WEIGHT);
       c.memoryFactor.add(
-          q.query.memoryMb() > 0 ? end.memoryMb() / q.query.memoryMb() : 1, LEARN_WEIGHT);
+          q.query.estimatedMemoryMb() > 0 ? end.memoryMb() / q.query.estimatedMemoryMb() : 1,
+          LEARN_WEIGHT);
     }
     c.time.add(time / ratios.of(e), LEARN_WEIGHT);
     c.served.add(cost(q), LEARN_WEIGHT);
     c.factor = c.time.value / c.served.value;
     ratios.answered(e, isUp(e), time, a.predicted);
     double work = end.costMs() > 0 ? end.costMs() / 1e3 : cost(q);
-    double aim = seconds(c.kind.aim()) + c.kind.aimStretch() * work / c.kind.threads();
+    double aim =
+        seconds(c.kind.latencyObjectiveNanos())
+            + c.kind.latencyObjectiveStretch() * work / c.kind.threads();
     noteStrain(e, time / aim, work);
   }
 
@@ -516,13 +527,16 @@
   private static boolean busy(long now, Engine e) {
     LoadReport r = now - e.reportAt < REPORT_AGE ? e.report : null;
     return r != null
-        && (r.util() > BUSY || r.queue() >= 1 || r.memoryShare() > BUSY || r.diskShare() > BUSY);
+        && (r.utilization() > BUSY
+            || r.queueLength() >= 1
+            || r.memoryShare() > BUSY
+            || r.diskShare() > BUSY);
   }
 
   /** Open, and with room; none where the query would stand still behind loads, or pile up there. */
   private boolean hasRoom(long now, QueryRecord q, Engine e) {
     return open(now, q, e)
-        && loadsThere(now, q, e) < (q.kind.load() ? LOAD_LINE : 1)
+        && loadsThere(now, q, e) < (q.kind.loadsTables() ? LOAD_LINE : 1)
         && fits(now, q, e);
   }
 
@@ -551,7 +565,7 @@
   private boolean open(long now, QueryRecord q, Engine e) {
     return e.state == EngineState.UP
         && now >= e.restUntil
-        && (q.kind.kinds().isEmpty() || q.kind.kinds().contains(e.info.kind()))
+        && (q.kind.engineKinds().isEmpty() || q.kind.engineKinds().contains(e.info.kind()))
         && (q.kind.zones().isEmpty() || q.kind.zones().contains(e.info.zone()))
         && repeatAllowed(now, q, e)
         && (e.hearsay < HEARSAY_TEST || e.out.isEmpty())
@@ -588,7 +602,7 @@
   }
 
   private long coldSlotTime() {
-    return Math.max(1, settings.rules().fallTime() / COLD_SLOTS);
+    return Math.max(1, settings.rules().overloadWindowNanos() / COLD_SLOTS);
   }
 
   /**
@@ -596,9 +610,14 @@
    */
   private double coldBudget(long now, Engine e) {
     SchedulingRules r = settings.rules();
-    double age = Math.max(0, 1 - (double) (e.coldUntil - now) / r.coldTime());
-    double share = r.coldShare() + (1 - r.coldShare()) * age * age;
-    return COLD_MARGIN * r.fallMultiple() * share * BUSY_CORES * e.cores * seconds(coldSlotTime());
+    double age = Math.max(0, 1 - (double) (e.coldUntil - now) / r.slowStartNanos());
+    double share = r.slowStartShare() + (1 - r.slowStartShare()) * age * age;
+    return COLD_MARGIN
+        * r.overloadMultiple()
+        * share
+        * BUSY_CORES
+        * e.cores
+        * seconds(coldSlotTime());
   }
 
   /**
@@ -611,18 +630,18 @@
 
   /** Whether a further attempt there keeps the rule on effects; a first one always does. */
   private boolean repeatAllowed(long now, QueryRecord q, Engine e) {
-    if (q.firstRunAt < 0 || q.kind.effect() == Idempotency.IDEMPOTENT) {
+    if (q.firstRunAt < 0 || q.kind.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
     boolean inGroup =
-        switch (q.kind.scope()) {
+        switch (q.kind.deduplicationScope()) {
           case ALL -> true;
           case ZONE -> e.info.zone() == q.firstRunOn.info.zone();
           case CELL -> e.info.cell() == q.firstRunOn.info.cell();
         };
-    return q.kind.effect() == Idempotency.IDEMPOTENT_BY_KEY
+    return q.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
         && inGroup
-        && now < q.firstRunAt + q.kind.keyWindow() - 2 * settings.tick();
+        && now < q.firstRunAt + q.kind.idempotencyWindowNanos() - 2 * settings.tickNanos();
   }
 
   /**
@@ -642,7 +661,7 @@
   }
 
   private boolean reportsTold() {
-    return settings.limits().probes() && settings.traits().reports();
+    return settings.limits().healthChecks() && settings.traits().loadReports();
   }
 
   /**
@@ -658,12 +677,12 @@
    * Probes that a query pays for: few where each is dear. What one gateway asks, all of them do.
    */
   private double probeShare() {
-    return Math.min(PROBE_SHARE, PROBE_POINTS / Math.max(settings.probePrice(), 1e-9));
+    return Math.min(PROBE_SHARE, PROBE_POINTS / Math.max(settings.healthCheckPrice(), 1e-9));
   }
 
   /** Where a query can't pay for both its reports, those worth more than most go first. */
   private boolean spared(QueryRecord q) {
-    return (calm() || probeShare() < PROBE_SHARE / 2) && q.kind.worth() < meanWorth;
+    return (calm() || probeShare() < PROBE_SHARE / 2) && q.kind.priorityWeight() < meanWorth;
   }
 
   /** The less loaded of two drawn engines with room; null where none has. */
@@ -750,10 +769,10 @@
     double trouble = 1 + ERROR_LOAD * e.errors + HEARSAY_LOAD * e.hearsay;
     double load = trouble * (1 + threads / e.cores) * ratios.of(e);
     if (e.report != null && now - e.reportAt < REPORT_AGE) {
-      load *= 1 + e.report.util() + e.report.queue() / e.cores;
+      load *= 1 + e.report.utilization() + e.report.queueLength() / e.cores;
     }
     if (e.info.zone() != settings.zone()) {
-      load *= 1 + settings.crossPrice() * CROSS_WEIGHT;
+      load *= 1 + settings.crossZonePrice() * CROSS_WEIGHT;
     }
     return load;
   }
@@ -763,8 +782,8 @@
    * lasts.
    */
   private int loadsThere(long now, QueryRecord q, Engine e) {
-    int group = q.query.group();
-    return !q.kind.load() && !q.kind.waitsForLoads()
+    int group = q.query.tableGroup();
+    return !q.kind.loadsTables() && !q.kind.waitsForTableLoads()
         ? 0
         : e.loads.getOrDefault(group, 0) + (e.heldGroups.getOrDefault(group, 0L) > now ? 1 : 0);
   }
@@ -781,7 +800,7 @@
       extrasInSpan.add(now, 1);
     }
     setTerms(q);
-    actions.send(q.query.id(), e.name, 0);
+    actions.forward(q.query.id(), e.name, 0);
     q.attempts.add(a);
     q.out++;
     q.asked.clear();
@@ -801,9 +820,9 @@
     EngineCapabilities traits = settings.traits();
     int priority = dense(q) ? 3 : 1;
     ClassRecord c = classes.get(q.query.queryClass());
-    double grant = traits.grants() && c.memory.count > 0 ? memory(q) : 0;
+    double grant = traits.memoryGrants() && c.memory.count > 0 ? memory(q) : 0;
     if (traits.priorities() && priority != 1 || grant > 0) {
-      actions.terms(q.query.id(), grant, priority);
+      actions.setResources(q.query.id(), grant, priority);
     }
   }
 
@@ -812,7 +831,7 @@
     double cost = classes.stream().mapToDouble(c -> c.cost.value).average().orElse(0);
     ClassRecord c = classes.get(q.query.queryClass());
     return c.cost.value > 0
-        && c.kind.worth() / c.cost.value > DENSE * meanWorth / Math.max(cost, 1e-9);
+        && c.kind.priorityWeight() / c.cost.value > DENSE * meanWorth / Math.max(cost, 1e-9);
   }
 
   /** What may have changed while the attempt waited for its connection. */
@@ -836,7 +855,7 @@
   // ---- While an attempt is out ----
 
   @Override
-  public void streaming(long now, String query, int attempt) {
+  public void onStreaming(long now, String query, int attempt) {
     QueryRecord q = queries.get(query);
     if (q != null) {
       q.streaming = true;
@@ -844,8 +863,8 @@
   }
 
   @Override
-  public void note(long now, ProgressReport note) {
-    QueryRecord q = queries.get(note.query());
+  public void onProgress(long now, ProgressReport note) {
+    QueryRecord q = queries.get(note.queryId());
     if (q == null || note.attempt() >= q.attempts.size()) {
       return;
     }
@@ -856,13 +875,15 @@
     a.engine.fullUntil =
         a.inLine ? now + FULL_REST : a.engine.fullUntil; // as good as a full refusal
     if (note.kind() == ProgressKind.LOAD_WAIT) {
-      a.engine.heldGroups.put(q.query.group(), now + LOAD_MARK);
+      a.engine.heldGroups.put(q.query.tableGroup(), now + LOAD_MARK);
       if (canMove(now, a)) {
         cancel(a); // it has done nothing yet, and a load takes long
       }
     } else if (note.kind() == ProgressKind.PROGRESS) {
       a.share = note.amount();
-      if (a.query.kind.effect() == Idempotency.IDEMPOTENT && badPlan(now, a) && canMove(now, a)) {
+      if (a.query.kind.idempotency() == Idempotency.IDEMPOTENT
+          && badPlan(now, a)
+          && canMove(now, a)) {
         cancel(a);
       }
     }
@@ -876,7 +897,7 @@
     double spent = seconds(now - a.sentAt);
     double whole = spent / a.share;
     double usual = estimate(a.query, Math.max(ratios.of(a.engine), ratios.mean()));
-    return a.query.query.cost() > 0
+    return a.query.query.estimatedCostNanos() > 0
         && whole > BAD_PLAN * usual
         && whole - spent > RESEND_GAIN * usual
         && now + (long) (usual * SECOND) < a.query.deadline;
@@ -885,10 +906,10 @@
   /** Gives up an attempt of a query that is over, or that may go elsewhere or be answered. */
   private void cancel(Attempt a) {
     QueryRecord q = a.query;
-    boolean free = q.over || !q.streaming && q.kind.effect() != Idempotency.NOT_IDEMPOTENT;
+    boolean free = q.over || !q.streaming && q.kind.idempotency() != Idempotency.NOT_IDEMPOTENT;
     if (free && !a.ended && !a.abandoned && settings.limits().cancel()) {
       a.abandoned = true;
-      actions.cancel(q.query.id(), a.number);
+      actions.cancelAttempt(q.query.id(), a.number);
     }
   }
 
@@ -903,16 +924,16 @@
   private boolean furtherAllowed(long now, QueryRecord q) {
     SchedulingRules r = settings.rules();
     return q.attempts.size() < settings.limits().maxAttempts()
-        && (r.lookBack() <= 0
+        && (r.retryBudgetWindowNanos() <= 0
             || extrasInSpan.sum(now) + 1
-                <= r.extraFree() + r.extraPerQuery() * takenInSpan.sum(now));
+                <= r.retryBudgetBase() + r.retryBudgetPerQuery() * takenInSpan.sum(now));
   }
 
   // ---- The end of an attempt ----
 
   @Override
-  public void end(long now, AttemptResult end) {
-    QueryRecord q = queries.get(end.query());
+  public void onAttemptEnded(long now, AttemptResult end) {
+    QueryRecord q = queries.get(end.queryId());
     if (q == null || end.attempt() >= q.attempts.size()) {
       return;
     }
@@ -920,7 +941,7 @@
     watch(now, a.engine);
     settle(now, q, a, end);
     judge(now, a, end);
-    q.over |= end.over();
+    q.over |= end.queryFinished();
     if (!q.over && q.out == 0) {
       goOn(now, q);
     }
@@ -937,9 +958,10 @@
       q.mayHaveRun(a);
     }
     if (q.keyLine != null && end.outcome().mayRunOn) {
-      q.keyLine.restUntil = Math.max(q.keyLine.restUntil, now + settings.rules().orderSettle());
+      q.keyLine.restUntil =
+          Math.max(q.keyLine.restUntil, now + settings.rules().orderSettleNanos());
     }
-    noteReport(now, a.engine, end.report());
+    noteReport(now, a.engine, end.loadReport());
   }
 
   /** Health by symptom: errors, resets and failed connects are trouble, an answer ends it. */
@@ -947,7 +969,7 @@
     Engine e = a.engine;
     boolean reset = end.outcome() == AttemptOutcome.RESET && now - e.resetAt >= ONE_BREAK;
     e.resetAt = reset ? now : e.resetAt;
-    a.erred = end.outcome() == AttemptOutcome.ERROR && !end.over();
+    a.erred = end.outcome() == AttemptOutcome.ERROR && !end.queryFinished();
     if (end.outcome() == AttemptOutcome.ERROR && !a.erred
         || reset
         || end.outcome() == AttemptOutcome.UNREACHED) {
@@ -1018,7 +1040,8 @@
       }
       // Bound queries wait for other engines than the front, those that have asked waited only for
       // reports.
-      boolean own = !q.asked.isEmpty() || !q.kind.kinds().isEmpty() || !q.kind.zones().isEmpty();
+      boolean own =
+          !q.asked.isEmpty() || !q.kind.engineKinds().isEmpty() || !q.kind.zones().isEmpty();
       double left = estimate(q, ratio) + (itsTurn ? 0 : keyWait(q, ratio));
       boolean late =
           now + (long) (left * SECOND) + 2 * TICK > q.deadline; // the next look may come after it
@@ -1054,15 +1077,15 @@
     noteErrors(now, q, false);
     boolean harmless =
         q.firstRunAt < 0 && q.out == 0
-            || q.kind.effect() == Idempotency.IDEMPOTENT
-            || q.kind.effect() == Idempotency.IDEMPOTENT_BY_KEY
-                && q.kind.scope() == DeduplicationScope.ALL;
+            || q.kind.idempotency() == Idempotency.IDEMPOTENT
+            || q.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                && q.kind.deduplicationScope() == DeduplicationScope.ALL;
     if (harmless) {
       long retryAfter =
           !settings.limits().retryAfter()
               ? 0
               : (long) Math.max(1, Math.ceil(predictedWait(now, q))) * (long) SECOND;
-      actions.refuse(q.query.id(), retryAfter);
+      actions.reject(q.query.id(), retryAfter);
     } else {
       actions.fail(q.query.id());
     }
@@ -1070,7 +1093,7 @@
   }
 
   @Override
-  public void leave(long now, String query) {
+  public void onClientGone(long now, String query) {
     QueryRecord q = queries.get(query);
     if (q == null) {
       return;
@@ -1098,9 +1121,9 @@
   // ---- Time ----
 
   @Override
-  public void wake(long now, long token) {
+  public void onTimer(long now, long token) {
     if (token == WATCH_TOKEN) {
-      actions.watch();
+      actions.watchEndpoints();
       return;
     }
     noteStall(now);
@@ -1119,7 +1142,7 @@
     probeByClock(now);
     moveBound(now, pool, pool.strain > SLOW || poolSigns > POOL_SIGNS);
     release(now, true);
-    actions.timer(TICK, TICK_TOKEN);
+    actions.setTimer(TICK, TICK_TOKEN);
   }
 
   /** Whether ticks would change nothing of an engine on which nothing is out. */
@@ -1154,7 +1177,7 @@
 
   /** Finds silent engines. */
   private void watchOver(long now, Engine e) {
-    double period = settings.traits().notePeriod();
+    double period = settings.traits().progressPeriodNanos();
     long lastSign = Math.max(e.lastSign, stalledUntil);
     boolean silent = now - lastSign > SILENT_NOTES * period;
     boolean talks = now - lastSign < period;
@@ -1203,12 +1226,12 @@
       probeCredit--;
       e.probing = true;
       e.probedAt = now;
-      actions.probe(e.name);
+      actions.checkHealth(e.name);
     }
   }
 
   @Override
-  public void probed(long now, String engine, boolean answered, LoadReport report) {
+  public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
     Engine e = engines.get(engine);
     if (e == null) {
       return;
@@ -1223,7 +1246,7 @@
    * one.
    */
   @Override
-  public void hearsay(long now, String engine, double level) {
+  public void onPeerReport(long now, String engine, double level) {
     Engine e = engines.get(engine);
     if (e != null) {
       e.hearsay = level;
--- a/decisions/src/main/java/reachloom/scheduler/api/AttemptResult.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/AttemptResult.java
@@ -2,12 +2,12 @@
 
 /** How an attempt ended; {@code costMs} and {@code memoryMb} are 0 where not told. */
 public record AttemptResult(
-    String query,
+    String queryId,
     int attempt,
     String engine,
     AttemptOutcome outcome,
-    long spent,
-    boolean over,
+    long elapsedNanos,
+    boolean queryFinished,
     long costMs,
     double memoryMb,
-    LoadReport report) {}
+    LoadReport loadReport) {}
--- a/decisions/src/main/java/reachloom/scheduler/api/EngineCapabilities.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/EngineCapabilities.java
@@ -2,9 +2,9 @@
 
 /** What the engines heed and tell. */
 public record EngineCapabilities(
-    boolean grants,
+    boolean memoryGrants,
     boolean priorities,
-    boolean reports,
-    long notePeriod,
+    boolean loadReports,
+    long progressPeriodNanos,
     double largestShare,
-    OvercommitPolicy overbooked) {}
+    OvercommitPolicy overcommitPolicy) {}
--- a/decisions/src/main/java/reachloom/scheduler/api/ProgressReport.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/ProgressReport.java
@@ -2,4 +2,4 @@
 
 /** News of an attempt. */
 public record ProgressReport(
-    String query, int attempt, String engine, ProgressKind kind, double amount) {}
+    String queryId, int attempt, String engine, ProgressKind kind, double amount) {}
--- a/decisions/src/main/java/reachloom/scheduler/api/Query.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/Query.java
@@ -6,8 +6,8 @@
     int queryClass,
     int tenant,
     String key,
-    long timeLeft,
-    long cost,
-    double memoryMb,
-    int group,
-    boolean repeat) {}
+    long remainingNanos,
+    long estimatedCostNanos,
+    double estimatedMemoryMb,
+    int tableGroup,
+    boolean clientRetry) {}
--- a/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
@@ -4,18 +4,18 @@
 
 /** A class of queries; an empty list of kinds or zones binds it to none. */
 public record QueryClass(
-    long aim,
-    double aimStretch,
-    long deadline,
-    double worth,
-    double lateWorth,
-    Idempotency effect,
-    DeduplicationScope scope,
-    long keyWindow,
+    long latencyObjectiveNanos,
+    double latencyObjectiveStretch,
+    long deadlineNanos,
+    double priorityWeight,
+    double latePriorityWeight,
+    Idempotency idempotency,
+    DeduplicationScope deduplicationScope,
+    long idempotencyWindowNanos,
     boolean ordered,
-    boolean stream,
-    List<Integer> kinds,
+    boolean streams,
+    List<Integer> engineKinds,
     List<Integer> zones,
     int threads,
-    boolean load,
-    boolean waitsForLoads) {}
+    boolean loadsTables,
+    boolean waitsForTableLoads) {}
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerLimits.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerLimits.java
@@ -4,7 +4,7 @@
 public record SchedulerLimits(
     int maxAttempts,
     boolean cancel,
-    boolean probes,
-    boolean secondCopies,
+    boolean healthChecks,
+    boolean hedging,
     boolean retryAfter,
-    long maxRetryAfter) {}
+    long maxRetryAfterNanos) {}
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerSettings.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerSettings.java
@@ -5,13 +5,13 @@
 /** All settings of one gateway. */
 public record SchedulerSettings(
     int gateways,
-    int self,
+    int selfIndex,
     int zone,
     boolean subscribe,
-    long tick,
-    double overShareWorth,
-    double crossPrice,
-    double probePrice,
+    long tickNanos,
+    double overQuotaWeight,
+    double crossZonePrice,
+    double healthCheckPrice,
     double wastePrice,
     List<QueryClass> classes,
     List<EngineKind> kinds,
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulingRules.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulingRules.java
@@ -1,13 +1,16 @@
 package reachloom.scheduler.api;
 
-/** Figures of the rules; {@code lookBack} 0 means that further attempts are not rationed. */
+/**
+ * Figures of the rules; {@code retryBudgetWindowNanos} 0 means that further attempts are not
+ * rationed.
+ */
 public record SchedulingRules(
-    long answerGrace,
-    double coldShare,
-    long coldTime,
-    double fallMultiple,
-    long fallTime,
-    long orderSettle,
-    long lookBack,
-    double extraFree,
-    double extraPerQuery) {}
+    long answerGraceNanos,
+    double slowStartShare,
+    long slowStartNanos,
+    double overloadMultiple,
+    long overloadWindowNanos,
+    long orderSettleNanos,
+    long retryBudgetWindowNanos,
+    double retryBudgetBase,
+    double retryBudgetPerQuery) {}
--- a/decisions/src/main/java/reachloom/state/ClassRecord.java
+++ b/decisions/src/main/java/reachloom/state/ClassRecord.java
@@ -25,6 +25,6 @@
   /** Nothing learned yet. */
   public ClassRecord(QueryClass kind) {
     this.kind = kind;
-    this.time = new Mean(kind.aim() / 1e9);
+    this.time = new Mean(kind.latencyObjectiveNanos() / 1e9);
   }
 }
--- a/decisions/src/main/java/reachloom/state/Engine.java
+++ b/decisions/src/main/java/reachloom/state/Engine.java
@@ -83,8 +83,8 @@
     out.add(a);
     threads += a.threads;
     memory += a.memory;
-    if (a.query.kind.load()) {
-      loads.merge(a.query.query.group(), 1, Integer::sum);
+    if (a.query.kind.loadsTables()) {
+      loads.merge(a.query.query.tableGroup(), 1, Integer::sum);
     }
   }
 
@@ -93,8 +93,8 @@
     if (out.remove(a)) {
       threads -= a.threads;
       memory -= a.memory;
-      if (a.query.kind.load()) {
-        loads.merge(a.query.query.group(), -1, (x, y) -> x + y == 0 ? null : x + y);
+      if (a.query.kind.loadsTables()) {
+        loads.merge(a.query.query.tableGroup(), -1, (x, y) -> x + y == 0 ? null : x + y);
       }
     }
   }
--- a/decisions/src/test/java/reachloom/Bench.java
+++ b/decisions/src/test/java/reachloom/Bench.java
@@ -107,7 +107,7 @@
                 2,
                 true,
                 false));
-    choice.start(
+    choice.onStart(
         now,
         seed,
         new SchedulerSettings(
@@ -148,7 +148,7 @@
   }
 
   void list(EngineEndpoint... engines) {
-    choice.engines(now, true, List.of(engines));
+    choice.onEndpoints(now, true, List.of(engines));
   }
 
   void arrive(String id, int queryClass, double costSeconds) {
@@ -158,13 +158,14 @@
   void arrive(String id, int queryClass, double costSeconds, int tenant, String key) {
     long time = queryClass == QUICK ? 5 * SECOND : 20 * SECOND;
     long cost = (long) (costSeconds * SECOND);
-    choice.arrive(now, new Query(id, queryClass, tenant, key, time, cost, 100, 3, false));
+    choice.onQuery(now, new Query(id, queryClass, tenant, key, time, cost, 100, 3, false));
   }
 
   void end(
       String id, int attempt, String engine, AttemptOutcome outcome, double seconds, boolean over) {
     long spent = (long) (seconds * SECOND);
-    choice.end(now, new AttemptResult(id, attempt, engine, outcome, spent, over, 0, 0, null));
+    choice.onAttemptEnded(
+        now, new AttemptResult(id, attempt, engine, outcome, spent, over, 0, 0, null));
   }
 
   void served(String id, String engine, double seconds) {
@@ -172,11 +173,11 @@
   }
 
   void note(String id, String engine, double share) {
-    choice.note(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, share));
+    choice.onProgress(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, share));
   }
 
   void report(String engine, double util) {
-    choice.probed(now, engine, true, new LoadReport(util, 0, 0, 0));
+    choice.onHealthCheck(now, engine, true, new LoadReport(util, 0, 0, 0));
   }
 
   /** Lets time pass; the module's timers come due. */
@@ -185,7 +186,7 @@
     while (ticksDue > 0 && now + 25 * MS <= end) {
       now += 25 * MS;
       ticksDue--;
-      choice.wake(now, 0);
+      choice.onTimer(now, 0);
     }
     now = end;
   }
@@ -194,7 +195,7 @@
   void stall(long time) {
     now += time;
     ticksDue--;
-    choice.wake(now, 0);
+    choice.onTimer(now, 0);
   }
 
   List<String> take() {
@@ -204,12 +205,12 @@
   }
 
   @Override
-  public void send(String query, String engine, long timeout) {
+  public void forward(String query, String engine, long timeout) {
     actions.add("send " + query + " " + engine);
   }
 
   @Override
-  public void terms(String query, double grantMb, int priority) {
+  public void setResources(String query, double grantMb, int priority) {
     // Terms are looked at by the tests that ask for them.
     if (grants) {
       actions.add("terms " + query + " " + Math.round(grantMb) + " " + priority);
@@ -217,12 +218,12 @@
   }
 
   @Override
-  public void cancel(String query, int attempt) {
+  public void cancelAttempt(String query, int attempt) {
     actions.add("cancel " + query + " " + attempt);
   }
 
   @Override
-  public void refuse(String query, long retryAfter) {
+  public void reject(String query, long retryAfter) {
     actions.add(
         "refuse " + query + " " + retryAfter / SECOND + (retryAfter % SECOND == 0 ? "s" : "?"));
   }
@@ -233,17 +234,17 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void setTimer(long delay, long token) {
     ticksDue++;
   }
 
   @Override
-  public void probe(String engine) {
+  public void checkHealth(String engine) {
     actions.add("probe " + engine);
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     actions.add("watch");
   }
 
--- a/decisions/src/test/java/reachloom/ChoiceTest.java
+++ b/decisions/src/test/java/reachloom/ChoiceTest.java
@@ -484,7 +484,7 @@
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 0.5);
     String on = b.take().get(0).substring("send q ".length());
-    b.choice.note(b.now, new ProgressReport("q", 0, on, ProgressKind.LOAD_WAIT, 2));
+    b.choice.onProgress(b.now, new ProgressReport("q", 0, on, ProgressKind.LOAD_WAIT, 2));
     assertEquals(List.of("cancel q 0"), b.take());
     b.end("q", 0, on, AttemptOutcome.CANCELLED, 0.1, false);
     assertEquals(List.of("send q " + (on.equals("a") ? "b" : "a")), b.take());
@@ -499,7 +499,7 @@
       b.arrive("q" + i, LONG, 1);
     }
     assertEquals(40, count(b.take(), "send"));
-    b.choice.note(b.now, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
+    b.choice.onProgress(b.now, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
     for (int round = 0; round < 3; round++) {
       b.pass(400 * MS);
       for (int i = 1; i < 40; i++) {
@@ -664,7 +664,7 @@
     b.arrive("usual", QUICK, 0.1);
     b.pass(50 * MS);
     b.take();
-    b.choice.arrive(b.now, new Query("late", QUICK, 0, null, 45 * MS, MS, 100, 3, true));
+    b.choice.onQuery(b.now, new Query("late", QUICK, 0, null, 45 * MS, MS, 100, 3, true));
     assertEquals(
         1,
         count(b.take(), "send late "),
@@ -753,7 +753,7 @@
   @Test
   void hearsayMakesAnEngineDrawnLessAndTestedOneByOneButNeverRestsIt() {
     Bench b = new Bench().start(Bench.up("a"), Bench.up("b"));
-    b.choice.hearsay(b.now, "a", 0.9);
+    b.choice.onPeerReport(b.now, "a", 0.9);
     for (int i = 0; i < 3; i++) {
       b.arrive("q" + i, Bench.QUICK, 0.2);
     }
@@ -765,10 +765,10 @@
     assertEquals(List.of(), b.take(), "one at a time");
     b.served("alone", "a", 0.2);
     assertEquals(List.of("send second a"), b.take());
-    b.choice.hearsay(b.now, "a", 0);
+    b.choice.onPeerReport(b.now, "a", 0);
     b.arrive("third", Bench.QUICK, 0.2);
     assertEquals(List.of("send third a"), b.take());
-    b.choice.hearsay(b.now, "nobody", 1);
+    b.choice.onPeerReport(b.now, "nobody", 1);
   }
 
   @Test
@@ -778,9 +778,9 @@
     b.start(Bench.up("a"), Bench.up("b"));
     b.arrive("q", Bench.QUICK, 0.2); // a probe costs, and is paid for by queries
     b.take();
-    b.choice.hearsay(b.now, "a", 0.4);
+    b.choice.onPeerReport(b.now, "a", 0.4);
     assertEquals(List.of(), b.take());
-    b.choice.hearsay(b.now, "a", 0.6);
+    b.choice.onPeerReport(b.now, "a", 0.6);
     assertEquals(List.of("probe a"), b.take());
   }
 
@@ -819,7 +819,8 @@
       b.pass(100 * MS);
       List<String> own = b.take().stream().filter(a -> a.startsWith("send")).toList();
       for (int i = 0; i < 100; i++) { // from its half on all are busy
-        b.choice.probed(b.now, names[i % 10], true, new LoadReport(i < 50 ? 0.5 : 1, 0, 0.03, 0));
+        b.choice.onHealthCheck(
+            b.now, names[i % 10], true, new LoadReport(i < 50 ? 0.5 : 1, 0, 0.03, 0));
         b.pass(100 * MS);
       }
       b.pass(2 * SECOND); // no engine is known to be busy any more, but the pool is pressed
--- a/decisions/src/test/java/reachloom/ColdSlotsTest.java
+++ b/decisions/src/test/java/reachloom/ColdSlotsTest.java
@@ -190,7 +190,7 @@
     b.end("q", 0, first, AttemptOutcome.NOT_SENT, 0, false);
     assertEquals(List.of("send q " + other), b.take());
     assertTrue(b.choice.mayStart(b.now, "q", 1));
-    b.choice.leave(b.now, "q");
+    b.choice.onClientGone(b.now, "q");
     assertFalse(b.choice.mayStart(b.now, "q", 1), "its client has left");
   }
 
@@ -199,7 +199,7 @@
    */
   private static List<String> told(long startedBefore) {
     Bench b = new Bench().start(Bench.up("w"));
-    b.choice.engines(
+    b.choice.onEndpoints(
         b.now, false, List.of(Bench.engine("c", EngineState.UP, 0, b.now - startedBefore)));
     List<String> actions = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
--- a/gateway/src/main/java/reachloom/benchlink/ActionWriter.java
+++ b/gateway/src/main/java/reachloom/benchlink/ActionWriter.java
@@ -19,7 +19,7 @@
   }
 
   @Override
-  public void send(String query, String engine, long timeout) {
+  public void forward(String query, String engine, long timeout) {
     write(
         "Relay",
         () -> {
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public void terms(String query, double grantMb, int priority) {
+  public void setResources(String query, double grantMb, int priority) {
     write(
         "LimitsFor",
         () -> {
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public void cancel(String query, int attempt) {
+  public void cancelAttempt(String query, int attempt) {
     write(
         "StopAttempt",
         () -> {
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public void refuse(String query, long retryAfter) {
+  public void reject(String query, long retryAfter) {
     write(
         "Busy",
         () -> {
@@ -66,7 +66,7 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void setTimer(long delay, long token) {
     write(
         "WakeAt",
         () -> {
@@ -76,12 +76,12 @@
   }
 
   @Override
-  public void probe(String engine) {
+  public void checkHealth(String engine) {
     write("SoundOut", () -> out.writeStringField("node", engine));
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     write("Watch", () -> out.writeBooleanField("on", true));
   }
 
--- a/gateway/src/main/java/reachloom/benchlink/BenchLink.java
+++ b/gateway/src/main/java/reachloom/benchlink/BenchLink.java
@@ -200,14 +200,14 @@
       throws MalformedBatchException {
     switch (name) {
       case "NewInstance" ->
-          events.start(
+          events.onStart(
               now, item.path("entropy").asLong(), SettingsReader.read(item.path("bootInfo")));
       case "BackendsChanged" -> engines(now, item, events, others);
-      case "Order" -> events.arrive(now, query(item, name));
+      case "Order" -> events.onQuery(now, query(item, name));
       case "Started" ->
-          events.streaming(now, text(item, "handle", name), item.path("sendNo").asInt());
+          events.onStreaming(now, text(item, "handle", name), item.path("sendNo").asInt());
       case "Progress" ->
-          events.note(
+          events.onProgress(
               now,
               new ProgressReport(
                   text(item, "handle", name),
@@ -220,12 +220,12 @@
         if (others != null) {
           others.ended(now, end);
         }
-        events.end(now, end);
+        events.onAttemptEnded(now, end);
       }
-      case "Left" -> events.leave(now, text(item, "handle", name));
-      case "DeadlineHit" -> events.wake(now, item.path("nonce").asLong());
+      case "Left" -> events.onClientGone(now, text(item, "handle", name));
+      case "DeadlineHit" -> events.onTimer(now, item.path("nonce").asLong());
       case "ProbeResult" ->
-          events.probed(
+          events.onHealthCheck(
               now,
               text(item, "node", name),
               "S".equals(item.path("ending").asText()),
@@ -253,7 +253,7 @@
       throws MalformedBatchException {
     String how = text(item, "how", "BackendsChanged");
     if (how.equals("unavailable")) {
-      events.listUnavailable(now);
+      events.onEndpointsUnavailable(now);
       return;
     }
     List<EngineEndpoint> entries = sheets.get(item.path("sheet").asInt());
@@ -263,7 +263,7 @@
     if (others != null) {
       others.engines(!how.equals("update"), entries);
     }
-    events.engines(now, !how.equals("update"), entries);
+    events.onEndpoints(now, !how.equals("update"), entries);
   }
 
   private static List<EngineEndpoint> entries(JsonNode list) throws MalformedBatchException {
--- a/gateway/src/main/java/reachloom/benchlink/Neighbours.java
+++ b/gateway/src/main/java/reachloom/benchlink/Neighbours.java
@@ -57,12 +57,12 @@
       Long old =
           e.state() == EngineState.REMOVED
               ? engines.remove(e.name())
-              : engines.put(e.name(), e.since());
+              : engines.put(e.name(), e.incarnation());
       if (old != null) { // a process that has started anew inherits nothing of the one before
         byMark.remove(mark(e.name(), old));
       }
       if (e.state() != EngineState.REMOVED) {
-        byMark.put(mark(e.name(), e.since()), e.name());
+        byMark.put(mark(e.name(), e.incarnation()), e.name());
       }
     }
   }
@@ -75,9 +75,11 @@
   }
 
   void ended(long now, AttemptResult end) {
-    Ledger.Seen seen = Ledger.Seen.of(end.outcome(), !end.over());
+    Ledger.Seen seen = Ledger.Seen.of(end.outcome(), !end.queryFinished());
     Long since = engines.get(end.engine());
-    if (seen != null && since != null && !(end.over() && end.outcome() != AttemptOutcome.SERVED)) {
+    if (seen != null
+        && since != null
+        && !(end.queryFinished() && end.outcome() != AttemptOutcome.SERVED)) {
       ledger.note(now, end.engine(), since, seen);
       courier.seen(seen);
     }
@@ -103,13 +105,13 @@
     for (String engine : new ArrayList<>(told.keySet())) {
       if (!levels.containsKey(engine)) {
         told.remove(engine);
-        module.hearsay(now, engine, 0);
+        module.onPeerReport(now, engine, 0);
       }
     }
     levels.forEach(
         (engine, level) -> {
           if (!level.equals(told.put(engine, level))) {
-            module.hearsay(now, engine, level);
+            module.onPeerReport(now, engine, level);
           }
         });
   }
--- a/gateway/src/main/java/reachloom/gateway/Engines.java
+++ b/gateway/src/main/java/reachloom/gateway/Engines.java
@@ -156,7 +156,7 @@
       Peer peer = peers.computeIfAbsent(m.info().name(), n -> new Peer());
       peer.member = m.info().state() == EngineState.REMOVED ? null : m;
       for (Link l : List.copyOf(peer.links)) {
-        if (l.since < m.info().since()) {
+        if (l.since < m.info().incarnation()) {
           close(l, false, "the engine has started anew");
         }
       }
@@ -395,7 +395,7 @@
   // ---- Connections ----
 
   private Link dial(Peer peer) {
-    Link l = new Link(peer.member.info().name(), peer.member.info().since());
+    Link l = new Link(peer.member.info().name(), peer.member.info().incarnation());
     l.handle = table.add(l);
     if (l.handle == Slots.NONE) {
       return null;
--- a/gateway/src/main/java/reachloom/gateway/Gateway.java
+++ b/gateway/src/main/java/reachloom/gateway/Gateway.java
@@ -143,7 +143,7 @@
             closing,
             this,
             config.transport(),
-            config.settings().traits().reports(),
+            config.settings().traits().loadReports(),
             third);
     changeLog =
         new ChangeLog(
@@ -173,9 +173,11 @@
   /** Starts the module and follows the change log. */
   public void start() {
     engines.update(true, config.known());
-    tell(() -> module.start(loop.now(), config.seed(), config.settings()));
+    tell(() -> module.onStart(loop.now(), config.seed(), config.settings()));
     tell(
-        () -> module.engines(loop.now(), true, config.known().stream().map(Member::info).toList()));
+        () ->
+            module.onEndpoints(
+                loop.now(), true, config.known().stream().map(Member::info).toList()));
     if (observer != null) {
       observer.engines(true, config.known());
     }
@@ -190,7 +192,7 @@
 
   /** What other instances say of an engine; for the loop's own thread. */
   public void hearsay(String engine, double level) {
-    tell(() -> module.hearsay(loop.now(), engine, level));
+    tell(() -> module.onPeerReport(loop.now(), engine, level));
   }
 
   /** Listens for clients. */
@@ -292,7 +294,7 @@
     engines.update(change.whole(), change.members());
     tell(
         () ->
-            module.engines(
+            module.onEndpoints(
                 loop.now(), change.whole(), change.members().stream().map(Member::info).toList()));
     if (observer != null) {
       observer.engines(change.whole(), change.members());
@@ -301,7 +303,7 @@
 
   private void changeLogAway() {
     if (config.settings().subscribe()) {
-      tell(() -> module.listUnavailable(loop.now()));
+      tell(() -> module.onEndpointsUnavailable(loop.now()));
     }
   }
 
@@ -554,7 +556,7 @@
             0,
             TableGroup.of(statement),
             false);
-    tell(() -> module.arrive(now, query));
+    tell(() -> module.onQuery(now, query));
   }
 
   /** Books a request that is taken. */
@@ -577,7 +579,7 @@
       return;
     }
     close(r);
-    tell(() -> module.leave(loop.now(), r.id));
+    tell(() -> module.onClientGone(loop.now(), r.id));
     drop(r);
   }
 
@@ -591,7 +593,7 @@
     LOG.log(Level.INFO, "request {0} ends unserved: {1}", r.id, why);
     RequestLog.unserved(r, r.attempts.isEmpty() ? "refused" : "failed", loop.now());
     answer(r, r.attempts.isEmpty() ? ThriftWriter.busy(r.seq) : ThriftWriter.failed(r.seq));
-    tell(() -> module.leave(loop.now(), r.id));
+    tell(() -> module.onClientGone(loop.now(), r.id));
     for (Attempt a : List.copyOf(r.attempts)) {
       finish(a, AttemptOutcome.CANCELLED); // those that the module may not call off
     }
@@ -709,7 +711,7 @@
     if (observer != null) {
       observer.ended(a.engine, outcome, served || !r.over);
     }
-    tell(() -> module.end(now, end));
+    tell(() -> module.onAttemptEnded(now, end));
     drop(r);
   }
 
@@ -717,19 +719,19 @@
   public void noted(Attempt a, ProgressKind kind, double amount) {
     tell(
         () ->
-            module.note(
+            module.onProgress(
                 loop.now(), new ProgressReport(a.request.id, a.number, a.engine, kind, amount)));
   }
 
   @Override
   public void probed(String engine, boolean answered, LoadReport report) {
-    tell(() -> module.probed(loop.now(), engine, answered, report));
+    tell(() -> module.onHealthCheck(loop.now(), engine, answered, report));
   }
 
   // ---- What the module does ----
 
   @Override
-  public void send(String query, String engine, long timeout) {
+  public void forward(String query, String engine, long timeout) {
     Request r = byId.get(query);
     if (r == null) {
       LOG.log(Level.ERROR, "the module sends {0}, which is not open", query);
@@ -754,7 +756,7 @@
   }
 
   @Override
-  public void terms(String query, double grantMb, int priority) {
+  public void setResources(String query, double grantMb, int priority) {
     Request r = byId.get(query);
     if (r != null && r.priority != priority) { // engines of this protocol take no grant
       r.priority = priority;
@@ -763,7 +765,7 @@
   }
 
   @Override
-  public void cancel(String query, int attempt) {
+  public void cancelAttempt(String query, int attempt) {
     Request r = byId.get(query);
     if (r != null && attempt < r.attempts.size()) {
       loop.later(() -> finish(r.attempts.get(attempt), AttemptOutcome.CANCELLED));
@@ -771,7 +773,7 @@
   }
 
   @Override
-  public void refuse(String query, long retryAfter) {
+  public void reject(String query, long retryAfter) {
     conclude(query, "refused", r -> ThriftWriter.busy(r.seq));
   }
 
@@ -791,17 +793,17 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
-    loop.deadlines().add(loop.now() + delay, () -> tell(() -> module.wake(loop.now(), token)));
+  public void setTimer(long delay, long token) {
+    loop.deadlines().add(loop.now() + delay, () -> tell(() -> module.onTimer(loop.now(), token)));
   }
 
   @Override
-  public void probe(String engine) {
+  public void checkHealth(String engine) {
     engines.probe(engine);
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     // The change log is always followed; a break of it is told as it comes.
   }
 
--- a/gateway/src/main/java/reachloom/gateway/RequestFields.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestFields.java
@@ -42,6 +42,7 @@
   }
 
   private boolean keyed(GatewayConfig config) {
-    return config.settings().classes().get(queryClass).effect() == Idempotency.IDEMPOTENT_BY_KEY;
+    return config.settings().classes().get(queryClass).idempotency()
+        == Idempotency.IDEMPOTENT_BY_KEY;
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Rehearsal.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/Rehearsal.java
@@ -113,8 +113,8 @@
   int play(BooleanSupplier goOn) {
     now = MILLISECOND;
     List<EngineEndpoint> engines = config.known().stream().map(Member::info).toList();
-    module.start(now, config.seed(), config.settings());
-    module.engines(now, true, engines);
+    module.onStart(now, config.seed(), config.settings());
+    module.onEndpoints(now, true, engines);
     byte[] page = "a\tb\tc\n".repeat(PAGE / 6).getBytes(StandardCharsets.UTF_8);
     long turn = System.nanoTime();
     for (int i = 0; goOn.getAsBoolean(); i++) {
@@ -155,8 +155,8 @@
       attempts.put(id, 0);
       // All the time of its class: one that can't end in its time is refused, and rehearses
       // nothing.
-      long time = config.settings().classes().get(queryClass).deadline();
-      module.arrive(
+      long time = config.settings().classes().get(queryClass).deadlineNanos();
+      module.onQuery(
           now,
           new Query(id, queryClass, 0, null, time, 0, 0, TableGroup.of(call.statement()), false));
     }
@@ -164,7 +164,7 @@
 
   private void end(Sent s, int i, byte[] page) {
     if (i % NOTE_EACH == 0) {
-      module.note(
+      module.onProgress(
           now, new ProgressReport(s.query(), s.attempt(), s.engine(), ProgressKind.PROGRESS, 0.5));
     }
     byte[] head =
@@ -185,7 +185,7 @@
           ThriftWriter.answer(i, List.of(Bytes.of(a.body())));
           answered++;
           attempts.remove(a.id());
-          module.end(
+          module.onAttemptEnded(
               now,
               new AttemptResult(
                   a.id(),
@@ -258,20 +258,20 @@
   // ---- What the module does ----
 
   @Override
-  public void send(String query, String engine, long timeout) {
+  public void forward(String query, String engine, long timeout) {
     int number = attempts.merge(query, 1, Integer::sum) - 1;
     out.add(new Sent(query, number, engine, now));
     NodeWriter.ask(query, "a", 1, query, 1, Bytes.of(STATEMENT.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Override
-  public void terms(String query, double grantMb, int priority) {}
+  public void setResources(String query, double grantMb, int priority) {}
 
   @Override
-  public void cancel(String query, int attempt) {}
+  public void cancelAttempt(String query, int attempt) {}
 
   @Override
-  public void refuse(String query, long retryAfter) {
+  public void reject(String query, long retryAfter) {
     attempts.remove(query);
     ThriftWriter.busy(1);
   }
@@ -283,19 +283,19 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
-    timers.add(now + delay, () -> module.wake(now, token));
+  public void setTimer(long delay, long token) {
+    timers.add(now + delay, () -> module.onTimer(now, token));
   }
 
   @Override
-  public void probe(String engine) {
+  public void checkHealth(String engine) {
     timers.add(
         now + MILLISECOND,
-        () -> module.probed(now, engine, true, new LoadReport(0.5, 0, 0.5, 0.5)));
+        () -> module.onHealthCheck(now, engine, true, new LoadReport(0.5, 0, 0.5, 0.5)));
   }
 
   @Override
-  public void watch() {}
+  public void watchEndpoints() {}
 
   @Override
   public void log(String line) {}
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
@@ -260,7 +260,7 @@
     stopping = true;
     long now = loop.now();
     long longest =
-        config.settings().classes().stream().mapToLong(c -> c.deadline()).max().orElse(0);
+        config.settings().classes().stream().mapToLong(c -> c.deadlineNanos()).max().orElse(0);
     long by = now + Math.min(longest, LONGEST_DEADLINE) + ANSWERING;
     LOG.log(Level.INFO, "{0} stops with {1} requests open", config.name(), gateway.open());
     gateway.good(false);
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -215,7 +215,7 @@
         gone(m.info().name());
       } else {
         engines.add(m.info().name());
-        gossip.engine(m.info().name(), m.info().since());
+        gossip.engine(m.info().name(), m.info().incarnation());
       }
     }
   }
--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -122,8 +122,9 @@
     // The module alone looks at how engines report, rest or are loaded, and draws by chance.
     Pattern decisions =
         Pattern.compile(
-            "\\.(util|queue|memoryShare|diskShare|crossPrice|probePrice|worth|aim"
-                + "|keyWindow|coldShare|fallMultiple|lookBack)\\(\\)|\\bRandom\\b|Math\\.random");
+            "\\.(utilization|queueLength|memoryShare|diskShare|crossZonePrice|healthCheckPrice|priorityWeight"
+                + "|latencyObjectiveNanos|idempotencyWindowNanos|slowStartShare|overloadMultiple"
+                + "|retryBudgetWindowNanos)\\(\\)|\\bRandom\\b|Math\\.random");
     assertNone(decisions, MAIN.resolve("gateway"), MAIN.resolve("benchlink"));
     // Its own answers are three: unusable or without room, never sent, out of time; see
     // architecture.md.
--- a/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
+++ b/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
@@ -146,7 +146,7 @@
         actions ->
             events(
                 (method, arguments) -> {
-                  if (method.equals("note")) {
+                  if (method.equals("onProgress")) {
                     kinds.add(((ProgressReport) arguments[1]).kind());
                   }
                 }),
@@ -157,7 +157,7 @@
   private static SchedulerEvents broken(SchedulerActions actions) {
     return events(
         (method, arguments) -> {
-          if (method.equals("arrive")) {
+          if (method.equals("onQuery")) {
             throw new IllegalStateException("broken on purpose");
           }
         });
--- a/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
@@ -53,7 +53,7 @@
         List.of("s-00c41f7a", "s-00c41f7c"),
         config.known().stream().map(m -> m.info().name()).toList());
     assertEquals(EngineState.DRAINING, config.known().get(0).info().state());
-    assertEquals(1_700_000_000_123_000_000L, config.known().get(1).info().since());
+    assertEquals(1_700_000_000_123_000_000L, config.known().get(1).info().incarnation());
     assertEquals(3, config.lastEvent());
   }
 
--- a/gateway/src/test/java/reachloom/gateway/EndingsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EndingsTest.java
@@ -92,10 +92,10 @@
     ThriftClient c = new ThriftClient(config.listen());
     int seq = c.execute("select 1");
     Query q = next(Query.class);
-    act(() -> actions.send(q.id(), ENGINE, 0));
+    act(() -> actions.forward(q.id(), ENGINE, 0));
     how.go(c, seq);
     assertEquals("leave " + q.id(), next(String.class));
-    act(() -> actions.probe(ENGINE));
+    act(() -> actions.checkHealth(ENGINE));
     engine.releaseDials();
     // The probe waited for the same connection: what was to be sent before it comes before it.
     assertEquals(List.of("INFO p0"), engine.accept().linesUpTo("INFO"));
@@ -108,7 +108,7 @@
     try (ThriftClient c = new ThriftClient(config.listen())) {
       c.execute("select 1", "verb", "once");
       Query q = next(Query.class);
-      act(() -> actions.send(q.id(), ENGINE, 0));
+      act(() -> actions.forward(q.id(), ENGINE, 0));
       await(() -> held("connections") == 1);
       allowed = false;
       changeLog.add(1, other, 1);
@@ -119,10 +119,10 @@
           end.outcome(),
           "told when the list tells, not when the dial comes up");
       allowed = true;
-      act(() -> actions.send(q.id(), OTHER, 0));
+      act(() -> actions.forward(q.id(), OTHER, 0));
       assertEquals(NodeStandIn.ROW, c.reply().body());
       engine.releaseDials();
-      act(() -> actions.probe(ENGINE));
+      act(() -> actions.checkHealth(ENGINE));
       assertEquals(List.of("INFO p0"), engine.accept().linesUpTo("INFO"));
     }
   }
@@ -133,7 +133,7 @@
     // The module asks for an attempt as soon as it hears of the query, as it does in service.
     sendAtOnceTo = ENGINE;
     ThriftClient c = new ThriftClient(config.listen());
-    act(() -> actions.probe(ENGINE));
+    act(() -> actions.checkHealth(ENGINE));
     Connection connection = engine.accept(); // it is up: nothing waits for a dial
     assertEquals(List.of("INFO p0"), connection.linesUpTo("INFO"));
     CountDownLatch go = hold();
@@ -144,7 +144,7 @@
     go.countDown();
     next(Query.class);
     assertTrue(next(String.class).startsWith("leave "));
-    act(() -> actions.probe(ENGINE));
+    act(() -> actions.checkHealth(ENGINE));
     assertEquals(List.of("INFO p1"), connection.linesUpTo("INFO"), "what has come counts first");
     c.close();
   }
@@ -161,7 +161,7 @@
         // The system tells late that it has room again; a further word makes it take what it can.
         String query = first;
         int priority = 2 + quiet++ % 2;
-        act(() -> actions.terms(query, 0, priority));
+        act(() -> actions.setResources(query, 0, priority));
         Thread.sleep(5);
         continue;
       }
@@ -171,7 +171,7 @@
       filler.execute(LONG, "limit", "60000");
       Query q = next(Query.class);
       first = first == null ? q.id() : first;
-      act(() -> actions.send(q.id(), ENGINE, 0));
+      act(() -> actions.forward(q.id(), ENGINE, 0));
       connection = connection == null ? engine.accept() : connection;
     }
     assertEquals(1, held("unhanded"));
@@ -188,10 +188,10 @@
       fillers.add(c);
       int seq = c.execute("select 'the one'");
       Query q = next(Query.class);
-      act(() -> actions.send(q.id(), ENGINE, 0));
+      act(() -> actions.forward(q.id(), ENGINE, 0));
       c.interrupt(seq);
       assertEquals("leave " + q.id(), next(String.class));
-      act(() -> actions.probe(ENGINE));
+      act(() -> actions.checkHealth(ENGINE));
       List<String> lines = connection.linesUpTo("INFO");
       assertTrue(lines.size() > 2, "the connection goes on: " + lines.size());
       assertTrue(
@@ -253,7 +253,7 @@
     try (ThriftClient c = new ThriftClient(config.listen())) {
       c.execute("select 1");
       Query q = next(Query.class);
-      act(() -> actions.send(q.id(), ENGINE, 0));
+      act(() -> actions.forward(q.id(), ENGINE, 0));
       Connection connection = engine.accept();
       assertTrue(connection.request().startsWith("ASK"));
       CountDownLatch go = hold();
@@ -265,7 +265,7 @@
               // as far as it is read
             }
           });
-      act(() -> actions.cancel(q.id(), 0));
+      act(() -> actions.cancelAttempt(q.id(), 0));
       go.countDown();
       assertEquals("QUIT " + q.id(), connection.line());
       assertNull(connection.line(), "and then the end, no reset");
--- a/gateway/src/test/java/reachloom/gateway/FrontsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/FrontsTest.java
@@ -48,60 +48,60 @@
     }
 
     @Override
-    public void start(long now, long seed, SchedulerSettings settings) {
+    public void onStart(long now, long seed, SchedulerSettings settings) {
       told.add(settings);
     }
 
     @Override
-    public void engines(long now, boolean complete, List<EngineEndpoint> entries) {
+    public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
       told.add(entries);
     }
 
     @Override
-    public void listUnavailable(long now) {
+    public void onEndpointsUnavailable(long now) {
       told.add("unavailable");
     }
 
     @Override
-    public void arrive(long now, Query query) {
+    public void onQuery(long now, Query query) {
       told.add(query);
-      if (query.group() == BROKEN) {
+      if (query.tableGroup() == BROKEN) {
         throw new IllegalStateException("as scripted");
       }
     }
 
     @Override
-    public void streaming(long now, String query, int attempt) {
+    public void onStreaming(long now, String query, int attempt) {
       told.add("streaming");
     }
 
     @Override
-    public void note(long now, ProgressReport note) {
+    public void onProgress(long now, ProgressReport note) {
       told.add(note);
     }
 
     @Override
-    public void end(long now, AttemptResult end) {
+    public void onAttemptEnded(long now, AttemptResult end) {
       told.add(end);
     }
 
     @Override
-    public void leave(long now, String query) {
+    public void onClientGone(long now, String query) {
       told.add("leave " + query);
     }
 
     @Override
-    public void wake(long now, long token) {
+    public void onTimer(long now, long token) {
       told.add("wake " + token);
     }
 
     @Override
-    public void hearsay(long now, String engine, double level) {
+    public void onPeerReport(long now, String engine, double level) {
       told.add("hearsay " + engine + " " + level);
     }
 
     @Override
-    public void probed(long now, String engine, boolean answered, LoadReport report) {
+    public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
       told.add(report == null ? List.of(engine, answered) : List.of(engine, answered, report));
     }
   }
@@ -124,7 +124,7 @@
       Query first = next(Query.class);
       int other = c.execute("select 1 from sales_1.a");
       Query second = next(Query.class);
-      loop.post(0, () -> actions.refuse(second.id(), 0));
+      loop.post(0, () -> actions.reject(second.id(), 0));
       ThriftWords.Reply reply = c.reply();
       assertEquals(other, reply.seq());
       assertEquals("BUSY", reply.kind());
@@ -164,26 +164,28 @@
               q.tenant(),
               q.key(),
               0,
-              q.cost(),
-              q.memoryMb(),
-              q.group(),
-              q.repeat()));
-      assertTrue(q.timeLeft() > 1_000_000_000 && q.timeLeft() <= 1_500_000_000, "in nanoseconds");
-      act(() -> actions.send(q.id(), "s-00000001", 0));
+              q.estimatedCostNanos(),
+              q.estimatedMemoryMb(),
+              q.tableGroup(),
+              q.clientRetry()));
+      assertTrue(
+          q.remainingNanos() > 1_000_000_000 && q.remainingNanos() <= 1_500_000_000,
+          "in nanoseconds");
+      act(() -> actions.forward(q.id(), "s-00000001", 0));
       sockets.add(next(ProgressReport.class));
       AttemptResult e = next(AttemptResult.class);
       sockets.add(
           new AttemptResult(
-              e.query(),
+              e.queryId(),
               e.attempt(),
               e.engine(),
               e.outcome(),
               0,
-              e.over(),
+              e.queryFinished(),
               e.costMs(),
               e.memoryMb(),
-              e.report()));
-      act(() -> actions.probe("s-00000001"));
+              e.loadReport()));
+      act(() -> actions.checkHealth("s-00000001"));
       sockets.add(next(List.class));
     }
     String batch =
@@ -211,20 +213,20 @@
   void aGivenUpAttemptIsToldOnceItsQuitHasHadTimeToArrive() throws Exception {
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* hang */");
-      act(() -> actions.send(q.id(), "s-00000001", 0));
+      act(() -> actions.forward(q.id(), "s-00000001", 0));
       awaitAsk();
       long[] at = new long[1];
       act(
           () -> {
             at[0] = System.nanoTime();
-            actions.cancel(q.id(), 0);
+            actions.cancelAttempt(q.id(), 0);
           });
       AttemptResult end = next(AttemptResult.class);
       // Without the pause a further attempt could come to another engine before the QUIT comes to
       // this one.
       assertTrue(System.nanoTime() - at[0] >= 5_000_000);
       assertEquals(AttemptOutcome.CANCELLED, end.outcome());
-      act(() -> actions.refuse(q.id(), 0));
+      act(() -> actions.reject(q.id(), 0));
       assertEquals("BUSY", c.reply().kind());
     }
   }
@@ -233,27 +235,27 @@
   void oneEndIsToldForEachSendWhateverBecomesOfIt() throws Exception {
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* hang */");
-      act(() -> actions.send(q.id(), "s-00000099", 0));
+      act(() -> actions.forward(q.id(), "s-00000099", 0));
       assertEquals(
           AttemptOutcome.UNREACHED,
           next(AttemptResult.class).outcome(),
           "an engine that is not known");
-      act(() -> actions.send(q.id(), "s-00000001", 30_000_000));
+      act(() -> actions.forward(q.id(), "s-00000001", 30_000_000));
       AttemptResult late = next(AttemptResult.class);
       assertEquals(AttemptOutcome.TIMEOUT, late.outcome());
       assertEquals(1, late.attempt());
       act(
           () -> {
             actions.fail(q.id());
-            actions.send(q.id(), "s-00000001", 0);
+            actions.forward(q.id(), "s-00000001", 0);
           });
       assertEquals("FAILED", c.reply().kind());
       Query second = taken(c, "select 1 /* err */");
       for (int i = 0; i < config.settings().limits().maxAttempts(); i++) {
-        act(() -> actions.send(second.id(), "s-00000001", 0));
+        act(() -> actions.forward(second.id(), "s-00000001", 0));
         assertEquals(AttemptOutcome.ERROR, next(AttemptResult.class).outcome());
       }
-      act(() -> actions.send(second.id(), "s-00000001", 0));
+      act(() -> actions.forward(second.id(), "s-00000001", 0));
       assertEquals(
           AttemptOutcome.NOT_SENT, next(AttemptResult.class).outcome(), "beyond the most attempts");
     }
@@ -263,9 +265,9 @@
   void anIdThatComesBackOnAnEngineUsesAnotherConnection() throws Exception {
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* slow first */");
-      act(() -> actions.send(q.id(), "s-00000001", 20_000_000));
+      act(() -> actions.forward(q.id(), "s-00000001", 20_000_000));
       assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
-      act(() -> actions.send(q.id(), "s-00000001", 0));
+      act(() -> actions.forward(q.id(), "s-00000001", 0));
       assertEquals(AttemptOutcome.SERVED, next(AttemptResult.class).outcome());
       // The first connection's late answer is another one, and must not be taken for this one's.
       assertEquals("second\t\t\n", c.reply().body());
@@ -277,8 +279,8 @@
   void timersComeInTheOrderAskedAndNeverWithinTheCall() throws Exception {
     act(
         () -> {
-          actions.timer(0, 1);
-          actions.timer(0, 2);
+          actions.setTimer(0, 1);
+          actions.setTimer(0, 2);
           told.add("asked");
         });
     assertEquals(
@@ -290,7 +292,7 @@
   void notesAreToldByTheirKind() throws Exception {
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* allnotes */");
-      act(() -> actions.send(q.id(), "s-00000001", 0));
+      act(() -> actions.forward(q.id(), "s-00000001", 0));
       List<ProgressKind> kinds = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
         kinds.add(next(ProgressReport.class).kind());
@@ -310,7 +312,7 @@
   void anEngineThatStartedAnewGetsConnectionsOfItsOwn() throws Exception {
     try (ThriftClient c = new ThriftClient(config.listen())) {
       Query q = taken(c, "select 1 /* hang */");
-      act(() -> actions.send(q.id(), "s-00000001", 0));
+      act(() -> actions.forward(q.id(), "s-00000001", 0));
       awaitAsk();
       changeLog.add(1, node, 0, System.currentTimeMillis());
       next(List.class);
@@ -318,7 +320,7 @@
           AttemptOutcome.RESET,
           next(AttemptResult.class).outcome(),
           "it may have run on the old process");
-      act(() -> actions.send(q.id(), "s-00000001", 20_000_000));
+      act(() -> actions.forward(q.id(), "s-00000001", 20_000_000));
       assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
       assertEquals(2, node.connections());
     }
@@ -331,7 +333,7 @@
       for (String[] limit : new String[][] {{"1500", "1420"}, {"300", "270"}}) {
         node.commands.clear();
         Query q = taken(c, "select 1 /* hang */", "limit", limit[0]);
-        act(() -> actions.send(q.id(), "s-00000001", 0));
+        act(() -> actions.forward(q.id(), "s-00000001", 0));
         assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
         String ask =
             node.commands.stream().filter(l -> l.startsWith("ASK")).findFirst().orElseThrow();
--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -75,17 +75,17 @@
       }
 
       @Override
-      public void arrive(long now, Query query) {
-        super.arrive(now, query);
+      public void onQuery(long now, Query query) {
+        super.onQuery(now, query);
         if (sendAtOnceTo != null) {
-          actions.send(query.id(), sendAtOnceTo, 0);
+          actions.forward(query.id(), sendAtOnceTo, 0);
         }
       }
 
       @Override
-      public void leave(long now, String query) {
-        super.leave(now, query);
-        actions.cancel(query, 0);
+      public void onClientGone(long now, String query) {
+        super.onClientGone(now, query);
+        actions.cancelAttempt(query, 0);
       }
     };
   }
--- a/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
@@ -91,11 +91,11 @@
     }
 
     @Override
-    public void arrive(long now, Query query) {
-      super.arrive(now, query);
+    public void onQuery(long now, Query query) {
+      super.onQuery(now, query);
       String engine = sendTo.apply(query);
       if (engine != null) {
-        actions.send(query.id(), engine, 0);
+        actions.forward(query.id(), engine, 0);
       }
     }
 
@@ -109,17 +109,17 @@
     }
 
     @Override
-    public void leave(long now, String query) {
-      super.leave(now, query);
+    public void onClientGone(long now, String query) {
+      super.onClientGone(now, query);
       left.add(query);
-      actions.cancel(query, 0);
+      actions.cancelAttempt(query, 0);
     }
 
     @Override
-    public void end(long now, AttemptResult end) {
-      super.end(now, end);
-      if (sendAgainTo != null && !end.over() && end.attempt() == 0) {
-        actions.send(end.query(), sendAgainTo, 0);
+    public void onAttemptEnded(long now, AttemptResult end) {
+      super.onAttemptEnded(now, end);
+      if (sendAgainTo != null && !end.queryFinished() && end.attempt() == 0) {
+        actions.forward(end.queryId(), sendAgainTo, 0);
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
@@ -146,13 +146,13 @@
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       Query q = taken(c, "select 1", "verb", "once");
       // The dial comes up and breaks before the loop hears of either.
-      CountDownLatch go = gateway.holdAfter(() -> gateway.actions.send(q.id(), ENGINE, 0));
+      CountDownLatch go = gateway.holdAfter(() -> gateway.actions.forward(q.id(), ENGINE, 0));
       gateway.awaitQueued(1);
       kill.of(engine);
       gateway.awaitQueued(2);
       go.countDown();
       assertEquals(AttemptOutcome.UNREACHED, nextEnd().outcome());
-      gateway.act(() -> gateway.actions.send(q.id(), OTHER, 0));
+      gateway.act(() -> gateway.actions.forward(q.id(), OTHER, 0));
       assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
       assertEquals(NodeStandIn.ROW, c.reply().body());
       gateway.nothingMore(AttemptResult.class);
@@ -166,7 +166,7 @@
     started();
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       Query q = taken(c, "select 1", "verb", "once");
-      gateway.act(() -> gateway.actions.send(q.id(), ENGINE, 0));
+      gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
       await(() -> gateway.held("unhanded") == 0);
       gateway.allHasBeenDealtWith(); // so that it is written
       kill.of(engine);
@@ -250,7 +250,7 @@
       for (int cut :
           new int[] {1, 16, 19, 40, whole.indexOf('\n'), whole.length() - 5, whole.length() - 1}) {
         Query q = taken(c, "select 1", "verb", "once");
-        gateway.act(() -> gateway.actions.send(q.id(), ENGINE, 0));
+        gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
         Connection first = engine.accept();
         assertTrue(first.request().startsWith("ASK " + q.id()));
         first.say(answer(q.id(), "a\tb\tc\n").substring(0, cut));
@@ -259,8 +259,8 @@
         AttemptResult end = nextEnd();
         assertEquals(AttemptOutcome.RESET, end.outcome());
         assertEquals(0, end.attempt());
-        gateway.act(() -> gateway.actions.cancel(q.id(), 0)); // too late: it has ended
-        gateway.act(() -> gateway.actions.send(q.id(), ENGINE, 0)); // under the same id
+        gateway.act(() -> gateway.actions.cancelAttempt(q.id(), 0)); // too late: it has ended
+        gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0)); // under the same id
         Connection second = engine.accept();
         assertTrue(second.request().startsWith("ASK " + q.id()));
         second.say(answer(q.id(), "x\ty\tz\n"));
@@ -281,7 +281,7 @@
     gateway.sendAgainTo = ENGINE;
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       Query q = taken(c, "select 1", "verb", "once");
-      gateway.act(() -> gateway.actions.send(q.id(), ENGINE, 0));
+      gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
       Connection first = engine.accept();
       assertTrue(first.request().startsWith("ASK " + q.id()));
       String whole = answer(q.id(), "a\tb\tc\n");
@@ -322,7 +322,7 @@
                 .replace("\"keepalive\":30000000000", "\"keepalive\":500000000"));
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       Query q = taken(c, "select 1");
-      gateway.act(() -> gateway.actions.send(q.id(), ENGINE, 0));
+      gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
       Connection first = engine.accept();
       assertTrue(first.request().startsWith("ASK " + q.id()));
       first.say(answer(q.id(), "a\tb\tc\n") + "00000000000000ff NO");
@@ -331,7 +331,7 @@
       assertNull(first.line(), "it rests until the gateway ends it, in order");
       first.say("TE - 0\r\n\r\n");
       Query next = taken(c, "select 2", "verb", "once");
-      gateway.act(() -> gateway.actions.send(next.id(), ENGINE, 0));
+      gateway.act(() -> gateway.actions.forward(next.id(), ENGINE, 0));
       Connection second = engine.accept();
       assertTrue(second.request().startsWith("ASK " + next.id()));
       second.say(answer(next.id(), "x\ty\tz\n"));
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfStopTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfStopTest.java
@@ -59,7 +59,7 @@
     next(SchedulerSettings.class);
     next(List.class);
     sendAtOnceTo = ENGINE; // as the module does in service
-    act(() -> actions.probe(ENGINE));
+    act(() -> actions.checkHealth(ENGINE));
     sentOn = engine.accept();
     nothingSentOn();
   }
@@ -77,7 +77,7 @@
   private void nothingSentOn() throws Exception {
     for (int i = 0; i < 2; i++) {
       if (probes > 0) {
-        act(() -> actions.probe(ENGINE));
+        act(() -> actions.checkHealth(ENGINE));
       }
       String tag = "p" + probes++;
       assertEquals(List.of("INFO " + tag), sentOn.linesUpTo("INFO"));
@@ -264,7 +264,7 @@
       int taken = 0;
       int served = 0;
       for (int i = 0; i < 2; i++) { // twice round by way of the engine: all has been read
-        act(() -> actions.probe(ENGINE));
+        act(() -> actions.checkHealth(ENGINE));
         String line = sentOn.request();
         for (; line.startsWith("ASK"); line = sentOn.request()) {
           served++;
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
@@ -47,7 +47,7 @@
     assertEquals("s-00c41f7a", member.info().name());
     assertEquals("/127.1.2.3:41000", member.address().toString());
     assertEquals(1.5, member.info().weight());
-    assertEquals(7_000_000, member.info().since());
+    assertEquals(7_000_000, member.info().incarnation());
     assertEquals(2, member.info().cell());
     assertEquals(
         List.of(EngineState.DRAINING, EngineState.REMOVED),
--- a/lab/src/main/java/reachloom/lab/fleet/Baseline.java
+++ b/lab/src/main/java/reachloom/lab/fleet/Baseline.java
@@ -115,14 +115,14 @@
   }
 
   @Override
-  public void start(long now, long seed, SchedulerSettings s) {
+  public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
     random = new SplittableRandom(seed);
-    actions.timer(PROBE_GAP, 0);
+    actions.setTimer(PROBE_GAP, 0);
   }
 
   @Override
-  public void engines(long now, boolean complete, List<EngineEndpoint> entries) {
+  public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
     for (EngineEndpoint e : entries) {
       if (e.state() == EngineState.UP) {
         engines.put(e.name(), e);
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public void arrive(long now, Query query) {
+  public void onQuery(long now, Query query) {
     Sent s = new Sent(query, new ArrayList<>());
     open.put(query.id(), s);
     send(s);
@@ -154,20 +154,20 @@
                       draw.size(),
                       e ->
                           reports.containsKey(e)
-                              ? reports.get(e).util() + random.nextDouble() / 100
+                              ? reports.get(e).utilization() + random.nextDouble() / 100
                               : 0);
               case FRESH ->
                   least(draw, 2, e -> world.engines.get(World.number(e)).threads() / cores(e));
               case ORACLE -> least(draw, FOUR, e -> late.known.getOrDefault(World.number(e), 0.0));
             };
     if (best == null || s.tried.size() >= settings.limits().maxAttempts()) {
-      actions.refuse(s.query.id(), 0);
+      actions.reject(s.query.id(), 0);
       open.remove(s.query.id());
       return;
     }
     s.tried.add(best);
     out.merge(best, 1, Integer::sum);
-    actions.send(s.query.id(), best, 0);
+    actions.forward(s.query.id(), best, 0);
   }
 
   private double cores(String engine) {
@@ -183,17 +183,17 @@
   }
 
   @Override
-  public void end(long now, AttemptResult end) {
+  public void onAttemptEnded(long now, AttemptResult end) {
     out.merge(end.engine(), -1, Integer::sum);
-    Sent s = open.get(end.query());
+    Sent s = open.get(end.queryId());
     if (s == null) {
       return;
     }
     QueryClass kind = settings.classes().get(s.query.queryClass());
-    if (end.over()) {
-      open.remove(end.query());
+    if (end.queryFinished()) {
+      open.remove(end.queryId());
     } else if (end.outcome() == AttemptOutcome.TIMEOUT
-        || kind.effect() == Idempotency.NOT_IDEMPOTENT && end.outcome().mayHaveRun) {
+        || kind.idempotency() == Idempotency.NOT_IDEMPOTENT && end.outcome().mayHaveRun) {
       actions.fail(s.query.id());
       open.remove(s.query.id());
     } else {
@@ -202,42 +202,42 @@
   }
 
   @Override
-  public void wake(long now, long token) {
+  public void onTimer(long now, long token) {
     if (rule == Rule.REPORTED) {
-      engines.keySet().forEach(actions::probe);
+      engines.keySet().forEach(actions::checkHealth);
     }
-    actions.timer(PROBE_GAP, 0);
+    actions.setTimer(PROBE_GAP, 0);
   }
 
   @Override
-  public void probed(long now, String engine, boolean answered, LoadReport report) {
+  public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
     if (answered) {
       reports.put(engine, report);
     }
   }
 
   @Override
-  public void leave(long now, String query) {
+  public void onClientGone(long now, String query) {
     open.remove(query);
   }
 
   @Override
-  public void listUnavailable(long now) {
+  public void onEndpointsUnavailable(long now) {
     // The list held stays.
   }
 
   @Override
-  public void streaming(long now, String query, int attempt) {
+  public void onStreaming(long now, String query, int attempt) {
     // Answers come whole here.
   }
 
   @Override
-  public void note(long now, ProgressReport note) {
+  public void onProgress(long now, ProgressReport note) {
     // Progress tells these policies nothing.
   }
 
   @Override
-  public void hearsay(long now, String engine, double level) {
+  public void onPeerReport(long now, String engine, double level) {
     // Nobody speaks to them.
   }
 }
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -228,13 +228,13 @@
       halted = false;
       changedAt = time.now();
       module = policy.make(this, world, number);
-      module.start(clock(), random.nextLong(), settings);
+      module.onStart(clock(), random.nextLong(), settings);
       World.View view = world.views.get(zone);
       Map<Integer, World.Listed> known = new LinkedHashMap<>();
       view.log.forEach(e -> known.put(e.engine().id(), e.engine()));
       heardOf = view.log.size();
       listLines += known.size();
-      module.engines(
+      module.onEndpoints(
           clock(),
           true,
           known.values().stream().filter(l -> l.state() != World.GONE).map(this::info).toList());
@@ -317,7 +317,7 @@
             heardOf = view.log.size();
             listLines += news.size();
             if (!news.isEmpty()) {
-              module.engines(clock(), false, news);
+              module.onEndpoints(clock(), false, news);
             }
           },
           (long) (random.nextDouble() * HEARD),
@@ -345,7 +345,7 @@
         settle(o, Truth.Answer.FAILED);
         return;
       }
-      module.arrive(clock(), new Query(a.id(), a.kind(), 0, null, left, 0, 0, -1, false));
+      module.onQuery(clock(), new Query(a.id(), a.kind(), 0, null, left, 0, 0, -1, false));
     }
 
     private void settle(Open o, Truth.Answer answer) {
@@ -391,7 +391,7 @@
     }
 
     @Override
-    public void send(String query, String engine, long timeout) {
+    public void forward(String query, String engine, long timeout) {
       Open o = open.get(query);
       EngineModel e = world.engines.get(World.number(engine));
       int place = o.tries.size();
@@ -458,7 +458,7 @@
                     link,
                     way,
                     () ->
-                        module.note(
+                        module.onProgress(
                             clock(),
                             new ProgressReport(
                                 a.id(), place, World.name(e.id), ProgressKind.PROGRESS, share)));
@@ -499,7 +499,7 @@
       if (outcome == AttemptOutcome.SERVED && !o.over) {
         settle(o, Truth.Answer.SERVED);
       }
-      module.end(
+      module.onAttemptEnded(
           clock(),
           new AttemptResult(
               o.arrival.id(),
@@ -548,7 +548,7 @@
     }
 
     @Override
-    public void cancel(String query, int attempt) {
+    public void cancelAttempt(String query, int attempt) {
       Open o = open.get(query);
       if (o != null && !o.tries.get(attempt).over) {
         quit(o, o.tries.get(attempt));
@@ -557,7 +557,7 @@
     }
 
     @Override
-    public void refuse(String query, long retryAfter) {
+    public void reject(String query, long retryAfter) {
       Open o = open.get(query);
       if (o != null) {
         settle(o, Truth.Answer.REFUSED);
@@ -573,12 +573,12 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
-      tell(life, () -> module.wake(clock(), token), delay);
+    public void setTimer(long delay, long token) {
+      tell(life, () -> module.onTimer(clock(), token), delay);
     }
 
     @Override
-    public void probe(String engine) {
+    public void checkHealth(String engine) {
       probes++;
       EngineModel e = world.engines.get(World.number(engine));
       int engineZone = plan.zoneOfEngine(e.id);
@@ -589,7 +589,7 @@
       if (up == CLOSED
           || !link.sound() && (link.cutIn || link.cutOut)
           || e.mood() == EngineModel.Mood.DOWN) {
-        tell(life, () -> module.probed(clock(), engine, false, null), PROBE_TIMEOUT);
+        tell(life, () -> module.onHealthCheck(clock(), engine, false, null), PROBE_TIMEOUT);
         return;
       }
       tell(
@@ -599,7 +599,7 @@
             tell(
                 life,
                 () ->
-                    module.probed(
+                    module.onHealthCheck(
                         clock(), engine, true, new LoadReport(l.util(), l.queue(), l.memory(), 0)),
                 way);
           },
@@ -607,12 +607,12 @@
     }
 
     @Override
-    public void terms(String query, double grantMb, int priority) {
+    public void setResources(String query, double grantMb, int priority) {
       // These engines heed neither.
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       // The list is told unasked.
     }
 
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -103,7 +103,7 @@
       fronts.add(f);
       n.hearsay =
           gossip
-              ? (e, level) -> f.choice.hearsay(cluster.agenda.now(), e, level)
+              ? (e, level) -> f.choice.onPeerReport(cluster.agenda.now(), e, level)
               : (e, level) -> {};
     }
     fronts.forEach(Front::start);
@@ -189,8 +189,8 @@
     }
 
     void start() {
-      choice.start(now(), times.nextLong(), settings(fronts.indexOf(this)));
-      choice.engines(
+      choice.onStart(now(), times.nextLong(), settings(fronts.indexOf(this)));
+      choice.onEndpoints(
           now(),
           true,
           engines.values().stream()
@@ -211,7 +211,7 @@
               Open o = new Open(node.name + "-" + count++, now());
               open.put(o.id, o);
               asked++;
-              choice.arrive(now(), new Query(o.id, 0, 0, null, DEADLINE, 0, 0, -1, false));
+              choice.onQuery(now(), new Query(o.id, 0, 0, null, DEADLINE, 0, 0, -1, false));
             }
             next();
           });
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void send(String query, String engine, long timeout) {
+    public void forward(String query, String engine, long timeout) {
       Open o = open.get(query);
       Engine e = engines.get(engine);
       int number = o.tries.size();
@@ -254,7 +254,7 @@
             at,
             () -> {
               if (!t.over) {
-                choice.note(
+                choice.onProgress(
                     now(), new ProgressReport(o.id, number, engine, ProgressKind.PROGRESS, done));
               }
             });
@@ -284,7 +284,7 @@
       if (outcome == AttemptOutcome.SERVED && !o.over) {
         settle(o, true);
       }
-      choice.end(
+      choice.onAttemptEnded(
           now(),
           new AttemptResult(
               o.id, number, t.engine.name, outcome, now() - t.sentAt, o.over, 0, 0, null));
@@ -292,7 +292,7 @@
     }
 
     @Override
-    public void cancel(String query, int attempt) {
+    public void cancelAttempt(String query, int attempt) {
       Open o = open.get(query);
       if (o != null) {
         cluster.agenda.at(now(), () -> end(o, attempt, AttemptOutcome.CANCELLED));
@@ -300,7 +300,7 @@
     }
 
     @Override
-    public void refuse(String query, long retryAfter) {
+    public void reject(String query, long retryAfter) {
       fail(query);
     }
 
@@ -313,22 +313,22 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
-      cluster.agenda.at(now() + delay, () -> choice.wake(now(), token));
+    public void setTimer(long delay, long token) {
+      cluster.agenda.at(now() + delay, () -> choice.onTimer(now(), token));
     }
 
     @Override
-    public void terms(String query, double grantMb, int priority) {
+    public void setResources(String query, double grantMb, int priority) {
       // These engines heed neither.
     }
 
     @Override
-    public void probe(String engine) {
+    public void checkHealth(String engine) {
       // These engines do not report.
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       // The list does not change.
     }
 
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
@@ -166,7 +166,11 @@
 
   /** What one event of the list said. */
   static String key(Member m) {
-    return m.info().name() + " " + m.info().state().ordinal() + " " + m.info().since() / 1_000_000;
+    return m.info().name()
+        + " "
+        + m.info().state().ordinal()
+        + " "
+        + m.info().incarnation() / 1_000_000;
   }
 
   /** Reads the configuration again, as the program does on SIGHUP, on a thread of its own. */
--- a/lab/src/test/java/reachloom/lab/slopes/Desk.java
+++ b/lab/src/test/java/reachloom/lab/slopes/Desk.java
@@ -114,7 +114,7 @@
                 2,
                 false,
                 false));
-    choice.start(
+    choice.onStart(
         now,
         1,
         new SchedulerSettings(
@@ -134,7 +134,7 @@
             new SchedulingRules(
                 20 * MILLISECOND, 0.3, 10 * SECOND, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
             new EngineCapabilities(false, false, reports, SECOND / 2, 0.5, OvercommitPolicy.WAIT)));
-    choice.engines(now, true, list);
+    choice.onEndpoints(now, true, list);
   }
 
   static EngineEndpoint engine(int number, long since) {
@@ -153,38 +153,38 @@
 
   void wake() {
     lastWake = now;
-    choice.wake(now, 0);
+    choice.onTimer(now, 0);
   }
 
   void answerProbes() {
     while (!probes.isEmpty()) {
       answered++;
-      choice.probed(now, probes.poll(), true, WELL);
+      choice.onHealthCheck(now, probes.poll(), true, WELL);
     }
   }
 
   /** A probe of some engine is answered. */
   void report() {
-    choice.probed(now, list.get(random.nextInt(list.size())).name(), true, WELL);
+    choice.onHealthCheck(now, list.get(random.nextInt(list.size())).name(), true, WELL);
   }
 
   String arrive() {
     String id = "q" + count++;
-    choice.arrive(now, new Query(id, 0, 0, null, 5 * SECOND, 30 * MILLISECOND, 100, -1, false));
+    choice.onQuery(now, new Query(id, 0, 0, null, 5 * SECOND, 30 * MILLISECOND, 100, -1, false));
     return id;
   }
 
   void note(String id) {
     String engine = sent.get(id);
     if (engine != null) {
-      choice.note(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, 0.5));
+      choice.onProgress(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, 0.5));
     }
   }
 
   void end(String id) {
     String engine = sent.remove(id);
     if (engine != null) {
-      choice.end(
+      choice.onAttemptEnded(
           now, new AttemptResult(id, 0, engine, AttemptOutcome.SERVED, SPENT, true, 30, 100, null));
     }
   }
@@ -205,12 +205,12 @@
   }
 
   @Override
-  public void send(String query, String engine, long timeout) {
+  public void forward(String query, String engine, long timeout) {
     sent.put(query, engine);
   }
 
   @Override
-  public void refuse(String query, long retryAfter) {
+  public void reject(String query, long retryAfter) {
     refused++;
   }
 
@@ -220,28 +220,28 @@
   }
 
   @Override
-  public void probe(String engine) {
+  public void checkHealth(String engine) {
     asked++;
     probes.add(engine);
   }
 
   @Override
-  public void terms(String query, double grantMb, int priority) {
+  public void setResources(String query, double grantMb, int priority) {
     // not heeded here
   }
 
   @Override
-  public void cancel(String query, int attempt) {
+  public void cancelAttempt(String query, int attempt) {
     // all are served
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void setTimer(long delay, long token) {
     // the clock here is driven by the queries
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     // the list does not change
   }
 
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -89,7 +89,7 @@
       List<EngineEndpoint> infos = all[0].members().stream().map(Member::info).toList();
       count(
           "apply a whole list in the decisions, us",
-          () -> desk.choice.engines(desk.now, true, infos));
+          () -> desk.choice.onEndpoints(desk.now, true, infos));
       count("apply a whole list in the gateway, us", () -> list.update(true, all[0].members()));
       desk.step();
       byte[] frame = Lists.one(++number, (int) (number % engines));
@@ -99,7 +99,7 @@
       count(
           "apply one change in the decisions, us",
           () ->
-              desk.choice.engines(
+              desk.choice.onEndpoints(
                   desk.now, false, one[0].members().stream().map(Member::info).toList()));
       count("apply one change in the gateway, us", () -> list.update(false, one[0].members()));
       desk.step();
