--- a/decisions/src/main/java/reachloom/spread/EngineOrder.java
+++ b/decisions/src/main/java/reachloom/balancing/EngineOrder.java
@@ -1,4 +1,4 @@
-package reachloom.spread;
+package reachloom.balancing;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import reachloom.state.Engine;
+import reachloom.scheduler.state.Engine;
 
 /**
- * The engines that are up, in the order in which a gateway prefers them: that of {@link Subset},
- * kept as engines come and go. A change costs a search and a shift of references, not a sort, since
- * at thousands of engines the list of them changes often.
+ * The engines that are up, in the order in which a gateway prefers them: that of {@link
+ * EngineSubset}, kept as engines come and go. A change costs a search and a shift of references,
+ * not a sort, since at thousands of engines the list of them changes often.
  */
 public final class EngineOrder {
   private static final Comparator<Entry> BY_HASH =
@@ -20,20 +20,20 @@
 
   private record Entry(long hash, Engine engine) {}
 
-  private final Subset subset;
+  private final EngineSubset subset;
   private final List<Entry> ring = new ArrayList<>();
 
   /** Where this gateway's order begins on the ring. */
   private int first = UNKNOWN;
 
   /** The order of the gateway with that subset. */
-  public EngineOrder(Subset subset) {
+  public EngineOrder(EngineSubset subset) {
     this.subset = subset;
   }
 
   /** An engine is up from now on; one that was already is left alone. */
   public void add(Engine engine) {
-    Entry entry = new Entry(Subset.mix(engine.name), engine);
+    Entry entry = new Entry(EngineSubset.mix(engine.name), engine);
     int at = Collections.binarySearch(ring, entry, BY_HASH);
     if (at < 0) {
       ring.add(-at - 1, entry);
@@ -43,7 +43,8 @@
 
   /** An engine is up no more; one that was not is left alone. */
   public void remove(Engine engine) {
-    int at = Collections.binarySearch(ring, new Entry(Subset.mix(engine.name), engine), BY_HASH);
+    int at =
+        Collections.binarySearch(ring, new Entry(EngineSubset.mix(engine.name), engine), BY_HASH);
     if (at >= 0 && ring.get(at).engine == engine) {
       ring.remove(at);
       first = UNKNOWN;
--- a/decisions/src/main/java/reachloom/spread/Subset.java
+++ b/decisions/src/main/java/reachloom/balancing/EngineSubset.java
@@ -1,4 +1,4 @@
-package reachloom.spread;
+package reachloom.balancing;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
  * chapter 20; its low-discrepancy form in "Reinventing Backend Subsetting at Google", ACM Queue
  * 2023).
  */
-public final class Subset {
+public final class EngineSubset {
   private static final double GOLDEN = 0.6180339887498949; // of its multiples, any run lies evenly
   private static final long MIX_A = 0xbf58476d1ce4e5b9L; // the finalizer of SplitMix64
   private static final long MIX_B = 0x94d049bb133111ebL;
@@ -33,7 +33,7 @@
   private final double start;
 
   /** The order of the gateway of that number. */
-  public Subset(int self) {
+  public EngineSubset(int self) {
     start = (self + 1) * GOLDEN % 1;
   }
 
--- a/decisions/src/main/java/reachloom/spread/Share.java
+++ b/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
@@ -1,4 +1,4 @@
-package reachloom.spread;
+package reachloom.balancing;
 
 /**
  * The part of the pool's work that is this gateway's, told by the memory that its own queries have
@@ -12,7 +12,7 @@
  * by what runs add up to the pool. Where reports or queries are too few to tell, or memory is not
  * told, the number of the settings holds. Times are nanoseconds, memory is in MB.
  */
-public final class Share {
+public final class PoolShareEstimator {
   private static final double SECOND = 1e9; // nanoseconds
 
   /**
@@ -37,7 +37,7 @@
   private long lookedAt = -1;
 
   /** The share of one of so many gateways, about which nothing else is known yet. */
-  public Share(int gateways) {
+  public PoolShareEstimator(int gateways) {
     this.gateways = Math.max(1, gateways);
   }
 
--- a/decisions/src/main/java/reachloom/spread/Turns.java
+++ b/decisions/src/main/java/reachloom/balancing/SlotRotation.java
@@ -1,14 +1,14 @@
-package reachloom.spread;
+package reachloom.balancing;
 
 /**
  * Whose turn it is, among gateways that are numbered and do not talk: each turn has one owner, each
  * of them one turn in a round. Neighbours in number do not follow each other, since numbers may go
  * with traffic: turns whose owners have nothing to send leave unused what they take turns at.
  */
-public final class Turns {
+public final class SlotRotation {
   private static final double GOLDEN = 0.6180339887498949; // of its multiples, any run lies evenly
 
-  private Turns() {}
+  private SlotRotation() {}
 
   /** The number of the owner of that turn at something of that name, from 0. */
   public static int owner(String name, long turn, int gateways) {
@@ -16,7 +16,7 @@
     while (divisor(step, gateways) > 1) {
       step++;
     }
-    long first = Math.floorMod(Subset.mix(name), gateways);
+    long first = Math.floorMod(EngineSubset.mix(name), gateways);
     return (int) ((first + Math.floorMod(turn, gateways) * step) % gateways);
   }
 
--- a/decisions/src/main/java/reachloom/discovery/Watch.java
+++ b/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
@@ -8,7 +8,7 @@
  * one held change nothing, and a log that has left events out is asked for all it has, which counts
  * only once it has told as far as was seen. Times are nanoseconds.
  */
-public final class Watch {
+public final class EndpointWatch {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
   /** The log says something each second, by the protocol. */
@@ -78,7 +78,7 @@
   private boolean sparse;
 
   /** A watch that holds what the event of that number told. */
-  public Watch(long last, long seed) {
+  public EndpointWatch(long last, long seed) {
     this.last = last;
     random = new SplittableRandom(seed);
   }
--- a/decisions/src/main/java/reachloom/discovery/StartTimes.java
+++ b/decisions/src/main/java/reachloom/discovery/IncarnationTimes.java
@@ -11,7 +11,7 @@
  * longer than it is. Can't help where a whole list at the start of this process is all that tells
  * of an engine and the wall clock was ahead.
  */
-public final class StartTimes {
+public final class IncarnationTimes {
   /**
    * Nanoseconds; longer than the change log is usually away, and shorter than wrong clocks are
    * wrong.
--- a/decisions/src/main/java/reachloom/gossip/Guard.java
+++ b/decisions/src/main/java/reachloom/gossip/Guard.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import reachloom.state.TokenBucket;
+import reachloom.scheduler.state.TokenBucket;
 
 /**
  * Stands before the costly check of a signature: what can be refused cheaply is, and the rest has a
--- a/decisions/src/main/java/reachloom/membership/Meter.java
+++ b/decisions/src/main/java/reachloom/membership/Meter.java
@@ -1,6 +1,6 @@
 package reachloom.membership;
 
-import reachloom.state.SlidingSum;
+import reachloom.scheduler.state.SlidingWindowSum;
 
 /**
  * Keeps what is sent within a cap in each second, however the second is laid. What matters less may
@@ -44,8 +44,8 @@
   private static final long SECOND = 1_000_000_000; // nanoseconds
 
   private final int cap;
-  private final SlidingSum sent = new SlidingSum(SECOND);
-  private final SlidingSum ridden = new SlidingSum(SECOND);
+  private final SlidingWindowSum sent = new SlidingWindowSum(SECOND);
+  private final SlidingWindowSum ridden = new SlidingWindowSum(SECOND);
 
   /** A meter for that many bytes a second. */
   public Meter(int cap) {
--- a/decisions/src/main/java/reachloom/revision/Dissemination.java
+++ b/decisions/src/main/java/reachloom/revision/Dissemination.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import reachloom.revision.Neighbours.Other;
 import reachloom.revision.Neighbours.Strike;
-import reachloom.state.TokenBucket;
+import reachloom.scheduler.state.TokenBucket;
 
 /**
  * One member's part in spreading revisions: hears of them, proves them, fetches their documents,
--- a/decisions/src/main/java/reachloom/revision/Serving.java
+++ b/decisions/src/main/java/reachloom/revision/Serving.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import reachloom.state.TokenBucket;
+import reachloom.scheduler.state.TokenBucket;
 
 /** The documents that others have asked for: who asked first is served whole before the next. */
 final class Serving {
--- a/decisions/src/main/java/reachloom/latency/LatencyRatios.java
+++ b/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
@@ -1,7 +1,7 @@
-package reachloom.latency;
+package reachloom.scheduler;
 
 import java.util.Collection;
-import reachloom.state.Engine;
+import reachloom.scheduler.state.Engine;
 
 /**
  * How long each engine takes for its queries against what was predicted, as a moving average of its
--- a/decisions/src/main/java/reachloom/Choice.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -1,4 +1,4 @@
-package reachloom;
+package reachloom.scheduler;
 
 // Types, events and actions of this module: decisions/src/main/java/reachloom/scheduler/api.
 
@@ -13,8 +13,11 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import reachloom.discovery.StartTimes;
-import reachloom.latency.LatencyRatios;
+import reachloom.balancing.EngineOrder;
+import reachloom.balancing.EngineSubset;
+import reachloom.balancing.PoolShareEstimator;
+import reachloom.balancing.SlotRotation;
+import reachloom.discovery.IncarnationTimes;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.DeduplicationScope;
@@ -32,17 +35,13 @@
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.scheduler.api.SchedulingRules;
-import reachloom.spread.EngineOrder;
-import reachloom.spread.Share;
-import reachloom.spread.Subset;
-import reachloom.spread.Turns;
-import reachloom.state.Attempt;
-import reachloom.state.ClassRecord;
-import reachloom.state.Engine;
-import reachloom.state.KeyLine;
-import reachloom.state.QueryRecord;
-import reachloom.state.SlidingSum;
-import reachloom.state.TokenBucket;
+import reachloom.scheduler.state.Attempt;
+import reachloom.scheduler.state.ClassRecord;
+import reachloom.scheduler.state.Engine;
+import reachloom.scheduler.state.KeyQueue;
+import reachloom.scheduler.state.QueryRecord;
+import reachloom.scheduler.state.SlidingWindowSum;
+import reachloom.scheduler.state.TokenBucket;
 
 /**
  * Decides for one gateway: admits a query at arrival on a prediction, holds it for a short while,
@@ -50,7 +49,7 @@
  * methods stand in the order in which a query lives; docs/design.md gives the reasons and the
  * conditions of each exception.
  */
-public final class Choice implements SchedulerEvents {
+public final class QueryScheduler implements SchedulerEvents {
   private static final double SECOND = 1e9; // nanoseconds
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
@@ -166,8 +165,8 @@
   private int widest;
   private double probeCredit;
   private double meanWorth;
-  private Share share;
-  private final StartTimes startTimes = new StartTimes();
+  private PoolShareEstimator share;
+  private final IncarnationTimes startTimes = new IncarnationTimes();
   private final LatencyRatios ratios = new LatencyRatios();
 
   /** Engines that are up, in this gateway's own order; it changes with the list alone. */
@@ -194,15 +193,15 @@
   private final Map<String, Engine> engines = new LinkedHashMap<>();
   private final Map<String, QueryRecord> queries = new LinkedHashMap<>();
   private final TreeMap<Long, QueryRecord> held = new TreeMap<>();
-  private final Map<String, KeyLine> keyLines = new LinkedHashMap<>();
+  private final Map<String, KeyQueue> keyLines = new LinkedHashMap<>();
   private final List<ClassRecord> classes = new ArrayList<>();
   private final List<TokenBucket> tenants = new ArrayList<>();
-  private final SlidingSum takenLately = new SlidingSum(REPORT_AGE);
-  private SlidingSum takenInSpan;
-  private SlidingSum extrasInSpan;
+  private final SlidingWindowSum takenLately = new SlidingWindowSum(REPORT_AGE);
+  private SlidingWindowSum takenInSpan;
+  private SlidingWindowSum extrasInSpan;
 
   /** A module that acts through the given front. */
-  public Choice(SchedulerActions actions) {
+  public QueryScheduler(SchedulerActions actions) {
     this.actions = actions;
   }
 
@@ -211,14 +210,14 @@
   @Override
   public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
-    share = new Share(s.gateways());
+    share = new PoolShareEstimator(s.gateways());
     startedAt = now;
     random = new SplittableRandom(seed);
     self =
         s.selfIndex() >= 0
             ? s.selfIndex()
             : random.nextInt(s.gateways()); // where it is not told, by chance
-    order = new EngineOrder(new Subset(self));
+    order = new EngineOrder(new EngineSubset(self));
     fleet = s.gateways();
     s.classes().forEach(c -> classes.add(new ClassRecord(c)));
     s.tenants()
@@ -226,8 +225,8 @@
             t -> tenants.add(new TokenBucket(t.quotaPerSecond() / s.gateways(), TENANT_LEAST)));
     widest = s.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
     meanWorth = s.classes().stream().mapToDouble(QueryClass::priorityWeight).average().orElse(0);
-    takenInSpan = new SlidingSum(s.rules().retryBudgetWindowNanos() - 2 * s.tickNanos());
-    extrasInSpan = new SlidingSum(s.rules().retryBudgetWindowNanos() + 2 * s.tickNanos());
+    takenInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() - 2 * s.tickNanos());
+    extrasInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() + 2 * s.tickNanos());
     if (s.subscribe()) {
       actions.watchEndpoints();
     }
@@ -333,7 +332,7 @@
     q.beyondShare = query.tenant() < tenants.size() && !tenants.get(query.tenant()).take(now);
     learnCost(q);
     if (kind.ordered() && query.key() != null) {
-      q.keyLine = keyLines.computeIfAbsent(query.key(), KeyLine::new);
+      q.keyLine = keyLines.computeIfAbsent(query.key(), KeyQueue::new);
       q.keyLine.queries.addLast(q);
     }
     q.heldUntil = holdUntil(now, q);
@@ -592,7 +591,7 @@
   private double coldPart(long slot, Engine e) {
     int gateways = settings.gateways();
     int sharers = Math.min(COLD_SHARERS, gateways);
-    int place = Turns.place(e.name, slot, sharers, gateways, self % gateways);
+    int place = SlotRotation.place(e.name, slot, sharers, gateways, self % gateways);
     double rest = sharers == 1 ? 0 : (1 - COLD_FIRST) / (sharers - 1);
     return place < 0 ? 0 : place > 0 ? rest : 1 - rest * (sharers - 1);
   }
--- a/decisions/src/main/java/reachloom/latency/package-info.java
+++ b/decisions/src/main/java/reachloom/scheduler/package-info.java
@@ -1,2 +1,2 @@
 /** How long engines take, compared with each other. */
-package reachloom.latency;
+package reachloom.scheduler;
--- a/decisions/src/main/java/reachloom/state/Attempt.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/Attempt.java
@@ -1,4 +1,4 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 /** One attempt of a query. */
 public final class Attempt {
--- a/decisions/src/main/java/reachloom/state/ClassRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/ClassRecord.java
@@ -1,4 +1,4 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 import reachloom.scheduler.api.QueryClass;
 
@@ -10,21 +10,21 @@
   public double factor;
 
   /** Seconds that a query takes; stands at the aim until one was served. */
-  public final Mean time;
+  public final MovingAverage time;
 
   /** Seconds of work: of all queries whose cost is known, and of those served. */
-  public final Mean cost = new Mean(0);
+  public final MovingAverage cost = new MovingAverage(0);
 
-  public final Mean served = new Mean(0);
+  public final MovingAverage served = new MovingAverage(0);
 
   /** Memory needed, in MB, and for each MB estimated. */
-  public final Mean memory = new Mean(0);
+  public final MovingAverage memory = new MovingAverage(0);
 
-  public final Mean memoryFactor = new Mean(1);
+  public final MovingAverage memoryFactor = new MovingAverage(1);
 
   /** Nothing learned yet. */
   public ClassRecord(QueryClass kind) {
     this.kind = kind;
-    this.time = new Mean(kind.latencyObjectiveNanos() / 1e9);
+    this.time = new MovingAverage(kind.latencyObjectiveNanos() / 1e9);
   }
 }
--- a/decisions/src/main/java/reachloom/state/Engine.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/Engine.java
@@ -1,4 +1,4 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
--- a/decisions/src/main/java/reachloom/state/Mean.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/MovingAverage.java
@@ -1,12 +1,12 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 /** A mean that follows its newest values: plain over the first few, then weighted. */
-public final class Mean {
+public final class MovingAverage {
   public double value;
   public int count;
 
   /** A mean that stands at the given value until the first one is added. */
-  public Mean(double start) {
+  public MovingAverage(double start) {
     value = start;
   }
 
--- a/decisions/src/main/java/reachloom/state/QueryRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/QueryRecord.java
@@ -1,4 +1,4 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
   public long firstRunAt = -1;
 
   public Engine firstRunOn;
-  public KeyLine keyLine;
+  public KeyQueue keyLine;
 
   /** A query just taken. */
   public QueryRecord(Query query, QueryClass kind, long number, long arrivedAt, long deadline) {
--- a/decisions/src/main/java/reachloom/state/SlidingSum.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/SlidingWindowSum.java
@@ -1,9 +1,9 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 import java.util.ArrayDeque;
 
 /** A sum over the latest stretch of time. */
-public final class SlidingSum {
+public final class SlidingWindowSum {
   private record Entry(long at, double value) {}
 
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
@@ -11,7 +11,7 @@
   private double sum;
 
   /** A sum over the given span of time. */
-  public SlidingSum(long span) {
+  public SlidingWindowSum(long span) {
     this.span = span;
   }
 
--- a/decisions/src/main/java/reachloom/state/TokenBucket.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/TokenBucket.java
@@ -1,4 +1,4 @@
-package reachloom.state;
+package reachloom.scheduler.state;
 
 /** Tokens that fill at a steady rate up to a limit. */
 public final class TokenBucket {
--- a/decisions/src/main/java/reachloom/state/package-info.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/package-info.java
@@ -1,2 +1,2 @@
 /** Plain holders and neutral containers for what a gateway knows; nothing here decides. */
-package reachloom.state;
+package reachloom.scheduler.state;
--- a/decisions/src/test/java/reachloom/Bench.java
+++ b/decisions/src/test/java/reachloom/Bench.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.DeduplicationScope;
@@ -33,7 +34,7 @@
   static final int KEYED = 2;
 
   final List<String> actions = new ArrayList<>();
-  final Choice choice = new Choice(this);
+  final QueryScheduler choice = new QueryScheduler(this);
   long now = 1000 * SECOND;
   int gateways = 1;
   int self;
--- a/decisions/src/test/java/reachloom/spread/SpreadTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -1,4 +1,4 @@
-package reachloom.spread;
+package reachloom.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.Test;
 
 /** A gateway's part of the work, and the engines that it keeps to. */
-class SpreadTest {
+class BalancingTest {
   private static final long SECOND = 1_000_000_000L;
 
-  private static List<Subset.Place> engines(int count) {
-    List<Subset.Place> all = new ArrayList<>();
+  private static List<EngineSubset.Place> engines(int count) {
+    List<EngineSubset.Place> all = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
-      all.add(new Subset.Place(String.format("s-%08x", i), 8));
+      all.add(new EngineSubset.Place(String.format("s-%08x", i), 8));
     }
     return all;
   }
 
-  private static Set<String> first(int self, List<Subset.Place> engines, int kept) {
+  private static Set<String> first(int self, List<EngineSubset.Place> engines, int kept) {
     Set<String> first = new HashSet<>();
-    new Subset(self)
+    new EngineSubset(self)
         .order(engines)
         .forEach(
             (name, place) -> {
@@ -37,7 +37,7 @@
   }
 
   private static Map<String, Integer> gatewaysOf(
-      int gateways, List<Subset.Place> engines, int kept) {
+      int gateways, List<EngineSubset.Place> engines, int kept) {
     Map<String, Integer> count = new HashMap<>();
     for (int g = 0; g < gateways; g++) {
       first(g, engines, kept).forEach(e -> count.merge(e, 1, Integer::sum));
@@ -75,8 +75,8 @@
 
   @Test
   void oneEngineMoreMovesEachGatewayByOneAtMost() {
-    List<Subset.Place> before = engines(60);
-    List<Subset.Place> after = engines(61);
+    List<EngineSubset.Place> before = engines(60);
+    List<EngineSubset.Place> after = engines(61);
     int moved = 0;
     for (int g = 0; g < 200; g++) {
       Set<String> lost = first(g, before, 12);
@@ -89,9 +89,9 @@
 
   @Test
   void aLargerEngineHasMoreGateways() {
-    List<Subset.Place> engines = engines(58);
-    engines.add(new Subset.Place("s-0000aaaa", 16));
-    engines.add(new Subset.Place("s-0000bbbb", 16));
+    List<EngineSubset.Place> engines = engines(58);
+    engines.add(new EngineSubset.Place("s-0000aaaa", 16));
+    engines.add(new EngineSubset.Place("s-0000bbbb", 16));
     Map<String, Integer> starts = new HashMap<>();
     for (int g = 0; g < 1_000; g++) {
       first(g, engines, 1).forEach(e -> starts.merge(e, 1, Integer::sum));
@@ -103,16 +103,16 @@
 
   @Test
   void oneEngineAndNoneAreOrdersToo() {
-    assertEquals(Map.of("s-00000001", 0), new Subset(7).order(engines(1)));
-    assertEquals(Map.of(), new Subset(7).order(List.of()));
+    assertEquals(Map.of("s-00000001", 0), new EngineSubset(7).order(engines(1)));
+    assertEquals(Map.of(), new EngineSubset(7).order(List.of()));
   }
 
   /**
    * A gateway whose queries hold so much memory for 10 s, of engines that report that share of
    * theirs.
    */
-  private static Share share(int gateways, double memoryShare, double ownMb) {
-    Share s = new Share(gateways);
+  private static PoolShareEstimator share(int gateways, double memoryShare, double ownMb) {
+    PoolShareEstimator s = new PoolShareEstimator(gateways);
     for (int i = 0; i < 400; i++) {
       s.running(i * SECOND / 40, ownMb);
       s.reported(memoryShare);
@@ -153,7 +153,7 @@
 
   @Test
   void aPartSinksWithWhatRuns() {
-    Share s = share(200, 0.3, 3_000);
+    PoolShareEstimator s = share(200, 0.3, 3_000);
     for (int i = 0; i < 400; i++) {
       s.running((10 + i / 40) * SECOND, 1_500);
     }
@@ -165,7 +165,7 @@
     assertEquals(200, share(200, 0.01, 3_000).fleet(100_000), "a pool hardly in use");
     assertEquals(200, share(200, 0, 3_000).fleet(100_000), "engines that don't tell of memory");
     assertEquals(200, share(200, 0.3, 0).fleet(100_000), "nothing out, or its memory not known");
-    Share silent = new Share(200);
+    PoolShareEstimator silent = new PoolShareEstimator(200);
     for (int i = 0; i < 500; i++) {
       silent.running(i * SECOND / 40, 3_000);
     }
@@ -179,10 +179,10 @@
         java.util.Set<Integer> owners = new java.util.TreeSet<>();
         int neighbours = 0;
         for (int i = 0; i < gateways; i++) {
-          owners.add(Turns.owner("s-00000001", first + i, gateways));
+          owners.add(SlotRotation.owner("s-00000001", first + i, gateways));
           int step =
-              Turns.owner("s-00000001", first + i + 1, gateways)
-                  - Turns.owner("s-00000001", first + i, gateways);
+              SlotRotation.owner("s-00000001", first + i + 1, gateways)
+                  - SlotRotation.owner("s-00000001", first + i, gateways);
           neighbours += Math.abs(step) == 1 ? 1 : 0;
         }
         assertEquals(gateways, owners.size());
@@ -199,7 +199,7 @@
       for (int turn = 0; turn < gateways; turn++) {
         int sharers = 0;
         for (int gateway = 0; gateway < gateways; gateway++) {
-          int place = Turns.place("s-00000001", turn, 5, gateways, gateway);
+          int place = SlotRotation.place("s-00000001", turn, 5, gateways, gateway);
           if (place >= 0) {
             had[gateway][place]++;
             sharers++;
@@ -208,8 +208,8 @@
         assertEquals(shared, sharers);
         assertEquals(
             0,
-            Turns.place(
-                "s-00000001", turn, 5, gateways, Turns.owner("s-00000001", turn, gateways)));
+            SlotRotation.place(
+                "s-00000001", turn, 5, gateways, SlotRotation.owner("s-00000001", turn, gateways)));
       }
       for (int[] places : had) {
         for (int times : places) {
--- a/decisions/src/test/java/reachloom/discovery/WatchTest.java
+++ b/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import reachloom.discovery.Watch.Verdict;
+import reachloom.discovery.EndpointWatch.Verdict;
 
-class WatchTest {
-  private final Watch watch = new Watch(5, 1);
+class EndpointWatchTest {
+  private final EndpointWatch watch = new EndpointWatch(5, 1);
 
   private Verdict event(long number) {
     return watch.heard(number, false, false);
@@ -79,7 +79,7 @@
 
   @Test
   void dialsComeLaterEachTimeWithinABoundAndNotTogether() {
-    Watch other = new Watch(5, 2);
+    EndpointWatch other = new EndpointWatch(5, 2);
     boolean apart = false;
     for (int i = 0; i < 20; i++) {
       long mine = watch.pause();
@@ -131,9 +131,9 @@
   void aDeadWatchIsFoundAndDialledAgainBeforeAllCountsAsTold() {
     long frame = 1_000_000_000L;
     long told = 7 * frame;
-    assertTrue(Watch.MOST_SILENCE > 2 * frame, "frames may be late");
+    assertTrue(EndpointWatch.MOST_SILENCE > 2 * frame, "frames may be late");
     assertTrue(
-        Watch.MOST_SILENCE + 3 * (Watch.DIAL_TIMEOUT + 400_000_000L) < told,
+        EndpointWatch.MOST_SILENCE + 3 * (EndpointWatch.DIAL_TIMEOUT + 400_000_000L) < told,
         "three dials may fail");
   }
 }
--- a/decisions/src/test/java/reachloom/discovery/StartTimesTest.java
+++ b/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-class StartTimesTest {
+class IncarnationTimesTest {
   private static final long SECOND = 1_000_000_000;
   private static final long HOUR = 3_600 * SECOND;
   private static final long NOW = 1_700_000_000 * SECOND;
 
-  private final StartTimes times = new StartTimes();
+  private final IncarnationTimes times = new IncarnationTimes();
 
   @Test
   void aStartThatMayBeTrueIsTakenAsItIsTold() {
--- a/gateway/src/main/java/reachloom/benchlink/BenchLink.java
+++ b/gateway/src/main/java/reachloom/benchlink/BenchLink.java
@@ -19,8 +19,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import reachloom.Choice;
 import reachloom.config.SettingsReader;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -72,9 +72,9 @@
   /** Neighbours are null where instances may not talk. */
   private record Instance(SchedulerEvents events, ActionWriter actions, Neighbours neighbours) {}
 
-  /** A link whose instances each hold a {@link Choice}. */
+  /** A link whose instances each hold a {@link QueryScheduler}. */
   public BenchLink(PrintStream err) {
-    this(err, Choice::new);
+    this(err, QueryScheduler::new);
   }
 
   BenchLink(PrintStream err, Factory factory) {
--- a/gateway/src/main/java/reachloom/gateway/ChangeLog.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLog.java
@@ -12,7 +12,7 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import reachloom.config.Member;
-import reachloom.discovery.Watch;
+import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.tables.Deadlines.Deadline;
 import reachloom.gateway.wire.Change;
 import reachloom.gateway.wire.ChangeLogDecoder;
@@ -29,7 +29,7 @@
   private final Loop loop;
   private final Closing closing;
   private final NioSocketConnector connector;
-  private final Watch watch;
+  private final EndpointWatch watch;
 
   /** Parts of a list that is told anew from its beginning. */
   private final Map<String, Member> parts = new LinkedHashMap<>();
@@ -66,14 +66,14 @@
     this.loop = loop;
     this.closing = closing;
     this.address = address;
-    watch = new Watch(last, seed);
+    watch = new EndpointWatch(last, seed);
     this.news = news;
     this.away = away;
     connector =
         sockets.connector(
             new DecodingHandler<>(
                 "change log", () -> new ChangeLogDecoder(zones, kinds), new Heard()),
-            Watch.DIAL_TIMEOUT);
+            EndpointWatch.DIAL_TIMEOUT);
   }
 
   /**
@@ -110,7 +110,7 @@
    */
   void whenCaughtUp(Runnable then) {
     waiting = then;
-    waitingUntil = loop.now() + Watch.LONGEST_START;
+    waitingUntil = loop.now() + EndpointWatch.LONGEST_START;
     settling = loop.deadlines().add(waitingUntil, this::caughtUp);
   }
 
@@ -129,7 +129,8 @@
       caughtUp();
     } else {
       settling =
-          loop.deadlines().add(Math.min(waitingUntil, loop.now() + Watch.QUIET), this::caughtUp);
+          loop.deadlines()
+              .add(Math.min(waitingUntil, loop.now() + EndpointWatch.QUIET), this::caughtUp);
     }
   }
 
@@ -143,7 +144,7 @@
             loop.post(0, () -> broken(mine, "no connection"));
           }
         });
-    awaited(Watch.DIAL_TIMEOUT, "no connection in time");
+    awaited(EndpointWatch.DIAL_TIMEOUT, "no connection in time");
   }
 
   private void awaited(long time, String why) {
@@ -184,7 +185,7 @@
     if (waiting != null) {
       loop.later(() -> settle(change.nothing())); // once it is dealt with
     }
-    awaited(Watch.MOST_SILENCE, "silent");
+    awaited(EndpointWatch.MOST_SILENCE, "silent");
     long before = watch.last();
     switch (watch.heard(change.number(), change.whole(), change.nothing())) {
       case TAKE -> news.accept(change);
@@ -232,7 +233,7 @@
             watch.asked();
             parts.clear();
             Sockets.write(s, ChangeLogDecoder.hello(watch.askAfter()));
-            awaited(Watch.MOST_SILENCE, "silent");
+            awaited(EndpointWatch.MOST_SILENCE, "silent");
           });
     }
 
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import reachloom.Choice;
 import reachloom.config.ConfigException;
 import reachloom.config.GatewayConfig;
 import reachloom.config.GossipSettings;
 import reachloom.config.LocalSettings;
-import reachloom.discovery.Watch;
+import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.Gateway;
 import reachloom.gateway.Loop;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.Identity;
+import reachloom.scheduler.QueryScheduler;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -87,7 +87,7 @@
 
   /** Serves until SIGTERM; gives the exit status. */
   public int run() throws InterruptedException {
-    gateway = new Gateway(config, loop, Choice::new);
+    gateway = new Gateway(config, loop, QueryScheduler::new);
     gateway.clientIdleTimeout(configuration.local().clientIdleTimeout());
     GossipSettings others = configuration.local().gossip().orElse(null);
     if (others != null && !joinOthers(others)) {
@@ -102,13 +102,13 @@
     loop.post(
         0,
         () -> {
-          loop.deadlines().add(begun + Watch.LATEST_READY, this::ready);
+          loop.deadlines().add(begun + EndpointWatch.LATEST_READY, this::ready);
           gateway.start(this::open);
         });
     Thread rehearsal =
         new Thread(
             () -> {
-              new Rehearsal(config, Choice::new).run(open);
+              new Rehearsal(config, QueryScheduler::new).run(open);
               loop.post(0, this::ready);
             },
             "rehearsal");
--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -18,7 +18,7 @@
   private static final Path ROOT = Path.of("..");
   private static final Path MAIN = ROOT.resolve("gateway/src/main/java/reachloom");
   private static final Path PURE = ROOT.resolve("decisions/src/main/java/reachloom");
-  private static final Path CHOICE = PURE.resolve("Choice.java");
+  private static final Path SCHEDULER = PURE.resolve("scheduler/QueryScheduler.java");
 
   @Test
   void theWallClockIsReadInOnePlaceOfEachModuleThatNeedsIt() throws IOException {
@@ -41,28 +41,28 @@
   }
 
   @Test
-  void choicePointsToItsInterfaceFirst() throws IOException {
-    List<String> head = Files.readAllLines(CHOICE).subList(0, 5);
+  void schedulerPointsToItsInterfaceFirst() throws IOException {
+    List<String> head = Files.readAllLines(SCHEDULER).subList(0, 5);
     assertTrue(
         head.stream().anyMatch(l -> l.contains("decisions/src/main/java/reachloom/scheduler/api")));
   }
 
   @Test
-  void choiceHoldsNoStaticMutableState() throws IOException {
+  void schedulerHoldsNoStaticMutableState() throws IOException {
     Pattern field = Pattern.compile("\\bstatic (?!final )[\\w.<>\\[\\], ]+ \\w+( =.*)?;");
-    assertEquals(List.of(), matches(CHOICE, field));
+    assertEquals(List.of(), matches(SCHEDULER, field));
     Pattern hazards =
         Pattern.compile(
             "currentTimeMillis|nanoTime|Math\\.random|new Random\\(|\\bHash(Map|Set)\\b");
-    assertNone(hazards, CHOICE, PURE.resolve("state"));
+    assertNone(hazards, SCHEDULER, PURE.resolve("scheduler/state"));
   }
 
   @Test
-  void noTunedValueStandsOutsideChoice() throws IOException {
+  void noTunedValueStandsInStateOrInterface() throws IOException {
     // Numbers other than the plain ones of bookkeeping and units have no place in holders or
     // interface.
     Pattern number = Pattern.compile("(?<![\\w.\"])(?!(?:0|1|-1|2|1e9)(?![\\w.]))\\d[\\w.]*");
-    assertNone(number, PURE.resolve("state"), PURE.resolve("scheduler/api"));
+    assertNone(number, PURE.resolve("scheduler/state"), PURE.resolve("scheduler/api"));
   }
 
   @Test
@@ -71,7 +71,7 @@
         Pattern.compile(
             "\\b(Relay|Busy|Surrender|StopAttempt|SoundOut|WakeAt|LimitsFor|gatewayId"
                 + "|sendNo|patienceLeft|wantMb|dataGroup|qos|billing|relation)\\b");
-    assertNone(wire, CHOICE, PURE.resolve("scheduler/api"), PURE.resolve("state"));
+    assertNone(wire, SCHEDULER, PURE.resolve("scheduler/api"), PURE.resolve("scheduler/state"));
   }
 
   @Test
@@ -106,14 +106,19 @@
 
   @Test
   void packagesDependOneWay() throws IOException {
-    Pattern up = Pattern.compile("import reachloom\\.(Choice|benchlink|gateway)\\b");
+    Pattern up =
+        Pattern.compile("import reachloom\\.(scheduler\\.QueryScheduler|benchlink|gateway)\\b");
     assertNone(
-        up, MAIN.resolve("config"), PURE.resolve("state"), CHOICE, PURE.resolve("scheduler/api"));
+        up,
+        MAIN.resolve("config"),
+        PURE.resolve("scheduler/state"),
+        SCHEDULER,
+        PURE.resolve("scheduler/api"));
     Pattern wire =
         Pattern.compile(
-            "import reachloom\\.(Choice|benchlink|state|gateway\\.(wire|lifecycle))\\b");
+            "import reachloom\\.(scheduler\\.(QueryScheduler|state)|benchlink|gateway\\.(wire|lifecycle))\\b");
     assertNone(wire, MAIN.resolve("gateway/tables"));
-    Pattern front = Pattern.compile("import reachloom\\.(state|benchlink)\\b");
+    Pattern front = Pattern.compile("import reachloom\\.(scheduler\\.state|benchlink)\\b");
     assertNone(front, MAIN.resolve("gateway"));
   }
 
--- a/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
+++ b/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
-import reachloom.Choice;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.ProgressKind;
 import reachloom.scheduler.api.ProgressReport;
 import reachloom.scheduler.api.SchedulerActions;
@@ -59,7 +59,7 @@
   }
 
   private String[] serve(String... batches) throws IOException {
-    return serve(Choice::new, batches);
+    return serve(QueryScheduler::new, batches);
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/benchlink/NeighboursTest.java
+++ b/gateway/src/test/java/reachloom/benchlink/NeighboursTest.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import reachloom.Choice;
+import reachloom.scheduler.QueryScheduler;
 
 /**
  * Shared evidence over the simulator's messages: what goes out, what comes of it, and engines that
@@ -89,7 +89,7 @@
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     byte[] in = (String.join("\n", batches) + "\n").getBytes(StandardCharsets.UTF_8);
     BenchLinkProbe.serve(
-        Choice::new, new ByteArrayInputStream(in), out, new PrintStream(err, true));
+        QueryScheduler::new, new ByteArrayInputStream(in), out, new PrintStream(err, true));
     assertEquals("", err.toString());
     List<JsonNode> sent = new ArrayList<>();
     for (String line : out.toString(StandardCharsets.UTF_8).split("\n")) {
--- a/gateway/src/test/java/reachloom/gateway/LongDayTest.java
+++ b/gateway/src/test/java/reachloom/gateway/LongDayTest.java
@@ -13,8 +13,8 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.Choice;
 import reachloom.config.GatewayConfig;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -27,7 +27,7 @@
   @TempDir Path folder;
 
   private final Loop loop = new Loop();
-  private Choice module;
+  private QueryScheduler module;
 
   private Map<String, Integer> held(Gateway gateway) throws Exception {
     CompletableFuture<Map<String, Integer>> held = new CompletableFuture<>();
@@ -45,7 +45,7 @@
         0,
         () -> {
           try {
-            Field field = Choice.class.getDeclaredField(table);
+            Field field = QueryScheduler.class.getDeclaredField(table);
             field.setAccessible(true);
             keys.complete(
                 ((Map<?, ?>) field.get(module))
@@ -66,7 +66,7 @@
               folder.resolve("config.json"),
               GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node));
       GatewayConfig config = GatewayConfig.fromFile(file, Map.of());
-      Gateway gateway = new Gateway(config, loop, a -> module = new Choice(a));
+      Gateway gateway = new Gateway(config, loop, a -> module = new QueryScheduler(a));
       gateway.listen();
       loop.post(0, gateway::start);
       NodeStandIn.daemon(loop);
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import reachloom.Choice;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
-import reachloom.discovery.Watch;
+import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
 import reachloom.standin.GatewayProcess;
@@ -55,7 +55,7 @@
             // not looked at
           }
         };
-    serve(text(GatewayProcess.freeAddress(), log), Choice::new);
+    serve(text(GatewayProcess.freeAddress(), log), QueryScheduler::new);
     assertEquals(2, next(List.class).size());
     watch = log.accept();
     assertEquals(1, watch.number());
@@ -193,7 +193,7 @@
     Connection again = log.accept();
     long took = System.nanoTime() - silentFrom;
     assertTrue(
-        took < 2 * Watch.MOST_SILENCE,
+        took < 2 * EndpointWatch.MOST_SILENCE,
         "dialled again after " + took + " ns, though bytes had come");
     assertEquals(1, again.number(), "from the last event held");
     for (byte b : list) {
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.Choice;
 import reachloom.gateway.HeldPeer.Connection;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -183,7 +183,7 @@
   @CsvSource({"once,FAILED,0", "quick,ANSWER,1", "keyed,ANSWER,1"})
   void whatWasWrittenToAnEngineThatIsKilledUnreadEndsByTheRuleOfItsClass(
       String verb, String kind, int asks) throws Exception {
-    gateway = new OrdersGateway(folder, config(engine.address()), Choice::new);
+    gateway = new OrdersGateway(folder, config(engine.address()), QueryScheduler::new);
     Connection log = asked(changeLog.accept());
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       c.execute("select 1", "verb", verb, "unique", "k1", "limit", "20000");
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/RehearsalTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/RehearsalTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.Choice;
 import reachloom.config.GatewayConfig;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -29,7 +29,8 @@
             Files.writeString(
                 folder.resolve("config.json"),
                 text.replace("\"goalTime\":500000000", "\"goalTime\":" + aim));
-        Rehearsal rehearsal = new Rehearsal(GatewayConfig.fromFile(file, Map.of()), Choice::new);
+        Rehearsal rehearsal =
+            new Rehearsal(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
         int[] left = {QUERIES};
         int served = rehearsal.play(() -> left[0]-- > 0);
         assertTrue(served > QUERIES / 2, served + " of " + QUERIES + " served with aims of " + aim);
--- a/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
@@ -8,13 +8,13 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import reachloom.Choice;
 import reachloom.lab.command.Arguments;
 import reachloom.lab.command.Command;
 import reachloom.lab.command.Figures;
 import reachloom.lab.rig.Plan;
 import reachloom.lab.rig.ProcessFleet;
 import reachloom.lab.rig.Script;
+import reachloom.scheduler.QueryScheduler;
 
 /**
  * Plays a whole fleet under a script of troubles, and tells how the load was spread and what broke.
@@ -105,7 +105,7 @@
     if (mode.equals("virtual")) {
       VirtualFleet.Policy made =
           policy.equals("reachloom")
-              ? (actions, world, g) -> new Choice(actions)
+              ? (actions, world, g) -> new QueryScheduler(actions)
               : Baseline.named(policy);
       if (made == null) {
         throw new ParseException("--policy: '" + policy + "' is not known");
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import reachloom.Choice;
 import reachloom.evidence.Ledger;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.DeduplicationScope;
@@ -172,7 +172,7 @@
   /** One gateway's decisions, and what they act on. */
   private final class Front implements SchedulerActions {
     private final VirtualCluster.Node node;
-    private final Choice choice = new Choice(this);
+    private final QueryScheduler choice = new QueryScheduler(this);
     private final Map<String, Open> open = new LinkedHashMap<>();
     private final SplittableRandom arrivals;
     private final SplittableRandom times;
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
-import reachloom.Choice;
+import reachloom.balancing.EngineSubset;
 import reachloom.config.ConfigException;
 import reachloom.config.GatewayConfig;
 import reachloom.config.GossipSettings;
@@ -22,9 +22,9 @@
 import reachloom.gateway.Observer;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.Identity;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
-import reachloom.spread.Subset;
 
 /**
  * A gateway without clients and without a process of its own: loop, gateway, change log, gossip and
@@ -97,7 +97,7 @@
   private void open() throws ConfigException, IOException {
     GatewayConfig config = GatewayConfig.fromFile(configFile, Map.of());
     LocalSettings local = LocalSettings.read(settingsFile, Map.of());
-    gateway = new Gateway(config, loop, Choice::new);
+    gateway = new Gateway(config, loop, QueryScheduler::new);
     if (local.gossip().isPresent()) {
       GossipSettings s = local.gossip().get();
       gossip = new GossipNode(loop, s, Identity.read(s), config.seed(), gateway::hearsay);
@@ -143,8 +143,8 @@
       }
     }
     first =
-        new Subset(number)
-            .order(inUse.stream().map(e -> new Subset.Place(e, 1)).toList()).keySet().stream()
+        new EngineSubset(number)
+            .order(inUse.stream().map(e -> new EngineSubset.Place(e, 1)).toList()).keySet().stream()
                 .limit(KEPT_TO)
                 .toList();
   }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import reachloom.discovery.Watch;
+import reachloom.discovery.EndpointWatch;
 import reachloom.lab.gossip.Installation;
 import reachloom.lab.rig.Company;
 import reachloom.lab.rig.Hosts;
@@ -54,7 +54,8 @@
   /**
    * The longest wait for a change log, its dial and the list, with as much again on a busy machine.
    */
-  private static final long REDIAL = 2 * (Watch.MOST_SILENCE / 2 + Watch.DIAL_TIMEOUT);
+  private static final long REDIAL =
+      2 * (EndpointWatch.MOST_SILENCE / 2 + EndpointWatch.DIAL_TIMEOUT);
 
   private static final long PATIENCE_MS = 20_000;
 
--- a/lab/src/main/java/reachloom/lab/slopes/KeptEngines.java
+++ b/lab/src/main/java/reachloom/lab/slopes/KeptEngines.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import reachloom.spread.Subset;
+import reachloom.balancing.EngineSubset;
 
 /**
  * Which gateways keep to an engine, reckoned from the real order of each, without sockets:
@@ -21,15 +21,15 @@
 
   /** The figures of so many gateways and engines. */
   static Map<String, Object> of(int gateways, int engines) {
-    List<Subset.Place> places = new ArrayList<>();
+    List<EngineSubset.Place> places = new ArrayList<>();
     int[] keepers = new int[engines];
     for (int e = 0; e < engines; e++) {
-      places.add(new Subset.Place(String.format("s-%08x", e + 1), CORES));
+      places.add(new EngineSubset.Place(String.format("s-%08x", e + 1), CORES));
     }
     int dials = 0;
     int mostOfGateway = 0;
     for (int g = 0; g < gateways; g++) {
-      Map<String, Integer> order = new Subset(g).order(places);
+      Map<String, Integer> order = new EngineSubset(g).order(places);
       int mine = 0;
       for (int e = 0; e < engines; e++) {
         if (order.get(places.get(e).name()) < KEPT) {
--- a/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
@@ -9,16 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.Choice;
 import reachloom.lab.rig.Plan;
 import reachloom.lab.rig.Script;
+import reachloom.scheduler.QueryScheduler;
 
 /**
  * Whole fleets in simulated time around the real decisions: spread, rules, and the hard cases of a
  * narrow view.
  */
 class VirtualFleetTest {
-  private static final VirtualFleet.Policy REACHLOOM = (actions, world, g) -> new Choice(actions);
+  private static final VirtualFleet.Policy REACHLOOM =
+      (actions, world, g) -> new QueryScheduler(actions);
 
   private static Plan plan(int gateways, int engines, double load) {
     return new Plan(gateways, engines, 3, 14, load, 0.8, 0, gateways, 5);
--- a/lab/src/test/java/reachloom/lab/slopes/Desk.java
+++ b/lab/src/test/java/reachloom/lab/slopes/Desk.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import reachloom.Choice;
+import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.DeduplicationScope;
@@ -46,7 +46,7 @@
   private static final LoadReport WELL = new LoadReport(0.5, 0, 0.4, 0);
   private static final int WARM = 4_000;
 
-  final Choice choice = new Choice(this);
+  final QueryScheduler choice = new QueryScheduler(this);
   final List<EngineEndpoint> list = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(1);
   private final Map<String, String> sent = new LinkedHashMap<>();
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import reachloom.config.GatewayConfig;
 import reachloom.config.Member;
-import reachloom.discovery.Watch;
+import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.EngineList;
 import reachloom.gateway.wire.Change;
 import reachloom.gateway.wire.ChangeLogDecoder;
@@ -40,7 +40,7 @@
     private final Map<String, List<Long>> cpu = new LinkedHashMap<>();
     private Desk desk;
     private EngineList list;
-    private Watch watch = new Watch(1, 1);
+    private EndpointWatch watch = new EndpointWatch(1, 1);
     private long number = 1;
 
     Size(int engines, Path folder) throws Exception {
