--- a/decisions/src/main/java/reachloom/gossip/Guard.java
+++ b/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
@@ -12,7 +12,7 @@
  * leaves the members alone. It harms when many join at once: they come in at the pace of the shared
  * budget.
  */
-public final class Guard {
+public final class DatagramRateLimiter {
   private static final long SECOND = 1_000_000_000; // nanoseconds
   private static final long CLOCKS_APART =
       30 * SECOND; // of two instances; also how long a replay is of use
@@ -30,7 +30,7 @@
   private static final int MOST_SOURCES = 4_096;
   private static final int MOST_SENDERS = 4_096;
 
-  private final Map<Refusal, Long> counts = new EnumMap<>(Refusal.class);
+  private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
   private final Map<Long, TokenBucket> members = new LinkedHashMap<>();
   private final Map<Long, TokenBucket> others = new LinkedHashMap<>(16, 0.75f, true);
   private final Map<String, Replay> senders = new LinkedHashMap<>(16, 0.75f, true);
@@ -43,7 +43,7 @@
    * A guard of an instance that probes once in so many nanoseconds: members say more where that is
    * short.
    */
-  public Guard(long period) {
+  public DatagramRateLimiter(long period) {
     this(period, false);
   }
 
@@ -51,7 +51,7 @@
    * The same, where {@code revisions} is set, of one whose members pass the configuration on as
    * well.
    */
-  public Guard(long period, boolean revisions) {
+  public DatagramRateLimiter(long period, boolean revisions) {
     memberRate =
         Math.min(
             TOTAL_RATE,
@@ -62,7 +62,7 @@
    * The cheap checks, in order of their cost: null, or why it is refused. All times are in
    * nanoseconds.
    */
-  public Refusal admit(
+  public RejectionReason admit(
       long now,
       long source,
       boolean ofMember,
@@ -79,7 +79,7 @@
    * present by either clock is fresh, since a tool that is started after a step goes by the wall
    * clock of then.
    */
-  public Refusal admit(
+  public RejectionReason admit(
       long now,
       long wallClock,
       long source,
@@ -90,20 +90,20 @@
       long itsTime,
       long seq) {
     if (Math.abs(now - itsTime) > CLOCKS_APART && Math.abs(wallClock - itsTime) > CLOCKS_APART) {
-      return refuse(Refusal.TIME);
+      return refuse(RejectionReason.TIME);
     }
     Replay replay = senders.get(sender);
     if (replay != null && !replay.fresh(seq)) {
-      return refuse(Refusal.REPLAYED);
+      return refuse(RejectionReason.REPLAYED);
     }
     if (!known && !certified) {
-      return refuse(Refusal.UNKNOWN);
+      return refuse(RejectionReason.UNKNOWN);
     }
     boolean room =
         ofMember
             ? bucket(members, source, memberRate).take(now)
             : bucket(others, source, SOURCE_RATE).take(now) && strangers.take(now);
-    return room && total.take(now) ? null : refuse(Refusal.BUDGET);
+    return room && total.take(now) ? null : refuse(RejectionReason.BUDGET);
   }
 
   private static TokenBucket bucket(Map<Long, TokenBucket> of, long source, double rate) {
@@ -129,7 +129,7 @@
       senders.put(sender, r);
     }
     if (!r.take(seq)) {
-      refuse(Refusal.REPLAYED);
+      refuse(RejectionReason.REPLAYED);
       return false;
     }
     taken++;
@@ -137,13 +137,13 @@
   }
 
   /** Counts a refusal; gives it back. */
-  public Refusal refuse(Refusal why) {
+  public RejectionReason refuse(RejectionReason why) {
     counts.merge(why, 1L, Long::sum);
     return why;
   }
 
   /** How many were refused, by reason. */
-  public Map<Refusal, Long> refused() {
+  public Map<RejectionReason, Long> refused() {
     return counts.isEmpty() ? Map.of() : new EnumMap<>(counts);
   }
 
--- a/decisions/src/main/java/reachloom/gossip/Gossip.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
-import reachloom.evidence.Claim;
-import reachloom.evidence.Corroboration;
-import reachloom.evidence.Corroboration.Belief;
-import reachloom.evidence.Ledger;
-import reachloom.membership.Membership;
-import reachloom.membership.Message;
-import reachloom.membership.Meter;
-import reachloom.membership.News;
-import reachloom.membership.Outbox;
-import reachloom.membership.Weights;
-import reachloom.revision.Outlet;
+import reachloom.membership.BandwidthLimiter;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipService;
+import reachloom.membership.MembershipUpdate;
+import reachloom.membership.MessageSender;
+import reachloom.membership.WireSizes;
+import reachloom.peerreport.OutcomeWindow;
+import reachloom.peerreport.PeerReport;
+import reachloom.peerreport.WeightedQuorum;
+import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.revision.Peer;
-import reachloom.revision.Word;
+import reachloom.revision.RevisionMessage;
+import reachloom.revision.RevisionMessageSender;
 
 /**
  * One instance among others: keeps the list of members, tells what it has seen of engines, and
  * makes hearsay of what others tell. Times are nanoseconds of the clock handed in.
  */
-public final class Gossip implements Outbox, Outlet {
+public final class GossipProtocol implements MessageSender, RevisionMessageSender {
   private static final int REVIEWS = 4; // in a period
   private static final double STEP = 0.1; // a level that has moved by less is not told again
   private static final int MOST_CLAIMS = 32; // in one packet
@@ -37,22 +37,22 @@
   private final String name;
   private final long address;
   private final Transport transport;
-  private final Membership membership;
-  private final Ledger ledger = new Ledger();
-  private final Corroboration corroboration = new Corroboration(ledger);
+  private final MembershipService membership;
+  private final OutcomeWindow ledger = new OutcomeWindow();
+  private final WeightedQuorum corroboration = new WeightedQuorum(ledger);
   private final BiConsumer<String, Double> hearsay;
   private final long reviewEvery;
   private final Map<String, Long> engines = new LinkedHashMap<>();
   private final Map<String, Double> told = new LinkedHashMap<>();
   private List<Belief> beliefs = List.of();
   private long nextReview;
-  private Rider rider;
+  private PiggybackPayload rider;
   private boolean peersChanged;
   private boolean urgent;
   private long nextTell;
 
   /** An instance that starts; {@code hearsay} hears of engines whose level has changed. */
-  public Gossip(
+  public GossipProtocol(
       String name,
       long address,
       List<Long> seeds,
@@ -68,7 +68,7 @@
     this.hearsay = hearsay;
     reviewEvery = period / REVIEWS;
     membership =
-        new Membership(
+        new MembershipService(
             name,
             address,
             seeds,
@@ -77,14 +77,14 @@
             cap,
             new SplittableRandom(seed),
             this,
-            new Weights() {
+            new WireSizes() {
               @Override
-              public int message(String to, Message message) {
+              public int message(String to, MembershipMessage message) {
                 return transport.message(to, message) + riding();
               }
 
               @Override
-              public int news(News news) {
+              public int news(MembershipUpdate news) {
                 return transport.news(news);
               }
             });
@@ -94,7 +94,7 @@
    * Lets something ride on the packets from now on, and sets this instance's place; before it
    * starts.
    */
-  public void carry(int place, Rider what) {
+  public void carry(int place, PiggybackPayload what) {
     membership.place(place);
     rider = what;
     peersChanged = true;
@@ -105,11 +105,11 @@
     return rider == null ? 0 : transport.riding(membership.place(), rider.always());
   }
 
-  public Membership membership() {
+  public MembershipService membership() {
     return membership;
   }
 
-  public Corroboration corroboration() {
+  public WeightedQuorum corroboration() {
     return corroboration;
   }
 
@@ -137,15 +137,15 @@
   }
 
   /** This instance has seen something of an engine. */
-  public void seen(long now, String engine, Ledger.Seen seen) {
+  public void seen(long now, String engine, OutcomeWindow.Seen seen) {
     Long since = engines.get(engine);
     if (since != null) {
       ledger.note(now, engine, since, seen);
-      urgent |= seen != Ledger.Seen.SERVED;
+      urgent |= seen != OutcomeWindow.Seen.SERVED;
     }
   }
 
-  /** Looks at the clock; to be called as often as {@link Membership#tickEvery} says. */
+  /** Looks at the clock; to be called as often as {@link MembershipService#tickEvery} says. */
   public void tick(long now) {
     membership.tick(now);
     if (urgent && now >= nextTell) {
@@ -184,7 +184,7 @@
     levels.forEach(
         (engine, level) -> {
           double before = told.getOrDefault(engine, 0.0);
-          boolean crossed = before >= Corroboration.ACCUSED != level >= Corroboration.ACCUSED;
+          boolean crossed = before >= WeightedQuorum.ACCUSED != level >= WeightedQuorum.ACCUSED;
           if (crossed || Math.abs(level - before) >= STEP) {
             told.put(engine, level);
             hearsay.accept(engine, level);
@@ -215,16 +215,22 @@
   // ---- What the membership sends ----
 
   @Override
-  public int send(long now, String to, long at, Message message, List<News> news, int most) {
+  public int send(
+      long now,
+      String to,
+      long at,
+      MembershipMessage message,
+      List<MembershipUpdate> news,
+      int most) {
     int size = transport.message(to, message) + riding();
-    for (News n : news) {
+    for (MembershipUpdate n : news) {
       size += transport.news(n);
     }
-    List<Claim> claims = new ArrayList<>();
+    List<PeerReport> claims = new ArrayList<>();
     if (size < most) {
       int room = most - size;
       int fit = Math.min(MOST_CLAIMS, room / LEAST_CLAIM);
-      for (Claim c : fit <= 0 ? List.<Claim>of() : ledger.tell(now, fit)) {
+      for (PeerReport c : fit <= 0 ? List.<PeerReport>of() : ledger.tell(now, fit)) {
         int weight = transport.claim(c);
         if (weight > room) {
           break;
@@ -239,7 +245,12 @@
   }
 
   private void send(
-      String to, long at, Message message, List<News> news, List<Claim> claims, List<Word> words) {
+      String to,
+      long at,
+      MembershipMessage message,
+      List<MembershipUpdate> news,
+      List<PeerReport> claims,
+      List<RevisionMessage> words) {
     transport.send(
         to,
         at,
@@ -257,25 +268,25 @@
   // ---- What rides ----
 
   @Override
-  public int weight(Word word) {
+  public int encodedBytes(RevisionMessage word) {
     return transport.word(word);
   }
 
   @Override
-  public int mostPacket() {
+  public int maxPacketBytes() {
     return MOST_WORDS;
   }
 
   @Override
-  public boolean tell(long now, String to, long at, List<Word> words) {
+  public boolean send(long now, String to, long at, List<RevisionMessage> words) {
     if (rider == null) {
       return false; // what rides is being started, and may have something to say already
     }
-    Message.Tell tell = new Message.Tell();
-    List<Word> all = new ArrayList<>(rider.always());
+    MembershipMessage.Tell tell = new MembershipMessage.Tell();
+    List<RevisionMessage> all = new ArrayList<>(rider.always());
     all.addAll(words);
     int size = transport.message(to, tell) + transport.riding(membership.place(), all);
-    if (!membership.meter().room(now, Meter.Use.REVISION, size)) {
+    if (!membership.meter().room(now, BandwidthLimiter.Use.REVISION, size)) {
       return false;
     }
     membership.meter().sent(now, size, 0);
@@ -287,7 +298,7 @@
   private static final int LEAST_CLAIM = 24;
 
   @Override
-  public void changed(long now, News member) {
+  public void changed(long now, MembershipUpdate member) {
     peersChanged = true;
     if (!member.state().present()) {
       corroboration.gone(member.member());
--- a/decisions/src/main/java/reachloom/gossip/Packet.java
+++ b/decisions/src/main/java/reachloom/gossip/Packet.java
@@ -1,10 +1,10 @@
 package reachloom.gossip;
 
 import java.util.List;
-import reachloom.evidence.Claim;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.revision.Word;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.PeerReport;
+import reachloom.revision.RevisionMessage;
 
 /**
  * What goes over the wire at once: who sends, where it listens (IPv4 and port in the lowest 48
@@ -16,18 +16,18 @@
     long address,
     int place,
     long incarnation,
-    Message message,
-    List<News> news,
-    List<Claim> claims,
-    List<Word> words) {
+    MembershipMessage message,
+    List<MembershipUpdate> news,
+    List<PeerReport> claims,
+    List<RevisionMessage> words) {
   /** A packet of one that says no place, and nothing of the configuration. */
   public Packet(
       String sender,
       long address,
       long incarnation,
-      Message message,
-      List<News> news,
-      List<Claim> claims) {
+      MembershipMessage message,
+      List<MembershipUpdate> news,
+      List<PeerReport> claims) {
     this(sender, address, 0, incarnation, message, news, claims, List.of());
   }
 }
--- a/decisions/src/main/java/reachloom/gossip/Rider.java
+++ b/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
@@ -3,15 +3,15 @@
 import java.util.Collection;
 import java.util.List;
 import reachloom.revision.Peer;
-import reachloom.revision.Word;
+import reachloom.revision.RevisionMessage;
 
 /** What else rides on gossip's packets: the configuration's revisions. Called from one thread. */
-public interface Rider {
+public interface PiggybackPayload {
   /** What rides on each packet. */
-  List<Word> always();
+  List<RevisionMessage> always();
 
   /** A packet of a member has come with these words. */
-  void hear(long now, Peer sender, List<Word> words);
+  void hear(long now, Peer sender, List<RevisionMessage> words);
 
   /** The members that are believed to be there have changed; this instance is not among them. */
   void peers(long now, Collection<Peer> present);
--- a/decisions/src/main/java/reachloom/gossip/Refusal.java
+++ b/decisions/src/main/java/reachloom/gossip/RejectionReason.java
@@ -1,7 +1,7 @@
 package reachloom.gossip;
 
 /** Why a datagram was not taken; counted, never logged one by one. */
-public enum Refusal {
+public enum RejectionReason {
   /** Too large, too small, or not of this form. */
   FORM,
   /** A version that is not spoken here. */
--- a/decisions/src/main/java/reachloom/gossip/Transport.java
+++ b/decisions/src/main/java/reachloom/gossip/Transport.java
@@ -1,22 +1,22 @@
 package reachloom.gossip;
 
 import java.util.List;
-import reachloom.evidence.Claim;
-import reachloom.membership.Weights;
-import reachloom.revision.Word;
+import reachloom.membership.WireSizes;
+import reachloom.peerreport.PeerReport;
+import reachloom.revision.RevisionMessage;
 
 /** What carries packets, and knows what they weigh. */
-public interface Transport extends Weights {
+public interface Transport extends WireSizes {
   /** One claim, in bytes. */
-  int claim(Claim claim);
+  int claim(PeerReport claim);
 
   /** One word about the configuration, in bytes. */
-  int word(Word word);
+  int word(RevisionMessage word);
 
   /**
    * What a place (0 for none) and words add to a packet, in bytes, with all that surrounds them.
    */
-  int riding(int place, List<Word> words);
+  int riding(int place, List<RevisionMessage> words);
 
   /**
    * Sends a packet to whoever listens at that address; an empty name where it is not known who
--- a/decisions/src/main/java/reachloom/membership/Meter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -7,7 +7,7 @@
  * fill less of it, so that the failure detector finds room when joins, news and evidence would take
  * all.
  */
-public final class Meter {
+public final class BandwidthLimiter {
   /** What a datagram is sent for. */
   public enum Use {
     /** To find out who is alive. */
@@ -48,7 +48,7 @@
   private final SlidingWindowSum ridden = new SlidingWindowSum(SECOND);
 
   /** A meter for that many bytes a second. */
-  public Meter(int cap) {
+  public BandwidthLimiter(int cap) {
     this.cap = cap;
   }
 
--- a/decisions/src/main/java/reachloom/membership/Health.java
+++ b/decisions/src/main/java/reachloom/membership/LocalHealth.java
@@ -5,7 +5,7 @@
  * One that was starved or stalled gives others more time before it blames them. It harms where the
  * network is bad and the instance well: real failures are found later, by a factor of nine at most.
  */
-final class Health {
+final class LocalHealth {
   private static final int MOST = 8; // Lifeguard's bound
 
   private int score;
--- a/decisions/src/main/java/reachloom/membership/Member.java
+++ b/decisions/src/main/java/reachloom/membership/Member.java
@@ -1,11 +1,11 @@
 package reachloom.membership;
 
-/** One member as this instance believes it; only {@link Membership} changes it. */
+/** One member as this instance believes it; only {@link MembershipService} changes it. */
 public final class Member {
   private final String name;
   long address;
   long incarnation;
-  State state;
+  MemberState state;
 
   /** When it came into its state. */
   long since;
@@ -17,7 +17,7 @@
   int place;
   Suspicion suspicion;
 
-  Member(String name, long address, long incarnation, State state, long since) {
+  Member(String name, long address, long incarnation, MemberState state, long since) {
     this.name = name;
     this.address = address;
     this.incarnation = incarnation;
@@ -34,7 +34,7 @@
     return address;
   }
 
-  public State state() {
+  public MemberState state() {
     return state;
   }
 
@@ -52,7 +52,7 @@
     return place;
   }
 
-  News news() {
-    return new News(name, address, incarnation, state, accuser, place);
+  MembershipUpdate news() {
+    return new MembershipUpdate(name, address, incarnation, state, accuser, place);
   }
 }
--- a/decisions/src/main/java/reachloom/membership/Marks.java
+++ b/decisions/src/main/java/reachloom/membership/MemberDigest.java
@@ -8,11 +8,11 @@
  * bytes a member. Two that fall on the same mark do not with another salt, and each comparison has
  * its own.
  */
-public final class Marks {
+public final class MemberDigest {
   private static final int MASK = 0xffff;
   private static final int PLACE_AT = 48; // above an address
 
-  private Marks() {}
+  private MemberDigest() {}
 
   /** The mark of a member's name, incarnation, address and place. */
   public static int of(int salt, Member m) {
--- a/decisions/src/main/java/reachloom/membership/State.java
+++ b/decisions/src/main/java/reachloom/membership/MemberState.java
@@ -1,7 +1,7 @@
 package reachloom.membership;
 
 /** What is believed of a member. */
-public enum State {
+public enum MemberState {
   ALIVE,
   SUSPECT,
   DEAD,
--- a/decisions/src/main/java/reachloom/membership/Membership.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipService.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import reachloom.membership.Meter.Use;
+import reachloom.membership.BandwidthLimiter.Use;
 
 /**
  * One instance's part in keeping the list of members: it probes the others in turn, has others ask
@@ -25,7 +25,7 @@
  *
  * <p>Times are nanoseconds of the clock handed in.
  */
-public final class Membership {
+public final class MembershipService {
   private static final long SECOND = 1_000_000_000; // nanoseconds
   private static final int MOST_PACKET = 1_200; // bytes; fits each usual path without being cut up
   private static final int MOST_NAME = 33; // bytes of a name on the wire
@@ -75,11 +75,11 @@
   private final long address;
   private final long period;
   private final SplittableRandom random;
-  private final Outbox out;
-  private final Weights weights;
-  private final Meter meter;
-  private final Health health = new Health();
-  private final Rumours rumours = new Rumours();
+  private final MessageSender out;
+  private final WireSizes weights;
+  private final BandwidthLimiter meter;
+  private final LocalHealth health = new LocalHealth();
+  private final UpdateQueue rumours = new UpdateQueue();
   private final TreeMap<String, Member> members = new TreeMap<>();
   private final List<Member> order = new ArrayList<>();
   private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
@@ -112,7 +112,7 @@
   private boolean leaving;
 
   /** An instance that starts; {@code cap} bounds the bytes that it sends in a second. */
-  public Membership(
+  public MembershipService(
       String name,
       long address,
       List<Long> seeds,
@@ -120,8 +120,8 @@
       long period,
       int cap,
       SplittableRandom random,
-      Outbox out,
-      Weights weights) {
+      MessageSender out,
+      WireSizes weights) {
     this.name = name;
     this.address = address;
     this.seeds = List.copyOf(seeds);
@@ -129,7 +129,7 @@
     this.random = random;
     this.out = out;
     this.weights = weights;
-    meter = new Meter(cap);
+    meter = new BandwidthLimiter(cap);
     incarnation = now / SECOND;
     seq = random.nextInt(1 << 16);
     lastTick = now;
@@ -166,7 +166,7 @@
   }
 
   /** The meter of all that goes out, evidence and answers to operators among it. */
-  public Meter meter() {
+  public BandwidthLimiter meter() {
     return meter;
   }
 
@@ -215,7 +215,7 @@
         .removeIf(
             r -> {
               if (now >= r.until) {
-                send(now, Use.ANSWER, r.asker, r.address, new Message.Nack(r.seq));
+                send(now, Use.ANSWER, r.asker, r.address, new MembershipMessage.Nack(r.seq));
               }
               return now >= r.until;
             });
@@ -260,9 +260,9 @@
       health.worse(probe.asked == 0 ? 1 : probe.asked - Math.min(probe.asked, probe.nacks));
       Member target = probe.target;
       probe = null;
-      if (target.state == State.ALIVE) {
+      if (target.state == MemberState.ALIVE) {
         suspect(now, target, name);
-      } else if (target.state == State.SUSPECT && target.suspicion.confirm(name)) {
+      } else if (target.state == MemberState.SUSPECT && target.suspicion.confirm(name)) {
         rumours.add(target.news());
       }
     }
@@ -270,9 +270,10 @@
 
   /** Has others ask a member; gives how many were sent for. */
   private int askThrough(long now, Member target, long number) {
-    Message ask = new Message.PingRequest(number, target.name(), target.address);
+    MembershipMessage ask =
+        new MembershipMessage.PingRequest(number, target.name(), target.address);
     return (int)
-        draw(RELAYS, m -> m != target && m.state == State.ALIVE).stream()
+        draw(RELAYS, m -> m != target && m.state == MemberState.ALIVE).stream()
             .filter(relay -> send(now, Use.PROBE, relay.name(), relay.address, ask))
             .count();
   }
@@ -296,7 +297,7 @@
                 Use.PROBE,
                 target.name(),
                 target.address,
-                new Message.Ping(started.seq, target.name()))
+                new MembershipMessage.Ping(started.seq, target.name()))
             ? started
             : null;
   }
@@ -308,10 +309,17 @@
    */
   private void tellSuspects(long now) {
     members.values().stream()
-        .filter(m -> m.state == State.SUSPECT && m.accuser.equals(name))
+        .filter(m -> m.state == MemberState.SUSPECT && m.accuser.equals(name))
         .limit(RETOLD)
         .toList()
-        .forEach(m -> send(now, Use.PROBE, m.name(), m.address, new Message.Ping(seq++, m.name())));
+        .forEach(
+            m ->
+                send(
+                    now,
+                    Use.PROBE,
+                    m.name(),
+                    m.address,
+                    new MembershipMessage.Ping(seq++, m.name())));
   }
 
   /**
@@ -355,8 +363,9 @@
         continue;
       }
       if (m.suspicion.lastAsks() >= LAST_ASKS) {
-        turn(now, m, State.DEAD, m.incarnation);
-      } else if (send(now, Use.PROBE, m.name(), m.address, new Message.Ping(seq++, m.name()))) {
+        turn(now, m, MemberState.DEAD, m.incarnation);
+      } else if (send(
+          now, Use.PROBE, m.name(), m.address, new MembershipMessage.Ping(seq++, m.name()))) {
         m.suspicion.asked(now + health.stretch(period));
         askThrough(now, m, seq++);
       }
@@ -368,10 +377,10 @@
    */
   private void reconnect(long now) {
     nextReconnectAt = now + RECONNECT * period;
-    List<Member> gone = members.values().stream().filter(m -> m.state == State.DEAD).toList();
+    List<Member> gone = members.values().stream().filter(m -> m.state == MemberState.DEAD).toList();
     if (!gone.isEmpty()) {
       Member m = gone.get(random.nextInt(gone.size()));
-      send(now, Use.SYNC, m.name(), m.address, new Message.Ping(seq++, m.name()));
+      send(now, Use.SYNC, m.name(), m.address, new MembershipMessage.Ping(seq++, m.name()));
     }
     List<Long> unknown =
         seeds.stream()
@@ -383,7 +392,7 @@
             .toList();
     if (!unknown.isEmpty()) {
       long seed = unknown.get(random.nextInt(unknown.size()));
-      send(now, Use.SYNC, "", seed, new Message.Ping(seq++, ""));
+      send(now, Use.SYNC, "", seed, new MembershipMessage.Ping(seq++, ""));
       if (present == 0) { // the more often in vain, the more others there must be who try
         long pause = period << Math.min(lonely++, MOST_DOUBLINGS);
         nextReconnectAt = now + pause / 2 + random.nextLong(pause);
@@ -398,8 +407,8 @@
   private void sync(long now) {
     // One that has more to tell is asked again: it needs no certificate any more, and knows what
     // was told.
-    Member m = syncHungry && teller != null && teller.state == State.ALIVE ? teller : null;
-    List<Member> drawn = m != null ? List.of(m) : draw(1, d -> d.state == State.ALIVE);
+    Member m = syncHungry && teller != null && teller.state == MemberState.ALIVE ? teller : null;
+    List<Member> drawn = m != null ? List.of(m) : draw(1, d -> d.state == MemberState.ALIVE);
     if (drawn.isEmpty()) {
       return;
     }
@@ -407,7 +416,8 @@
     teller = null;
     int salt = random.nextInt();
     int size =
-        weights.message(m.name(), new Message.Pull(syncAfter, "", salt, List.of())) + MOST_NAME;
+        weights.message(m.name(), new MembershipMessage.Pull(syncAfter, "", salt, List.of()))
+            + MOST_NAME;
     if (!meter.room(now, Use.SYNC, size)) {
       nextSyncAt = now + random.nextLong(period);
       return;
@@ -419,11 +429,11 @@
       if (marks.size() >= room) {
         break;
       }
-      marks.add(Marks.of(salt, held));
+      marks.add(MemberDigest.of(salt, held));
       last = held.name();
     }
     boolean whole = last.isEmpty() || members.higherKey(last) == null;
-    Message pull = new Message.Pull(syncAfter, whole ? "" : last, salt, marks);
+    MembershipMessage pull = new MembershipMessage.Pull(syncAfter, whole ? "" : last, salt, marks);
     meter.sent(now, out.send(now, m.name(), m.address, pull, List.of(), 0), 0);
     syncAfter = whole ? "" : last;
     pulled = true;
@@ -439,9 +449,9 @@
    * What is held of members in that range and has no mark there; those gone are others' own to find
    * out.
    */
-  private Message.Part lacking(Message.Pull p, int room) {
+  private MembershipMessage.Part lacking(MembershipMessage.Pull p, int room) {
     Set<Integer> marks = new TreeSet<>(p.marks());
-    List<News> held = new ArrayList<>();
+    List<MembershipUpdate> held = new ArrayList<>();
     int left = room;
     boolean more = false;
     List<Member> open = new ArrayList<>();
@@ -449,14 +459,14 @@
       if (!p.last().isEmpty() && m.name().compareTo(p.last()) > 0) {
         break;
       }
-      if (m.state.present() && !marks.contains(Marks.of(p.salt(), m))) {
+      if (m.state.present() && !marks.contains(MemberDigest.of(p.salt(), m))) {
         open.add(m);
       }
     }
     Collections.rotate(
         open, open.isEmpty() ? 0 : random.nextInt(open.size())); // not the same ones to each
     for (Member m : open) {
-      News n = m.news();
+      MembershipUpdate n = m.news();
       if (weights.news(n) > left) {
         more = true;
         break;
@@ -464,11 +474,11 @@
       held.add(n);
       left -= weights.news(n);
     }
-    return new Message.Part(more, held);
+    return new MembershipMessage.Part(more, held);
   }
 
   /** A part of somebody's table has come, asked for or as a welcome. */
-  private void part(long now, Member from, Message.Part p) {
+  private void part(long now, Member from, MembershipMessage.Part p) {
     int before = members.size();
     p.held().forEach(n -> hear(now, n, from.name(), false));
     syncHungry =
@@ -489,7 +499,12 @@
 
   /** The same of a sender that does not say its place. */
   public void receive(
-      long now, String sender, long from, long itsIncarnation, Message message, List<News> news) {
+      long now,
+      String sender,
+      long from,
+      long itsIncarnation,
+      MembershipMessage message,
+      List<MembershipUpdate> news) {
     receive(now, sender, from, 0, itsIncarnation, message, news);
   }
 
@@ -503,8 +518,8 @@
       long from,
       int of,
       long itsIncarnation,
-      Message message,
-      List<News> news) {
+      MembershipMessage message,
+      List<MembershipUpdate> news) {
     if (sender.equals(name) || leaving) {
       return;
     }
@@ -512,9 +527,9 @@
     if (m == null) {
       return; // the table is full of others
     }
-    if (message instanceof Message.Leave) {
-      if (itsIncarnation >= m.incarnation && m.state != State.LEFT) {
-        turn(now, m, State.LEFT, itsIncarnation);
+    if (message instanceof MembershipMessage.Leave) {
+      if (itsIncarnation >= m.incarnation && m.state != MemberState.LEFT) {
+        turn(now, m, MemberState.LEFT, itsIncarnation);
       }
       return;
     }
@@ -522,29 +537,29 @@
     answer(now, m, message);
   }
 
-  private void answer(long now, Member m, Message message) {
-    if (message instanceof Message.Ping p) {
+  private void answer(long now, Member m, MembershipMessage message) {
+    if (message instanceof MembershipMessage.Ping p) {
       if (p.target().isEmpty()) {
         welcome(now, m);
       } else if (p.target().equals(name)) {
-        send(now, Use.ANSWER, m.name(), m.address, new Message.Ack(p.seq()));
+        send(now, Use.ANSWER, m.name(), m.address, new MembershipMessage.Ack(p.seq()));
       }
-    } else if (message instanceof Message.Ack a) {
+    } else if (message instanceof MembershipMessage.Ack a) {
       acked(now, m, a.seq());
-    } else if (message instanceof Message.Nack n) {
+    } else if (message instanceof MembershipMessage.Nack n) {
       if (probe != null && probe.seq == n.seq()) {
         probe.nacks++;
       }
-    } else if (message instanceof Message.PingRequest r) {
+    } else if (message instanceof MembershipMessage.PingRequest r) {
       relay(now, m, r);
-    } else if (message instanceof Message.Pull p) {
-      int size = weights.message(m.name(), new Message.Part(false, List.of()));
+    } else if (message instanceof MembershipMessage.Pull p) {
+      int size = weights.message(m.name(), new MembershipMessage.Part(false, List.of()));
       if (meter.room(now, Use.SYNC, size)) {
         int most = meter.sync(now, size, MOST_PACKET);
         meter.sent(
             now, out.send(now, m.name(), m.address, lacking(p, most - size), List.of(), most), 0);
       }
-    } else if (message instanceof Message.Part p) {
+    } else if (message instanceof MembershipMessage.Part p) {
       part(now, m, p);
     }
   }
@@ -555,11 +570,12 @@
    * with the seeds.
    */
   private void welcome(long now, Member m) {
-    Message none = new Message.Part(true, List.of());
+    MembershipMessage none = new MembershipMessage.Part(true, List.of());
     int size = weights.message(m.name(), none);
     int left = Math.min(meter.packet(), MOST_PACKET - size);
-    List<News> some = new ArrayList<>();
-    for (Member other : draw(left / weights.news(own()), o -> o != m && o.state == State.ALIVE)) {
+    List<MembershipUpdate> some = new ArrayList<>();
+    for (Member other :
+        draw(left / weights.news(own()), o -> o != m && o.state == MemberState.ALIVE)) {
       left -= weights.news(other.news());
       if (left >= 0) {
         some.add(other.news());
@@ -569,7 +585,8 @@
     if (meter.room(now, Use.WELCOME, size)) {
       meter.sent(
           now,
-          out.send(now, m.name(), m.address, new Message.Part(true, some), List.of(), size),
+          out.send(
+              now, m.name(), m.address, new MembershipMessage.Part(true, some), List.of(), size),
           0);
     }
   }
@@ -588,16 +605,17 @@
       relayed.remove(ofSeq);
       // With what it says itself: the one that asks may hold an accusation that was objected to
       // long ago.
-      send(now, Use.ANSWER, r.asker, r.address, new Message.Ack(r.seq), m.news());
+      send(now, Use.ANSWER, r.asker, r.address, new MembershipMessage.Ack(r.seq), m.news());
     }
   }
 
-  private void relay(long now, Member asker, Message.PingRequest r) {
+  private void relay(long now, Member asker, MembershipMessage.PingRequest r) {
     if (relayed.size() >= MOST_RELAYED || r.target().equals(name)) {
       return;
     }
     long mine = seq++;
-    if (send(now, Use.ANSWER, r.target(), r.address(), new Message.Ping(mine, r.target()))) {
+    if (send(
+        now, Use.ANSWER, r.target(), r.address(), new MembershipMessage.Ping(mine, r.target()))) {
       relayed.put(
           mine,
           new Relayed(
@@ -613,14 +631,18 @@
   private Member direct(long now, String sender, long from, int of, long itsIncarnation) {
     Member m = members.get(sender);
     if (m == null) {
-      m = join(now, new News(sender, from, itsIncarnation, State.ALIVE, "", of), true);
+      m =
+          join(
+              now,
+              new MembershipUpdate(sender, from, itsIncarnation, MemberState.ALIVE, "", of),
+              true);
       if (m == null) {
         return null;
       }
     } else if (itsIncarnation > m.incarnation) {
       m.address = from;
       m.place = of;
-      turn(now, m, State.ALIVE, itsIncarnation);
+      turn(now, m, MemberState.ALIVE, itsIncarnation);
     } else if (of != 0 && m.place == 0 && itsIncarnation == m.incarnation) {
       placed(now, m, of);
     } else if (m.heardAt == 0 && itsIncarnation == m.incarnation && m.address != from) {
@@ -638,11 +660,11 @@
     out.changed(now, m.news());
   }
 
-  private Member join(long now, News n, boolean isNews) {
+  private Member join(long now, MembershipUpdate n, boolean isNews) {
     if (members.size() >= MOST_MEMBERS && !evict()) {
       return null;
     }
-    Member m = new Member(n.member(), n.address(), n.incarnation(), State.ALIVE, now);
+    Member m = new Member(n.member(), n.address(), n.incarnation(), MemberState.ALIVE, now);
     m.place = n.place();
     members.put(n.member(), m);
     present++;
@@ -672,7 +694,7 @@
    * What somebody says of somebody; what stands in a table that was asked for is no news to be
    * passed on.
    */
-  private void hear(long now, News n, String teller, boolean isNews) {
+  private void hear(long now, MembershipUpdate n, String teller, boolean isNews) {
     if (n.incarnation() > now / SECOND + FUTURE) {
       return; // no honest instance has got there: it would leave no number to object with
     }
@@ -682,24 +704,24 @@
     }
     Member m = members.get(n.member());
     if (m == null) {
-      if (n.state() == State.ALIVE) {
+      if (n.state() == MemberState.ALIVE) {
         Member joined = join(now, n, isNews);
         if (joined != null && isNews && random.nextDouble() * size() < GREETERS) {
           welcome(now, joined); // the seeds may have no room left for it
         }
       }
-    } else if (n.state() == State.ALIVE) {
+    } else if (n.state() == MemberState.ALIVE) {
       if (n.incarnation() > m.incarnation) {
         m.address = n.address();
         m.place = n.place() == 0 ? m.place : n.place();
-        turn(now, m, State.ALIVE, n.incarnation());
+        turn(now, m, MemberState.ALIVE, n.incarnation());
       } else if (m.place == 0 && n.place() != 0) { // hearsay fills a gap, it moves nobody
         placed(now, m, n.place());
       }
     } else if (n.incarnation() >= m.incarnation && m.state.present()) {
       m.incarnation = n.incarnation();
-      String accuser = n.state() == State.SUSPECT && !n.by().isEmpty() ? n.by() : teller;
-      if (m.state == State.ALIVE) {
+      String accuser = n.state() == MemberState.SUSPECT && !n.by().isEmpty() ? n.by() : teller;
+      if (m.state == MemberState.ALIVE) {
         suspect(now, m, accuser);
       } else if (m.suspicion.confirm(accuser)) {
         m.accuser = accuser;
@@ -709,15 +731,15 @@
   }
 
   /** Objects to what can't be true: this one is here, in the incarnation that it says. */
-  private void hearOfSelf(long now, News n) {
+  private void hearOfSelf(long now, MembershipUpdate n) {
     boolean wrong =
-        n.state() != State.ALIVE && n.incarnation() >= incarnation
+        n.state() != MemberState.ALIVE && n.incarnation() >= incarnation
             || n.incarnation() > incarnation
             || n.incarnation() == incarnation && n.address() != address;
     if (!wrong) {
       return;
     }
-    if (n.state() != State.ALIVE) {
+    if (n.state() != MemberState.ALIVE) {
       health.worse(1);
     }
     incarnation = n.incarnation() + 1;
@@ -728,17 +750,17 @@
 
   private void suspect(long now, Member m, String accuser) {
     m.accuser = accuser;
-    turn(now, m, State.SUSPECT, m.incarnation);
+    turn(now, m, MemberState.SUSPECT, m.incarnation);
   }
 
-  private void turn(long now, Member m, State to, long itsIncarnation) {
+  private void turn(long now, Member m, MemberState to, long itsIncarnation) {
     boolean was = m.state.present();
     boolean differs = m.state != to;
     m.state = to;
     m.incarnation = itsIncarnation;
     m.since = differs ? now : m.since;
-    m.suspicion = to == State.SUSPECT ? new Suspicion(now, period, size(), m.accuser) : null;
-    m.accuser = to == State.SUSPECT || to == State.DEAD ? m.accuser : "";
+    m.suspicion = to == MemberState.SUSPECT ? new Suspicion(now, period, size(), m.accuser) : null;
+    m.accuser = to == MemberState.SUSPECT || to == MemberState.DEAD ? m.accuser : "";
     present += (to.present() ? 1 : 0) - (was ? 1 : 0);
     if (to.present() && !was && !order.contains(m)) {
       order.add(next + random.nextInt(order.size() - next + 1), m);
@@ -753,8 +775,8 @@
 
   /** Tells some members that this one goes; from here on it neither asks nor answers. */
   public void leave(long now) {
-    for (Member m : draw(2 * RELAYS, m -> m.state == State.ALIVE)) {
-      send(now, Use.PROBE, m.name(), m.address, new Message.Leave());
+    for (Member m : draw(2 * RELAYS, m -> m.state == MemberState.ALIVE)) {
+      send(now, Use.PROBE, m.name(), m.address, new MembershipMessage.Leave());
     }
     leaving = true;
   }
@@ -762,30 +784,33 @@
   /** Lets what rides on packets reach some others now, and not only with the next probes. */
   public void tell(long now) {
     if (!leaving) {
-      draw(RELAYS, m -> m.state == State.ALIVE)
-          .forEach(m -> send(now, Use.SYNC, m.name(), m.address, new Message.Tell()));
+      draw(RELAYS, m -> m.state == MemberState.ALIVE)
+          .forEach(m -> send(now, Use.SYNC, m.name(), m.address, new MembershipMessage.Tell()));
     }
   }
 
-  private News own() {
-    return new News(name, address, incarnation, State.ALIVE, "", place);
+  private MembershipUpdate own() {
+    return new MembershipUpdate(name, address, incarnation, MemberState.ALIVE, "", place);
   }
 
   /**
    * Sends where the cap leaves room; one that is suspected, or given up, is told so first: it may
    * object.
    */
-  private boolean send(long now, Use use, String to, long at, Message message) {
+  private boolean send(long now, Use use, String to, long at, MembershipMessage message) {
     return send(now, use, to, at, message, null);
   }
 
-  private boolean send(long now, Use use, String to, long at, Message message, News about) {
+  private boolean send(
+      long now, Use use, String to, long at, MembershipMessage message, MembershipUpdate about) {
     int size = weights.message(to, message);
     Member m = members.get(to);
-    News first =
+    MembershipUpdate first =
         m != null
-                && (m.state != State.ALIVE
-                    || message instanceof Message.Ack && m.incarnation > 0 && m.heardAt == 0)
+                && (m.state != MemberState.ALIVE
+                    || message instanceof MembershipMessage.Ack
+                        && m.incarnation > 0
+                        && m.heardAt == 0)
             ? m.news()
             : about;
     int least = size + (first == null ? 0 : weights.news(first));
@@ -793,7 +818,7 @@
       return false;
     }
     int most = meter.fill(now, least, MOST_PACKET);
-    List<News> news = rumours.take(first, size(), most - size, weights);
+    List<MembershipUpdate> news = rumours.take(first, size(), most - size, weights);
     int sent = out.send(now, to, at, message, news, most);
     meter.sent(now, sent, sent - least);
     return true;
--- a/decisions/src/main/java/reachloom/membership/News.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipUpdate.java
@@ -5,10 +5,11 @@
  * 48 bits; {@code by} names who accuses, and is empty where nobody does; {@code place} is the
  * region in the upper byte and the zone in the lower one of sixteen bits, 0 where it is not known.
  */
-public record News(
-    String member, long address, long incarnation, State state, String by, int place) {
+public record MembershipUpdate(
+    String member, long address, long incarnation, MemberState state, String by, int place) {
   /** The same of a member whose place is not known. */
-  public News(String member, long address, long incarnation, State state, String by) {
+  public MembershipUpdate(
+      String member, long address, long incarnation, MemberState state, String by) {
     this(member, address, incarnation, state, by, 0);
   }
 }
--- a/decisions/src/main/java/reachloom/membership/Rumours.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateQueue.java
@@ -11,17 +11,17 @@
  * what has gone out least goes first, and of equals the newest. With the table full, the oldest
  * yields.
  */
-final class Rumours {
+final class UpdateQueue {
   private static final int MOST = 1024; // members with news at one time
   private static final double SPREAD =
       3; // times that news goes out, for each doubling of the members
 
   private static final class Rumour {
-    private final News news;
+    private final MembershipUpdate news;
     private final long number;
     private int sent;
 
-    Rumour(News news, long number) {
+    Rumour(MembershipUpdate news, long number) {
       this.news = news;
       this.number = number;
     }
@@ -31,7 +31,7 @@
   private long count;
 
   /** Takes news that is to get round, in the place of older news of the same member. */
-  void add(News news) {
+  void add(MembershipUpdate news) {
     rumours.remove(news.member());
     if (rumours.size() >= MOST) {
       rumours.remove(rumours.keySet().iterator().next());
@@ -43,8 +43,8 @@
    * News for one packet of no more than {@code room} bytes, the given piece first where there is
    * one.
    */
-  List<News> take(News first, int members, int room, Weights weights) {
-    List<News> taken = new ArrayList<>();
+  List<MembershipUpdate> take(MembershipUpdate first, int members, int room, WireSizes weights) {
+    List<MembershipUpdate> taken = new ArrayList<>();
     int left = room;
     if (first != null && weights.news(first) <= left) {
       taken.add(first);
--- a/decisions/src/main/java/reachloom/membership/Weights.java
+++ b/decisions/src/main/java/reachloom/membership/WireSizes.java
@@ -1,10 +1,10 @@
 package reachloom.membership;
 
 /** Bytes on the wire, so that what is sent can be planned before it is written. */
-public interface Weights {
+public interface WireSizes {
   /** A datagram to that member with that message and nothing else, with all that surrounds it. */
-  int message(String to, Message message);
+  int message(String to, MembershipMessage message);
 
   /** One piece of news. */
-  int news(News news);
+  int news(MembershipUpdate news);
 }
--- a/decisions/src/main/java/reachloom/evidence/Ledger.java
+++ b/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
@@ -1,4 +1,4 @@
-package reachloom.evidence;
+package reachloom.peerreport;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,7 +11,7 @@
 /**
  * What this instance itself has seen of each engine, over the latest span, in slices of a second.
  */
-public final class Ledger {
+public final class OutcomeWindow {
   /** What became of an attempt. */
   public enum Seen {
     SERVED,
@@ -102,10 +102,10 @@
    * What has been seen of that process over the last {@code slices} seconds; a sample of 0 where
    * nothing has.
    */
-  public Claim seen(long now, String engine, long since, int slices) {
+  public PeerReport seen(long now, String engine, long since, int slices) {
     Page p = pages.get(engine);
     if (p == null || p.since != since) {
-      return new Claim(engine, since, 0, 0, 0, Long.MAX_VALUE);
+      return new PeerReport(engine, since, 0, 0, 0, Long.MAX_VALUE);
     }
     int[] sum = new int[Seen.values().length];
     long slice = now / SLICE;
@@ -116,7 +116,7 @@
         }
       }
     }
-    return new Claim(
+    return new PeerReport(
         engine,
         since,
         sum[Seen.SERVED.ordinal()],
@@ -135,11 +135,11 @@
    * What to tell of an engine. One at which the latest attempts all came to nothing is told of by
    * those alone: what it served before it fell sick would hide it for as long as the span.
    */
-  private Claim claim(long now, String engine, Page p) {
+  private PeerReport claim(long now, String engine, Page p) {
     int failed = p.streak[Seen.FAILED.ordinal()];
     int lost = p.streak[Seen.LOST.ordinal()];
     if (failed + lost >= STREAK && now - p.lastAt <= MEMORY) {
-      return new Claim(engine, p.since, 0, failed, lost, now - p.lastAt);
+      return new PeerReport(engine, p.since, 0, failed, lost, now - p.lastAt);
     }
     return seen(now, engine, p.since, SLICES);
   }
@@ -148,19 +148,19 @@
    * Claims for one packet: engines that fail go first, then those that have not been told of for
    * longest.
    */
-  public List<Claim> tell(long now, int most) {
-    List<Claim> claims = new ArrayList<>();
+  public List<PeerReport> tell(long now, int most) {
+    List<PeerReport> claims = new ArrayList<>();
     pages.forEach(
         (engine, p) -> {
-          Claim c = claim(now, engine, p);
+          PeerReport c = claim(now, engine, p);
           if (c.sample() > 0) {
             claims.add(c);
           }
         });
     claims.sort(
-        Comparator.<Claim>comparingInt(c -> c.failed() + c.lost() > 0 ? 0 : 1)
+        Comparator.<PeerReport>comparingInt(c -> c.failed() + c.lost() > 0 ? 0 : 1)
             .thenComparingLong(c -> pages.get(c.engine()).toldAt));
-    List<Claim> told = claims.subList(0, Math.min(most, claims.size()));
+    List<PeerReport> told = claims.subList(0, Math.min(most, claims.size()));
     told.forEach(c -> pages.get(c.engine()).toldAt = now);
     return List.copyOf(told);
   }
--- a/decisions/src/main/java/reachloom/evidence/Claim.java
+++ b/decisions/src/main/java/reachloom/peerreport/PeerReport.java
@@ -1,4 +1,4 @@
-package reachloom.evidence;
+package reachloom.peerreport;
 
 /**
  * What one instance has seen of one engine in the latest span: attempts served, attempts that
@@ -6,7 +6,7 @@
  * start of the engine's process as told by the list, so that another one at its address inherits
  * nothing; {@code age} is how long ago the latest of it was seen, in nanoseconds.
  */
-public record Claim(String engine, long since, int served, int failed, int lost, long age) {
+public record PeerReport(String engine, long since, int served, int failed, int lost, long age) {
   /** How many attempts it speaks of. */
   public int sample() {
     return served + failed + lost;
--- a/decisions/src/main/java/reachloom/evidence/Courier.java
+++ b/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
@@ -1,4 +1,4 @@
-package reachloom.evidence;
+package reachloom.peerreport;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,7 +8,7 @@
  * Decides when evidence is worth a message where each one has a price, and to whom it goes: trouble
  * only, to few drawn by chance, and no more often than the gap allows.
  */
-public final class Courier {
+public final class ReportScheduler {
   private static final long GAP = 500_000_000; // nanoseconds between two rounds of messages
   private static final int RECEIVERS = 2; // of one round
 
@@ -29,7 +29,7 @@
    * A courier of the instance of that number among so many; {@code price} is what the platform
    * asks.
    */
-  public Courier(int self, int instances, double price, SplittableRandom random) {
+  public ReportScheduler(int self, int instances, double price, SplittableRandom random) {
     this.self = self;
     this.instances = instances;
     this.random = random;
@@ -37,8 +37,8 @@
   }
 
   /** Something was seen of an engine. */
-  public void seen(Ledger.Seen seen) {
-    urgent |= seen != Ledger.Seen.SERVED;
+  public void seen(OutcomeWindow.Seen seen) {
+    urgent |= seen != OutcomeWindow.Seen.SERVED;
   }
 
   /** Whom to tell now; mostly nobody. */
--- a/decisions/src/main/java/reachloom/evidence/Corroboration.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -1,4 +1,4 @@
-package reachloom.evidence;
+package reachloom.peerreport;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -22,7 +22,7 @@
  * engine is bad while ours is good: what they tell is true for them, and counts for little here,
  * which is as it should be.
  */
-public final class Corroboration {
+public final class WeightedQuorum {
   /** From this level on several peers accuse an engine. */
   public static final double ACCUSED = 0.5;
 
@@ -51,7 +51,7 @@
   private static final int MOST_PEERS = 2_048;
   private static final int MOST_CLAIMS = 256; // of one peer
 
-  private record Held(Claim claim, long at) {}
+  private record Held(PeerReport claim, long at) {}
 
   private static final class Peer {
     private final Map<String, Held> claims = new LinkedHashMap<>();
@@ -69,17 +69,17 @@
   public record Belief(
       String engine, long since, double level, List<String> accusers, List<String> vouchers) {}
 
-  private final Ledger own;
+  private final OutcomeWindow own;
   private final TreeMap<String, Peer> peers = new TreeMap<>();
   private long reviewedAt;
 
   /** Hearsay beside that ledger of own evidence. */
-  public Corroboration(Ledger own) {
+  public WeightedQuorum(OutcomeWindow own) {
     this.own = own;
   }
 
   /** A peer tells what it saw. */
-  public void hear(long now, String peer, List<Claim> claims) {
+  public void hear(long now, String peer, List<PeerReport> claims) {
     Peer p = peers.get(peer);
     if (p == null) {
       if (peers.size() >= MOST_PEERS) {
@@ -88,7 +88,7 @@
       p = new Peer();
       peers.put(peer, p);
     }
-    for (Claim c : claims) {
+    for (PeerReport c : claims) {
       boolean usable =
           c.served() >= 0 && c.failed() >= 0 && c.lost() >= 0 && c.age() >= 0 && c.age() < LIFE;
       if (!usable) {
@@ -138,7 +138,7 @@
     List<Belief> beliefs = new ArrayList<>();
     engines.forEach(
         (engine, since) -> {
-          Claim seen = own.seen(now, engine, since, FRESH);
+          PeerReport seen = own.seen(now, engine, since, FRESH);
           judge(now, engine, since, seen);
           if (seen.sample() < OWN_LEAST) {
             Belief b = weigh(now, engine, since);
@@ -161,7 +161,7 @@
   }
 
   /** What own evidence shows of a peer's word; only where it is plain, and about the same time. */
-  private void judge(long now, String engine, long since, Claim seen) {
+  private void judge(long now, String engine, long since, PeerReport seen) {
     boolean good =
         seen.sample() >= OWN_LEAST && seen.bad() <= GOOD && seen.failed() + seen.lost() == 0;
     boolean bad = seen.sample() >= OWN_LEAST && seen.bad() >= BAD;
@@ -194,12 +194,12 @@
     }
   }
 
-  private static boolean accuses(Claim c) {
+  private static boolean accuses(PeerReport c) {
     int none = c.failed() + c.lost();
     return none >= BAD_LEAST && c.bad() >= BAD || none >= LONE_LEAST && c.served() == 0;
   }
 
-  private static boolean vouches(Claim c) {
+  private static boolean vouches(PeerReport c) {
     return c.served() >= BAD_LEAST && c.bad() <= GOOD;
   }
 
--- a/decisions/src/main/java/reachloom/revision/Acceptor.java
+++ b/decisions/src/main/java/reachloom/revision/Acceptor.java
@@ -25,19 +25,19 @@
   private static final long MOST_LEAP = 1L << 32;
 
   private final String name;
-  private final Seal seal;
-  private final Store store;
-  private Store.State state;
+  private final SignatureScheme seal;
+  private final ConsensusStore store;
+  private ConsensusStore.State state;
 
-  Acceptor(String name, Seal seal, Store store) {
+  Acceptor(String name, SignatureScheme seal, ConsensusStore store) {
     this.name = name;
     this.seal = seal;
     this.store = store;
-    Store.State loaded = store.load();
-    state = loaded == null ? Store.State.lost() : loaded;
+    ConsensusStore.State loaded = store.load();
+    state = loaded == null ? ConsensusStore.State.lost() : loaded;
   }
 
-  Store.State state() {
+  ConsensusStore.State state() {
     return state;
   }
 
@@ -64,15 +64,15 @@
   }
 
   /** The answer to phase one; null where there is none. */
-  Word prepare(Word.Prepare p, String sender) {
+  RevisionMessage prepare(RevisionMessage.Prepare p, String sender) {
     if (!plausible(p.ballot(), sender) || !takesPart(p.number())) {
       return null;
     }
     if (p.ballot().compareTo(state.promised()) < 0) {
-      return new Word.Rejected(p.ballot(), state.promised());
+      return new RevisionMessage.Rejected(p.ballot(), state.promised());
     }
-    Store.State next =
-        new Store.State(
+    ConsensusStore.State next =
+        new ConsensusStore.State(
             p.ballot(),
             state.acceptedUnder(),
             state.accepted(),
@@ -83,7 +83,8 @@
     if (!p.ballot().equals(state.promised()) && !save(next)) {
       return null;
     }
-    return new Word.Promise(p.ballot(), p.number(), state.acceptedUnder(), state.accepted());
+    return new RevisionMessage.Promise(
+        p.ballot(), p.number(), state.acceptedUnder(), state.accepted());
   }
 
   /**
@@ -95,18 +96,18 @@
     return holdsNewest()
         && takesPart(r.number())
         && r.size() >= 0
-        && r.size() <= Revision.MOST_DOCUMENT
+        && r.size() <= Revision.MAX_DOCUMENT_BYTES
         && Arrays.equals(r.previous(), Revision.chain(newest));
   }
 
   /** The answer to phase two with the document at hand; null where there is none. */
-  Word propose(Word.Propose p, String sender, byte[] document) {
+  RevisionMessage propose(RevisionMessage.Propose p, String sender, byte[] document) {
     Revision r = p.revision();
     if (!plausible(p.ballot(), sender) || !follows(r)) {
       return null;
     }
     if (p.ballot().compareTo(state.promised()) < 0) {
-      return new Word.Rejected(p.ballot(), state.promised());
+      return new RevisionMessage.Rejected(p.ballot(), state.promised());
     }
     boolean again = p.ballot().equals(state.acceptedUnder());
     if (again && !r.equals(state.accepted()) || document == null || !r.describes(document)) {
@@ -114,7 +115,7 @@
     }
     if (!again
         && !save(
-            new Store.State(
+            new ConsensusStore.State(
                 p.ballot(),
                 p.ballot(),
                 r,
@@ -124,14 +125,15 @@
                 state.from()))) {
       return null;
     }
-    return new Word.Accepted(p.ballot(), r.number(), new Vote(name, seal.sign(r.chain())));
+    return new RevisionMessage.Accepted(
+        p.ballot(), r.number(), new Vote(name, seal.sign(r.chain())));
   }
 
   /**
    * A newer revision is known to be proved; false where it could not be saved and is still unknown
    * here.
    */
-  boolean learn(Word.Notice notice, byte[] document) {
+  boolean learn(RevisionMessage.Notice notice, byte[] document) {
     Revision r = notice.revision();
     boolean newer = r.number() > state.number();
     boolean same = !newer && r.number() == state.number() && r.equals(state.newest().revision());
@@ -141,7 +143,7 @@
     byte[] held = document == null && r.equals(state.accepted()) ? state.draft() : document;
     boolean open = state.accepted() != null && state.accepted().number() > r.number();
     return save(
-        new Store.State(
+        new ConsensusStore.State(
             state.promised(),
             open ? state.acceptedUnder() : Ballot.NONE,
             open ? state.accepted() : null,
@@ -156,9 +158,11 @@
    * after it.
    */
   void rejoin(long number) {
-    if (state.from() == Store.NEVER && number >= 0 && number < Long.MAX_VALUE - FORGOTTEN) {
+    if (state.from() == ConsensusStore.NEVER
+        && number >= 0
+        && number < Long.MAX_VALUE - FORGOTTEN) {
       save(
-          new Store.State(
+          new ConsensusStore.State(
               state.promised(),
               state.acceptedUnder(),
               state.accepted(),
@@ -169,7 +173,7 @@
     }
   }
 
-  private boolean save(Store.State next) {
+  private boolean save(ConsensusStore.State next) {
     boolean saved = store.save(next);
     state = saved ? next : state;
     return saved;
--- a/decisions/src/main/java/reachloom/revision/Counting.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
@@ -9,7 +9,7 @@
  * What the members of one place are known to have in force, and who of them counts it for the
  * issuers.
  */
-final class Counting {
+final class AcknowledgementAggregator {
   /** A member's own word: what it has in force, or refuses where the reason isn't empty. */
   private record Report(long number, long mark, String refusal) {}
 
@@ -95,7 +95,7 @@
   }
 
   /** The sum over those members. */
-  Word.Census census(
+  RevisionMessage.Census census(
       int place, RevisionLog.Entry newest, Collection<String> members, long longest) {
     int inForce = 0;
     int refused = 0;
@@ -111,7 +111,7 @@
       }
     }
     boolean all = inForce == members.size();
-    return new Word.Census(
+    return new RevisionMessage.Census(
         place,
         newest.revision().number(),
         members.size(),
--- a/decisions/src/main/java/reachloom/revision/Sums.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /** What an issuer was told of each place by those that count there. */
-final class Sums {
-  private record Told(Word.Census census, long at) {}
+final class AcknowledgementSummary {
+  private record Told(RevisionMessage.Census census, long at) {}
 
   private static final int MOST_PLACES = 256;
   private static final int MOST_TELLERS =
@@ -23,7 +23,7 @@
 
   private final TreeMap<Integer, TreeMap<String, Told>> places = new TreeMap<>();
 
-  void told(long now, String teller, Word.Census census) {
+  void told(long now, String teller, RevisionMessage.Census census) {
     if (places.size() >= MOST_PLACES && !places.containsKey(census.place())) {
       return;
     }
@@ -51,7 +51,7 @@
   }
 
   /** The best word of each place. */
-  List<Word.Census> all() {
+  List<RevisionMessage.Census> all() {
     return places.values().stream().filter(p -> !p.isEmpty()).map(p -> best(p).census).toList();
   }
 
@@ -69,7 +69,7 @@
             return;
           }
           Told t = best(of);
-          Word.Census c = t.census;
+          RevisionMessage.Census c = t.census;
           boolean agreed =
               of.values().stream()
                   .allMatch(
--- a/decisions/src/main/java/reachloom/revision/Fetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /** A document that is being pulled, piece by piece, from one peer at a time. */
-final class Fetch {
+final class ChunkedFetch {
   /**
    * Bytes of a piece: as many as one packet has room for beside a certificate and the longest
    * names.
@@ -18,7 +18,7 @@
   /** Pieces sent for one question: a document of the usual size takes one or two round trips. */
   static final int WINDOW = 6;
 
-  private static final int MOST_PIECES = pieces(Revision.MOST_DOCUMENT);
+  private static final int MOST_PIECES = pieces(Revision.MAX_DOCUMENT_BYTES);
   private static final long ANSWER =
       400_000_000; // nanoseconds without a piece before it is asked again
   // ... and more for the first of a large document: who serves it finishes others before
@@ -51,7 +51,7 @@
   private boolean onePeerOnly;
   private boolean deltaFailed;
 
-  Fetch(Revision revision, Consumer<byte[]> then, long now) {
+  ChunkedFetch(Revision revision, Consumer<byte[]> then, long now) {
     this.revision = revision;
     this.mark = revision.mark();
     this.then = then;
@@ -77,19 +77,19 @@
   /**
    * Asks where nothing is on its way; {@code held} is the newest whose document is here, or null.
    */
-  void question(long now, Outlet outlet, RevisionLog.Entry held) {
+  void question(long now, RevisionMessageSender outlet, RevisionLog.Entry held) {
     if ((until == 0 || late(now))
-        && outlet.tell(now, from.name(), from.address(), List.of(want(held)))) {
+        && outlet.send(now, from.name(), from.address(), List.of(want(held)))) {
       asked(now);
     }
   }
 
-  private Word.Want want(RevisionLog.Entry held) {
+  private RevisionMessage.Want want(RevisionLog.Entry held) {
     if (first() == 0) {
       base = deltaFailed || then != null ? null : held;
     }
     boolean whole = base == null || first() > 0 && ofBase == 0;
-    return new Word.Want(
+    return new RevisionMessage.Want(
         revision.number(),
         whole ? 0 : base.revision().number(),
         whole ? mark : base.mark(),
@@ -99,7 +99,7 @@
   private void asked(long now) {
     tries++;
     windowEnd = first() + WINDOW - 1;
-    long first = first() > 0 ? 0 : FIRST_OF_LARGEST * revision.size() / Revision.MOST_DOCUMENT;
+    long first = first() > 0 ? 0 : FIRST_OF_LARGEST * revision.size() / Revision.MAX_DOCUMENT_BYTES;
     until = now + ANSWER + first;
   }
 
@@ -123,7 +123,8 @@
    * Takes a piece; gives the whole document if that completes it. Who sent what is not it is
    * struck.
    */
-  byte[] take(long now, Peer sender, Word.Piece p, RevisionLog log, Neighbours neighbours) {
+  byte[] take(
+      long now, Peer sender, RevisionMessage.Piece p, RevisionLog log, PeerTable neighbours) {
     RevisionLog.Entry held = p.base() == 0 ? null : log.held(p.base(), 0);
     if (!take(now, sender.name(), p, held) || first() < pieces.length) {
       return null;
@@ -132,14 +133,15 @@
     if (document == null) {
       String liar = liar();
       if (liar != null) {
-        neighbours.strike(now, liar, Neighbours.Strike.LIED, 0);
+        neighbours.strike(now, liar, PeerTable.Strike.LIED, 0);
       }
       from = then == null ? null : from; // a draft is had from its proposer alone
     }
     return document;
   }
 
-  private boolean take(long now, String sender, Word.Piece p, RevisionLog.Entry baseHeld) {
+  private boolean take(
+      long now, String sender, RevisionMessage.Piece p, RevisionLog.Entry baseHeld) {
     boolean fits =
         p.number() == revision.number()
             && p.of() >= 1
--- a/decisions/src/main/java/reachloom/revision/Council.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -19,11 +19,11 @@
  * revisions of one number, which members do not take. Times are nanoseconds of the clock handed in;
  * all calls come from one thread.
  */
-public final class Council {
+public final class ConsensusNode {
   private static final long SECOND = 1_000_000_000; // nanoseconds
 
   /** Most issuers that settings may name. */
-  public static final int MOST_ISSUERS = 9;
+  public static final int MAX_ISSUERS = 9;
 
   /** Between two looks at the clock: more is a standstill, after which nothing older is issued. */
   private static final long STANDSTILL = 3 * SECOND;
@@ -40,8 +40,8 @@
   private final String name;
   private final Map<String, Peer> others = new TreeMap<>();
   private final int quorum;
-  private final Library library;
-  private final Outlet outlet;
+  private final RevisionRepository library;
+  private final RevisionMessageSender outlet;
   private final Acceptor acceptor;
   private final Proposer proposer;
   private final Deque<Runnable> reports = new ArrayDeque<>();
@@ -50,7 +50,7 @@
   private long lastSeen;
   private long settled;
   private long nextAsk;
-  private Word.Propose fetching;
+  private RevisionMessage.Propose fetching;
   private long fetchUntil;
 
   /**
@@ -58,13 +58,13 @@
    *
    * @param issuers all issuers that the settings name, this one among them
    */
-  public Council(
+  public ConsensusNode(
       String name,
       List<Peer> issuers,
-      Seal seal,
-      Store store,
-      Library library,
-      Outlet outlet,
+      SignatureScheme seal,
+      ConsensusStore store,
+      RevisionRepository library,
+      RevisionMessageSender outlet,
       SplittableRandom random,
       long now) {
     this.name = name;
@@ -72,14 +72,14 @@
     this.outlet = outlet;
     issuers.forEach(p -> others.put(p.name(), p));
     quorum = quorum(others.size());
-    if (others.remove(name) == null || others.size() >= MOST_ISSUERS) {
-      throw new IllegalArgumentException(name + " is not one of 1 to " + MOST_ISSUERS + " issuers");
+    if (others.remove(name) == null || others.size() >= MAX_ISSUERS) {
+      throw new IllegalArgumentException(name + " is not one of 1 to " + MAX_ISSUERS + " issuers");
     }
     acceptor = new Acceptor(name, seal, store);
     proposer = new Proposer(name, quorum, seal, acceptor, library, random, new Floor());
     startedAt = now;
     lastSeen = now;
-    Store.State s = acceptor.state();
+    ConsensusStore.State s = acceptor.state();
     settled = s.number();
     if (s.document() != null) {
       library.proved(now, s.newest().revision(), s.newest().votes(), s.document());
@@ -95,7 +95,7 @@
   }
 
   /** Words have come from a member whose sender is proved; only those of issuers are looked at. */
-  public void hear(long now, Peer sender, List<Word> words) {
+  public void hear(long now, Peer sender, List<RevisionMessage> words) {
     look(now);
     if (others.containsKey(sender.name())) {
       words.forEach(w -> hear(now, sender.name(), w));
@@ -103,18 +103,18 @@
     report();
   }
 
-  private void hear(long now, String sender, Word word) {
-    if (word instanceof Word.Prepare p) {
+  private void hear(long now, String sender, RevisionMessage word) {
+    if (word instanceof RevisionMessage.Prepare p) {
       answer(now, sender, p.number(), acceptor.prepare(p, sender));
-    } else if (word instanceof Word.Propose p) {
+    } else if (word instanceof RevisionMessage.Propose p) {
       proposed(now, sender, p);
-    } else if (word instanceof Word.Promise p) {
+    } else if (word instanceof RevisionMessage.Promise p) {
       proposer.promised(now, p, sender);
-    } else if (word instanceof Word.Accepted a) {
+    } else if (word instanceof RevisionMessage.Accepted a) {
       proposer.accepted(now, a, sender);
-    } else if (word instanceof Word.Rejected r) {
+    } else if (word instanceof RevisionMessage.Rejected r) {
       proposer.rejected(now, r);
-    } else if (word instanceof Word.Have h && now - startedAt >= STALE) {
+    } else if (word instanceof RevisionMessage.Have h && now - startedAt >= STALE) {
       known.put(sender, h.known());
     }
   }
@@ -129,10 +129,10 @@
 
   /**
    * Takes a document that is to be issued. {@code result} is told what has become of it, twice
-   * where the first result is not the last ({@link Result#last}); also from within this call. A
-   * document that waits when the next one is given is skipped.
+   * where the first result is not the last ({@link ProposalResult#last}); also from within this
+   * call. A document that waits when the next one is given is skipped.
    */
-  public void propose(long now, byte[] document, Consumer<Result> result) {
+  public void propose(long now, byte[] document, Consumer<ProposalResult> result) {
     look(now);
     proposer.give(now, document, result);
     report();
@@ -145,12 +145,12 @@
 
   /** What there is to tell, in lines of ASCII. */
   public List<String> lines() {
-    Store.State s = acceptor.state();
+    ConsensusStore.State s = acceptor.state();
     String part =
         s.takesPart()
             ? "takes part"
             : "store was lost, takes part from revision "
-                + (s.from() == Store.NEVER ? "?" : s.from())
+                + (s.from() == ConsensusStore.NEVER ? "?" : s.from())
                 + " on";
     return List.of(
         "issuer "
@@ -183,11 +183,11 @@
 
   /** Takes over what the member has come to know, and what could not be saved before. */
   private void learn(long now) {
-    Word.Notice newest = library.newest();
+    RevisionMessage.Notice newest = library.newest();
     if (newest == null) {
       return;
     }
-    Store.State before = acceptor.state();
+    ConsensusStore.State before = acceptor.state();
     boolean newer = newest.revision().number() > before.number();
     if (newer || newest.revision().number() == before.number() && before.document() == null) {
       byte[] held = library.document(newest.revision());
@@ -214,7 +214,7 @@
    * more.
    */
   private void rejoin(long now) {
-    if (acceptor.state().from() != Store.NEVER) {
+    if (acceptor.state().from() != ConsensusStore.NEVER) {
       return;
     }
     if (known.size() >= quorum) {
@@ -223,24 +223,26 @@
       nextAsk = now + ASK;
       others
           .keySet()
-          .forEach(to -> say(now, to, new Word.Want(0, 0, 0, 0))); // what they know rides on it
+          .forEach(
+              to ->
+                  say(now, to, new RevisionMessage.Want(0, 0, 0, 0))); // what they know rides on it
     }
   }
 
   // ---- The voting part ----
 
-  private void answer(long now, String sender, long number, Word word) {
-    Store.State s = acceptor.state();
+  private void answer(long now, String sender, long number, RevisionMessage word) {
+    ConsensusStore.State s = acceptor.state();
     if (word != null) {
       say(now, sender, word);
     } else if (number <= s.number()) {
       say(now, sender, s.newest()); // the asker is behind
     } else if (number > s.number() + 1) {
-      say(now, sender, new Word.Want(0, 0, 0, 0)); // this one is
+      say(now, sender, new RevisionMessage.Want(0, 0, 0, 0)); // this one is
     }
   }
 
-  private void proposed(long now, String sender, Word.Propose p) {
+  private void proposed(long now, String sender, RevisionMessage.Propose p) {
     Revision r = p.revision();
     boolean open =
         acceptor.plausible(p.ballot(), sender)
@@ -263,8 +265,8 @@
     }
   }
 
-  private void fetched(Word.Propose asked, String sender, byte[] got) {
-    Word.Propose p = fetching;
+  private void fetched(RevisionMessage.Propose asked, String sender, byte[] got) {
+    RevisionMessage.Propose p = fetching;
     if (p == null || !p.revision().equals(asked.revision())) {
       return;
     }
@@ -279,16 +281,16 @@
     }
   }
 
-  private boolean say(long now, String to, Word word) {
+  private boolean say(long now, String to, RevisionMessage word) {
     Peer p = others.get(to);
-    return p != null && outlet.tell(now, to, p.address(), List.of(word));
+    return p != null && outlet.send(now, to, p.address(), List.of(word));
   }
 
   /** What the proposing part sees of this. */
   private final class Floor implements Proposer.Floor {
     @Override
-    public boolean say(long now, String to, Word word) {
-      return Council.this.say(now, to, word);
+    public boolean say(long now, String to, RevisionMessage word) {
+      return ConsensusNode.this.say(now, to, word);
     }
 
     @Override
@@ -297,14 +299,14 @@
     }
 
     @Override
-    public void decided(long now, Word.Notice notice, byte[] document) {
+    public void decided(long now, RevisionMessage.Notice notice, byte[] document) {
       library.proved(now, notice.revision(), notice.votes(), document);
       others.keySet().forEach(to -> say(now, to, notice));
       learn(now);
     }
 
     @Override
-    public void report(Consumer<Result> to, Result result) {
+    public void report(Consumer<ProposalResult> to, ProposalResult result) {
       reports.add(() -> to.accept(result));
     }
   }
--- a/decisions/src/main/java/reachloom/revision/Store.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusStore.java
@@ -5,7 +5,7 @@
  * before: an issuer that forgets what it promised or accepted could help to prove two revisions of
  * one number.
  */
-public interface Store {
+public interface ConsensusStore {
   /**
    * What an issuer must not forget.
    *
@@ -24,7 +24,7 @@
       Ballot acceptedUnder,
       Revision accepted,
       byte[] draft,
-      Word.Notice newest,
+      RevisionMessage.Notice newest,
       byte[] document,
       long from) {
     /** That of an issuer which has never taken part in anything. */
--- a/decisions/src/main/java/reachloom/revision/Delta.java
+++ b/decisions/src/main/java/reachloom/revision/Delta.java
@@ -44,7 +44,7 @@
         || end < 0
         || start > base.length
         || end > base.length - start
-        || start + end + in.remaining() > Revision.MOST_DOCUMENT) {
+        || start + end + in.remaining() > Revision.MAX_DOCUMENT_BYTES) {
       return null;
     }
     ByteBuffer out = ByteBuffer.allocate(start + in.remaining() + end);
--- a/decisions/src/main/java/reachloom/revision/Pull.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
-import reachloom.revision.Neighbours.Other;
-import reachloom.revision.Neighbours.Strike;
+import reachloom.revision.PeerTable.Other;
+import reachloom.revision.PeerTable.Strike;
 
 /** Pulls the document of the newest revision: whom to ask, and when to turn to another. */
-final class Pull {
+final class FetchScheduler {
   private static final long PAUSE =
       500_000_000; // nanoseconds on average, once some were asked in vain
   private static final int TRIES =
@@ -19,15 +19,19 @@
   private static final int QUICK_PEERS = 4; // asked one after the other, before there are pauses
   private static final int MOST_SOURCES = 8;
 
-  private final Neighbours neighbours;
+  private final PeerTable neighbours;
   private final RevisionLog log;
-  private final Outlet outlet;
+  private final RevisionMessageSender outlet;
   private final SplittableRandom random;
   private final Map<String, Peer> sources = new LinkedHashMap<>();
-  private Fetch fetch;
+  private ChunkedFetch fetch;
   private long fetchAt;
 
-  Pull(Neighbours neighbours, RevisionLog log, Outlet outlet, SplittableRandom random) {
+  FetchScheduler(
+      PeerTable neighbours,
+      RevisionLog log,
+      RevisionMessageSender outlet,
+      SplittableRandom random) {
     this.neighbours = neighbours;
     this.log = log;
     this.outlet = outlet;
@@ -37,7 +41,7 @@
   /** Goes for that one from now on; null for none. */
   void go(long now, Revision newest) {
     sources.clear();
-    fetch = newest == null ? null : new Fetch(newest, null, now);
+    fetch = newest == null ? null : new ChunkedFetch(newest, null, now);
     fetchAt = now;
   }
 
@@ -70,7 +74,7 @@
   }
 
   /** The whole document, if that piece completes it. */
-  byte[] piece(long now, Peer sender, Word.Piece p) {
+  byte[] piece(long now, Peer sender, RevisionMessage.Piece p) {
     byte[] document = fetch == null ? null : fetch.take(now, sender, p, log, neighbours);
     if (document != null) {
       neighbours.good(sender.name(), p.number());
--- a/decisions/src/main/java/reachloom/revision/Neighbours.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -12,7 +12,7 @@
 import java.util.function.Predicate;
 
 /** Who else is there, what each is known to have, and who is not asked for a while. */
-final class Neighbours {
+final class PeerTable {
   /** Another member that is present, with what its packets told. */
   static final class Other {
     final Peer peer;
@@ -66,7 +66,7 @@
   private final TreeMap<Integer, List<Other>> places = new TreeMap<>();
   private final TreeMap<String, Rest> resting = new TreeMap<>();
 
-  Neighbours(String name, int place, List<Peer> issuers, SplittableRandom random) {
+  PeerTable(String name, int place, List<Peer> issuers, SplittableRandom random) {
     otherIssuers = issuers.stream().filter(i -> !i.name().equals(name)).toList();
     this.place = place;
     issuers.forEach(i -> this.issuers.add(i.name()));
--- a/decisions/src/main/java/reachloom/revision/Drafts.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -9,7 +9,7 @@
 /**
  * Documents of revisions that issuers have proposed or accepted, and those that are being fetched.
  */
-final class Drafts {
+final class ProposalCache {
   private record Draft(Revision revision, byte[] document) {}
 
   private static final int MOST = 8; // of each issuer one, about
@@ -17,7 +17,7 @@
   private static final int TRIES = 6;
 
   private final Map<Long, Draft> drafts = new LinkedHashMap<>(); // by mark
-  private final List<Fetch> fetches = new ArrayList<>();
+  private final List<ChunkedFetch> fetches = new ArrayList<>();
 
   void hold(Revision revision, byte[] document) {
     drafts.put(revision.mark(), new Draft(revision, document));
@@ -38,13 +38,14 @@
       then.accept(null);
       return;
     }
-    Fetch f = new Fetch(revision, then, now);
+    ChunkedFetch f = new ChunkedFetch(revision, then, now);
     f.ask(now, from);
     fetches.add(f);
   }
 
-  void piece(long now, Peer sender, Word.Piece p, RevisionLog log, Neighbours neighbours) {
-    for (Fetch f : List.copyOf(fetches)) {
+  void piece(
+      long now, Peer sender, RevisionMessage.Piece p, RevisionLog log, PeerTable neighbours) {
+    for (ChunkedFetch f : List.copyOf(fetches)) {
       byte[] document = f.take(now, sender, p, log, neighbours);
       if (document != null) {
         fetches.remove(f);
@@ -55,8 +56,8 @@
   }
 
   /** Asks, or gives up, where it is time. */
-  void step(long now, Outlet outlet) {
-    for (Fetch f : List.copyOf(fetches)) {
+  void step(long now, RevisionMessageSender outlet) {
+    for (ChunkedFetch f : List.copyOf(fetches)) {
       if (f.tries > 0 && f.late(now) && f.peersTried++ >= TRIES || now >= f.leaveAt) {
         fetches.remove(f);
         f.then.accept(null);
--- a/decisions/src/main/java/reachloom/revision/Result.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalResult.java
@@ -5,7 +5,7 @@
  *
  * @param number the number that it was issued or proposed under; 0 where it was not proposed
  */
-public record Result(Kind kind, long number, String text) {
+public record ProposalResult(Kind kind, long number, String text) {
   /** How it ended. */
   public enum Kind {
     /** It is revision {@code number} of the log, which a majority of the issuers has signed. */
@@ -25,7 +25,7 @@
     NO_MAJORITY,
     /** This issuer stood still; the same holds as for {@link #NO_MAJORITY}. */
     STOOD_STILL,
-    /** Empty, or larger than {@link Revision#MOST_DOCUMENT}. */
+    /** Empty, or larger than {@link Revision#MAX_DOCUMENT_BYTES}. */
     BAD_SIZE,
     /** This issuer's store can't be written; the same holds as for {@link #NO_MAJORITY}. */
     NOT_SAVED,
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -53,16 +53,16 @@
   /** What the proposer needs of its council. */
   interface Floor {
     /** Says something to another issuer; false where there was no room. */
-    boolean say(long now, String to, Word word);
+    boolean say(long now, String to, RevisionMessage word);
 
     /** All issuers but this one, as they can be reached. */
     List<Peer> others();
 
     /** A revision has its majority of votes. */
-    void decided(long now, Word.Notice notice, byte[] document);
+    void decided(long now, RevisionMessage.Notice notice, byte[] document);
 
     /** Tells whoever gave a document, once the present event has been dealt with. */
-    void report(Consumer<Result> to, Result result);
+    void report(Consumer<ProposalResult> to, ProposalResult result);
   }
 
   private enum Phase {
@@ -74,13 +74,14 @@
   }
 
   /** A document that was given; {@code revision} is what it was proposed as, or null. */
-  private record Order(byte[] document, Consumer<Result> giver, long since, Revision revision) {}
+  private record Order(
+      byte[] document, Consumer<ProposalResult> giver, long since, Revision revision) {}
 
   private final String name;
   private final int quorum;
-  private final Seal seal;
+  private final SignatureScheme seal;
   private final Acceptor acceptor;
-  private final Library library;
+  private final RevisionRepository library;
   private final SplittableRandom random;
   private final Floor floor;
 
@@ -101,7 +102,7 @@
   private long number;
   private Revision revision;
   private byte[] document;
-  private final Map<String, Word.Promise> promises = new TreeMap<>();
+  private final Map<String, RevisionMessage.Promise> promises = new TreeMap<>();
   private final Map<String, Vote> votes = new TreeMap<>();
   private final Deque<String> holders = new ArrayDeque<>();
   private long until;
@@ -113,9 +114,9 @@
   Proposer(
       String name,
       int quorum,
-      Seal seal,
+      SignatureScheme seal,
       Acceptor acceptor,
-      Library library,
+      RevisionRepository library,
       SplittableRandom random,
       Floor floor) {
     this.name = name;
@@ -129,17 +130,17 @@
 
   // ---- Documents ----
 
-  void give(long now, byte[] given, Consumer<Result> giver) {
-    if (given.length == 0 || given.length > Revision.MOST_DOCUMENT) {
+  void give(long now, byte[] given, Consumer<ProposalResult> giver) {
+    if (given.length == 0 || given.length > Revision.MAX_DOCUMENT_BYTES) {
       floor.report(
           giver,
-          new Result(
-              Result.Kind.BAD_SIZE,
+          new ProposalResult(
+              ProposalResult.Kind.BAD_SIZE,
               0,
               "the document has "
                   + given.length
                   + " bytes; 1 to "
-                  + Revision.MOST_DOCUMENT
+                  + Revision.MAX_DOCUMENT_BYTES
                   + " are allowed"));
       return;
     }
@@ -150,7 +151,7 @@
     if (wanted != null) {
       report(
           wanted,
-          Result.Kind.SUPERSEDED,
+          ProposalResult.Kind.SUPERSEDED,
           0,
           "a newer document was given before this one was proposed");
     }
@@ -160,13 +161,13 @@
     }
   }
 
-  private Result abstains() {
+  private ProposalResult abstains() {
     long from = acceptor.state().from();
-    return new Result(
-        Result.Kind.ABSTAINS,
+    return new ProposalResult(
+        ProposalResult.Kind.ABSTAINS,
         0,
         "this issuer has lost its store and takes no part "
-            + (from == Store.NEVER ? "yet" : "before revision " + from)
+            + (from == ConsensusStore.NEVER ? "yet" : "before revision " + from)
             + ": give the document to another one");
   }
 
@@ -175,10 +176,10 @@
    */
   void expire(long now) {
     if (wanted != null && now - wanted.since >= GIVE_UP) {
-      withdrawWanted(Result.Kind.NO_MAJORITY, none(now - wanted.since));
+      withdrawWanted(ProposalResult.Kind.NO_MAJORITY, none(now - wanted.since));
     }
     if (own != null && now - own.since >= GIVE_UP) {
-      withdrawOwn(now, Result.Kind.NO_MAJORITY, none(now - own.since));
+      withdrawOwn(now, ProposalResult.Kind.NO_MAJORITY, none(now - own.since));
     }
   }
 
@@ -193,20 +194,20 @@
   void stoodStill(long now, long gap) {
     String text = "this issuer stood still for " + gap / MILLISECOND + " ms";
     if (wanted != null) {
-      withdrawWanted(Result.Kind.STOOD_STILL, text);
+      withdrawWanted(ProposalResult.Kind.STOOD_STILL, text);
     }
     if (own != null) {
-      withdrawOwn(now, Result.Kind.STOOD_STILL, text);
+      withdrawOwn(now, ProposalResult.Kind.STOOD_STILL, text);
     }
   }
 
-  private void withdrawWanted(Result.Kind why, String text) {
+  private void withdrawWanted(ProposalResult.Kind why, String text) {
     Order old = wanted;
     wanted = null;
     report(old, why, 0, text + "; it is withdrawn");
   }
 
-  private void withdrawOwn(long now, Result.Kind why, String text) {
+  private void withdrawOwn(long now, ProposalResult.Kind why, String text) {
     Order old = own;
     own = null;
     leave();
@@ -231,8 +232,8 @@
     holders.clear();
   }
 
-  private void report(Order o, Result.Kind kind, long as, String text) {
-    floor.report(o.giver, new Result(kind, as, text));
+  private void report(Order o, ProposalResult.Kind kind, long as, String text) {
+    floor.report(o.giver, new ProposalResult(kind, as, text));
   }
 
   // ---- Time ----
@@ -307,8 +308,8 @@
     number = acceptor.state().number() + 1;
     long round = Math.max(seenRound, acceptor.state().promised().round()) + 1;
     ballot = new Ballot(round, name);
-    Word.Prepare question = new Word.Prepare(ballot, number);
-    if (!(acceptor.prepare(question, name) instanceof Word.Promise mine)) {
+    RevisionMessage.Prepare question = new RevisionMessage.Prepare(ballot, number);
+    if (!(acceptor.prepare(question, name) instanceof RevisionMessage.Promise mine)) {
       notSaved(now);
       return;
     }
@@ -323,7 +324,7 @@
   /** Without its own store it may not even ask: a ballot of that round may be used again. */
   private void notSaved(long now) {
     if (wanted != null) {
-      withdrawWanted(Result.Kind.NOT_SAVED, UNWRITABLE);
+      withdrawWanted(ProposalResult.Kind.NOT_SAVED, UNWRITABLE);
     }
     rest(now);
   }
@@ -333,15 +334,15 @@
     boolean all = true;
     for (Peer p : floor.others()) {
       if (phase == Phase.PREPARING && !promises.containsKey(p.name())) {
-        all &= floor.say(now, p.name(), new Word.Prepare(ballot, number));
+        all &= floor.say(now, p.name(), new RevisionMessage.Prepare(ballot, number));
       } else if (phase == Phase.PROPOSING && !votes.containsKey(p.name())) {
-        all &= floor.say(now, p.name(), new Word.Propose(ballot, revision));
+        all &= floor.say(now, p.name(), new RevisionMessage.Propose(ballot, revision));
       }
     }
     until = all ? now + pause : now;
   }
 
-  void promised(long now, Word.Promise p, String sender) {
+  void promised(long now, RevisionMessage.Promise p, String sender) {
     boolean sound =
         p.accepted() == null
             || p.acceptedUnder().compareTo(ballot) < 0 && acceptor.follows(p.accepted());
@@ -359,8 +360,8 @@
     if (phase != Phase.PREPARING || promises.size() < quorum) {
       return;
     }
-    Word.Promise highest = null;
-    for (Word.Promise p : promises.values()) {
+    RevisionMessage.Promise highest = null;
+    for (RevisionMessage.Promise p : promises.values()) {
       boolean higher =
           p.accepted() != null
               && (highest == null || p.acceptedUnder().compareTo(highest.acceptedUnder()) > 0);
@@ -371,7 +372,7 @@
       return;
     }
     if (own == null && wanted != null) {
-      Word.Notice newest = acceptor.state().newest();
+      RevisionMessage.Notice newest = acceptor.state().newest();
       Revision next =
           Revision.after(
               newest == null ? null : newest.revision(), wanted.document, now / MILLISECOND, name);
@@ -438,10 +439,10 @@
     revision = next;
     document = held;
     library.draft(next, held);
-    Word mine = acceptor.propose(new Word.Propose(ballot, next), name, held);
-    if (!(mine instanceof Word.Accepted a)) {
+    RevisionMessage mine = acceptor.propose(new RevisionMessage.Propose(ballot, next), name, held);
+    if (!(mine instanceof RevisionMessage.Accepted a)) {
       if (mine == null && own != null && own.revision.equals(next)) {
-        withdrawOwn(now, Result.Kind.NOT_SAVED, UNWRITABLE);
+        withdrawOwn(now, ProposalResult.Kind.NOT_SAVED, UNWRITABLE);
       }
       rest(now); // the store fails, or another one's ballot has come in between
       return;
@@ -455,7 +456,7 @@
     count(now);
   }
 
-  void accepted(long now, Word.Accepted a, String sender) {
+  void accepted(long now, RevisionMessage.Accepted a, String sender) {
     if (phase == Phase.PROPOSING
         && a.ballot().equals(ballot)
         && a.number() == number
@@ -469,8 +470,8 @@
 
   private void count(long now) {
     if (phase == Phase.PROPOSING && votes.size() >= quorum) {
-      Word.Notice notice =
-          new Word.Notice(
+      RevisionMessage.Notice notice =
+          new RevisionMessage.Notice(
               revision, new ArrayList<>(votes.values()).subList(0, quorum).stream().toList());
       leave();
       doublings = 0;
@@ -480,7 +481,7 @@
 
   // ---- What both phases meet ----
 
-  void rejected(long now, Word.Rejected r) {
+  void rejected(long now, RevisionMessage.Rejected r) {
     boolean asking =
         phase == Phase.PREPARING || phase == Phase.PROPOSING || phase == Phase.FETCHING;
     if (asking
@@ -521,11 +522,11 @@
     Revision as = o.revision;
     boolean next = newest.number() == as.number() + 1;
     if (newest.equals(as) || next && Arrays.equals(newest.previous(), as.chain())) {
-      report(o, Result.Kind.ISSUED, as.number(), "issued as revision " + as.number());
+      report(o, ProposalResult.Kind.ISSUED, as.number(), "issued as revision " + as.number());
     } else if (newest.number() > as.number() + 1) {
       report(
           o,
-          Result.Kind.OVERTAKEN,
+          ProposalResult.Kind.OVERTAKEN,
           as.number(),
           "it was proposed as revision "
               + as.number()
@@ -537,7 +538,7 @@
     } else {
       report(
           o,
-          Result.Kind.SUPERSEDED,
+          ProposalResult.Kind.SUPERSEDED,
           as.number(),
           "another document was issued as revision " + as.number());
     }
--- a/decisions/src/main/java/reachloom/revision/Revision.java
+++ b/decisions/src/main/java/reachloom/revision/Revision.java
@@ -14,16 +14,16 @@
 public record Revision(
     long number, byte[] previous, byte[] digest, int size, long issuedAt, String issuer) {
   /** Bytes of a SHA-256. */
-  public static final int HASH = 32;
+  public static final int HASH_BYTES = 32;
 
   /**
    * The largest document, in bytes: at the planned 17 KB a second a member can pass one on in about
    * 1 s.
    */
-  public static final int MOST_DOCUMENT = 16 * 1024;
+  public static final int MAX_DOCUMENT_BYTES = 16 * 1024;
 
   /** What the first revision of a log is chained to. */
-  private static final byte[] ROOT = new byte[HASH];
+  private static final byte[] ROOT = new byte[HASH_BYTES];
 
   /** The revision that follows {@code before} (null for the first of a log) with that document. */
   public static Revision after(Revision before, byte[] document, long issuedAt, String issuer) {
@@ -48,7 +48,7 @@
   public byte[] chain() {
     byte[] name = issuer.getBytes(StandardCharsets.UTF_8);
     ByteBuffer all =
-        ByteBuffer.allocate(Long.BYTES + 2 * HASH + Integer.BYTES + Long.BYTES + name.length);
+        ByteBuffer.allocate(Long.BYTES + 2 * HASH_BYTES + Integer.BYTES + Long.BYTES + name.length);
     all.putLong(number).put(previous).put(digest).putInt(size).putLong(issuedAt).put(name);
     return hash(all.array());
   }
--- a/decisions/src/main/java/reachloom/revision/Dissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import reachloom.revision.Neighbours.Other;
-import reachloom.revision.Neighbours.Strike;
+import reachloom.revision.PeerTable.Other;
+import reachloom.revision.PeerTable.Strike;
 import reachloom.scheduler.state.TokenBucket;
 
 /**
@@ -27,13 +27,13 @@
  * by what rides on each packet, by the zone's counters, which remind who does not have it in force,
  * and by the issuers, which answer a census that is behind.
  */
-public final class Dissemination implements Library {
+public final class RevisionDissemination implements RevisionRepository {
   /** What carries a revision out. */
   public interface Host {
     /**
-     * Puts a revision in force, in its own time; {@link Dissemination#inForce} or {@link
-     * Dissemination#refused} tells how it ended, also from within this call. The next is handed
-     * over only then.
+     * Puts a revision in force, in its own time; {@link RevisionDissemination#inForce} or {@link
+     * RevisionDissemination#refused} tells how it ended, also from within this call. The next is
+     * handed over only then.
      */
     void apply(long now, Revision revision, byte[] document);
 
@@ -83,17 +83,17 @@
   private final boolean issuer;
   private final List<Peer> issuers;
   private final int quorum;
-  private final Seal seal;
+  private final SignatureScheme seal;
   private final SplittableRandom random;
-  private final Outlet outlet;
+  private final RevisionMessageSender outlet;
   private final Host host;
   private final RevisionLog log = new RevisionLog();
-  private final Neighbours neighbours;
-  private final Serving serving = new Serving();
-  private final Counting counting = new Counting();
-  private final Sums sums = new Sums();
-  private final Drafts drafts = new Drafts();
-  private final Pull pull;
+  private final PeerTable neighbours;
+  private final TransferQueue serving = new TransferQueue();
+  private final AcknowledgementAggregator counting = new AcknowledgementAggregator();
+  private final AcknowledgementSummary sums = new AcknowledgementSummary();
+  private final ProposalCache drafts = new ProposalCache();
+  private final FetchScheduler pull;
   private final Map<String, Peer> owed = new LinkedHashMap<>();
   private final TreeMap<String, Asked> asked = new TreeMap<>();
   private final TokenBucket proofs = new TokenBucket(PROOFS, PROOFS);
@@ -130,15 +130,15 @@
    *     it is one
    * @param quorum how many votes of issuers prove a revision
    */
-  public Dissemination(
+  public RevisionDissemination(
       String name,
       int place,
       boolean issuer,
       List<Peer> issuers,
       int quorum,
-      Seal seal,
+      SignatureScheme seal,
       SplittableRandom random,
-      Outlet outlet,
+      RevisionMessageSender outlet,
       Host host,
       long now) {
     this.name = name;
@@ -150,8 +150,8 @@
     this.random = random;
     this.outlet = outlet;
     this.host = host;
-    neighbours = new Neighbours(name, place, issuers, random);
-    pull = new Pull(neighbours, log, outlet, random);
+    neighbours = new PeerTable(name, place, issuers, random);
+    pull = new FetchScheduler(neighbours, log, outlet, random);
     nextSeek = now + random.nextLong(SEEK);
     censusAgain = now + random.nextLong(CENSUS_AGAIN);
     lastTick = now;
@@ -175,7 +175,7 @@
     members = there;
     counting.keep(names);
     List<String> before = counters;
-    counters = Counting.counters(place, members);
+    counters = AcknowledgementAggregator.counters(place, members);
     counters.stream().filter(c -> !before.contains(c)).forEach(acksDue::add);
     acksDue.retainAll(counters);
     if (counts() && !before.contains(name)) {
@@ -186,10 +186,10 @@
   }
 
   /** What rides on each packet of this member. */
-  public Word.Have have() {
+  public RevisionMessage.Have have() {
     RevisionLog.Entry in = log.inForce();
     RevisionLog.Entry held = log.newestHeld();
-    return new Word.Have(
+    return new RevisionMessage.Have(
         in == null ? 0 : in.revision().number(),
         in == null ? 0 : in.mark(),
         held == null ? 0 : held.revision().number());
@@ -201,7 +201,7 @@
    * Words have come from a member whose sender is proved; those among issuers are not looked at
    * here.
    */
-  public void hear(long now, Peer sender, List<Word> words) {
+  public void hear(long now, Peer sender, List<RevisionMessage> words) {
     if (sender.name().equals(name)) {
       return;
     }
@@ -214,27 +214,27 @@
       other.heardAt = now;
     }
     boolean liar = neighbours.isLiar(now, sender.name());
-    for (Word w : words) {
-      if (w instanceof Word.Have h) {
+    for (RevisionMessage w : words) {
+      if (w instanceof RevisionMessage.Have h) {
         have(now, sender, h);
-      } else if (w instanceof Word.Notice n && !liar) {
+      } else if (w instanceof RevisionMessage.Notice n && !liar) {
         notice(now, sender, n);
-      } else if (w instanceof Word.Want want) {
+      } else if (w instanceof RevisionMessage.Want want) {
         want(now, sender, want);
-      } else if (w instanceof Word.Piece p && !liar) {
+      } else if (w instanceof RevisionMessage.Piece p && !liar) {
         piece(now, sender, p);
-      } else if (w instanceof Word.Acknowledgement a) {
+      } else if (w instanceof RevisionMessage.Acknowledgement a) {
         changed |=
             neighbours.isOfZone(sender)
                 && counting.note(sender.name(), a.number(), a.mark(), a.refusal());
-      } else if (w instanceof Word.Census c) {
+      } else if (w instanceof RevisionMessage.Census c) {
         census(now, sender, c);
       }
     }
     step(now);
   }
 
-  private void have(long now, Peer sender, Word.Have h) {
+  private void have(long now, Peer sender, RevisionMessage.Have h) {
     Other o = neighbours.get(sender.name());
     if (o != null) {
       o.known = h.known();
@@ -264,7 +264,7 @@
     if (!asked.containsKey(peer.name())
         && asked.size() < MOST_ASKED
         && !neighbours.rests(now, peer.name())
-        && tell(now, peer, new Word.Want(0, 0, 0, 0))) {
+        && tell(now, peer, new RevisionMessage.Want(0, 0, 0, 0))) {
       asked.put(peer.name(), new Asked(number, now + ANSWER));
     }
   }
@@ -285,7 +285,7 @@
     }
   }
 
-  private void notice(long now, Peer sender, Word.Notice n) {
+  private void notice(long now, Peer sender, RevisionMessage.Notice n) {
     Revision r = n.revision();
     if (!sane(r, n.votes())) {
       neighbours.strike(now, sender.name(), Strike.LIED, 0);
@@ -318,10 +318,10 @@
 
   private static boolean sane(Revision r, List<Vote> votes) {
     return r.number() > 0
-        && r.previous().length == Revision.HASH
-        && r.digest().length == Revision.HASH
+        && r.previous().length == Revision.HASH_BYTES
+        && r.digest().length == Revision.HASH_BYTES
         && r.size() >= 0
-        && r.size() <= Revision.MOST_DOCUMENT
+        && r.size() <= Revision.MAX_DOCUMENT_BYTES
         && r.issuer().length() <= MOST_NAME
         && votes.size() <= MOST_VOTES;
   }
@@ -396,7 +396,7 @@
     offer(now);
   }
 
-  private void want(long now, Peer asker, Word.Want w) {
+  private void want(long now, Peer asker, RevisionMessage.Want w) {
     if (w.number() == 0) {
       owe(now, asker, WAVE); // what was told before may have been lost
       return;
@@ -421,7 +421,7 @@
     }
   }
 
-  private void piece(long now, Peer sender, Word.Piece p) {
+  private void piece(long now, Peer sender, RevisionMessage.Piece p) {
     byte[] document = pull.piece(now, sender, p);
     if (document != null) {
       log.document(p.number(), document);
@@ -430,13 +430,13 @@
     drafts.piece(now, sender, p, log, neighbours);
   }
 
-  private void census(long now, Peer sender, Word.Census c) {
+  private void census(long now, Peer sender, RevisionMessage.Census c) {
     if (!issuer || sender.place() != c.place() || neighbours.isIssuer(sender.name())) {
       return;
     }
     Set<String> there = new TreeSet<>(Set.of(sender.name()));
     neighbours.places().getOrDefault(c.place(), List.of()).forEach(o -> there.add(o.peer.name()));
-    if (!Counting.mayCount(c.place(), there, sender.name())) {
+    if (!AcknowledgementAggregator.mayCount(c.place(), there, sender.name())) {
       return;
     }
     if (c.number() > log.newestNumber()) {
@@ -498,7 +498,7 @@
         .forEach(
             (where, there) -> {
               List<String> names = there.stream().map(o -> o.peer.name()).toList();
-              Counting.counters(where, names).stream()
+              AcknowledgementAggregator.counters(where, names).stream()
                   .map(neighbours::get)
                   .filter(o -> now - o.heardAt > 2 * CENSUS_AGAIN)
                   .forEach(o -> tell(now, o.peer, have()));
@@ -521,7 +521,7 @@
     if (seeksLeft <= 0 || now < nextSeek) {
       return;
     }
-    Word.Want newest = new Word.Want(0, 0, 0, 0);
+    RevisionMessage.Want newest = new RevisionMessage.Want(0, 0, 0, 0);
     List<Other> near =
         neighbours.draw(neighbours.zone(), 1, o -> !neighbours.rests(now, o.peer.name()));
     near.forEach(o -> tell(now, o.peer, newest));
@@ -627,7 +627,7 @@
       pushes.poll();
     }
     if (!censusDue.isEmpty()) {
-      Word.Census census = census(now);
+      RevisionMessage.Census census = census(now);
       issuers.stream()
           .filter(i -> censusDue.contains(i.name()) && tell(now, i, census))
           .forEach(i -> censusDue.remove(i.name()));
@@ -635,29 +635,29 @@
     serving.tick(now, outlet);
   }
 
-  private Word.Census census(long now) {
+  private RevisionMessage.Census census(long now) {
     RevisionLog.Entry newest = log.newest();
     if (newest == null) {
-      return new Word.Census(place, 0, members.size(), 0, 0, List.of(), 0);
+      return new RevisionMessage.Census(place, 0, members.size(), 0, 0, List.of(), 0);
     }
     return counting.census(place, newest, members, (now - learntAt) / MILLI);
   }
 
-  private boolean tell(long now, Peer to, Word word) {
-    return outlet.tell(now, to.name(), to.address(), List.of(word));
+  private boolean tell(long now, Peer to, RevisionMessage word) {
+    return outlet.send(now, to.name(), to.address(), List.of(word));
   }
 
   /** Tells one of the newest; where the delta from what it has is small, at once with that. */
   private boolean tellNewest(long now, Peer to) {
     RevisionLog.Entry newest = log.newest();
-    List<Word> words = new ArrayList<>();
-    words.add(new Word.Notice(newest.revision(), newest.votes()));
+    List<RevisionMessage> words = new ArrayList<>();
+    words.add(new RevisionMessage.Notice(newest.revision(), newest.votes()));
     Other o = neighbours.get(to.name());
-    Word.Piece riding = riding(newest, o);
+    RevisionMessage.Piece riding = riding(newest, o);
     if (riding != null) {
       words.add(riding);
     }
-    if (!outlet.tell(now, to.name(), to.address(), words)) {
+    if (!outlet.send(now, to.name(), to.address(), words)) {
       return false;
     }
     if (o != null) {
@@ -671,7 +671,7 @@
    * The whole change in one piece that fits a packet beside the notice, or null; {@code to} may be
    * null.
    */
-  private Word.Piece riding(RevisionLog.Entry newest, Other to) {
+  private RevisionMessage.Piece riding(RevisionLog.Entry newest, Other to) {
     if (newest.document() == null) {
       return null;
     }
@@ -682,19 +682,22 @@
         base == null ? newest.document() : Delta.encode(base.document(), newest.document());
     boolean smaller = base != null && delta.length < newest.document().length;
     byte[] bytes = smaller ? delta : newest.document();
-    Word.Piece piece = new Word.Piece(number, smaller ? base.revision().number() : 0, 0, 1, bytes);
-    int notice = outlet.weight(new Word.Notice(newest.revision(), newest.votes()));
-    return bytes.length <= Fetch.PIECE && notice + outlet.weight(piece) <= outlet.mostPacket()
+    RevisionMessage.Piece piece =
+        new RevisionMessage.Piece(number, smaller ? base.revision().number() : 0, 0, 1, bytes);
+    int notice = outlet.encodedBytes(new RevisionMessage.Notice(newest.revision(), newest.votes()));
+    return bytes.length <= ChunkedFetch.PIECE
+            && notice + outlet.encodedBytes(piece) <= outlet.maxPacketBytes()
         ? piece
         : null;
   }
 
-  private Word.Acknowledgement acknowledgement() {
+  private RevisionMessage.Acknowledgement acknowledgement() {
     if (refused != null
         && (log.inForce() == null || refused.revision().number() > have().inForce())) {
-      return new Word.Acknowledgement(refused.revision().number(), refused.mark(), refusal);
+      return new RevisionMessage.Acknowledgement(
+          refused.revision().number(), refused.mark(), refusal);
     }
-    return new Word.Acknowledgement(have().inForce(), have().mark(), "");
+    return new RevisionMessage.Acknowledgement(have().inForce(), have().mark(), "");
   }
 
   // ---- The host ----
@@ -742,7 +745,7 @@
   }
 
   private void noteSelf() {
-    Word.Acknowledgement a = acknowledgement();
+    RevisionMessage.Acknowledgement a = acknowledgement();
     changed |= counting.note(name, a.number(), a.mark(), a.refusal());
   }
 
@@ -762,7 +765,7 @@
               + " is not issued: its document has "
               + document.length
               + " bytes, of "
-              + Revision.MOST_DOCUMENT
+              + Revision.MAX_DOCUMENT_BYTES
               + " at most, or is not the one that it names");
       return;
     }
@@ -782,9 +785,9 @@
 
   /** The newest revision that is proved, with its proof; null for none. */
   @Override
-  public Word.Notice newest() {
+  public RevisionMessage.Notice newest() {
     RevisionLog.Entry e = log.newest();
-    return e == null ? null : new Word.Notice(e.revision(), e.votes());
+    return e == null ? null : new RevisionMessage.Notice(e.revision(), e.votes());
   }
 
   /** The document of a revision, proved or a draft, if it is held; else null. */
@@ -817,7 +820,7 @@
   }
 
   /** What the issuers' counters told last of each place; at an issuer only. */
-  public List<Word.Census> censuses() {
+  public List<RevisionMessage.Census> censuses() {
     return sums.all();
   }
 
--- a/decisions/src/main/java/reachloom/revision/RevisionLog.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionLog.java
@@ -24,7 +24,7 @@
   /** Bases for deltas: one who missed a burst of ten still gets a delta. */
   private static final int MOST_REVISIONS = 16;
 
-  private static final int MOST_BYTES = 4 * Revision.MOST_DOCUMENT;
+  private static final int MOST_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
   private static final int MOST_FORKS = 8; // remembered; one is an alarm already
 
   private final TreeMap<Long, Entry> entries = new TreeMap<>();
--- a/decisions/src/main/java/reachloom/revision/Outlet.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessageSender.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /** Where words go, and what they weigh on the wire. */
-public interface Outlet {
+public interface RevisionMessageSender {
   /** The bytes of one word. */
-  int weight(Word word);
+  int encodedBytes(RevisionMessage word);
 
   /** How many bytes of words one packet holds at most. */
-  int mostPacket();
+  int maxPacketBytes();
 
   /**
    * Sends words to a member at once; false where the budget of the second has no room: try again
    * later.
    */
-  boolean tell(long now, String to, long address, List<Word> words);
+  boolean send(long now, String to, long address, List<RevisionMessage> words);
 }
--- a/decisions/src/main/java/reachloom/revision/Library.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionRepository.java
@@ -6,9 +6,9 @@
 /**
  * What an issuer's council needs of the member that it belongs to: what is proved, and documents.
  */
-public interface Library {
+public interface RevisionRepository {
   /** The newest revision that is proved, with its proof; null for none. */
-  Word.Notice newest();
+  RevisionMessage.Notice newest();
 
   /** A revision is decided, or was found in the store at a start. */
   void proved(long now, Revision revision, List<Vote> votes, byte[] document);
--- a/decisions/src/main/java/reachloom/revision/Seal.java
+++ b/decisions/src/main/java/reachloom/revision/SignatureScheme.java
@@ -4,7 +4,7 @@
  * The signatures of issuers, made and proved outside this package; both are functions without a
  * state.
  */
-public interface Seal {
+public interface SignatureScheme {
   /** This instance's signature over a chain; only issuers are asked. */
   byte[] sign(byte[] chain);
 
--- a/decisions/src/main/java/reachloom/revision/Serving.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -7,7 +7,7 @@
 import reachloom.scheduler.state.TokenBucket;
 
 /** The documents that others have asked for: who asked first is served whole before the next. */
-final class Serving {
+final class TransferQueue {
   private static final class Order {
     private final Peer to;
     private final long number;
@@ -24,7 +24,7 @@
       this.base = base;
       this.bytes = bytes;
       next = from;
-      end = Math.min(Fetch.pieces(bytes.length), from + Fetch.WINDOW);
+      end = Math.min(ChunkedFetch.pieces(bytes.length), from + ChunkedFetch.WINDOW);
     }
   }
 
@@ -45,7 +45,7 @@
    */
   void order(long now, Peer to, long number, long base, byte[] bytes, int from) {
     boolean full = orders.size() >= MOST_ORDERS && !orders.containsKey(to.name());
-    if (full || from < 0 || from >= Fetch.pieces(bytes.length)) {
+    if (full || from < 0 || from >= ChunkedFetch.pieces(bytes.length)) {
       return;
     }
     Order o = new Order(now, to, number, base, bytes, from);
@@ -66,7 +66,7 @@
   }
 
   /** Sends what the budget bears. */
-  void tick(long now, Outlet outlet) {
+  void tick(long now, RevisionMessageSender outlet) {
     int left = PIECES_A_TICK;
     orders.values().removeIf(o -> now >= o.until);
     for (Order o : new ArrayList<>(orders.values())) {
@@ -83,14 +83,14 @@
         if (!bucket.take(now)) {
           break;
         }
-        Word piece =
-            new Word.Piece(
+        RevisionMessage piece =
+            new RevisionMessage.Piece(
                 o.number,
                 o.base,
                 o.next,
-                Fetch.pieces(o.bytes.length),
-                Fetch.piece(o.bytes, o.next));
-        if (!outlet.tell(now, o.to.name(), o.to.address(), List.of(piece))) {
+                ChunkedFetch.pieces(o.bytes.length),
+                ChunkedFetch.piece(o.bytes, o.next));
+        if (!outlet.send(now, o.to.name(), o.to.address(), List.of(piece))) {
           return; // the budget is used up
         }
         o.next++;
--- a/decisions/src/test/java/reachloom/gossip/GuardTest.java
+++ b/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /** What is refused before a signature is looked at. */
-class GuardTest {
+class DatagramRateLimiterTest {
   private static final long SECOND = 1_000_000_000;
 
-  private final Guard guard = new Guard(SECOND);
+  private final DatagramRateLimiter guard = new DatagramRateLimiter(SECOND);
   private long now = 1_000 * SECOND;
 
-  private Refusal admit(long source, boolean member, long time, long seq) {
+  private RejectionReason admit(long source, boolean member, long time, long seq) {
     return guard.admit(now, source, member, true, false, "p", time, seq);
   }
 
@@ -22,9 +22,9 @@
   void clocksTenSecondsApartAreBorneAnHourIsNot() {
     assertNull(admit(1, true, now - 10 * SECOND, 1));
     assertNull(admit(1, true, now + 10 * SECOND, 2));
-    assertEquals(Refusal.TIME, admit(1, true, now - 3_600 * SECOND, 3));
-    assertEquals(Refusal.TIME, admit(1, true, now + 3_600 * SECOND, 4));
-    assertEquals(2L, guard.refused().get(Refusal.TIME));
+    assertEquals(RejectionReason.TIME, admit(1, true, now - 3_600 * SECOND, 3));
+    assertEquals(RejectionReason.TIME, admit(1, true, now + 3_600 * SECOND, 4));
+    assertEquals(2L, guard.refused().get(RejectionReason.TIME));
   }
 
   @Test
@@ -32,12 +32,12 @@
     assertTrue(guard.take("p", 100));
     assertTrue(guard.take("p", 103));
     assertTrue(guard.take("p", 101));
-    assertEquals(Refusal.REPLAYED, admit(1, true, now, 101));
-    assertEquals(Refusal.REPLAYED, admit(1, true, now, 103));
+    assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 101));
+    assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 103));
     assertNull(admit(1, true, now, 102));
     assertFalse(guard.take("p", 100));
     assertTrue(guard.take("p", 10_000));
-    assertEquals(Refusal.REPLAYED, admit(1, true, now, 102), "too far behind to be known");
+    assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 102), "too far behind to be known");
     assertNull(admit(1, true, now, 10_001));
     assertTrue(guard.take("q", 100), "another sender counts for itself");
   }
@@ -80,7 +80,7 @@
 
   @Test
   void membersThatProbeOftenHaveRoomForIt() {
-    Guard quick = new Guard(SECOND / 10);
+    DatagramRateLimiter quick = new DatagramRateLimiter(SECOND / 10);
     for (int i = 0; i < 600; i++) { // six packets a period, a minute long
       now += SECOND / 60;
       assertNull(quick.admit(now, 5, true, true, false, "p", now, i));
@@ -89,13 +89,13 @@
 
   @Test
   void whoIsNotKnownHasToBringItsCertificate() {
-    assertEquals(Refusal.UNKNOWN, guard.admit(now, 1, false, false, false, "p", now, 1));
+    assertEquals(RejectionReason.UNKNOWN, guard.admit(now, 1, false, false, false, "p", now, 1));
     assertNull(guard.admit(now, 1, false, false, true, "p", now, 1));
   }
 
   @Test
   void membersThatPassDocumentsOnMaySayMoreInASecond() {
-    Guard busy = new Guard(SECOND, true);
+    DatagramRateLimiter busy = new DatagramRateLimiter(SECOND, true);
     int taken = 0;
     int plain = 0;
     for (int i = 0; i < 200; i++) {
--- a/decisions/src/test/java/reachloom/membership/MembershipTest.java
+++ b/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
@@ -12,40 +12,47 @@
 import org.junit.jupiter.api.Test;
 
 /** One instance, told event by event what the others say; no network. */
-class MembershipTest {
+class MembershipServiceTest {
   private static final long SECOND = 1_000_000_000;
   private static final long START = 1_000_000 * SECOND;
   private static final int CAP = 65_536;
 
-  private record Sent(long at, String to, long address, Message message, List<News> news) {}
+  private record Sent(
+      long at, String to, long address, MembershipMessage message, List<MembershipUpdate> news) {}
 
   private final List<Sent> sent = new ArrayList<>();
-  private final List<News> changes = new ArrayList<>();
+  private final List<MembershipUpdate> changes = new ArrayList<>();
   private long now = START;
-  private Membership me;
+  private MembershipService me;
 
-  private final class Out implements Outbox {
+  private final class Out implements MessageSender {
     @Override
-    public int send(long at, String to, long address, Message message, List<News> news, int most) {
+    public int send(
+        long at,
+        String to,
+        long address,
+        MembershipMessage message,
+        List<MembershipUpdate> news,
+        int most) {
       sent.add(new Sent(at, to, address, message, news));
       return 100 + 30 * news.size();
     }
 
     @Override
-    public void changed(long at, News member) {
+    public void changed(long at, MembershipUpdate member) {
       changes.add(member);
     }
   }
 
-  private static final Weights WEIGHTS =
-      new Weights() {
+  private static final WireSizes WEIGHTS =
+      new WireSizes() {
         @Override
-        public int message(String to, Message message) {
+        public int message(String to, MembershipMessage message) {
           return 100;
         }
 
         @Override
-        public int news(News news) {
+        public int news(MembershipUpdate news) {
           return 30;
         }
       };
@@ -55,8 +62,8 @@
     me = instance(CAP, List.of());
   }
 
-  private Membership instance(int cap, List<Long> seeds) {
-    return new Membership(
+  private MembershipService instance(int cap, List<Long> seeds) {
+    return new MembershipService(
         "me", 1, seeds, now, SECOND, cap, new SplittableRandom(1), new Out(), WEIGHTS);
   }
 
@@ -67,7 +74,7 @@
     }
   }
 
-  private void hear(String from, Message message, News... news) {
+  private void hear(String from, MembershipMessage message, MembershipUpdate... news) {
     me.receive(now, from, address(from), START / SECOND, message, List.of(news));
   }
 
@@ -75,18 +82,18 @@
     return 100 + name.hashCode() % 50;
   }
 
-  private static News news(String of, long incarnation, State state, String by) {
-    return new News(of, address(of), START / SECOND + incarnation, state, by);
+  private static MembershipUpdate news(String of, long incarnation, MemberState state, String by) {
+    return new MembershipUpdate(of, address(of), START / SECOND + incarnation, state, by);
   }
 
-  private State state(String of) {
+  private MemberState state(String of) {
     Member m = me.member(of);
     return m == null ? null : m.state();
   }
 
   private void join(String... names) {
     for (String n : names) {
-      hear(n, new Message.Ack(-1));
+      hear(n, new MembershipMessage.Ack(-1));
     }
   }
 
@@ -96,8 +103,8 @@
       int from = sent.size();
       pass(SECOND / 10);
       for (Sent s : List.copyOf(sent.subList(from, sent.size()))) {
-        if (s.message() instanceof Message.Ping p && !List.of(silent).contains(s.to())) {
-          hear(s.to(), new Message.Ack(p.seq()));
+        if (s.message() instanceof MembershipMessage.Ping p && !List.of(silent).contains(s.to())) {
+          hear(s.to(), new MembershipMessage.Ack(p.seq()));
         }
       }
     }
@@ -106,7 +113,7 @@
   @Test
   void aPacketOfItsOwnMakesAMember() {
     join("a");
-    assertEquals(State.ALIVE, state("a"));
+    assertEquals(MemberState.ALIVE, state("a"));
     assertEquals(2, me.size());
     assertEquals("a", changes.get(0).member());
   }
@@ -117,19 +124,25 @@
     passAnswering(30 * SECOND, "e");
     assertTrue(
         sent.stream()
-                .filter(s -> s.message() instanceof Message.PingRequest r && r.target().equals("e"))
+                .filter(
+                    s ->
+                        s.message() instanceof MembershipMessage.PingRequest r
+                            && r.target().equals("e"))
                 .map(Sent::to)
                 .distinct()
                 .count()
             >= 3,
         "three others were asked");
     assertTrue(
-        changes.stream().anyMatch(n -> n.member().equals("e") && n.state() == State.SUSPECT));
+        changes.stream().anyMatch(n -> n.member().equals("e") && n.state() == MemberState.SUSPECT));
     passAnswering(30 * SECOND, "e");
-    assertEquals(State.DEAD, state("e"));
+    assertEquals(MemberState.DEAD, state("e"));
     assertEquals(
         List.of("a", "b", "c", "d"),
-        me.members().stream().filter(m -> m.state() == State.ALIVE).map(Member::name).toList());
+        me.members().stream()
+            .filter(m -> m.state() == MemberState.ALIVE)
+            .map(Member::name)
+            .toList());
     assertEquals(5, me.size());
   }
 
@@ -142,7 +155,7 @@
     assertEquals(
         8,
         sent.stream()
-            .filter(s -> s.message() instanceof Message.Ping)
+            .filter(s -> s.message() instanceof MembershipMessage.Ping)
             .map(Sent::to)
             .distinct()
             .count());
@@ -151,20 +164,21 @@
   @Test
   void oneVoiceAboutADeathIsAnAccusationOnly() {
     join("a", "b", "liar");
-    hear("liar", new Message.Ack(-1), news("a", 0, State.DEAD, "liar"));
-    assertEquals(State.SUSPECT, state("a"));
-    hear("liar", new Message.Ack(-1), news("b", 0, State.LEFT, ""));
-    assertEquals(State.SUSPECT, state("b"), "nor is a farewell taken from a third one");
+    hear("liar", new MembershipMessage.Ack(-1), news("a", 0, MemberState.DEAD, "liar"));
+    assertEquals(MemberState.SUSPECT, state("a"));
+    hear("liar", new MembershipMessage.Ack(-1), news("b", 0, MemberState.LEFT, ""));
+    assertEquals(MemberState.SUSPECT, state("b"), "nor is a farewell taken from a third one");
     pass(SECOND);
-    hear("a", new Message.Ack(-1), news("a", 1, State.ALIVE, ""));
-    me.receive(now, "a", address("a"), START / SECOND + 1, new Message.Ack(-1), List.of());
-    assertEquals(State.ALIVE, state("a"), "it has objected");
+    hear("a", new MembershipMessage.Ack(-1), news("a", 1, MemberState.ALIVE, ""));
+    me.receive(
+        now, "a", address("a"), START / SECOND + 1, new MembershipMessage.Ack(-1), List.of());
+    assertEquals(MemberState.ALIVE, state("a"), "it has objected");
   }
 
   @Test
   void eachFurtherAccuserShortensTheTimeToObject() {
     join("a", "b", "c", "d");
-    hear("b", new Message.Ack(-1), news("a", 0, State.SUSPECT, "b"));
+    hear("b", new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, "b"));
     Suspicion one = new Suspicion(now, SECOND, 5, "b");
     long alone = one.until() - now;
     assertTrue(one.confirm("c"));
@@ -182,14 +196,24 @@
   void whoIsAccusedObjectsInAHigherIncarnationAndLooksToItself() {
     join("a");
     long before = me.incarnation();
-    hear("a", new Message.Ack(-1), new News("me", 1, before, State.SUSPECT, "a"));
+    hear(
+        "a",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("me", 1, before, MemberState.SUSPECT, "a"));
     assertEquals(before + 1, me.incarnation());
     assertEquals(1, me.health());
-    hear("a", new Message.Ping(7, "me"));
-    assertTrue(last().news().contains(new News("me", 1, before + 1, State.ALIVE, "")));
-    hear("a", new Message.Ack(-1), new News("me", 1, before, State.DEAD, "a"));
+    hear("a", new MembershipMessage.Ping(7, "me"));
+    assertTrue(
+        last().news().contains(new MembershipUpdate("me", 1, before + 1, MemberState.ALIVE, "")));
+    hear(
+        "a",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("me", 1, before, MemberState.DEAD, "a"));
     assertEquals(before + 1, me.incarnation(), "that was answered");
-    hear("a", new Message.Ack(-1), new News("me", 99, before + 1, State.ALIVE, ""));
+    hear(
+        "a",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("me", 99, before + 1, MemberState.ALIVE, ""));
     assertEquals(before + 2, me.incarnation(), "somebody has it elsewhere");
   }
 
@@ -209,18 +233,21 @@
                         s.to().equals("d")
                             && !s.news().isEmpty()
                             && s.news().get(0).member().equals("d")
-                            && s.news().get(0).state() == State.SUSPECT)
+                            && s.news().get(0).state() == MemberState.SUSPECT)
                 .findFirst()
                 .orElseThrow());
-    News accusation =
-        changes.stream().filter(n -> n.state() == State.SUSPECT).findFirst().orElseThrow();
+    MembershipUpdate accusation =
+        changes.stream().filter(n -> n.state() == MemberState.SUSPECT).findFirst().orElseThrow();
     long accused =
         sent.stream().filter(s -> s.news().contains(accusation)).findFirst().orElseThrow().at();
     assertTrue(sent.get(at).at() - accused <= 2 * SECOND, "within two periods");
     long told =
         sent.stream()
             .filter(
-                s -> s.to().equals("d") && s.message() instanceof Message.Ping && s.at() >= accused)
+                s ->
+                    s.to().equals("d")
+                        && s.message() instanceof MembershipMessage.Ping
+                        && s.at() >= accused)
             .count();
     assertTrue(told >= 5, told + " times");
   }
@@ -229,23 +256,24 @@
   void nobodyIsGivenUpUnaskedAndAnObjectionStillCounts() {
     join("a", "b", "c", "d");
     for (String accuser : new String[] {"b", "c", "d"}) {
-      hear(accuser, new Message.Ack(-1), news("a", 0, State.SUSPECT, accuser));
+      hear(accuser, new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, accuser));
     }
     pass(3 * SECOND - SECOND / 5);
     sent.clear();
     pass(SECOND / 2);
     Sent question = sent.stream().filter(s -> s.to().equals("a")).findFirst().orElseThrow();
-    assertEquals(State.SUSPECT, question.news().get(0).state());
-    me.receive(now, "a", address("a"), START / SECOND + 1, new Message.Ack(-1), List.of());
+    assertEquals(MemberState.SUSPECT, question.news().get(0).state());
+    me.receive(
+        now, "a", address("a"), START / SECOND + 1, new MembershipMessage.Ack(-1), List.of());
     pass(5 * SECOND);
-    assertEquals(State.ALIVE, state("a"));
+    assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
   void theLastQuestionsGoThroughOthersToo() {
     join("a", "b", "c", "d");
     for (String accuser : new String[] {"b", "c", "d"}) {
-      hear(accuser, new Message.Ack(-1), news("a", 0, State.SUSPECT, accuser));
+      hear(accuser, new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, accuser));
     }
     sent.clear();
     // Whatever goes to it, or comes back from it, is lost on the way.
@@ -254,15 +282,18 @@
       passAnswering(SECOND / 10, "a");
       through =
           sent.stream()
-              .filter(s -> s.message() instanceof Message.PingRequest r && r.target().equals("a"))
+              .filter(
+                  s ->
+                      s.message() instanceof MembershipMessage.PingRequest r
+                          && r.target().equals("a"))
               .findFirst()
               .orElse(null);
     }
-    assertEquals(State.SUSPECT, state("a"));
-    Message.PingRequest asked = (Message.PingRequest) through.message();
-    hear(through.to(), new Message.Ack(asked.seq()), news("a", 1, State.ALIVE, ""));
+    assertEquals(MemberState.SUSPECT, state("a"));
+    MembershipMessage.PingRequest asked = (MembershipMessage.PingRequest) through.message();
+    hear(through.to(), new MembershipMessage.Ack(asked.seq()), news("a", 1, MemberState.ALIVE, ""));
     assertEquals(
-        State.ALIVE,
+        MemberState.ALIVE,
         state("a"),
         "it had objected long ago, and the relay has heard so from itself");
   }
@@ -270,20 +301,32 @@
   @Test
   void noIncarnationFromTheFutureLeavesNoNumberToObjectWith() {
     join("a", "b");
-    hear("b", new Message.Ack(-1), new News("a", 5, START / SECOND + 100, State.SUSPECT, "b"));
-    assertEquals(State.ALIVE, state("a"));
+    hear(
+        "b",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("a", 5, START / SECOND + 100, MemberState.SUSPECT, "b"));
+    assertEquals(MemberState.ALIVE, state("a"));
     long before = me.incarnation();
-    hear("b", new Message.Ack(-1), new News("me", 5, Long.MAX_VALUE, State.DEAD, "b"));
+    hear(
+        "b",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("me", 5, Long.MAX_VALUE, MemberState.DEAD, "b"));
     assertEquals(before, me.incarnation());
   }
 
   @Test
   void hearsayOfAnAddressYieldsToThePacketsOfItsOwn() {
-    hear("liar", new Message.Ack(-1), new News("a", 666, START / SECOND, State.ALIVE, ""));
+    hear(
+        "liar",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("a", 666, START / SECOND, MemberState.ALIVE, ""));
     assertEquals(666, me.member("a").address());
     join("a");
     assertEquals(address("a"), me.member("a").address());
-    hear("liar", new Message.Ack(-1), new News("a", 666, START / SECOND, State.ALIVE, ""));
+    hear(
+        "liar",
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("a", 666, START / SECOND, MemberState.ALIVE, ""));
     assertEquals(address("a"), me.member("a").address());
   }
 
@@ -292,44 +335,55 @@
     join("b");
     hear(
         "b",
-        new Message.Ack(-1),
-        new News("a", address("a"), START / SECOND, State.ALIVE, "", 0x0102));
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("a", address("a"), START / SECOND, MemberState.ALIVE, "", 0x0102));
     assertEquals(0x0102, me.member("a").place());
     hear(
         "liar",
-        new Message.Ack(-1),
-        new News("a", address("a"), START / SECOND, State.ALIVE, "", 0x0309));
+        new MembershipMessage.Ack(-1),
+        new MembershipUpdate("a", address("a"), START / SECOND, MemberState.ALIVE, "", 0x0309));
     assertEquals(0x0102, me.member("a").place(), "hearsay fills a gap and moves nobody");
     assertEquals(0, me.member("b").place());
-    me.receive(now, "b", address("b"), 0x0201, START / SECOND, new Message.Ack(-1), List.of());
+    me.receive(
+        now, "b", address("b"), 0x0201, START / SECOND, new MembershipMessage.Ack(-1), List.of());
     assertEquals(0x0201, me.member("b").place());
     assertEquals("b", changes.get(changes.size() - 1).member(), "it is told like any change");
-    me.receive(now, "a", address("a"), 0x0201, START / SECOND + 1, new Message.Ack(-1), List.of());
+    me.receive(
+        now,
+        "a",
+        address("a"),
+        0x0201,
+        START / SECOND + 1,
+        new MembershipMessage.Ack(-1),
+        List.of());
     assertEquals(0x0201, me.member("a").place(), "a new life may be elsewhere");
   }
 
   @Test
   void aRestartUnderAnOldIncarnationIsToldSoAndComesBack() {
     join("a", "b");
-    hear("b", new Message.Ack(-1), news("a", 9, State.ALIVE, ""));
-    hear("a", new Message.Ping(3, "me"));
-    hear("b", new Message.Ack(-1), news("a", 9, State.SUSPECT, "b"));
+    hear("b", new MembershipMessage.Ack(-1), news("a", 9, MemberState.ALIVE, ""));
+    hear("a", new MembershipMessage.Ping(3, "me"));
+    hear("b", new MembershipMessage.Ack(-1), news("a", 9, MemberState.SUSPECT, "b"));
     sent.clear();
-    hear("a", new Message.Ping(4, "me"));
+    hear("a", new MembershipMessage.Ping(4, "me"));
     assertEquals(
-        State.SUSPECT, last().news().get(0).state(), "first of all it hears that it is suspected");
+        MemberState.SUSPECT,
+        last().news().get(0).state(),
+        "first of all it hears that it is suspected");
     assertEquals(START / SECOND + 9, last().news().get(0).incarnation());
-    me.receive(now, "a", address("a"), START / SECOND + 10, new Message.Ack(-1), List.of());
-    assertEquals(State.ALIVE, state("a"));
+    me.receive(
+        now, "a", address("a"), START / SECOND + 10, new MembershipMessage.Ack(-1), List.of());
+    assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
   void aFarewellOfItsOwnIsTakenAtOnceAndAnOldMessageDoesNotBringItBack() {
     join("a", "b");
-    me.receive(now, "a", address("a"), START / SECOND, new Message.Leave(), List.of());
-    assertEquals(State.LEFT, state("a"));
-    hear("b", new Message.Ack(-1), news("a", 0, State.ALIVE, ""));
-    assertEquals(State.LEFT, state("a"));
+    me.receive(now, "a", address("a"), START / SECOND, new MembershipMessage.Leave(), List.of());
+    assertEquals(MemberState.LEFT, state("a"));
+    hear("b", new MembershipMessage.Ack(-1), news("a", 0, MemberState.ALIVE, ""));
+    assertEquals(MemberState.LEFT, state("a"));
     passAnswering(700 * SECOND, "a");
     assertNull(me.member("a"), "forgotten in the end");
   }
@@ -338,32 +392,33 @@
   void aStandstillBlamesNobodyElse() {
     join("a", "b", "c");
     pass(16 * SECOND);
-    hear("b", new Message.Ack(-1), news("a", 0, State.SUSPECT, "b"));
+    hear("b", new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, "b"));
     now += 20 * SECOND; // longer than any time to object
     me.tick(now);
-    assertEquals(State.SUSPECT, state("a"), "what was said meanwhile waits on the socket");
+    assertEquals(MemberState.SUSPECT, state("a"), "what was said meanwhile waits on the socket");
     assertTrue(me.health() > 0);
-    assertEquals(State.ALIVE, state("c"));
+    assertEquals(MemberState.ALIVE, state("c"));
   }
 
   @Test
   void aRelayPassesTheQuestionAndTheAnswerOrItsNo() {
     join("c", "a", "b");
     sent.clear();
-    hear("a", new Message.PingRequest(42, "c", address("c")));
-    Message.Ping asked = (Message.Ping) last().message();
+    hear("a", new MembershipMessage.PingRequest(42, "c", address("c")));
+    MembershipMessage.Ping asked = (MembershipMessage.Ping) last().message();
     assertEquals("c", last().to());
-    hear("c", new Message.Ack(asked.seq()));
-    assertEquals(new Message.Ack(42), last().message());
+    hear("c", new MembershipMessage.Ack(asked.seq()));
+    assertEquals(new MembershipMessage.Ack(42), last().message());
     assertEquals("a", last().to());
     assertEquals("c", last().news().get(0).member(), "with what it has heard from it itself");
-    hear("b", new Message.PingRequest(43, "c", address("c")));
+    hear("b", new MembershipMessage.PingRequest(43, "c", address("c")));
     for (int i = 0; i < 4; i++) {
       pass(SECOND / 10);
     }
     assertTrue(
         sent.stream()
-            .anyMatch(s -> s.to().equals("b") && s.message().equals(new Message.Nack(43))));
+            .anyMatch(
+                s -> s.to().equals("b") && s.message().equals(new MembershipMessage.Nack(43))));
   }
 
   @Test
@@ -373,7 +428,7 @@
     pass(100 * SECOND);
     assertEquals(0, sent.size());
     assertEquals(4, me.size());
-    assertEquals(State.ALIVE, state("a"));
+    assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
@@ -382,8 +437,8 @@
     long most = 0;
     for (int i = 0; i < 600; i++) {
       for (int k = 0; k < 20; k++) {
-        hear("m" + i % 50 + "x" + k, new Message.Ping(i, "me"));
-        hear("m" + i % 50 + "x" + k, new Message.Pull("", "", 1, List.of()));
+        hear("m" + i % 50 + "x" + k, new MembershipMessage.Ping(i, "me"));
+        hear("m" + i % 50 + "x" + k, new MembershipMessage.Pull("", "", 1, List.of()));
       }
       passAnswering(SECOND / 10);
       long from = now - SECOND;
@@ -397,7 +452,7 @@
     }
     assertTrue(most <= 2_000, most + " bytes");
     assertTrue(
-        sent.stream().filter(s -> s.message() instanceof Message.Ping).count() > 30,
+        sent.stream().filter(s -> s.message() instanceof MembershipMessage.Ping).count() > 30,
         "the failure detector still works");
   }
 
@@ -411,11 +466,13 @@
                 s ->
                     s.address() == 77
                         && s.message()
-                            .equals(new Message.Ping(((Message.Ping) s.message()).seq(), ""))));
+                            .equals(
+                                new MembershipMessage.Ping(
+                                    ((MembershipMessage.Ping) s.message()).seq(), ""))));
     assertTrue(sent.size() >= 3);
     join("a", "b", "c");
-    hear("new", new Message.Ping(1, ""));
-    Message.Part welcome = (Message.Part) last().message();
+    hear("new", new MembershipMessage.Ping(1, ""));
+    MembershipMessage.Part welcome = (MembershipMessage.Part) last().message();
     assertEquals(3, welcome.held().size());
     assertTrue(welcome.more());
   }
@@ -424,10 +481,13 @@
   void tablesAreComparedByMarksAndOnlyTheDifferenceIsTold() {
     join("a", "b", "c");
     List<Integer> marks =
-        me.members().stream().filter(m -> !m.name().equals("b")).map(m -> Marks.of(5, m)).toList();
-    hear("a", new Message.Pull("", "", 5, marks));
-    Message.Part part = (Message.Part) last().message();
-    assertEquals(List.of("b"), part.held().stream().map(News::member).toList());
+        me.members().stream()
+            .filter(m -> !m.name().equals("b"))
+            .map(m -> MemberDigest.of(5, m))
+            .toList();
+    hear("a", new MembershipMessage.Pull("", "", 5, marks));
+    MembershipMessage.Part part = (MembershipMessage.Part) last().message();
+    assertEquals(List.of("b"), part.held().stream().map(MembershipUpdate::member).toList());
     assertFalse(part.more());
   }
 
--- a/decisions/src/test/java/reachloom/evidence/CorroborationTest.java
+++ b/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
@@ -1,4 +1,4 @@
-package reachloom.evidence;
+package reachloom.peerreport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,28 +8,28 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import reachloom.evidence.Corroboration.Belief;
-import reachloom.evidence.Ledger.Seen;
+import reachloom.peerreport.OutcomeWindow.Seen;
+import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.scheduler.api.AttemptOutcome;
 
 /** What others say is weighed, and own evidence goes before it. */
-class CorroborationTest {
+class WeightedQuorumTest {
   private static final long SECOND = 1_000_000_000;
   private static final int ENGINES = 12;
 
-  private final Ledger own = new Ledger();
-  private final Corroboration others = new Corroboration(own);
+  private final OutcomeWindow own = new OutcomeWindow();
+  private final WeightedQuorum others = new WeightedQuorum(own);
   private final Map<String, Long> engines = new LinkedHashMap<>();
   private long now = 1_000 * SECOND;
 
-  CorroborationTest() {
+  WeightedQuorumTest() {
     for (int i = 0; i < ENGINES; i++) {
       engines.put("e" + i, 0L);
     }
   }
 
   private void claim(String peer, String engine, int served, int lost) {
-    others.hear(now, peer, List.of(new Claim(engine, 0, served, 0, lost, 0)));
+    others.hear(now, peer, List.of(new PeerReport(engine, 0, served, 0, lost, 0)));
   }
 
   private double level(String engine) {
@@ -63,7 +63,7 @@
     for (int i = 0; i < 20; i++) {
       now += SECOND;
       claim("p", "e1", 0, 1_000);
-      assertTrue(level("e1") < Corroboration.ACCUSED);
+      assertTrue(level("e1") < WeightedQuorum.ACCUSED);
     }
     assertTrue(level("e1") > 0, "but it is heard");
   }
@@ -72,7 +72,7 @@
   void twoThatSawItIndependentlyDo() {
     claim("p", "e1", 0, 5);
     claim("q", "e1", 0, 4);
-    assertTrue(level("e1") >= Corroboration.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
     assertEquals(List.of("p", "q"), others.review(now, engines).get(0).accusers());
   }
 
@@ -84,7 +84,7 @@
     for (String v : new String[] {"r", "s", "t", "u"}) {
       claim(v, "e1", 20, 0);
     }
-    assertTrue(level("e1") < Corroboration.ACCUSED && level("e1") < accused);
+    assertTrue(level("e1") < WeightedQuorum.ACCUSED && level("e1") < accused);
   }
 
   @Test
@@ -92,14 +92,14 @@
     for (int i = 0; i < 30; i++) {
       claim("p" + i, "e1", 0, 50);
     }
-    assertTrue(level("e1") >= Corroboration.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
     seeGood("e1");
     assertEquals(0, level("e1"));
     now += 4 * SECOND; // what was seen is no longer fresh
     for (int i = 30; i < 40; i++) {
       claim("p" + i, "e1", 0, 50);
     }
-    assertTrue(level("e1") >= Corroboration.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
   }
 
   @Test
@@ -135,10 +135,10 @@
     for (String p : new String[] {"x", "y", "z"}) {
       claim(p, "e2", 0, 50); // another engine, of which nothing is seen here
     }
-    assertTrue(level("e2") < Corroboration.ACCUSED, level("e2") + "");
+    assertTrue(level("e2") < WeightedQuorum.ACCUSED, level("e2") + "");
     claim("a", "e2", 0, 5);
     claim("b", "e2", 0, 5);
-    assertTrue(level("e2") >= Corroboration.ACCUSED, "two honest ones still count");
+    assertTrue(level("e2") >= WeightedQuorum.ACCUSED, "two honest ones still count");
   }
 
   @Test
@@ -146,7 +146,7 @@
     claim("p", "e1", 0, 5);
     claim("q", "e1", 0, 5);
     claim("liar", "e1", 1_000, 0);
-    assertTrue(level("e1") >= Corroboration.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
   }
 
   @Test
@@ -158,7 +158,7 @@
     }
     long accused =
         others.review(now, engines).stream()
-            .filter(b -> b.level() >= Corroboration.ACCUSED)
+            .filter(b -> b.level() >= WeightedQuorum.ACCUSED)
             .count();
     assertEquals(ENGINES / 4, accused);
   }
@@ -171,7 +171,7 @@
     assertEquals(0, level("e1"));
     own.note(now, "e1", 77, Seen.SERVED);
     own.note(now, "e1", 0, Seen.LOST); // an attempt at the old one ends late
-    assertEquals(new Claim("e1", 77, 1, 0, 0, 0), own.seen(now, "e1", 77, 3));
+    assertEquals(new PeerReport("e1", 77, 1, 0, 0, 0), own.seen(now, "e1", 77, 3));
   }
 
   @Test
@@ -179,7 +179,7 @@
     claim("p", "e1", 0, 5);
     claim("q", "e1", 0, 5);
     others.gone("q");
-    assertTrue(level("e1") < Corroboration.ACCUSED);
+    assertTrue(level("e1") < WeightedQuorum.ACCUSED);
     now += 21 * SECOND;
     assertEquals(0, level("e1"));
   }
@@ -199,9 +199,9 @@
         now,
         "p",
         List.of(
-            new Claim("e1", 0, -5, 3, 1, 0),
-            new Claim("e1", 0, 0, 0, 5, -1),
-            new Claim("e1", 0, 0, 0, 5, Long.MAX_VALUE)));
+            new PeerReport("e1", 0, -5, 3, 1, 0),
+            new PeerReport("e1", 0, 0, 0, 5, -1),
+            new PeerReport("e1", 0, 0, 0, 5, Long.MAX_VALUE)));
     assertEquals(0, level("e1"));
   }
 
@@ -213,7 +213,7 @@
     own.note(now, "e4", 0, Seen.FAILED);
     assertEquals("e4", own.tell(now, 2).get(0).engine());
     now += SECOND;
-    List<Claim> next = own.tell(now, 3);
+    List<PeerReport> next = own.tell(now, 3);
     assertEquals("e4", next.get(0).engine());
     assertEquals("e1", next.get(1).engine(), "e0 was told before");
     now += 11 * SECOND;
@@ -222,7 +222,7 @@
     own.note(now, "e0", 0, Seen.LOST);
     own.note(now, "e0", 0, Seen.LOST);
     assertEquals(
-        new Claim("e0", 0, 0, 0, 2, 0),
+        new PeerReport("e0", 0, 0, 0, 2, 0),
         own.tell(now, 1).get(0),
         "what it served before hides nothing");
     now += 15 * SECOND;
--- a/decisions/src/test/java/reachloom/revision/CouncilTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -9,31 +9,31 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import reachloom.revision.Result.Kind;
+import reachloom.revision.ProposalResult.Kind;
 
 /**
  * Issuers that find one revision after another, under all that a network and machines do to them.
  */
-class CouncilTest {
+class ConsensusNodeTest {
   private static final long MILLISECOND = Issuers.MILLISECOND;
   private static final long SECOND = Issuers.SECOND;
   private static final int SEEDS = 300;
   private static final int LONG_SEEDS = 150; // of those that go through many steps each
 
-  private static Kind last(List<Result> results) {
+  private static Kind last(List<ProposalResult> results) {
     return results.isEmpty() ? null : results.get(results.size() - 1).kind();
   }
 
-  private static boolean over(List<Result> results) {
+  private static boolean over(List<ProposalResult> results) {
     return !results.isEmpty() && results.get(results.size() - 1).last();
   }
 
   /**
    * A result that was told holds: what is called issued is in the log, and nothing else of it is.
    */
-  private static void told(Issuers net, String document, List<Result> results) {
+  private static void told(Issuers net, String document, List<ProposalResult> results) {
     long in = net.log.values().stream().filter(r -> r.describes(document.getBytes())).count();
-    for (Result r : results) {
+    for (ProposalResult r : results) {
       if (r.kind() == Kind.ISSUED) {
         assertEquals(1, in, document + " was told to be issued");
         assertTrue(net.log.get(r.number()).describes(document.getBytes()));
@@ -48,10 +48,10 @@
   @Test
   void oneDocumentIsIssuedAndTheNextFollows() {
     Issuers net = new Issuers(5, 1);
-    List<Result> first = net.node(1).propose("{\"a\":1}");
+    List<ProposalResult> first = net.node(1).propose("{\"a\":1}");
     assertTrue(net.await(SECOND, () -> over(first)));
-    assertEquals(new Result(Kind.ISSUED, 1, "issued as revision 1"), first.get(0));
-    List<Result> second = net.node(3).propose("{\"a\":2}");
+    assertEquals(new ProposalResult(Kind.ISSUED, 1, "issued as revision 1"), first.get(0));
+    List<ProposalResult> second = net.node(3).propose("{\"a\":2}");
     assertTrue(net.await(SECOND, () -> over(second)));
     assertEquals(2, second.get(0).number());
     assertTrue(net.await(2 * SECOND, net::agree));
@@ -75,8 +75,8 @@
       net.copies = 0.1;
       net.refusing = seed % 2 * 0.1;
       net.delay = (1 + seed % 5 * 40) * MILLISECOND;
-      List<Result> one = net.node(1).propose("one");
-      List<Result> two = net.node(2).propose("two");
+      List<ProposalResult> one = net.node(1).propose("one");
+      List<ProposalResult> two = net.node(2).propose("two");
       assertTrue(
           net.await(20 * SECOND, () -> over(one) && over(two) && net.agree()), "seed " + seed);
       told(net, "one", one);
@@ -93,13 +93,14 @@
       Issuers net = new Issuers(5, seed);
       net.delay = 50 * MILLISECOND;
       net.loss = 0.05;
-      List<List<Result>> all = new ArrayList<>();
+      List<List<ProposalResult>> all = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         all.add(net.node(1).propose("document " + i));
         net.pass(200 * MILLISECOND);
       }
       assertTrue(
-          net.await(20 * SECOND, () -> all.stream().allMatch(CouncilTest::over) && net.agree()));
+          net.await(
+              20 * SECOND, () -> all.stream().allMatch(ConsensusNodeTest::over) && net.agree()));
       for (int i = 0; i < 10; i++) {
         told(net, "document " + i, all.get(i));
       }
@@ -120,7 +121,7 @@
       net.pass(net.random.nextLong(200) * MILLISECOND); // in any phase
       net.node(1).crash();
       boolean decided = net.log.containsKey(1L);
-      List<Result> next = net.node(2).propose("next");
+      List<ProposalResult> next = net.node(2).propose("next");
       assertTrue(net.await(20 * SECOND, () -> over(next) && net.agree()), "seed " + seed);
       assertEquals(Kind.ISSUED, last(next), "seed " + seed);
       told(net, "next", next);
@@ -140,7 +141,7 @@
   @Test
   void killedBeforeAnyAcceptedIsNeverProved() {
     Issuers net = new Issuers(5, 1);
-    net.node(1).gagged = w -> w instanceof Word.Propose;
+    net.node(1).gagged = w -> w instanceof RevisionMessage.Propose;
     net.node(1).propose("half");
     net.pass(SECOND);
     net.node(1).crash();
@@ -158,15 +159,16 @@
   @Test
   void killedAfterOneAcceptedIsFinishedByTheNextWhoHearsOfIt() {
     Issuers net = new Issuers(3, 1);
-    net.node(1).gagged = w -> w instanceof Word.Notice;
-    net.node(3).gagged = w -> w instanceof Word.Accepted || w instanceof Word.Promise;
-    net.node(2).gagged = w -> w instanceof Word.Accepted;
+    net.node(1).gagged = w -> w instanceof RevisionMessage.Notice;
+    net.node(3).gagged =
+        w -> w instanceof RevisionMessage.Accepted || w instanceof RevisionMessage.Promise;
+    net.node(2).gagged = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("half");
     assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted() != null));
     net.node(1).crash();
     net.node(3).gagged = w -> false;
     net.node(2).gagged = w -> false;
-    List<Result> next = net.node(3).propose("next");
+    List<ProposalResult> next = net.node(3).propose("next");
     assertTrue(net.await(5 * SECOND, () -> over(next)));
     assertEquals(2, next.get(0).number());
     assertTrue(net.log.get(1L).describes("half".getBytes()));
@@ -178,7 +180,7 @@
     for (int seed = 0; seed < 20; seed++) {
       Issuers net = new Issuers(5, seed);
       for (int i = 2; i <= 5; i++) {
-        net.node(i).gagged = w -> w instanceof Word.Accepted;
+        net.node(i).gagged = w -> w instanceof RevisionMessage.Accepted;
       }
       net.node(1).propose("half");
       assertTrue(
@@ -201,10 +203,10 @@
     for (int seed = 0; seed < 50; seed++) {
       Issuers net = new Issuers(5, seed);
       net.delay = 40 * MILLISECOND;
-      List<Result> old = net.node(1).propose("old");
+      List<ProposalResult> old = net.node(1).propose("old");
       net.pass(net.random.nextLong(60) * MILLISECOND);
       net.stand(1);
-      List<Result> young = net.node(2).propose("young");
+      List<ProposalResult> young = net.node(2).propose("young");
       assertTrue(net.await(10 * SECOND, () -> over(young)), "seed " + seed);
       int before = net.log.size();
       net.pass(20 * SECOND);
@@ -221,8 +223,8 @@
   @Test
   void oneAloneThatStoodStillDoesNotProposeWhatWaited() {
     Issuers net = new Issuers(5, 1);
-    net.nodes.values().forEach(n -> n.gagged = w -> w instanceof Word.Promise);
-    List<Result> old = net.node(1).propose("old");
+    net.nodes.values().forEach(n -> n.gagged = w -> w instanceof RevisionMessage.Promise);
+    List<ProposalResult> old = net.node(1).propose("old");
     net.pass(100 * MILLISECOND);
     net.stand(1);
     net.pass(5 * SECOND);
@@ -238,10 +240,10 @@
   void withOneOrTwoOfFiveLostIssuesGoOn() {
     Issuers net = new Issuers(5, 1);
     net.node(5).crash();
-    List<Result> one = net.node(1).propose("one");
+    List<ProposalResult> one = net.node(1).propose("one");
     assertTrue(net.await(SECOND, () -> over(one)));
     net.node(4).crash();
-    List<Result> two = net.node(2).propose("two");
+    List<ProposalResult> two = net.node(2).propose("two");
     assertTrue(net.await(SECOND, () -> over(two)));
     assertEquals(Kind.ISSUED, last(one));
     assertEquals(Kind.ISSUED, last(two));
@@ -249,7 +251,7 @@
     net.node(5).start();
     assertTrue(net.await(3 * SECOND, net::agree));
     assertEquals(2, net.node(5).council.number());
-    List<Result> three = net.node(5).propose("three");
+    List<ProposalResult> three = net.node(5).propose("three");
     assertTrue(net.await(SECOND, () -> over(three)));
     assertEquals(3, three.get(0).number());
   }
@@ -260,7 +262,7 @@
     for (int i = 3; i <= 5; i++) {
       net.node(i).crash();
     }
-    List<Result> lost = net.node(1).propose("lost");
+    List<ProposalResult> lost = net.node(1).propose("lost");
     assertTrue(net.await(10 * SECOND, () -> !lost.isEmpty()));
     assertEquals(Kind.NO_MAJORITY, last(lost));
     assertTrue(over(lost), "it was never proposed");
@@ -270,7 +272,7 @@
     }
     net.pass(20 * SECOND);
     assertEquals(0, net.log.size(), "withdrawn is withdrawn");
-    List<Result> next = net.node(1).propose("next");
+    List<ProposalResult> next = net.node(1).propose("next");
     assertTrue(net.await(SECOND, () -> over(next)));
     assertEquals(Kind.ISSUED, last(next));
   }
@@ -279,16 +281,16 @@
   void whatWasProposedBeforeTheMajorityWasLostIsToldTwice() {
     Issuers net = new Issuers(5, 1);
     for (int i = 2; i <= 5; i++) {
-      net.node(i).gagged = w -> w instanceof Word.Accepted;
+      net.node(i).gagged = w -> w instanceof RevisionMessage.Accepted;
     }
-    List<Result> unsure = net.node(1).propose("unsure");
+    List<ProposalResult> unsure = net.node(1).propose("unsure");
     assertTrue(net.await(10 * SECOND, () -> !unsure.isEmpty()));
     assertEquals(Kind.NO_MAJORITY, last(unsure));
     assertEquals(1, unsure.get(0).number());
     assertFalse(over(unsure));
     net.nodes.values().forEach(n -> n.gagged = w -> false);
     assertTrue(net.await(10 * SECOND, () -> over(unsure)));
-    assertEquals(new Result(Kind.ISSUED, 1, "issued as revision 1"), unsure.get(1));
+    assertEquals(new ProposalResult(Kind.ISSUED, 1, "issued as revision 1"), unsure.get(1));
   }
 
   @Test
@@ -296,17 +298,17 @@
     Issuers net = new Issuers(3, 1);
     net.node(2).disk.broken = true;
     net.node(3).disk.broken = true;
-    List<Result> none = net.node(1).propose("none");
+    List<ProposalResult> none = net.node(1).propose("none");
     net.pass(9 * SECOND);
     assertEquals(Kind.NO_MAJORITY, last(none));
     assertEquals(0, net.log.size());
     net.node(3).disk.broken = false;
-    List<Result> one = net.node(1).propose("one");
+    List<ProposalResult> one = net.node(1).propose("one");
     assertTrue(net.await(2 * SECOND, () -> over(one)));
     assertEquals(Kind.ISSUED, last(one));
     assertNull(net.node(2).disk.state.newest());
     assertEquals(0, net.node(2).council.number(), "what is not saved counts as unknown");
-    List<Result> refused = net.node(2).propose("refused");
+    List<ProposalResult> refused = net.node(2).propose("refused");
     assertEquals(Kind.NOT_SAVED, last(refused));
     assertTrue(over(refused));
     net.node(2).disk.broken = false;
@@ -317,15 +319,15 @@
   @Test
   void theLargestDocumentIsIssuedAndOneByteMoreIsNot() {
     Issuers net = new Issuers(5, 1);
-    List<Result> over = net.node(1).propose(new byte[Revision.MOST_DOCUMENT + 1]);
+    List<ProposalResult> over = net.node(1).propose(new byte[Revision.MAX_DOCUMENT_BYTES + 1]);
     assertEquals(Kind.BAD_SIZE, last(over));
     assertTrue(over.get(0).text().contains("16385 bytes"), over.get(0).text());
     assertEquals(Kind.BAD_SIZE, last(net.node(1).propose(new byte[0])));
-    List<Result> most = net.node(1).propose(new byte[Revision.MOST_DOCUMENT]);
+    List<ProposalResult> most = net.node(1).propose(new byte[Revision.MAX_DOCUMENT_BYTES]);
     assertTrue(net.await(SECOND, () -> over(most)));
     assertEquals(Kind.ISSUED, last(most));
     assertTrue(net.await(2 * SECOND, net::agree));
-    assertEquals(Revision.MOST_DOCUMENT, net.node(5).document(net.log.get(1L)).length);
+    assertEquals(Revision.MAX_DOCUMENT_BYTES, net.node(5).document(net.log.get(1L)).length);
   }
 
   @Test
@@ -340,7 +342,7 @@
     assertEquals(4, net.node(3).disk.state.from());
     assertEquals(1, net.node(3).council.number(), "it learns all the same");
     net.node(2).crash(); // two of three are up, and one of them abstains
-    List<Result> none = net.node(1).propose("none");
+    List<ProposalResult> none = net.node(1).propose("none");
     net.pass(9 * SECOND);
     assertEquals(Kind.NO_MAJORITY, last(none));
     net.node(2).start();
@@ -353,7 +355,7 @@
   }
 
   private static boolean issue(Issuers net, int at, String document) {
-    List<Result> results = net.node(at).propose(document);
+    List<ProposalResult> results = net.node(at).propose(document);
     return net.await(5 * SECOND, () -> over(results)) && last(results) == Kind.ISSUED;
   }
 
@@ -365,7 +367,7 @@
       assertTrue(issue(net, 1, "document " + i));
     }
     net.node(5).start();
-    List<Result> late = net.node(5).propose("late");
+    List<ProposalResult> late = net.node(5).propose("late");
     assertTrue(net.await(2 * SECOND, () -> over(late)));
     assertEquals(7, late.get(0).number());
   }
@@ -374,14 +376,18 @@
   void aRoundOutOfReachAndAForeignBallotAreNotPromised() {
     Issuers net = new Issuers(3, 1);
     Peer c2 = net.node(2).peer();
-    net.node(1).council.hear(net.now, c2, List.of(new Word.Prepare(new Ballot(1L << 62, "c2"), 1)));
-    net.node(1).council.hear(net.now, c2, List.of(new Word.Prepare(new Ballot(9, "c3"), 1)));
+    net.node(1)
+        .council
+        .hear(net.now, c2, List.of(new RevisionMessage.Prepare(new Ballot(1L << 62, "c2"), 1)));
+    net.node(1)
+        .council
+        .hear(net.now, c2, List.of(new RevisionMessage.Prepare(new Ballot(9, "c3"), 1)));
     net.node(1)
         .council
         .hear(
             net.now,
             new Peer("stranger", 9, 0),
-            List.of(new Word.Prepare(new Ballot(9, "stranger"), 1)));
+            List.of(new RevisionMessage.Prepare(new Ballot(9, "stranger"), 1)));
     assertEquals(Ballot.NONE, net.node(1).disk.state.promised());
     assertTrue(issue(net, 1, "one"));
   }
@@ -389,25 +395,29 @@
   @Test
   void votesOfAnotherBallotAndForgedOnesDoNotCount() {
     Issuers net = new Issuers(3, 1);
-    net.node(2).gagged = w -> w instanceof Word.Accepted;
-    net.node(3).gagged = w -> w instanceof Word.Accepted;
+    net.node(2).gagged = w -> w instanceof RevisionMessage.Accepted;
+    net.node(3).gagged = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("one");
     assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted() != null));
-    Store.State s = net.node(2).disk.state;
+    ConsensusStore.State s = net.node(2).disk.state;
     Vote forged = new Vote("c2", new byte[32]);
     Peer c2 = net.node(2).peer();
-    net.node(1).council.hear(net.now, c2, List.of(new Word.Accepted(s.acceptedUnder(), 1, forged)));
+    net.node(1)
+        .council
+        .hear(net.now, c2, List.of(new RevisionMessage.Accepted(s.acceptedUnder(), 1, forged)));
     assertEquals(0, net.log.size());
     byte[] good = new Acceptor("c2", signer(), net.node(2).disk).state().accepted().chain();
     Vote vote = new Vote("c2", signer().sign(good));
     Ballot other = new Ballot(s.acceptedUnder().round() + 1, "c1");
-    net.node(1).council.hear(net.now, c2, List.of(new Word.Accepted(other, 1, vote)));
+    net.node(1).council.hear(net.now, c2, List.of(new RevisionMessage.Accepted(other, 1, vote)));
     assertEquals(0, net.log.size());
-    net.node(1).council.hear(net.now, c2, List.of(new Word.Accepted(s.acceptedUnder(), 1, vote)));
+    net.node(1)
+        .council
+        .hear(net.now, c2, List.of(new RevisionMessage.Accepted(s.acceptedUnder(), 1, vote)));
     assertEquals(1, net.log.size());
   }
 
-  private static Seal signer() {
+  private static SignatureScheme signer() {
     return Issuers.seal("c2");
   }
 
@@ -443,7 +453,7 @@
       net.pass(65 * SECOND);
       Issuers.Node sound =
           net.nodes.values().stream().filter(n -> n.disk.takesPart()).findFirst().orElseThrow();
-      List<Result> end = sound.propose("the end");
+      List<ProposalResult> end = sound.propose("the end");
       assertTrue(
           net.await(20 * SECOND, () -> last(end) == Kind.ISSUED && net.agree()), "seed " + seed);
     }
@@ -460,8 +470,10 @@
       Ballot mine = n.disk.state.promised();
       Revision older = draft(n, "older");
       Revision newer = draft(n, "newer");
-      Word.Promise low = new Word.Promise(mine, 1, new Ballot(mine.round() - 1, "c2"), older);
-      Word.Promise high = new Word.Promise(mine, 1, new Ballot(mine.round() - 1, "c5"), newer);
+      RevisionMessage.Promise low =
+          new RevisionMessage.Promise(mine, 1, new Ballot(mine.round() - 1, "c2"), older);
+      RevisionMessage.Promise high =
+          new RevisionMessage.Promise(mine, 1, new Ballot(mine.round() - 1, "c5"), newer);
       n.council.hear(net.now, net.node(2).peer(), List.of(turned ? high : low));
       assertNull(n.disk.state.accepted());
       n.council.hear(net.now, net.node(3).peer(), List.of(turned ? low : high));
@@ -478,27 +490,37 @@
   @Test
   void aLowerBallotIsRefusedInBothPhases() {
     Issuers net = new Issuers(3, 1);
-    Store.State high = new Store.State(new Ballot(9, "c2"), Ballot.NONE, null, null, null, null, 1);
+    ConsensusStore.State high =
+        new ConsensusStore.State(new Ballot(9, "c2"), Ballot.NONE, null, null, null, null, 1);
     net.node(1).disk.state = high;
     Acceptor a = new Acceptor("c1", Issuers.seal("c1"), net.node(1).disk);
     Ballot low = new Ballot(8, "c3");
     Revision r = draft(net.node(1), "low");
     assertEquals(
-        new Word.Rejected(low, high.promised()), a.prepare(new Word.Prepare(low, 1), "c3"));
+        new RevisionMessage.Rejected(low, high.promised()),
+        a.prepare(new RevisionMessage.Prepare(low, 1), "c3"));
     assertEquals(
-        new Word.Rejected(low, high.promised()),
-        a.propose(new Word.Propose(low, r), "c3", "low".getBytes()));
+        new RevisionMessage.Rejected(low, high.promised()),
+        a.propose(new RevisionMessage.Propose(low, r), "c3", "low".getBytes()));
     assertEquals(high, a.state());
     Ballot same = new Ballot(9, "c2");
-    assertNull(a.propose(new Word.Propose(same, r), "c2", null), "no vote without the document");
-    assertNull(a.propose(new Word.Propose(same, r), "c2", "lox".getBytes()), "nor for another one");
-    Word answer = a.propose(new Word.Propose(same, r), "c2", "low".getBytes());
-    assertEquals(same, ((Word.Accepted) answer).ballot());
     assertNull(
-        a.propose(new Word.Propose(same, draft(net.node(1), "two")), "c2", "two".getBytes()),
+        a.propose(new RevisionMessage.Propose(same, r), "c2", null),
+        "no vote without the document");
+    assertNull(
+        a.propose(new RevisionMessage.Propose(same, r), "c2", "lox".getBytes()),
+        "nor for another one");
+    RevisionMessage answer =
+        a.propose(new RevisionMessage.Propose(same, r), "c2", "low".getBytes());
+    assertEquals(same, ((RevisionMessage.Accepted) answer).ballot());
+    assertNull(
+        a.propose(
+            new RevisionMessage.Propose(same, draft(net.node(1), "two")), "c2", "two".getBytes()),
         "nor for two under one ballot");
     Revision third = new Revision(3, r.chain(), r.digest(), r.size(), 1, "c2");
-    assertNull(a.propose(new Word.Propose(same, third), "c2", "low".getBytes()), "nor out of turn");
+    assertNull(
+        a.propose(new RevisionMessage.Propose(same, third), "c2", "low".getBytes()),
+        "nor out of turn");
     assertEquals(r, a.state().accepted());
   }
 
@@ -510,10 +532,10 @@
       boolean large = seed % 2 == 0;
       net.loss = large ? 0.02 : 0.3;
       net.delay = 60 * MILLISECOND;
-      String one = "1".repeat(large ? Revision.MOST_DOCUMENT : 1_024);
-      String two = "2".repeat(large ? Revision.MOST_DOCUMENT : 1_024);
-      List<Result> first = net.node(1).propose(one);
-      List<Result> second = net.node(2).propose(two);
+      String one = "1".repeat(large ? Revision.MAX_DOCUMENT_BYTES : 1_024);
+      String two = "2".repeat(large ? Revision.MAX_DOCUMENT_BYTES : 1_024);
+      List<ProposalResult> first = net.node(1).propose(one);
+      List<ProposalResult> second = net.node(2).propose(two);
       assertTrue(
           net.await(30 * SECOND, () -> over(first) && over(second) && net.agree()), "seed " + seed);
       told(net, one, first);
@@ -535,7 +557,7 @@
       SplittableRandom chance = new SplittableRandom(seed);
       int count = net.nodes.size();
       net.copies = 0.1;
-      List<List<Result>> all = new ArrayList<>();
+      List<List<ProposalResult>> all = new ArrayList<>();
       for (int step = 0; step < 40; step++) {
         net.loss = chance.nextDouble() * 0.4;
         net.delay = (1 + chance.nextInt(150)) * MILLISECOND;
@@ -577,7 +599,7 @@
         net.goOn(i);
       }
       net.pass(10 * SECOND);
-      List<Result> end = net.node(1).propose("the end");
+      List<ProposalResult> end = net.node(1).propose("the end");
       assertTrue(
           net.await(20 * SECOND, () -> last(end) == Kind.ISSUED && net.agree()),
           "seed " + seed + ": " + end);
--- a/decisions/src/test/java/reachloom/revision/DeltaTest.java
+++ b/decisions/src/test/java/reachloom/revision/DeltaTest.java
@@ -38,8 +38,9 @@
           Delta.apply(base, ByteBuffer.allocate(8).putInt(ends[0]).putInt(ends[1]).array()),
           Arrays.toString(ends));
     }
-    assertNull(Delta.apply(base, new byte[8 + Revision.MOST_DOCUMENT + 1]), "too large");
+    assertNull(Delta.apply(base, new byte[8 + Revision.MAX_DOCUMENT_BYTES + 1]), "too large");
     assertEquals(
-        Revision.MOST_DOCUMENT, Delta.apply(base, new byte[8 + Revision.MOST_DOCUMENT]).length);
+        Revision.MAX_DOCUMENT_BYTES,
+        Delta.apply(base, new byte[8 + Revision.MAX_DOCUMENT_BYTES]).length);
   }
 }
--- a/decisions/src/test/java/reachloom/revision/Issuers.java
+++ b/decisions/src/test/java/reachloom/revision/Issuers.java
@@ -33,7 +33,7 @@
   private record Event(long at, long order, Runnable what) {}
 
   /** Signatures that nobody forges in these tests: a hash over name and chain. */
-  private record Hashes(String name) implements Seal {
+  private record Hashes(String name) implements SignatureScheme {
     @Override
     public byte[] sign(byte[] chain) {
       byte[] n = name.getBytes(StandardCharsets.UTF_8);
@@ -49,12 +49,12 @@
   }
 
   /** The signatures of an issuer. */
-  static Seal seal(String name) {
+  static SignatureScheme seal(String name) {
     return new Hashes(name);
   }
 
   /** A disk: it outlives its issuer. */
-  static final class Disk implements Store {
+  static final class Disk implements ConsensusStore {
     State state = State.first();
     boolean broken;
 
@@ -75,23 +75,24 @@
   }
 
   /** One issuer's machine; its council is null while it is down. */
-  final class Node implements Library, Outlet, Dissemination.Host {
+  final class Node
+      implements RevisionRepository, RevisionMessageSender, RevisionDissemination.Host {
     final String name;
     final Disk disk = new Disk();
     final Map<Long, byte[]> documents = new TreeMap<>();
-    Council council;
+    ConsensusNode council;
 
     /** Where it is the library, and not this one; else null. */
-    Dissemination it;
+    RevisionDissemination it;
 
-    Word.Notice newest;
+    RevisionMessage.Notice newest;
     boolean standing;
     int life;
     private long haveAt;
     private long told;
 
     /** Words that do not leave this one. */
-    Predicate<Word> gagged = w -> false;
+    Predicate<RevisionMessage> gagged = w -> false;
 
     Node(String name) {
       this.name = name;
@@ -108,12 +109,12 @@
       told = 0;
       if (real) {
         it =
-            new Dissemination(
+            new RevisionDissemination(
                 name,
                 1,
                 true,
                 peers(),
-                Council.quorum(nodes.size()),
+                ConsensusNode.quorum(nodes.size()),
                 new Hashes(name),
                 random.split(),
                 this,
@@ -121,9 +122,10 @@
                 now);
         it.peers(peers().stream().filter(p -> !p.name().equals(name)).toList());
       }
-      Library library = real ? it : this;
+      RevisionRepository library = real ? it : this;
       council =
-          new Council(name, peers(), new Hashes(name), disk, library, this, random.split(), now);
+          new ConsensusNode(
+              name, peers(), new Hashes(name), disk, library, this, random.split(), now);
     }
 
     void crash() {
@@ -131,12 +133,12 @@
       life++;
     }
 
-    List<Result> propose(String document) {
+    List<ProposalResult> propose(String document) {
       return propose(document.getBytes(StandardCharsets.UTF_8));
     }
 
-    List<Result> propose(byte[] document) {
-      List<Result> results = new ArrayList<>();
+    List<ProposalResult> propose(byte[] document) {
+      List<ProposalResult> results = new ArrayList<>();
       council.propose(now, document, results::add);
       return results;
     }
@@ -169,23 +171,24 @@
         fetchNewest();
         nodes.values().stream()
             .filter(n -> n != this)
-            .forEach(n -> tell(now, n.name, 0, List.of(new Word.Have(held(), 0, held()))));
+            .forEach(
+                n -> send(now, n.name, 0, List.of(new RevisionMessage.Have(held(), 0, held()))));
       }
     }
 
-    private void hear(Peer sender, List<Word> words) {
+    private void hear(Peer sender, List<RevisionMessage> words) {
       if (real) {
         it.hear(now, sender, words);
         council.hear(now, sender, words);
         look();
         return;
       }
-      for (Word w : words) {
-        if (w instanceof Word.Have h && h.known() > number()) {
-          tell(now, sender.name(), 0, List.of(new Word.Want(0, 0, 0, 0)));
-        } else if (w instanceof Word.Want && newest != null) {
-          tell(now, sender.name(), 0, List.of(newest));
-        } else if (w instanceof Word.Notice n) {
+      for (RevisionMessage w : words) {
+        if (w instanceof RevisionMessage.Have h && h.known() > number()) {
+          send(now, sender.name(), 0, List.of(new RevisionMessage.Want(0, 0, 0, 0)));
+        } else if (w instanceof RevisionMessage.Want && newest != null) {
+          send(now, sender.name(), 0, List.of(newest));
+        } else if (w instanceof RevisionMessage.Notice n) {
           take(n);
         }
       }
@@ -198,7 +201,7 @@
       }
     }
 
-    private void take(Word.Notice n) {
+    private void take(RevisionMessage.Notice n) {
       long good =
           n.votes().stream()
               .filter(v -> new Hashes("").proves(v.issuer(), n.revision().chain(), v.signature()))
@@ -206,7 +209,7 @@
               .distinct()
               .filter(nodes::containsKey)
               .count();
-      assertTrue(good >= Council.quorum(nodes.size()), "a notice without its proof");
+      assertTrue(good >= ConsensusNode.quorum(nodes.size()), "a notice without its proof");
       note(n.revision());
       if (n.revision().number() > number()) {
         newest = n;
@@ -225,7 +228,7 @@
     // ---- Library ----
 
     @Override
-    public Word.Notice newest() {
+    public RevisionMessage.Notice newest() {
       return newest;
     }
 
@@ -234,7 +237,7 @@
       if (document != null) {
         draft(revision, document);
       }
-      take(new Word.Notice(revision, votes));
+      take(new RevisionMessage.Notice(revision, votes));
     }
 
     @Override
@@ -286,12 +289,12 @@
     // ---- Outlet ----
 
     @Override
-    public int weight(Word word) {
+    public int encodedBytes(RevisionMessage word) {
       return 100;
     }
 
     @Override
-    public int mostPacket() {
+    public int maxPacketBytes() {
       return 1_200;
     }
 
@@ -308,11 +311,12 @@
     }
 
     @Override
-    public boolean tell(long at, String to, long address, List<Word> words) {
+    public boolean send(long at, String to, long address, List<RevisionMessage> words) {
       if (random.nextDouble() < refusing) {
         return false;
       }
-      List<Word> out = new ArrayList<>(words.stream().filter(w -> !gagged.test(w)).toList());
+      List<RevisionMessage> out =
+          new ArrayList<>(words.stream().filter(w -> !gagged.test(w)).toList());
       if (real) {
         out.add(it.have());
       }
@@ -342,7 +346,7 @@
     this(count, seed, false);
   }
 
-  /** With {@code real}, the members' own part is played by {@link Dissemination}. */
+  /** With {@code real}, the members' own part is played by {@link RevisionDissemination}. */
   Issuers(int count, long seed, boolean real) {
     this.real = real;
     random = new SplittableRandom(seed);
--- a/decisions/src/test/java/reachloom/revision/Net.java
+++ b/decisions/src/test/java/reachloom/revision/Net.java
@@ -30,7 +30,7 @@
    * Any signature that names the issuer and the chain is good; who lies in these tests makes up
    * others.
    */
-  static final class Stamp implements Seal {
+  static final class Stamp implements SignatureScheme {
     private final String name;
 
     Stamp(String name) {
@@ -49,13 +49,13 @@
   }
 
   /** One member. */
-  final class Node implements Outlet, Dissemination.Host {
+  final class Node implements RevisionMessageSender, RevisionDissemination.Host {
     final Peer peer;
     final boolean issuer;
     final Map<Long, Long> inForceAt = new TreeMap<>();
     final List<String> alarms = new ArrayList<>();
     private final TreeMap<Long, Integer> sent = new TreeMap<>();
-    Dissemination it;
+    RevisionDissemination it;
     boolean up = true;
     boolean refuses;
     long stalledUntil;
@@ -63,7 +63,7 @@
     int applied;
     private int before;
     private int life;
-    UnaryOperator<List<Word>> lie = w -> w;
+    UnaryOperator<List<RevisionMessage>> lie = w -> w;
 
     Node(String name, int place, boolean issuer) {
       peer = new Peer(name, nodes.size(), place);
@@ -75,7 +75,7 @@
       life++;
       int mine = life;
       it =
-          new Dissemination(
+          new RevisionDissemination(
               peer.name(),
               peer.place(),
               issuer,
@@ -117,10 +117,11 @@
       }
     }
 
-    private void send(Node to, List<Word> words) {
-      List<Word> told = lie.apply(words);
+    private void send(Node to, List<RevisionMessage> words) {
+      List<RevisionMessage> told = lie.apply(words);
       trace = trace * 31 + now + to.peer.address();
-      told.forEach(w -> trace = trace * 31 + w.getClass().getSimpleName().hashCode() + weight(w));
+      told.forEach(
+          w -> trace = trace * 31 + w.getClass().getSimpleName().hashCode() + encodedBytes(w));
       if (!up || random.nextDouble() < loss || cut.test(this, to)) {
         return;
       }
@@ -129,7 +130,7 @@
       at(when, () -> to.arrive(peer, told));
     }
 
-    private void arrive(Peer from, List<Word> words) {
+    private void arrive(Peer from, List<RevisionMessage> words) {
       if (up && now < stalledUntil) {
         at(stalledUntil, () -> arrive(from, words));
       } else if (up) {
@@ -138,35 +139,35 @@
     }
 
     @Override
-    public boolean tell(long at, String to, long address, List<Word> words) {
+    public boolean send(long at, String to, long address, List<RevisionMessage> words) {
       while (!sent.isEmpty() && sent.firstKey() <= now - SECOND) {
         before -= sent.pollFirstEntry().getValue();
       }
-      int bytes = HEAD + words.stream().mapToInt(this::weight).sum();
+      int bytes = HEAD + words.stream().mapToInt(this::encodedBytes).sum();
       if (before + bytes > (issuer ? ISSUER_BUDGET : BUDGET)) {
         return false;
       }
       sent.merge(now, bytes, Integer::sum);
       before += bytes;
       mostBytes = Math.max(mostBytes, before + GOSSIP);
-      List<Word> all = new ArrayList<>(words);
+      List<RevisionMessage> all = new ArrayList<>(words);
       all.add(0, it.have());
       send(nodes.get((int) address), all);
       return true;
     }
 
     @Override
-    public int weight(Word word) {
-      if (word instanceof Word.Notice n) {
+    public int encodedBytes(RevisionMessage word) {
+      if (word instanceof RevisionMessage.Notice n) {
         return 100 + n.votes().size() * 76;
       }
       return 30
-          + (word instanceof Word.Piece p ? p.bytes().length : 0)
-          + (word instanceof Word.Census c ? 10 * c.lacking().size() : 0);
+          + (word instanceof RevisionMessage.Piece p ? p.bytes().length : 0)
+          + (word instanceof RevisionMessage.Census c ? 10 * c.lacking().size() : 0);
     }
 
     @Override
-    public int mostPacket() {
+    public int maxPacketBytes() {
       return MOST_PACKET;
     }
 
@@ -281,9 +282,9 @@
   }
 
   /** A revision after another, with the votes of a majority. */
-  Word.Notice sign(Revision before, byte[] document) {
+  RevisionMessage.Notice sign(Revision before, byte[] document) {
     Revision r = Revision.after(before, document, now / MILLI, "i0");
-    return new Word.Notice(
+    return new RevisionMessage.Notice(
         r,
         issuers.stream()
             .limit(3)
@@ -292,9 +293,9 @@
   }
 
   /** The council has decided; the issuer of that number hears of it. */
-  Word.Notice issue(int by, byte[] document) {
-    Word.Notice before = nodes.get(by).it.newest();
-    Word.Notice n = sign(before == null ? null : before.revision(), document);
+  RevisionMessage.Notice issue(int by, byte[] document) {
+    RevisionMessage.Notice before = nodes.get(by).it.newest();
+    RevisionMessage.Notice n = sign(before == null ? null : before.revision(), document);
     for (int i = 0; i < issuers.size(); i++) {
       if (i == by
           || nodes.get(i).up && !cut.test(nodes.get(by), nodes.get(i))) { // who accepts holds it
@@ -350,7 +351,7 @@
   int told(Node issuer, long number) {
     return issuer.it.censuses().stream()
         .filter(c -> c.number() == number)
-        .mapToInt(Word.Census::inForce)
+        .mapToInt(RevisionMessage.Census::inForce)
         .sum();
   }
 }
--- a/decisions/src/test/java/reachloom/revision/DisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -12,7 +12,7 @@
 /**
  * A revision gets everywhere, also where the network, members and issuers do what they should not.
  */
-class DisseminationTest {
+class RevisionDisseminationTest {
   private static final int SIZE = 4_096; // of a usual document
   private static final double AIM = 10; // seconds until a revision is in force everywhere
 
@@ -52,7 +52,7 @@
     Net net = new Net(2, 580, 0.02);
     net.run(3);
     long at = net.now;
-    net.issue(3, Net.document(Revision.MOST_DOCUMENT, 1));
+    net.issue(3, Net.document(Revision.MAX_DOCUMENT_BYTES, 1));
     net.run(AIM);
     assertEverywhere(net, at, 1, AIM);
   }
@@ -60,7 +60,7 @@
   @Test
   void oneByteOverIsRefusedAtTheSource() {
     Net net = settled(3, 20, 0);
-    net.issue(0, Net.document(Revision.MOST_DOCUMENT + 1, 2));
+    net.issue(0, Net.document(Revision.MAX_DOCUMENT_BYTES + 1, 2));
     net.run(5);
     assertEquals(20, net.inForce(1));
     assertEquals(1, net.nodes.get(0).alarms.size());
@@ -94,9 +94,9 @@
   void aForkIsNeverTakenAndIsTold() {
     Net net = settled(6, 30, 0);
     Revision first = net.nodes.get(0).it.newest().revision();
-    Word.Notice sameNumber = net.sign(null, Net.document(SIZE, 66));
-    Word.Notice nextOfOther = net.sign(sameNumber.revision(), Net.document(SIZE, 67));
-    Word.Notice afterThat = net.sign(nextOfOther.revision(), Net.document(SIZE, 68));
+    RevisionMessage.Notice sameNumber = net.sign(null, Net.document(SIZE, 66));
+    RevisionMessage.Notice nextOfOther = net.sign(sameNumber.revision(), Net.document(SIZE, 67));
+    RevisionMessage.Notice afterThat = net.sign(nextOfOther.revision(), Net.document(SIZE, 68));
     Net.Node liar = net.members().get(0);
     for (int again = 0; again < 3; again++) {
       net.members().stream()
@@ -130,14 +130,14 @@
                     words.stream()
                         .map(
                             w -> {
-                              if (w instanceof Word.Piece p && p.bytes().length > 0) {
+                              if (w instanceof RevisionMessage.Piece p && p.bytes().length > 0) {
                                 byte[] other = p.bytes().clone();
                                 other[0]++;
-                                return new Word.Piece(
+                                return new RevisionMessage.Piece(
                                     p.number(), p.base(), p.index(), p.of(), other);
                               }
-                              return w instanceof Word.Notice n
-                                  ? new Word.Notice(
+                              return w instanceof RevisionMessage.Notice n
+                                  ? new RevisionMessage.Notice(
                                       Revision.after(n.revision(), new byte[9], 1, "i0"), n.votes())
                                   : w;
                             })
@@ -164,7 +164,10 @@
                     words -> {
                       asked[0] +=
                           words.stream()
-                                  .anyMatch(w -> w instanceof Word.Want want && want.number() == 0)
+                                  .anyMatch(
+                                      w ->
+                                          w instanceof RevisionMessage.Want want
+                                              && want.number() == 0)
                               ? 1
                               : 0;
                       return words;
@@ -174,10 +177,11 @@
             words.stream()
                 .map(
                     w ->
-                        w instanceof Word.Have
-                            ? new Word.Have(1L << 62, 7, 1L << 62)
-                            : w instanceof Word.Census c
-                                ? new Word.Census(c.place(), 1L << 62, 9, 9, 0, List.of(), 0)
+                        w instanceof RevisionMessage.Have
+                            ? new RevisionMessage.Have(1L << 62, 7, 1L << 62)
+                            : w instanceof RevisionMessage.Census c
+                                ? new RevisionMessage.Census(
+                                    c.place(), 1L << 62, 9, 9, 0, List.of(), 0)
                                 : w)
                 .toList();
     net.run(60);
@@ -252,9 +256,9 @@
     net.run(5);
     assertEquals(26, net.inForce(2));
     assertEquals(4, net.inForce(1));
-    List<Word.Census> told = net.nodes.get(2).it.censuses();
-    assertEquals(4, told.stream().mapToInt(Word.Census::refused).sum());
-    assertEquals(26, told.stream().mapToInt(Word.Census::inForce).sum());
+    List<RevisionMessage.Census> told = net.nodes.get(2).it.censuses();
+    assertEquals(4, told.stream().mapToInt(RevisionMessage.Census::refused).sum());
+    assertEquals(26, told.stream().mapToInt(RevisionMessage.Census::inForce).sum());
     Net.Node one = net.members().get(0);
     assertEquals(2, one.applied, "it is not tried again");
     assertTrue(one.it.lines(net.now).contains("revision 2 refused: key x: not known"));
--- a/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
@@ -10,7 +10,7 @@
 import reachloom.revision.RevisionLog.Standing;
 
 class RevisionLogTest {
-  private static final int LARGE = Revision.MOST_DOCUMENT;
+  private static final int LARGE = Revision.MAX_DOCUMENT_BYTES;
 
   private static Revision next(Revision before, int variant) {
     return Revision.after(before, Net.document(LARGE, variant), variant, "i0");
--- a/gateway/src/main/java/reachloom/benchlink/Neighbours.java
+++ b/gateway/src/main/java/reachloom/benchlink/Neighbours.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
-import reachloom.evidence.Claim;
-import reachloom.evidence.Corroboration;
-import reachloom.evidence.Corroboration.Belief;
-import reachloom.evidence.Courier;
-import reachloom.evidence.Ledger;
+import reachloom.peerreport.OutcomeWindow;
+import reachloom.peerreport.PeerReport;
+import reachloom.peerreport.ReportScheduler;
+import reachloom.peerreport.WeightedQuorum;
+import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -28,9 +28,9 @@
 
   private final SchedulerEvents module;
   private final ActionWriter actions;
-  private final Ledger ledger = new Ledger();
-  private final Corroboration corroboration = new Corroboration(ledger);
-  private final Courier courier;
+  private final OutcomeWindow ledger = new OutcomeWindow();
+  private final WeightedQuorum corroboration = new WeightedQuorum(ledger);
+  private final ReportScheduler courier;
   private final Map<String, Long> engines = new LinkedHashMap<>();
   private final Map<Integer, String> byMark = new LinkedHashMap<>();
   private final Map<String, Double> told = new LinkedHashMap<>();
@@ -45,7 +45,7 @@
       long seed) {
     this.module = module;
     this.actions = actions;
-    courier = new Courier(self, instances, price, new SplittableRandom(seed));
+    courier = new ReportScheduler(self, instances, price, new SplittableRandom(seed));
   }
 
   void engines(boolean whole, List<EngineEndpoint> entries) {
@@ -75,7 +75,7 @@
   }
 
   void ended(long now, AttemptResult end) {
-    Ledger.Seen seen = Ledger.Seen.of(end.outcome(), !end.queryFinished());
+    OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(end.outcome(), !end.queryFinished());
     Long since = engines.get(end.engine());
     if (seen != null
         && since != null
@@ -118,7 +118,7 @@
 
   private byte[] message(long now) {
     ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-    for (Claim c : ledger.tell(now, MOST_BYTES / CLAIM)) {
+    for (PeerReport c : ledger.tell(now, MOST_BYTES / CLAIM)) {
       if (c.served() == 0) { // trouble alone is worth its price
         out.putInt(mark(c.engine(), c.since()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.failed()))
@@ -133,14 +133,14 @@
 
   void heard(long now, int from, byte[] message) {
     ByteBuffer in = ByteBuffer.wrap(message);
-    List<Claim> claims = new ArrayList<>();
+    List<PeerReport> claims = new ArrayList<>();
     while (in.remaining() >= CLAIM) {
       String engine = byMark.get(in.getInt());
       int failed = in.getShort();
       int lost = in.getShort();
       long age = in.getShort() * MILLISECOND;
       if (engine != null) {
-        claims.add(new Claim(engine, engines.get(engine), 0, failed, lost, age));
+        claims.add(new PeerReport(engine, engines.get(engine), 0, failed, lost, age));
       }
     }
     corroboration.hear(now, Integer.toString(from), claims);
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
@@ -17,7 +17,7 @@
 import reachloom.gateway.Gateway;
 import reachloom.gateway.Loop;
 import reachloom.gossip.net.GossipNode;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.scheduler.QueryScheduler;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
@@ -141,7 +141,7 @@
           new GossipNode(
               loop,
               settings,
-              Identity.read(settings),
+              NodeIdentity.read(settings),
               config.seed(),
               gateway::hearsay,
               configuration::put);
--- a/gateway/src/main/java/reachloom/gossip/net/GossipPort.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
@@ -25,8 +25,8 @@
  * <p>Not on Apache MINA, which keeps a session for each remote address that a datagram names: with
  * addresses made up, that is memory for whoever sends.
  */
-final class GossipPort {
-  private static final Logger LOG = System.getLogger(GossipPort.class.getName());
+final class DatagramTransport {
+  private static final Logger LOG = System.getLogger(DatagramTransport.class.getName());
   private static final int MOST_OUT = 256; // datagrams that wait to be signed
   private static final int SOCKET_BUFFER = 256 * 1024;
 
@@ -35,9 +35,9 @@
   private static final Out LAST = new Out(0, new byte[0]);
 
   private final DatagramChannel channel;
-  private final Doorway doorway;
+  private final DatagramVerifier doorway;
   private final LongSupplier clock;
-  private final Consumer<Doorway.Entered> entered;
+  private final Consumer<DatagramVerifier.Entered> entered;
   private final ArrayBlockingQueue<Out> out = new ArrayBlockingQueue<>(MOST_OUT);
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicLong sent = new AtomicLong();
@@ -45,14 +45,14 @@
   private final AtomicLong received = new AtomicLong();
   private final AtomicLong receivedBytes = new AtomicLong();
   private final List<Thread> threads;
-  private volatile Identity identity;
+  private volatile NodeIdentity identity;
 
-  GossipPort(
+  DatagramTransport(
       InetSocketAddress listen,
-      Doorway doorway,
-      Identity identity,
+      DatagramVerifier doorway,
+      NodeIdentity identity,
       LongSupplier clock,
-      Consumer<Doorway.Entered> entered)
+      Consumer<DatagramVerifier.Entered> entered)
       throws IOException {
     this.doorway = doorway;
     this.identity = identity;
@@ -71,7 +71,7 @@
     return t;
   }
 
-  void identity(Identity next) {
+  void identity(NodeIdentity next) {
     identity = next;
   }
 
@@ -102,7 +102,7 @@
         buffer.get(bytes);
         received.incrementAndGet();
         receivedBytes.addAndGet(bytes.length + GossipCodec.UDP);
-        Doorway.Entered e = doorway.enter(clock.getAsLong(), number(from), bytes);
+        DatagramVerifier.Entered e = doorway.enter(clock.getAsLong(), number(from), bytes);
         if (e != null) {
           entered.accept(e);
         }
--- a/gateway/src/main/java/reachloom/gossip/net/Doorway.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import reachloom.gossip.Guard;
+import reachloom.gossip.DatagramRateLimiter;
 import reachloom.gossip.Packet;
-import reachloom.gossip.Refusal;
+import reachloom.gossip.RejectionReason;
+import reachloom.gossip.wire.DatagramHeader;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.gossip.wire.GossipCodec.UnreadableException;
-import reachloom.gossip.wire.Head;
 import reachloom.time.WallClock;
 
 /**
  * Takes datagrams in, or refuses them and counts why: first what is cheap, then the certificate,
  * then the signature, and only then the content. Belongs to the thread that reads the socket.
  */
-final class Doorway {
+final class DatagramVerifier {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final int MOST_KNOWN = 2_048;
 
@@ -27,31 +27,35 @@
   record Entered(Packet packet, int knows, long source, long timeMs) {}
 
   private final int cluster;
-  private final Guard guard;
+  private final DatagramRateLimiter guard;
   private final LongSupplier wallClock;
   private final Map<String, X509Certificate> known = new LinkedHashMap<>(16, 0.75f, true);
-  private volatile Identity identity;
+  private volatile NodeIdentity identity;
   private volatile Set<Long> members = Set.of();
 
-  Doorway(String cluster, Identity identity, long period) {
+  DatagramVerifier(String cluster, NodeIdentity identity, long period) {
     this(cluster, identity, period, false);
   }
 
-  Doorway(String cluster, Identity identity, long period, boolean revisions) {
+  DatagramVerifier(String cluster, NodeIdentity identity, long period, boolean revisions) {
     this(cluster, identity, period, revisions, WallClock::unixNanos);
   }
 
   /** The same by a wall clock handed in, in Unix nanoseconds. */
-  Doorway(
-      String cluster, Identity identity, long period, boolean revisions, LongSupplier wallClock) {
-    guard = new Guard(period, revisions);
+  DatagramVerifier(
+      String cluster,
+      NodeIdentity identity,
+      long period,
+      boolean revisions,
+      LongSupplier wallClock) {
+    guard = new DatagramRateLimiter(period, revisions);
     this.wallClock = wallClock;
     this.cluster = GossipCodec.cluster(cluster);
     this.identity = identity;
   }
 
   /** Keys, authorities and revocations read anew: whoever is known has to pass them again. */
-  void identity(Identity next) {
+  void identity(NodeIdentity next) {
     identity = next;
     synchronized (known) {
       known.clear();
@@ -78,7 +82,7 @@
   }
 
   /** How many were refused, by reason. */
-  Map<Refusal, Long> refused() {
+  Map<RejectionReason, Long> refused() {
     synchronized (guard) {
       return guard.refused();
     }
@@ -100,9 +104,9 @@
   }
 
   private Entered taken(long now, long source, byte[] bytes) throws UnreadableException {
-    Head head = GossipCodec.head(bytes);
+    DatagramHeader head = GossipCodec.head(bytes);
     if (head.cluster() != cluster) {
-      guard.refuse(Refusal.CLUSTER);
+      guard.refuse(RejectionReason.CLUSTER);
       return null;
     }
     X509Certificate held;
@@ -111,7 +115,7 @@
     }
     boolean same = held != null && (head.certificate() == null || same(held, head.certificate()));
     long wallClock = this.wallClock.getAsLong();
-    Refusal no =
+    RejectionReason no =
         guard.admit(
             now,
             wallClock,
@@ -129,21 +133,21 @@
     if (of == null) {
       return null;
     }
-    Identity me = identity;
+    NodeIdentity me = identity;
     long ms = wallClock / MILLISECOND;
     if (me.revoked(of)) {
-      guard.refuse(Refusal.REVOKED);
+      guard.refuse(RejectionReason.REVOKED);
       return null;
     }
     boolean valid = ms >= of.getNotBefore().getTime() && ms <= of.getNotAfter().getTime();
     if (!valid) {
-      guard.refuse(Refusal.CERTIFICATE);
+      guard.refuse(RejectionReason.CERTIFICATE);
       return null;
     }
     int signed = bytes.length - GossipCodec.SIGNATURE;
     byte[] signature = Arrays.copyOfRange(bytes, signed, bytes.length);
-    if (!Identity.verify(of.getPublicKey(), bytes, signed, signature)) {
-      guard.refuse(Refusal.FORGED);
+    if (!NodeIdentity.verify(of.getPublicKey(), bytes, signed, signature)) {
+      guard.refuse(RejectionReason.FORGED);
       return null;
     }
     if (!guard.take(head.sender(), head.seq())) {
@@ -163,17 +167,17 @@
     }
   }
 
-  private X509Certificate certificate(Head head, long wallClock) {
+  private X509Certificate certificate(DatagramHeader head, long wallClock) {
     try {
-      X509Certificate c = Identity.certificate(head.certificate());
-      if (Identity.commonName(c).equals(head.sender())
+      X509Certificate c = NodeIdentity.certificate(head.certificate());
+      if (NodeIdentity.commonName(c).equals(head.sender())
           && identity.trusts(c, wallClock / MILLISECOND)) {
         return c;
       }
     } catch (GeneralSecurityException e) {
       // told below
     }
-    guard.refuse(Refusal.CERTIFICATE);
+    guard.refuse(RejectionReason.CERTIFICATE);
     return null;
   }
 
