--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -16,18 +16,19 @@
 import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
 import reachloom.config.Member;
-import reachloom.evidence.Claim;
-import reachloom.evidence.Corroboration.Belief;
-import reachloom.evidence.Ledger;
 import reachloom.gateway.Loop;
 import reachloom.gateway.Observer;
-import reachloom.gossip.Gossip;
+import reachloom.gossip.GossipProtocol;
 import reachloom.gossip.Packet;
 import reachloom.gossip.Transport;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.revision.Word;
+import reachloom.membership.BandwidthLimiter;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.OutcomeWindow;
+import reachloom.peerreport.PeerReport;
+import reachloom.peerreport.WeightedQuorum.Belief;
+import reachloom.revision.RevisionMessage;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
 import reachloom.time.WallClock;
@@ -47,16 +48,16 @@
 
   private final Loop loop;
   private final GossipSettings settings;
-  private final Doorway doorway;
-  private final GossipPort port;
-  private final Gossip gossip;
+  private final DatagramVerifier doorway;
+  private final DatagramTransport port;
+  private final GossipProtocol gossip;
   private final int cluster;
   private final Set<String> knowsUs = new HashSet<>();
   private final Set<String> engines = new LinkedHashSet<>();
-  private Identity identity;
+  private NodeIdentity identity;
 
   /** Null where the settings give the instance no part in spreading the configuration. */
-  private Revisions revisions;
+  private RevisionService revisions;
 
   private long seq;
   private long sent;
@@ -66,7 +67,7 @@
   public GossipNode(
       Loop loop,
       GossipSettings settings,
-      Identity identity,
+      NodeIdentity identity,
       long seed,
       BiConsumer<String, Double> hearsay)
       throws IOException, ConfigException {
@@ -80,10 +81,10 @@
   public GossipNode(
       Loop loop,
       GossipSettings settings,
-      Identity identity,
+      NodeIdentity identity,
       long seed,
       BiConsumer<String, Double> hearsay,
-      Revisions.Installer installer)
+      RevisionService.Installer installer)
       throws IOException, ConfigException {
     this.loop = loop;
     this.settings = settings;
@@ -91,9 +92,9 @@
     cluster = GossipCodec.cluster(settings.cluster());
     seq = loop.now(); // above all that an earlier life has used
     gossip =
-        new Gossip(
+        new GossipProtocol(
             identity.name(),
-            GossipPort.number(settings.listen()),
+            DatagramTransport.number(settings.listen()),
             seeds(settings),
             loop.now(),
             settings.period(),
@@ -102,12 +103,14 @@
             this,
             hearsay);
     if (settings.configuration().isPresent()) {
-      revisions = new Revisions(loop, identity.name(), settings, identity, seed, gossip, installer);
+      revisions =
+          new RevisionService(loop, identity.name(), settings, identity, seed, gossip, installer);
       gossip.carry(settings.configuration().get().place(), revisions);
     }
-    doorway = new Doorway(settings.cluster(), identity, settings.period(), revisions != null);
+    doorway =
+        new DatagramVerifier(settings.cluster(), identity, settings.period(), revisions != null);
     port =
-        new GossipPort(
+        new DatagramTransport(
             settings.listen(),
             doorway,
             identity,
@@ -123,7 +126,7 @@
   }
 
   private static List<Long> seeds(GossipSettings s) {
-    return s.seeds().stream().map(GossipPort::number).toList();
+    return s.seeds().stream().map(DatagramTransport::number).toList();
   }
 
   /** Begins to look at the clock. */
@@ -146,7 +149,7 @@
   /** Takes over keys, authorities, revocations and seeds read anew. */
   public void reload(GossipSettings next) {
     try {
-      Identity read = Identity.read(next);
+      NodeIdentity read = NodeIdentity.read(next);
       if (!read.name().equals(identity.name())) {
         LOG.log(
             Level.WARNING,
@@ -193,12 +196,12 @@
     port.awaitClosed(ms);
   }
 
-  public Gossip gossip() {
+  public GossipProtocol gossip() {
     return gossip;
   }
 
   /** Revisions of the configuration; null where they are off. */
-  public Revisions revisions() {
+  public RevisionService revisions() {
     return revisions;
   }
 
@@ -227,7 +230,7 @@
 
   @Override
   public void ended(String engine, AttemptOutcome outcome, boolean wanted) {
-    Ledger.Seen seen = Ledger.Seen.of(outcome, wanted);
+    OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(outcome, wanted);
     if (seen != null) {
       gossip.seen(loop.now(), engine, seen);
     }
@@ -235,7 +238,7 @@
 
   // ---- What comes ----
 
-  private void entered(Doorway.Entered e) {
+  private void entered(DatagramVerifier.Entered e) {
     if (over) {
       return;
     }
@@ -246,7 +249,7 @@
     } else {
       knowsUs.remove(p.sender());
     }
-    if (p.message() instanceof Message.Status s) {
+    if (p.message() instanceof MembershipMessage.Status s) {
       status(p, s, e.source(), e.timeMs());
     } else {
       gossip.receive(loop.now(), p);
@@ -256,28 +259,28 @@
   // ---- What goes out ----
 
   @Override
-  public int message(String to, Message message) {
+  public int message(String to, MembershipMessage message) {
     return GossipCodec.size(
         identity.name(), message, knowsUs.contains(to) ? 0 : identity.certificate().length);
   }
 
   @Override
-  public int news(News news) {
+  public int news(MembershipUpdate news) {
     return GossipCodec.size(news);
   }
 
   @Override
-  public int claim(Claim claim) {
+  public int claim(PeerReport claim) {
     return GossipCodec.size(claim);
   }
 
   @Override
-  public int word(Word word) {
+  public int word(RevisionMessage word) {
     return GossipCodec.size(word);
   }
 
   @Override
-  public int riding(int place, List<Word> words) {
+  public int riding(int place, List<RevisionMessage> words) {
     return GossipCodec.riding(place, words);
   }
 
@@ -301,21 +304,22 @@
    * bears the time of the question: that is fresh by the clock of whoever asked, however far from
    * this machine's.
    */
-  private void status(Packet asked, Message.Status s, long source, long timeMs) {
+  private void status(Packet asked, MembershipMessage.Status s, long source, long timeMs) {
     List<String> pages = pages();
     if (s.page() < 0 || s.page() >= pages.size()) {
       return;
     }
-    Message answer = new Message.StatusPage(s.page(), pages.size(), pages.get(s.page()));
+    MembershipMessage answer =
+        new MembershipMessage.StatusPage(s.page(), pages.size(), pages.get(s.page()));
     int size = message(asked.sender(), answer);
-    if (gossip.membership().meter().room(loop.now(), reachloom.membership.Meter.Use.ANSWER, size)) {
+    if (gossip.membership().meter().room(loop.now(), BandwidthLimiter.Use.ANSWER, size)) {
       gossip.membership().meter().sent(loop.now(), size, 0);
       send(
           asked.sender(),
           source,
           new Packet(
               identity.name(),
-              GossipPort.number(settings.listen()),
+              DatagramTransport.number(settings.listen()),
               gossip.membership().incarnation(),
               answer,
               List.of(),
@@ -390,7 +394,7 @@
                     "member "
                         + m.name()
                         + " "
-                        + GossipPort.address(m.address()).toString().substring(1)
+                        + DatagramTransport.address(m.address()).toString().substring(1)
                         + " "
                         + m.state()
                         + " incarnation "
--- a/gateway/src/main/java/reachloom/gossip/net/IssuersSeal.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import reachloom.config.ConfigException;
 import reachloom.config.ConfigurationSettings;
-import reachloom.revision.Seal;
+import reachloom.revision.SignatureScheme;
 
 /**
  * Proves issuers' votes by the certificates that the settings name, each of which an authority has
  * to have signed for that very name; read as a whole, so that it is replaced as a whole.
  */
-final class IssuersSeal implements Seal {
+final class IssuerSignatures implements SignatureScheme {
   /**
    * Stands before what is signed: no datagram and no other signature of the same key passes for a
    * vote.
@@ -23,26 +23,26 @@
   private static final byte[] PURPOSE =
       "reachloom revision 1\n".getBytes(StandardCharsets.US_ASCII);
 
-  private final Identity self;
+  private final NodeIdentity self;
   private final Map<String, PublicKey> keys;
 
-  private IssuersSeal(Identity self, Map<String, PublicKey> keys) {
+  private IssuerSignatures(NodeIdentity self, Map<String, PublicKey> keys) {
     this.self = self;
     this.keys = keys;
   }
 
   /** Reads and checks the certificates; {@code time} is in Unix milliseconds. */
-  static IssuersSeal read(ConfigurationSettings settings, Identity self, long time)
+  static IssuerSignatures read(ConfigurationSettings settings, NodeIdentity self, long time)
       throws ConfigException {
     Map<String, PublicKey> keys = new LinkedHashMap<>();
     for (ConfigurationSettings.Issuer i : settings.issuers()) {
       try {
-        X509Certificate c = Identity.certificate(Pem.read(i.certificate(), "CERTIFICATE"));
-        if (!Identity.commonName(c).equals(i.name())) {
+        X509Certificate c = NodeIdentity.certificate(Pem.read(i.certificate(), "CERTIFICATE"));
+        if (!NodeIdentity.commonName(c).equals(i.name())) {
           throw new ConfigException(
               i.certificate()
                   + ": is the certificate of '"
-                  + Identity.commonName(c)
+                  + NodeIdentity.commonName(c)
                   + "', not of issuer '"
                   + i.name()
                   + "'");
@@ -58,7 +58,7 @@
         throw new ConfigException(i.certificate() + ": can't be used: " + e.getMessage());
       }
     }
-    return new IssuersSeal(self, keys);
+    return new IssuerSignatures(self, keys);
   }
 
   @Override
@@ -74,7 +74,7 @@
   public boolean proves(String issuer, byte[] chain, byte[] signature) {
     PublicKey key = keys.get(issuer);
     byte[] content = content(chain);
-    return key != null && Identity.verify(key, content, content.length, signature);
+    return key != null && NodeIdentity.verify(key, content, content.length, signature);
   }
 
   private static byte[] content(byte[] chain) {
--- a/gateway/src/main/java/reachloom/gossip/net/Identity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -25,7 +25,7 @@
  * it, the authorities whose word counts, and what has been revoked. Read from files as a whole, so
  * that it is replaced as a whole.
  */
-public final class Identity {
+public final class NodeIdentity {
   /** The signature of all datagrams and certificates. */
   public static final String ALGORITHM = "Ed25519";
 
@@ -36,7 +36,7 @@
   private final List<X509Certificate> authorities;
   private final Set<String> revoked;
 
-  private Identity(
+  private NodeIdentity(
       PrivateKey key, X509Certificate own, List<X509Certificate> authorities, Set<String> revoked)
       throws GeneralSecurityException {
     name = commonName(own);
@@ -48,7 +48,7 @@
   }
 
   /** Reads all files that the settings name, and checks that they belong together. */
-  public static Identity read(GossipSettings s) throws ConfigException {
+  public static NodeIdentity read(GossipSettings s) throws ConfigException {
     try {
       KeyFactory keys = KeyFactory.getInstance(ALGORITHM);
       PrivateKey key = keys.generatePrivate(new PKCS8EncodedKeySpec(Pem.readPrivate(s.key())));
@@ -57,7 +57,8 @@
       for (Path a : s.authorities()) {
         authorities.add(certificate(Pem.read(a, "CERTIFICATE")));
       }
-      Identity read = new Identity(key, own, List.copyOf(authorities), revoked(s.revoked()));
+      NodeIdentity read =
+          new NodeIdentity(key, own, List.copyOf(authorities), revoked(s.revoked()));
       byte[] probe = {1};
       if (!verify(own.getPublicKey(), probe, probe.length, read.sign(probe))) {
         throw new ConfigException(s.key() + ": is not the key of " + s.certificate());
--- a/gateway/src/main/java/reachloom/gossip/net/Revisions.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -10,23 +10,23 @@
 import reachloom.config.ConfigurationSettings;
 import reachloom.config.GossipSettings;
 import reachloom.gateway.Loop;
-import reachloom.gossip.Rider;
-import reachloom.revision.Council;
-import reachloom.revision.Dissemination;
-import reachloom.revision.Outlet;
+import reachloom.gossip.PiggybackPayload;
+import reachloom.revision.ConsensusNode;
 import reachloom.revision.Peer;
 import reachloom.revision.Revision;
-import reachloom.revision.Seal;
-import reachloom.revision.Word;
+import reachloom.revision.RevisionDissemination;
+import reachloom.revision.RevisionMessage;
+import reachloom.revision.RevisionMessageSender;
+import reachloom.revision.SignatureScheme;
 import reachloom.time.WallClock;
 
 /**
- * Revisions of the installation's configuration at this instance: ties {@link Dissemination} to
- * gossip and to whoever puts a document in force. All of it runs on the loop, but for putting in
- * force, which has a thread of its own, one document at a time.
+ * Revisions of the installation's configuration at this instance: ties {@link
+ * RevisionDissemination} to gossip and to whoever puts a document in force. All of it runs on the
+ * loop, but for putting in force, which has a thread of its own, one document at a time.
  */
-public final class Revisions implements Rider, Dissemination.Host {
-  private static final Logger LOG = System.getLogger(Revisions.class.getName());
+public final class RevisionService implements PiggybackPayload, RevisionDissemination.Host {
+  private static final Logger LOG = System.getLogger(RevisionService.class.getName());
 
   /** Puts a document in force, off the loop. */
   public interface Installer {
@@ -36,20 +36,20 @@
 
   private final Loop loop;
   private final Installer installer;
-  private final Dissemination dissemination;
+  private final RevisionDissemination dissemination;
   private final List<Peer> issuers;
-  private volatile Seal seal;
+  private volatile SignatureScheme seal;
 
   /** Null where this instance is no issuer. */
-  private Council council;
+  private ConsensusNode council;
 
-  Revisions(
+  RevisionService(
       Loop loop,
       String name,
       GossipSettings settings,
-      Identity identity,
+      NodeIdentity identity,
       long seed,
-      Outlet outlet,
+      RevisionMessageSender outlet,
       Installer installer)
       throws ConfigException {
     this.loop = loop;
@@ -58,11 +58,11 @@
     reload(settings, identity);
     issuers =
         c.issuers().stream()
-            .map(i -> new Peer(i.name(), GossipPort.number(i.address()), 0))
+            .map(i -> new Peer(i.name(), DatagramTransport.number(i.address()), 0))
             .toList();
     boolean issuer = issuers.stream().anyMatch(i -> i.name().equals(name));
     dissemination =
-        new Dissemination(
+        new RevisionDissemination(
             name,
             c.place(),
             issuer,
@@ -76,19 +76,20 @@
   }
 
   /** Reads the issuers' certificates anew. */
-  void reload(GossipSettings settings, Identity identity) throws ConfigException {
+  void reload(GossipSettings settings, NodeIdentity identity) throws ConfigException {
     seal =
-        IssuersSeal.read(settings.configuration().orElseThrow(), identity, WallClock.unixMillis());
+        IssuerSignatures.read(
+            settings.configuration().orElseThrow(), identity, WallClock.unixMillis());
   }
 
   /** The member's part; for the loop's thread. */
-  public Dissemination dissemination() {
+  public RevisionDissemination dissemination() {
     return dissemination;
   }
 
   /** What signs and proves votes, whatever certificates are read anew. */
-  public Seal seal() {
-    return new Seal() {
+  public SignatureScheme seal() {
+    return new SignatureScheme() {
       @Override
       public byte[] sign(byte[] chain) {
         return seal.sign(chain);
@@ -107,7 +108,7 @@
   }
 
   /** This instance is an issuer; before it starts. */
-  public void join(Council of) {
+  public void join(ConsensusNode of) {
     council = of;
   }
 
@@ -123,12 +124,12 @@
   // ---- What rides on gossip ----
 
   @Override
-  public List<Word> always() {
+  public List<RevisionMessage> always() {
     return List.of(dissemination.have());
   }
 
   @Override
-  public void hear(long now, Peer sender, List<Word> words) {
+  public void hear(long now, Peer sender, List<RevisionMessage> words) {
     dissemination.hear(now, sender, words);
     if (council != null) {
       council.hear(now, sender, words);
--- a/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
@@ -14,7 +14,7 @@
 import reachloom.config.GossipSettings;
 import reachloom.gossip.Packet;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.membership.Message;
+import reachloom.membership.MembershipMessage;
 import reachloom.time.WallClock;
 
 /**
@@ -32,16 +32,16 @@
   public static String ask(
       InetSocketAddress at, String clusterName, Path key, Path certificate, Path authority)
       throws IOException, GeneralSecurityException {
-    Identity me;
+    NodeIdentity me;
     try {
       me =
-          Identity.read(
+          NodeIdentity.read(
               new GossipSettings(
                   clusterName, at, 0, 0, key, certificate, List.of(authority), null, List.of()));
     } catch (ConfigException e) {
       throw new IOException(e.getMessage());
     }
-    Doorway doorway = new Doorway(clusterName, me, TIMEOUT_MS * MILLISECOND);
+    DatagramVerifier doorway = new DatagramVerifier(clusterName, me, TIMEOUT_MS * MILLISECOND);
     TreeMap<Integer, String> pages = new TreeMap<>();
     long seq = WallClock.unixNanos();
     int count = 1;
@@ -49,7 +49,7 @@
       socket.setSoTimeout(TIMEOUT_MS);
       for (int tries = 0; pages.size() < count && tries < TRIES * count; tries++) {
         send(socket, at, me, clusterName, pages.size(), seq++);
-        Message.StatusPage p = answer(socket, doorway);
+        MembershipMessage.StatusPage p = answer(socket, doorway);
         if (p != null && p.pages() > 0) {
           count = p.pages();
           pages.put(p.page(), p.text());
@@ -68,12 +68,13 @@
   private static void send(
       DatagramSocket socket,
       InetSocketAddress at,
-      Identity me,
+      NodeIdentity me,
       String clusterName,
       int page,
       long seq)
       throws IOException, GeneralSecurityException {
-    Packet asked = new Packet(me.name(), 0, 0, new Message.Status(page), List.of(), List.of());
+    Packet asked =
+        new Packet(me.name(), 0, 0, new MembershipMessage.Status(page), List.of(), List.of());
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(clusterName),
@@ -88,19 +89,19 @@
     socket.send(new DatagramPacket(whole, whole.length, at));
   }
 
-  private static Message.StatusPage answer(DatagramSocket socket, Doorway doorway)
-      throws IOException {
+  private static MembershipMessage.StatusPage answer(
+      DatagramSocket socket, DatagramVerifier doorway) throws IOException {
     DatagramPacket in = new DatagramPacket(new byte[GossipCodec.MOST + 1], GossipCodec.MOST + 1);
     try {
       socket.receive(in);
     } catch (SocketTimeoutException e) {
       return null;
     }
-    Doorway.Entered e =
+    DatagramVerifier.Entered e =
         doorway.enter(
             WallClock.unixNanos(),
-            GossipPort.number((InetSocketAddress) in.getSocketAddress()),
+            DatagramTransport.number((InetSocketAddress) in.getSocketAddress()),
             Arrays.copyOf(in.getData(), in.getLength()));
-    return e != null && e.packet().message() instanceof Message.StatusPage p ? p : null;
+    return e != null && e.packet().message() instanceof MembershipMessage.StatusPage p ? p : null;
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/wire/Head.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/DatagramHeader.java
@@ -5,7 +5,7 @@
  * is in Unix milliseconds; the certificate is null where the datagram brings none; {@code knowsYou}
  * tells whether the sender holds the receiver's.
  */
-public record Head(
+public record DatagramHeader(
     int cluster,
     String sender,
     long seq,
--- a/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
@@ -7,13 +7,13 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import reachloom.evidence.Claim;
 import reachloom.gossip.Packet;
-import reachloom.gossip.Refusal;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.membership.State;
-import reachloom.revision.Word;
+import reachloom.gossip.RejectionReason;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.PeerReport;
+import reachloom.revision.RevisionMessage;
 
 /**
  * Gossip as bytes, big-endian, at most {@link #MOST} of them:
@@ -21,7 +21,7 @@
  * <pre>
  * datagram = "RG" version:1 flags:1 cluster:4 sender:text seq:8 time:8 address:6 incarnation:8 knows:4
  *            [certificate: length:2 bytes]  section*  signature:64
- * section  = kind:1 length:2 bytes          kind 1 message, 2 news, 3 claims, 4 words ({@link WordCodec}),
+ * section  = kind:1 length:2 bytes          kind 1 message, 2 news, 3 claims, 4 words ({@link RevisionMessageCodec}),
  *                                           5 the sender's place; others are skipped. 4 and 5 only where used
  * news, claims = (length:1 bytes)*          what follows the known fields of one is skipped
  * text     = length:1 UTF-8
@@ -57,14 +57,14 @@
   /** Bytes that can't be read, with the reason as it is counted. */
   public static final class UnreadableException extends Exception {
     private static final long serialVersionUID = 1L;
-    private final transient Refusal why;
+    private final transient RejectionReason why;
 
-    UnreadableException(Refusal why) {
+    UnreadableException(RejectionReason why) {
       super(why.name(), null, false, false); // a value, not a place in the program
       this.why = why;
     }
 
-    public Refusal why() {
+    public RejectionReason why() {
       return why;
     }
   }
@@ -94,7 +94,7 @@
    * A datagram with that message and nothing else; {@code certificate} is the length of one brought
    * along.
    */
-  public static int size(String sender, Message message, int certificate) {
+  public static int size(String sender, MembershipMessage message, int certificate) {
     return UDP
         + FIXED
         + text(sender)
@@ -105,43 +105,45 @@
         + SIGNATURE;
   }
 
-  private static int body(Message m) {
-    if (m instanceof Message.Ping p) {
+  private static int body(MembershipMessage m) {
+    if (m instanceof MembershipMessage.Ping p) {
       return 9 + text(p.target());
-    } else if (m instanceof Message.PingRequest r) {
+    } else if (m instanceof MembershipMessage.PingRequest r) {
       return 9 + text(r.target()) + 6;
-    } else if (m instanceof Message.Pull p) {
+    } else if (m instanceof MembershipMessage.Pull p) {
       return 1 + text(p.after()) + text(p.last()) + 4 + 2 * p.marks().size();
-    } else if (m instanceof Message.Part p) {
+    } else if (m instanceof MembershipMessage.Part p) {
       return 2 + p.held().stream().mapToInt(GossipCodec::size).sum();
     }
-    if (m instanceof Message.StatusPage s) {
+    if (m instanceof MembershipMessage.StatusPage s) {
       return 1 + 4 + 2 + s.text().length();
-    } else if (m instanceof Message.Status) {
+    } else if (m instanceof MembershipMessage.Status) {
       return 3;
     }
-    return m instanceof Message.Leave || m instanceof Message.Tell ? 1 : 9;
+    return m instanceof MembershipMessage.Leave || m instanceof MembershipMessage.Tell ? 1 : 9;
   }
 
   /** One piece of news. */
-  public static int size(News n) {
+  public static int size(MembershipUpdate n) {
     return 1 + text(n.member()) + 6 + 8 + 1 + text(n.by()) + (n.place() == 0 ? 0 : Short.BYTES);
   }
 
   /** One claim. */
-  public static int size(Claim c) {
+  public static int size(PeerReport c) {
     return 1 + text(c.engine()) + 8 + 6 + 4;
   }
 
   /** One word about the configuration. */
-  public static int size(Word w) {
-    return WordCodec.size(w);
+  public static int size(RevisionMessage w) {
+    return RevisionMessageCodec.size(w);
   }
 
   /** What a place and words add to a datagram. */
-  public static int riding(int place, List<Word> words) {
+  public static int riding(int place, List<RevisionMessage> words) {
     return (place == 0 ? 0 : SECTION + Short.BYTES)
-        + (words.isEmpty() ? 0 : SECTION + words.stream().mapToInt(WordCodec::size).sum());
+        + (words.isEmpty()
+            ? 0
+            : SECTION + words.stream().mapToInt(RevisionMessageCodec::size).sum());
   }
 
   static int text(String text) {
@@ -179,7 +181,7 @@
     end(out, at);
     if (!p.words().isEmpty()) {
       at = begin(out, WORDS);
-      p.words().forEach(w -> WordCodec.put(out, w));
+      p.words().forEach(w -> RevisionMessageCodec.put(out, w));
       end(out, at);
     }
     if (p.place() != 0) {
@@ -208,31 +210,31 @@
     out.putShort((short) (address >>> 32)).putInt((int) address);
   }
 
-  private static void putMessage(ByteBuffer out, Message m) {
-    if (m instanceof Message.Ping p) {
+  private static void putMessage(ByteBuffer out, MembershipMessage m) {
+    if (m instanceof MembershipMessage.Ping p) {
       put(out.put((byte) 1).putLong(p.seq()), p.target());
-    } else if (m instanceof Message.Ack a) {
+    } else if (m instanceof MembershipMessage.Ack a) {
       out.put((byte) 2).putLong(a.seq());
-    } else if (m instanceof Message.PingRequest r) {
+    } else if (m instanceof MembershipMessage.PingRequest r) {
       put(out.put((byte) 3).putLong(r.seq()), r.target());
       putAddress(out, r.address());
-    } else if (m instanceof Message.Nack n) {
+    } else if (m instanceof MembershipMessage.Nack n) {
       out.put((byte) 4).putLong(n.seq());
-    } else if (m instanceof Message.Pull p) {
+    } else if (m instanceof MembershipMessage.Pull p) {
       put(out.put((byte) 5), p.after());
       put(out, p.last());
       out.putInt(p.salt());
       p.marks().forEach(k -> out.putShort(k.shortValue()));
-    } else if (m instanceof Message.Part p) {
+    } else if (m instanceof MembershipMessage.Part p) {
       out.put((byte) 6).put((byte) (p.more() ? 1 : 0));
       p.held().forEach(n -> putNews(out, n));
-    } else if (m instanceof Message.Leave) {
+    } else if (m instanceof MembershipMessage.Leave) {
       out.put((byte) 7);
-    } else if (m instanceof Message.Tell) {
+    } else if (m instanceof MembershipMessage.Tell) {
       out.put((byte) 8);
-    } else if (m instanceof Message.Status s) {
+    } else if (m instanceof MembershipMessage.Status s) {
       out.put((byte) 9).putShort((short) s.page());
-    } else if (m instanceof Message.StatusPage s) {
+    } else if (m instanceof MembershipMessage.StatusPage s) {
       byte[] text = s.text().getBytes(StandardCharsets.US_ASCII);
       out.put((byte) 10)
           .putShort((short) s.page())
@@ -242,7 +244,7 @@
     }
   }
 
-  private static void putNews(ByteBuffer out, News n) {
+  private static void putNews(ByteBuffer out, MembershipUpdate n) {
     out.put((byte) (size(n) - 1));
     put(out, n.member());
     putAddress(out, n.address());
@@ -253,7 +255,7 @@
     }
   }
 
-  private static void putClaim(ByteBuffer out, Claim c) {
+  private static void putClaim(ByteBuffer out, PeerReport c) {
     out.put((byte) (size(c) - 1));
     put(out, c.engine());
     out.putLong(c.since())
@@ -270,17 +272,17 @@
   // ---- In ----
 
   /** Reads what stands before the content: nothing of it is proved yet. */
-  public static Head head(byte[] bytes) throws UnreadableException {
+  public static DatagramHeader head(byte[] bytes) throws UnreadableException {
     if (bytes.length > MOST || bytes.length < FIXED + 2 + SIGNATURE) {
-      throw new UnreadableException(Refusal.FORM);
+      throw new UnreadableException(RejectionReason.FORM);
     }
     try {
       ByteBuffer in = ByteBuffer.wrap(bytes, 0, bytes.length - SIGNATURE);
       if (in.getShort() != (short) MAGIC) {
-        throw new UnreadableException(Refusal.FORM);
+        throw new UnreadableException(RejectionReason.FORM);
       }
       if (in.get() != VERSION) {
-        throw new UnreadableException(Refusal.VERSION);
+        throw new UnreadableException(RejectionReason.VERSION);
       }
       int flags = in.get();
       int cluster = in.getInt();
@@ -296,9 +298,9 @@
         in.get(certificate);
       }
       if (sender.isEmpty()) {
-        throw new UnreadableException(Refusal.FORM);
+        throw new UnreadableException(RejectionReason.FORM);
       }
-      return new Head(
+      return new DatagramHeader(
           cluster,
           sender,
           seq,
@@ -310,7 +312,7 @@
           in.position(),
           in.limit());
     } catch (BufferUnderflowException e) {
-      throw new UnreadableException(Refusal.FORM);
+      throw new UnreadableException(RejectionReason.FORM);
     }
   }
 
@@ -318,13 +320,13 @@
    * Reads the content, once the signature holds: what can't be read then is nonsense, whoever
    * signed it.
    */
-  public static Packet read(byte[] bytes, Head head) throws UnreadableException {
+  public static Packet read(byte[] bytes, DatagramHeader head) throws UnreadableException {
     try {
       ByteBuffer in = ByteBuffer.wrap(bytes, head.content(), head.end() - head.content());
-      Message message = null;
-      List<News> news = new ArrayList<>();
-      List<Claim> claims = new ArrayList<>();
-      List<Word> words = new ArrayList<>();
+      MembershipMessage message = null;
+      List<MembershipUpdate> news = new ArrayList<>();
+      List<PeerReport> claims = new ArrayList<>();
+      List<RevisionMessage> words = new ArrayList<>();
       int place = 0;
       while (in.hasRemaining()) {
         byte kind = in.get();
@@ -333,18 +335,18 @@
           case MESSAGE -> message = message(section);
           case NEWS -> news.addAll(news(section));
           case CLAIMS -> claims.addAll(claims(section));
-          case WORDS -> words.addAll(WordCodec.words(section));
+          case WORDS -> words.addAll(RevisionMessageCodec.words(section));
           case PLACE -> place = Short.toUnsignedInt(section.getShort());
           default -> {} // of a later version
         }
       }
       if (message == null) {
-        throw new UnreadableException(Refusal.NONSENSE);
+        throw new UnreadableException(RejectionReason.NONSENSE);
       }
       return new Packet(
           head.sender(), head.address(), place, head.incarnation(), message, news, claims, words);
     } catch (BufferUnderflowException | IllegalArgumentException e) {
-      throw new UnreadableException(Refusal.NONSENSE);
+      throw new UnreadableException(RejectionReason.NONSENSE);
     }
   }
 
@@ -389,29 +391,29 @@
     return high << 32 | Integer.toUnsignedLong(in.getInt());
   }
 
-  private static Message message(ByteBuffer in) throws UnreadableException {
+  private static MembershipMessage message(ByteBuffer in) throws UnreadableException {
     return switch (in.get()) {
-      case 1 -> new Message.Ping(in.getLong(), name(in));
-      case 2 -> new Message.Ack(in.getLong());
-      case 3 -> new Message.PingRequest(in.getLong(), name(in), address(in));
-      case 4 -> new Message.Nack(in.getLong());
-      case 5 -> new Message.Pull(name(in), name(in), in.getInt(), marks(in));
-      case 6 -> new Message.Part(in.get() != 0, news(in));
-      case 7 -> new Message.Leave();
-      case 8 -> new Message.Tell();
-      case 9 -> new Message.Status(Short.toUnsignedInt(in.getShort()));
+      case 1 -> new MembershipMessage.Ping(in.getLong(), name(in));
+      case 2 -> new MembershipMessage.Ack(in.getLong());
+      case 3 -> new MembershipMessage.PingRequest(in.getLong(), name(in), address(in));
+      case 4 -> new MembershipMessage.Nack(in.getLong());
+      case 5 -> new MembershipMessage.Pull(name(in), name(in), in.getInt(), marks(in));
+      case 6 -> new MembershipMessage.Part(in.get() != 0, news(in));
+      case 7 -> new MembershipMessage.Leave();
+      case 8 -> new MembershipMessage.Tell();
+      case 9 -> new MembershipMessage.Status(Short.toUnsignedInt(in.getShort()));
       case 10 -> page(in);
-      default -> throw new UnreadableException(Refusal.NONSENSE);
+      default -> throw new UnreadableException(RejectionReason.NONSENSE);
     };
   }
 
-  private static Message.StatusPage page(ByteBuffer in) {
+  private static MembershipMessage.StatusPage page(ByteBuffer in) {
     int number = Short.toUnsignedInt(in.getShort());
     int pages = Short.toUnsignedInt(in.getShort());
     byte[] text = new byte[Short.toUnsignedInt(in.getShort())];
     in.get(text);
     // It goes to a terminal: nothing but printable ASCII and line ends.
-    return new Message.StatusPage(
+    return new MembershipMessage.StatusPage(
         number,
         pages,
         new String(text, StandardCharsets.US_ASCII).replaceAll("[^\\x20-\\x7e\n]", "?"));
@@ -425,9 +427,9 @@
     return read;
   }
 
-  private static List<News> news(ByteBuffer in) {
-    List<News> read = new ArrayList<>();
-    State[] states = State.values();
+  private static List<MembershipUpdate> news(ByteBuffer in) {
+    List<MembershipUpdate> read = new ArrayList<>();
+    MemberState[] states = MemberState.values();
     while (in.hasRemaining()) {
       ByteBuffer one = take(in, Byte.toUnsignedInt(in.get()));
       String member = name(one);
@@ -437,18 +439,18 @@
       String by = name(one);
       int place = one.remaining() < Short.BYTES ? 0 : Short.toUnsignedInt(one.getShort());
       if (state >= 0 && state < states.length && !member.isEmpty() && incarnation >= 0) {
-        read.add(new News(member, at, incarnation, states[state], by, place));
+        read.add(new MembershipUpdate(member, at, incarnation, states[state], by, place));
       }
     }
     return read;
   }
 
-  private static List<Claim> claims(ByteBuffer in) {
-    List<Claim> read = new ArrayList<>();
+  private static List<PeerReport> claims(ByteBuffer in) {
+    List<PeerReport> read = new ArrayList<>();
     while (in.hasRemaining()) {
       ByteBuffer one = take(in, Byte.toUnsignedInt(in.get()));
       read.add(
-          new Claim(
+          new PeerReport(
               name(one),
               one.getLong(),
               Short.toUnsignedInt(one.getShort()),
--- a/gateway/src/main/java/reachloom/gossip/wire/WordCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import reachloom.revision.Ballot;
 import reachloom.revision.Revision;
+import reachloom.revision.RevisionMessage;
 import reachloom.revision.Vote;
-import reachloom.revision.Word;
 
 /**
  * Words about the configuration as bytes, big-endian:
@@ -19,50 +19,51 @@
  * vote     = issuer:text length:1 signature
  * </pre>
  */
-final class WordCodec {
+final class RevisionMessageCodec {
   private static final int HEAD = 2 + 1;
-  private static final int FIXED = Long.BYTES + 2 * Revision.HASH + Integer.BYTES + Long.BYTES;
+  private static final int FIXED =
+      Long.BYTES + 2 * Revision.HASH_BYTES + Integer.BYTES + Long.BYTES;
   private static final int MOST_VOTES = 9;
   private static final int MOST_LACKING = 32;
 
-  private WordCodec() {}
+  private RevisionMessageCodec() {}
 
   /** One word's bytes. */
-  static int size(Word w) {
+  static int size(RevisionMessage w) {
     return HEAD + body(w);
   }
 
-  private static int body(Word w) {
-    if (w instanceof Word.Have) {
+  private static int body(RevisionMessage w) {
+    if (w instanceof RevisionMessage.Have) {
       return 3 * Long.BYTES;
-    } else if (w instanceof Word.Notice n) {
-      return size(n.revision()) + 1 + n.votes().stream().mapToInt(WordCodec::size).sum();
-    } else if (w instanceof Word.Want) {
+    } else if (w instanceof RevisionMessage.Notice n) {
+      return size(n.revision()) + 1 + n.votes().stream().mapToInt(RevisionMessageCodec::size).sum();
+    } else if (w instanceof RevisionMessage.Want) {
       return 3 * Long.BYTES + Short.BYTES;
-    } else if (w instanceof Word.Piece p) {
+    } else if (w instanceof RevisionMessage.Piece p) {
       return 2 * Long.BYTES + 2 * Short.BYTES + Short.BYTES + p.bytes().length;
-    } else if (w instanceof Word.Acknowledgement a) {
+    } else if (w instanceof RevisionMessage.Acknowledgement a) {
       return 2 * Long.BYTES + GossipCodec.text(a.refusal());
-    } else if (w instanceof Word.Census c) {
+    } else if (w instanceof RevisionMessage.Census c) {
       return Short.BYTES
           + Long.BYTES
           + 3 * Short.BYTES
           + Integer.BYTES
           + 1
           + c.lacking().stream().mapToInt(GossipCodec::text).sum();
-    } else if (w instanceof Word.Prepare p) {
+    } else if (w instanceof RevisionMessage.Prepare p) {
       return size(p.ballot()) + Long.BYTES;
-    } else if (w instanceof Word.Promise p) {
+    } else if (w instanceof RevisionMessage.Promise p) {
       return size(p.ballot())
           + Long.BYTES
           + size(p.acceptedUnder())
           + 1
           + (p.accepted() == null ? 0 : size(p.accepted()));
-    } else if (w instanceof Word.Propose p) {
+    } else if (w instanceof RevisionMessage.Propose p) {
       return size(p.ballot()) + size(p.revision());
-    } else if (w instanceof Word.Accepted a) {
+    } else if (w instanceof RevisionMessage.Accepted a) {
       return size(a.ballot()) + Long.BYTES + size(a.vote());
-    } else if (w instanceof Word.Rejected r) {
+    } else if (w instanceof RevisionMessage.Rejected r) {
       return size(r.ballot()) + size(r.promised());
     }
     throw new IllegalArgumentException("a word without a form: " + w);
@@ -82,21 +83,21 @@
 
   // ---- Out ----
 
-  static void put(ByteBuffer out, Word w) {
+  static void put(ByteBuffer out, RevisionMessage w) {
     out.putShort((short) (size(w) - Short.BYTES));
-    if (w instanceof Word.Have h) {
+    if (w instanceof RevisionMessage.Have h) {
       out.put((byte) 1).putLong(h.inForce()).putLong(h.mark()).putLong(h.known());
-    } else if (w instanceof Word.Notice n) {
+    } else if (w instanceof RevisionMessage.Notice n) {
       put(out.put((byte) 2), n.revision());
       out.put((byte) n.votes().size());
       n.votes().forEach(v -> put(out, v));
-    } else if (w instanceof Word.Want q) {
+    } else if (w instanceof RevisionMessage.Want q) {
       out.put((byte) 3)
           .putLong(q.number())
           .putLong(q.base())
           .putLong(q.baseMark())
           .putShort((short) q.from());
-    } else if (w instanceof Word.Piece p) {
+    } else if (w instanceof RevisionMessage.Piece p) {
       out.put((byte) 4)
           .putLong(p.number())
           .putLong(p.base())
@@ -104,9 +105,9 @@
           .putShort((short) p.of())
           .putShort((short) p.bytes().length)
           .put(p.bytes());
-    } else if (w instanceof Word.Acknowledgement a) {
+    } else if (w instanceof RevisionMessage.Acknowledgement a) {
       GossipCodec.put(out.put((byte) 5).putLong(a.number()).putLong(a.mark()), a.refusal());
-    } else if (w instanceof Word.Census c) {
+    } else if (w instanceof RevisionMessage.Census c) {
       out.put((byte) 6)
           .putShort((short) c.place())
           .putLong(c.number())
@@ -116,23 +117,23 @@
           .putInt((int) Math.min(Integer.MAX_VALUE, c.longest()))
           .put((byte) c.lacking().size());
       c.lacking().forEach(name -> GossipCodec.put(out, name));
-    } else if (w instanceof Word.Prepare p) {
+    } else if (w instanceof RevisionMessage.Prepare p) {
       put(out.put((byte) 7), p.ballot());
       out.putLong(p.number());
-    } else if (w instanceof Word.Promise p) {
+    } else if (w instanceof RevisionMessage.Promise p) {
       put(out.put((byte) 8), p.ballot());
       put(out.putLong(p.number()), p.acceptedUnder());
       out.put((byte) (p.accepted() == null ? 0 : 1));
       if (p.accepted() != null) {
         put(out, p.accepted());
       }
-    } else if (w instanceof Word.Propose p) {
+    } else if (w instanceof RevisionMessage.Propose p) {
       put(out.put((byte) 9), p.ballot());
       put(out, p.revision());
-    } else if (w instanceof Word.Accepted a) {
+    } else if (w instanceof RevisionMessage.Accepted a) {
       put(out.put((byte) 10), a.ballot());
       put(out.putLong(a.number()), a.vote());
-    } else if (w instanceof Word.Rejected r) {
+    } else if (w instanceof RevisionMessage.Rejected r) {
       put(out.put((byte) 11), r.ballot());
       put(out, r.promised());
     }
@@ -159,10 +160,10 @@
   // ---- In ----
 
   /** Reads all words that stand there; what can't be read throws as the rest of a datagram does. */
-  static List<Word> words(ByteBuffer in) {
-    List<Word> read = new ArrayList<>();
+  static List<RevisionMessage> words(ByteBuffer in) {
+    List<RevisionMessage> read = new ArrayList<>();
     while (in.hasRemaining()) {
-      Word w = word(GossipCodec.take(in, Short.toUnsignedInt(in.getShort())));
+      RevisionMessage w = word(GossipCodec.take(in, Short.toUnsignedInt(in.getShort())));
       if (w != null) {
         read.add(w);
       }
@@ -170,27 +171,29 @@
     return read;
   }
 
-  private static Word word(ByteBuffer in) {
+  private static RevisionMessage word(ByteBuffer in) {
     return switch (in.get()) {
-      case 1 -> new Word.Have(number(in), in.getLong(), number(in));
-      case 2 -> new Word.Notice(revision(in), votes(in));
+      case 1 -> new RevisionMessage.Have(number(in), in.getLong(), number(in));
+      case 2 -> new RevisionMessage.Notice(revision(in), votes(in));
       case 3 ->
-          new Word.Want(number(in), number(in), in.getLong(), Short.toUnsignedInt(in.getShort()));
+          new RevisionMessage.Want(
+              number(in), number(in), in.getLong(), Short.toUnsignedInt(in.getShort()));
       case 4 ->
-          new Word.Piece(
+          new RevisionMessage.Piece(
               number(in),
               number(in),
               Short.toUnsignedInt(in.getShort()),
               Short.toUnsignedInt(in.getShort()),
               bytes(in, Short.toUnsignedInt(in.getShort())));
-      case 5 -> new Word.Acknowledgement(number(in), in.getLong(), plain(in));
+      case 5 -> new RevisionMessage.Acknowledgement(number(in), in.getLong(), plain(in));
       case 6 -> census(in);
-      case 7 -> new Word.Prepare(ballot(in), number(in));
+      case 7 -> new RevisionMessage.Prepare(ballot(in), number(in));
       case 8 ->
-          new Word.Promise(ballot(in), number(in), ballot(in), in.get() == 0 ? null : revision(in));
-      case 9 -> new Word.Propose(ballot(in), revision(in));
-      case 10 -> new Word.Accepted(ballot(in), number(in), vote(in));
-      case 11 -> new Word.Rejected(ballot(in), ballot(in));
+          new RevisionMessage.Promise(
+              ballot(in), number(in), ballot(in), in.get() == 0 ? null : revision(in));
+      case 9 -> new RevisionMessage.Propose(ballot(in), revision(in));
+      case 10 -> new RevisionMessage.Accepted(ballot(in), number(in), vote(in));
+      case 11 -> new RevisionMessage.Rejected(ballot(in), ballot(in));
       default -> null; // of a later version
     };
   }
@@ -216,12 +219,12 @@
     Revision r =
         new Revision(
             number(in),
-            bytes(in, Revision.HASH),
-            bytes(in, Revision.HASH),
+            bytes(in, Revision.HASH_BYTES),
+            bytes(in, Revision.HASH_BYTES),
             in.getInt(),
             in.getLong(),
             GossipCodec.name(in));
-    if (r.size() < 0 || r.size() > Revision.MOST_DOCUMENT) {
+    if (r.size() < 0 || r.size() > Revision.MAX_DOCUMENT_BYTES) {
       throw new BufferUnderflowException();
     }
     return r;
@@ -252,7 +255,7 @@
     return GossipCodec.text(in).replaceAll("[^\\x20-\\x7e]", "?");
   }
 
-  private static Word.Census census(ByteBuffer in) {
+  private static RevisionMessage.Census census(ByteBuffer in) {
     int place = Short.toUnsignedInt(in.getShort());
     long number = number(in);
     int members = Short.toUnsignedInt(in.getShort());
@@ -267,6 +270,6 @@
     for (int i = 0; i < count; i++) {
       lacking.add(GossipCodec.name(in));
     }
-    return new Word.Census(place, number, members, inForce, refused, lacking, longest);
+    return new RevisionMessage.Census(place, number, members, inForce, refused, lacking, longest);
   }
 }
--- a/gateway/src/main/java/reachloom/revision/net/FileStore.java
+++ b/gateway/src/main/java/reachloom/revision/net/FileStore.java
@@ -23,11 +23,11 @@
 import java.util.List;
 import reachloom.config.ConfigException;
 import reachloom.revision.Ballot;
-import reachloom.revision.Council;
+import reachloom.revision.ConsensusNode;
+import reachloom.revision.ConsensusStore;
 import reachloom.revision.Revision;
-import reachloom.revision.Store;
+import reachloom.revision.RevisionMessage;
 import reachloom.revision.Vote;
-import reachloom.revision.Word;
 
 /**
  * An issuer's store in a directory of its own, which one process at a time may use. The file is
@@ -35,7 +35,7 @@
  * another issuer's, is told of and neither used nor replaced: an issuer that forgets must not vote
  * as if it had not.
  */
-public final class FileStore implements Store, AutoCloseable {
+public final class FileStore implements ConsensusStore, AutoCloseable {
   private static final Logger LOG = System.getLogger(FileStore.class.getName());
   private static final byte[] MAGIC = "reachloom issuer 1\n".getBytes(StandardCharsets.US_ASCII);
   private static final String STATE = "issuer.state";
@@ -45,7 +45,7 @@
   private static final int MOST_SIGNATURE = 256; // bytes
 
   /** Two documents, two revisions and all votes, with room to spare. */
-  private static final int MOST_BYTES = 4 * Revision.MOST_DOCUMENT;
+  private static final int MOST_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
 
   private final Path folder;
   private final Path file;
@@ -260,17 +260,17 @@
     Ballot promised = ballot(in);
     Ballot under = ballot(in);
     Revision accepted = revision(in);
-    byte[] draft = block(in, Revision.MOST_DOCUMENT);
+    byte[] draft = block(in, Revision.MAX_DOCUMENT_BYTES);
     Revision newest = revision(in);
     List<Vote> votes = new ArrayList<>();
     int count = newest == null ? 0 : in.readByte();
-    if (count < 0 || count > Council.MOST_ISSUERS) {
+    if (count < 0 || count > ConsensusNode.MAX_ISSUERS) {
       throw broken("names " + count + " votes");
     }
     for (int i = 0; i < count; i++) {
       votes.add(new Vote(in.readUTF(), block(in, MOST_SIGNATURE)));
     }
-    byte[] document = block(in, Revision.MOST_DOCUMENT);
+    byte[] document = block(in, Revision.MAX_DOCUMENT_BYTES);
     long from = in.readLong();
     boolean fits =
         (accepted == null) == (draft == null)
@@ -285,7 +285,7 @@
         under,
         accepted,
         draft,
-        newest == null ? null : new Word.Notice(newest, List.copyOf(votes)),
+        newest == null ? null : new RevisionMessage.Notice(newest, List.copyOf(votes)),
         document,
         from);
   }
@@ -299,9 +299,9 @@
       return null;
     }
     long number = in.readLong();
-    byte[] previous = new byte[Revision.HASH];
+    byte[] previous = new byte[Revision.HASH_BYTES];
     in.readFully(previous);
-    byte[] digest = new byte[Revision.HASH];
+    byte[] digest = new byte[Revision.HASH_BYTES];
     in.readFully(digest);
     return new Revision(number, previous, digest, in.readInt(), in.readLong(), in.readUTF());
   }
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -15,9 +15,9 @@
 import reachloom.config.LocalSettings;
 import reachloom.gateway.Loop;
 import reachloom.gossip.net.GossipNode;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.membership.Member;
-import reachloom.revision.Council;
+import reachloom.revision.ConsensusNode;
 
 /**
  * An issuer as a process: a member of gossip without a gateway, with its council, its store and its
@@ -33,10 +33,10 @@
 
   private final String settingsFile;
   private final FileStore store;
-  private final Spool spool;
+  private final SpoolDirectory spool;
   private final Loop loop = new Loop();
   private final GossipNode node;
-  private final Council council;
+  private final ConsensusNode council;
   private final CountDownLatch stopped = new CountDownLatch(1);
   private GossipSettings settings;
   private boolean stopping;
@@ -45,15 +45,15 @@
   public IssuerServer(String settingsFile, Path folder) throws ConfigException, IOException {
     this.settingsFile = settingsFile;
     settings = settings(settingsFile);
-    Identity identity = Identity.read(settings);
+    NodeIdentity identity = NodeIdentity.read(settings);
     issuer(settings, identity.name());
     store = FileStore.open(folder, identity.name(), settings.cluster());
     try {
-      spool = new Spool(folder);
+      spool = new SpoolDirectory(folder);
       long seed = loop.now() ^ identity.name().hashCode();
       node = new GossipNode(loop, settings, identity, seed, (engine, level) -> {});
       council =
-          new Council(
+          new ConsensusNode(
               identity.name(),
               node.revisions().issuers(),
               node.revisions().seal(),
@@ -166,7 +166,7 @@
     }
   }
 
-  private Progress progress() {
+  private RolloutStatus progress() {
     Map<Integer, Integer> present = new TreeMap<>();
     List<String> issuers = node.revisions().issuers().stream().map(p -> p.name()).toList();
     for (Member m : node.gossip().membership().members()) {
@@ -174,7 +174,7 @@
         present.merge(m.place(), 1, Integer::sum);
       }
     }
-    return Progress.of(council.number(), node.revisions().dissemination().censuses(), present);
+    return RolloutStatus.of(council.number(), node.revisions().dissemination().censuses(), present);
   }
 
   /** Reads keys, authorities, revocations, seeds and the issuers' certificates again. */
--- a/gateway/src/main/java/reachloom/revision/net/Progress.java
+++ b/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import reachloom.revision.Word;
+import reachloom.revision.RevisionMessage;
 
 /**
  * How far a revision is, as an issuer knows it: of so many members so many have it in force. A
@@ -15,19 +15,20 @@
  *
  * @param longest how long the first that lacks it has done so, in milliseconds, where it is told
  */
-public record Progress(
+public record RolloutStatus(
     long number, int members, int inForce, int refused, List<String> lacking, long longest) {
   private static final int MOST_NAMED = 50;
 
   /** The sum over all places; {@code present} is how many members are seen at each. */
-  static Progress of(long number, List<Word.Census> censuses, Map<Integer, Integer> present) {
+  static RolloutStatus of(
+      long number, List<RevisionMessage.Census> censuses, Map<Integer, Integer> present) {
     TreeMap<Integer, Integer> silent = new TreeMap<>(present);
     int members = 0;
     int inForce = 0;
     int refused = 0;
     long longest = 0;
     List<String> lacking = new ArrayList<>();
-    for (Word.Census c : censuses) {
+    for (RevisionMessage.Census c : censuses) {
       silent.remove(c.place());
       int seen = Math.max(c.members(), present.getOrDefault(c.place(), 0));
       members += seen;
@@ -44,7 +45,7 @@
       members += e.getValue();
       lacking.add("place " + place(e.getKey()));
     }
-    return new Progress(
+    return new RolloutStatus(
         number,
         members,
         inForce,
@@ -80,11 +81,11 @@
     return o;
   }
 
-  /** Reads what {@link Spool#status} wrote. */
-  public static Progress read(JsonNode o) {
+  /** Reads what {@link SpoolDirectory#status} wrote. */
+  public static RolloutStatus read(JsonNode o) {
     List<String> lacking = new ArrayList<>();
     o.path("lacking").forEach(l -> lacking.add(l.asText()));
-    return new Progress(
+    return new RolloutStatus(
         o.path("number").asLong(),
         o.path("members").asInt(),
         o.path("inForce").asInt(),
--- a/gateway/src/main/java/reachloom/revision/net/Spool.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import reachloom.config.ConfigException;
 import reachloom.config.MergePatch;
-import reachloom.revision.Result;
+import reachloom.revision.ProposalResult;
 import reachloom.revision.Revision;
 import reachloom.time.WallClock;
 
@@ -24,8 +24,8 @@
  * outbox/NAME.result} tells what became of it, {@code status.json} who has it in force. Who may
  * write to the inbox may issue: the directory's permissions say who.
  */
-final class Spool {
-  private static final Logger LOG = System.getLogger(Spool.class.getName());
+final class SpoolDirectory {
+  private static final Logger LOG = System.getLogger(SpoolDirectory.class.getName());
 
   /**
    * A document that has lain there for longer was given to an issuer that was down; nobody waits
@@ -42,7 +42,7 @@
 
   /** Takes a document that may be issued. */
   interface Taker {
-    void take(byte[] document, Consumer<Result> result);
+    void take(byte[] document, Consumer<ProposalResult> result);
   }
 
   private final Path inbox;
@@ -52,7 +52,7 @@
   private String last = "";
   private long lookedAtMs = NEVER;
 
-  Spool(Path folder) throws IOException {
+  SpoolDirectory(Path folder) throws IOException {
     inbox = Files.createDirectories(folder.resolve("inbox"));
     taken = Files.createDirectories(folder.resolve("taken"));
     outbox = Files.createDirectories(folder.resolve("outbox"));
@@ -102,12 +102,16 @@
         done(name, mine, "STALE", "it lay in the inbox for " + age / 1_000 + " s; give it again");
         return;
       }
-      if (size == 0 || size > Revision.MOST_DOCUMENT) {
+      if (size == 0 || size > Revision.MAX_DOCUMENT_BYTES) {
         done(
             name,
             mine,
-            Result.Kind.BAD_SIZE.name(),
-            "the document has " + size + " bytes; 1 to " + Revision.MOST_DOCUMENT + " are allowed");
+            ProposalResult.Kind.BAD_SIZE.name(),
+            "the document has "
+                + size
+                + " bytes; 1 to "
+                + Revision.MAX_DOCUMENT_BYTES
+                + " are allowed");
         return;
       }
       document = Files.readAllBytes(mine);
@@ -162,7 +166,7 @@
   }
 
   /** Tells how far the newest revision is. */
-  void status(Progress p) {
+  void status(RolloutStatus p) {
     String text = p.json().toString();
     if (text.equals(last)) {
       return;
--- a/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
@@ -29,7 +29,7 @@
 import reachloom.gossip.GoldenResources;
 import reachloom.gossip.Packet;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.membership.Message;
+import reachloom.membership.MembershipMessage;
 
 /**
  * Stored keys, certificates and a signed datagram are read with the same values, and written again
@@ -45,13 +45,13 @@
           "gateway-1",
           0x0a00_0001L << 16 | 7946,
           1_800_000_000_000_000_000L,
-          new Message.Ping(5, "gateway-2"),
+          new MembershipMessage.Ping(5, "gateway-2"),
           List.of(),
           List.of());
 
   @TempDir Path folder;
 
-  private Identity identity;
+  private NodeIdentity identity;
 
   @BeforeEach
   void readStoredFiles() throws Exception {
@@ -61,7 +61,7 @@
     Files.setPosixFilePermissions(
         folder.resolve("gateway-1.key"), PosixFilePermissions.fromString("rw-------"));
     identity =
-        Identity.read(
+        NodeIdentity.read(
             new GossipSettings(
                 CLUSTER,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 7946),
@@ -80,10 +80,10 @@
   }
 
   private X509Certificate certificate(String name) throws Exception {
-    return Identity.certificate(block(name, "CERTIFICATE"));
+    return NodeIdentity.certificate(block(name, "CERTIFICATE"));
   }
 
-  private static byte[] sealed(Identity signer) throws Exception {
+  private static byte[] sealed(NodeIdentity signer) throws Exception {
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(CLUSTER),
@@ -108,8 +108,8 @@
   @Test
   void storedCertificateHasTheSameFields() throws Exception {
     X509Certificate own = identity.own();
-    assertEquals("gateway-1", Identity.commonName(own));
-    assertEquals("054cbfcf4fd2dd4c", Identity.serial(own));
+    assertEquals("gateway-1", NodeIdentity.commonName(own));
+    assertEquals("054cbfcf4fd2dd4c", NodeIdentity.serial(own));
     assertEquals("CN=golden-authority", own.getIssuerX500Principal().getName());
     assertEquals("CN=gateway-1", own.getSubjectX500Principal().getName());
     assertEquals(Instant.parse("2026-12-02T13:19:40Z"), own.getNotBefore().toInstant());
@@ -123,8 +123,8 @@
   @Test
   void storedAuthorityHasTheSameFields() throws Exception {
     X509Certificate authority = certificate("ca.crt");
-    assertEquals("golden-authority", Identity.commonName(authority));
-    assertEquals("2cb6f520cd2cd91e", Identity.serial(authority));
+    assertEquals("golden-authority", NodeIdentity.commonName(authority));
+    assertEquals("2cb6f520cd2cd91e", NodeIdentity.serial(authority));
     assertEquals(Instant.parse("2026-12-02T13:19:39Z"), authority.getNotBefore().toInstant());
     assertEquals(Instant.parse("2126-11-08T13:24:39Z"), authority.getNotAfter().toInstant());
     assertEquals(0, authority.getBasicConstraints());
@@ -134,7 +134,7 @@
   void storedPrivateKeyHasTheSameSeed() throws Exception {
     EdECPrivateKey key =
         (EdECPrivateKey)
-            KeyFactory.getInstance(Identity.ALGORITHM)
+            KeyFactory.getInstance(NodeIdentity.ALGORITHM)
                 .generatePrivate(
                     new PKCS8EncodedKeySpec(Pem.readPrivate(folder.resolve("gateway-1.key"))));
     assertEquals("Ed25519", key.getParams().getName());
@@ -155,7 +155,7 @@
     assertFalse(identity.revoked(certificate("gateway-1.crt")));
     assertTrue(identity.revoked(second));
     assertEquals(
-        Identity.serial(second) + "  # " + Identity.commonName(second) + "\n",
+        NodeIdentity.serial(second) + "  # " + NodeIdentity.commonName(second) + "\n",
         GoldenResources.text("identity/revoked.txt"));
   }
 
@@ -166,7 +166,7 @@
           GoldenResources.text("identity/" + name),
           Pem.text("CERTIFICATE", certificate(name).getEncoded()));
     }
-    KeyFactory keys = KeyFactory.getInstance(Identity.ALGORITHM);
+    KeyFactory keys = KeyFactory.getInstance(NodeIdentity.ALGORITHM);
     byte[] privateKey =
         keys.generatePrivate(
                 new PKCS8EncodedKeySpec(Pem.readPrivate(folder.resolve("gateway-1.key"))))
@@ -186,17 +186,17 @@
     assertArrayEquals(stored, sealed(identity)); // RFC 8032: the same key and text, the same bytes
     int signed = stored.length - GossipCodec.SIGNATURE;
     byte[] signature = Arrays.copyOfRange(stored, signed, stored.length);
-    assertTrue(Identity.verify(identity.own().getPublicKey(), stored, signed, signature));
+    assertTrue(NodeIdentity.verify(identity.own().getPublicKey(), stored, signed, signature));
     signature[0] ^= 1;
-    assertFalse(Identity.verify(identity.own().getPublicKey(), stored, signed, signature));
+    assertFalse(NodeIdentity.verify(identity.own().getPublicKey(), stored, signed, signature));
   }
 
   @Test
   void theStoredDatagramIsTakenAsItsSendersPing() throws Exception {
     long nowNanos = SENT_AT_MILLIS * MILLISECOND_NANOS;
-    Doorway doorway =
-        new Doorway(CLUSTER, identity, 1_000 * MILLISECOND_NANOS, false, () -> nowNanos);
-    Doorway.Entered entered =
+    DatagramVerifier doorway =
+        new DatagramVerifier(CLUSTER, identity, 1_000 * MILLISECOND_NANOS, false, () -> nowNanos);
+    DatagramVerifier.Entered entered =
         doorway.enter(nowNanos, 9, GoldenResources.hex("identity/signed-ping.hex"));
     assertNotNull(entered, () -> doorway.refused().toString());
     assertEquals(PING, entered.packet());
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.ConfigurationSettings;
 import reachloom.config.GossipSettings;
-import reachloom.evidence.Claim;
-import reachloom.evidence.Ledger;
 import reachloom.gateway.Loop;
-import reachloom.gossip.Gossip;
+import reachloom.gossip.GossipProtocol;
 import reachloom.gossip.Packet;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.membership.State;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.OutcomeWindow;
+import reachloom.peerreport.PeerReport;
 
 /**
  * The text that {@code reachloom gossip status} prints, against {@code golden/status}, which was
@@ -111,16 +111,20 @@
   }
 
   private void open(GossipSettings settings) throws Exception {
-    node = new GossipNode(loop, settings, Identity.read(settings), SEED, (engine, level) -> {});
+    node = new GossipNode(loop, settings, NodeIdentity.read(settings), SEED, (engine, level) -> {});
   }
 
-  private Gossip gossip() {
+  private GossipProtocol gossip() {
     return node.gossip();
   }
 
   /** A packet of that member has come, which listens at a port of loopback where nobody does. */
   private void hear(
-      String sender, int place, Message message, List<News> news, List<Claim> claims) {
+      String sender,
+      int place,
+      MembershipMessage message,
+      List<MembershipUpdate> news,
+      List<PeerReport> claims) {
     long address = address(sender);
     gossip()
         .receive(nowNanos, new Packet(sender, address, place, 5, message, news, claims, List.of()));
@@ -131,16 +135,17 @@
   }
 
   private void accuse(String accuser, String member) {
-    News news = new News(member, address(member), 5, State.SUSPECT, accuser);
-    hear(accuser, 0, new Message.Tell(), List.of(news), List.of());
+    MembershipUpdate news =
+        new MembershipUpdate(member, address(member), 5, MemberState.SUSPECT, accuser);
+    hear(accuser, 0, new MembershipMessage.Tell(), List.of(news), List.of());
   }
 
-  private void report(String peer, Claim... claims) {
-    hear(peer, 0, new Message.Tell(), List.of(), List.of(claims));
+  private void report(String peer, PeerReport... claims) {
+    hear(peer, 0, new MembershipMessage.Tell(), List.of(), List.of(claims));
   }
 
-  private static Claim failed(String engine) {
-    return new Claim(engine, 0, 0, 3, 0, 0);
+  private static PeerReport failed(String engine) {
+    return new PeerReport(engine, 0, 0, 3, 0, 0);
   }
 
   private void passSeconds(long seconds) {
@@ -157,20 +162,20 @@
     playedAtNanos = loop.now() / SECOND_NANOS * SECOND_NANOS;
     nowNanos = playedAtNanos - AGE_SECONDS * SECOND_NANOS;
     for (int i = 2; i <= 14; i++) {
-      hear("g" + i, i == 8 ? PLACE : 0, new Message.Tell(), List.of(), List.of());
+      hear("g" + i, i == 8 ? PLACE : 0, new MembershipMessage.Tell(), List.of(), List.of());
     }
-    hear("g5", 0, new Message.Leave(), List.of(), List.of());
+    hear("g5", 0, new MembershipMessage.Leave(), List.of(), List.of());
     accuse("g2", "g4");
     passSeconds(30); // more than g4 has to object
     accuse("g2", "g3");
     for (int i = 1; i <= 8; i++) {
       gossip().engine("s-0000000" + i, 0);
     }
-    gossip().seen(nowNanos, "s-00000003", Ledger.Seen.SERVED);
-    gossip().seen(nowNanos, "s-00000003", Ledger.Seen.SERVED);
+    gossip().seen(nowNanos, "s-00000003", OutcomeWindow.Seen.SERVED);
+    gossip().seen(nowNanos, "s-00000003", OutcomeWindow.Seen.SERVED);
     report("g2", failed("s-00000001"), failed("s-00000002"));
     report("g6", failed("s-00000001"), failed("s-00000003"));
-    report("g7", new Claim("s-00000001", 0, 5, 0, 0, 0));
+    report("g7", new PeerReport("s-00000001", 0, 5, 0, 0, 0));
     passSeconds(1);
   }
 
@@ -229,8 +234,8 @@
     open(alone.with(new ConfigurationSettings(PLACE, List.of(issuer))));
     nowNanos = loop.now();
     playedAtNanos = nowNanos;
-    hear("g2", PLACE, new Message.Tell(), List.of(), List.of());
-    hear("g3", 0x0101, new Message.Tell(), List.of(), List.of());
+    hear("g2", PLACE, new MembershipMessage.Tell(), List.of(), List.of());
+    hear("g3", 0x0101, new MembershipMessage.Tell(), List.of(), List.of());
     gossip().tick(nowNanos);
     String recorded = golden("issuer.txt");
     awaitDatagramsOf(recorded);
--- a/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import reachloom.evidence.Claim;
 import reachloom.gossip.GoldenResources;
 import reachloom.gossip.Packet;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.membership.State;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.PeerReport;
 import reachloom.revision.Ballot;
-import reachloom.revision.Word;
+import reachloom.revision.RevisionMessage;
 
 /**
  * Stored datagrams, one of each message and of each section, are decoded to the same values and
@@ -39,59 +39,76 @@
   private static final byte[] CERTIFICATE =
       "a certificate, opaque".getBytes(StandardCharsets.UTF_8);
 
-  private static final List<News> ALL_STATES =
+  private static final List<MembershipUpdate> ALL_STATES =
       List.of(
-          new News("gateway-2", MEMBER_ADDRESS, 17, State.ALIVE, ""),
-          new News("gateway-3", MEMBER_ADDRESS - 1, 0, State.SUSPECT, "gateway-1"),
-          new News("gateway-4", 0, Long.MAX_VALUE, State.DEAD, "gateway-2", 0x0203),
-          new News("g", 1, 1, State.LEFT, "", 0xffff));
-
-  private static final List<Claim> CLAIMS =
+          new MembershipUpdate("gateway-2", MEMBER_ADDRESS, 17, MemberState.ALIVE, ""),
+          new MembershipUpdate(
+              "gateway-3", MEMBER_ADDRESS - 1, 0, MemberState.SUSPECT, "gateway-1"),
+          new MembershipUpdate(
+              "gateway-4", 0, Long.MAX_VALUE, MemberState.DEAD, "gateway-2", 0x0203),
+          new MembershipUpdate("g", 1, 1, MemberState.LEFT, "", 0xffff));
+
+  private static final List<PeerReport> CLAIMS =
       List.of(
-          new Claim("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5 * MILLISECOND_NANOS),
-          new Claim("s-1", -1, 0, 0, 1, Integer.MAX_VALUE * MILLISECOND_NANOS));
+          new PeerReport("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5 * MILLISECOND_NANOS),
+          new PeerReport("s-1", -1, 0, 0, 1, Integer.MAX_VALUE * MILLISECOND_NANOS));
 
-  private static final List<Word> WORDS =
+  private static final List<RevisionMessage> WORDS =
       List.of(
-          new Word.Have(7, -5, 8),
-          new Word.Acknowledgement(7, 0x1122_3344_5566_7788L, "settings: no such key"),
-          new Word.Prepare(new Ballot(3, "issuer-2"), 8));
+          new RevisionMessage.Have(7, -5, 8),
+          new RevisionMessage.Acknowledgement(7, 0x1122_3344_5566_7788L, "settings: no such key"),
+          new RevisionMessage.Prepare(new Ballot(3, "issuer-2"), 8));
 
   private static final Map<String, Packet> PACKETS = packets();
 
   private static Map<String, Packet> packets() {
     Map<String, Packet> packets = new LinkedHashMap<>();
-    packets.put("ping", packet(new Message.Ping(0x1011_1213_1415_1617L, "gateway-2")));
-    packets.put("ping-unnamed", packet(new Message.Ping(-7, "")));
-    packets.put("ack", packet(new Message.Ack(Long.MAX_VALUE)));
-    packets.put("ping-request", packet(new Message.PingRequest(9, "gateway-4", MEMBER_ADDRESS)));
-    packets.put("nack", packet(new Message.Nack(0)));
+    packets.put("ping", packet(new MembershipMessage.Ping(0x1011_1213_1415_1617L, "gateway-2")));
+    packets.put("ping-unnamed", packet(new MembershipMessage.Ping(-7, "")));
+    packets.put("ack", packet(new MembershipMessage.Ack(Long.MAX_VALUE)));
+    packets.put(
+        "ping-request", packet(new MembershipMessage.PingRequest(9, "gateway-4", MEMBER_ADDRESS)));
+    packets.put("nack", packet(new MembershipMessage.Nack(0)));
     packets.put(
         "pull",
-        packet(new Message.Pull("gateway-1", "gateway-9", 0xcafe_babe, List.of(0, 1, 65_535))));
-    packets.put("pull-to-end", packet(new Message.Pull("gateway-9", "", 5, List.of())));
-    packets.put("part", packet(new Message.Part(false, ALL_STATES)));
-    packets.put("part-more", packet(new Message.Part(true, ALL_STATES.subList(0, 1))));
-    packets.put("leave", packet(new Message.Leave()));
-    packets.put("tell", packet(new Message.Tell()));
-    packets.put("status", packet(new Message.Status(0x0102)));
-    packets.put("status-page", packet(new Message.StatusPage(1, 3, "instance g1\nrefused {}\n")));
+        packet(
+            new MembershipMessage.Pull(
+                "gateway-1", "gateway-9", 0xcafe_babe, List.of(0, 1, 65_535))));
+    packets.put("pull-to-end", packet(new MembershipMessage.Pull("gateway-9", "", 5, List.of())));
+    packets.put("part", packet(new MembershipMessage.Part(false, ALL_STATES)));
+    packets.put("part-more", packet(new MembershipMessage.Part(true, ALL_STATES.subList(0, 1))));
+    packets.put("leave", packet(new MembershipMessage.Leave()));
+    packets.put("tell", packet(new MembershipMessage.Tell()));
+    packets.put("status", packet(new MembershipMessage.Status(0x0102)));
+    packets.put(
+        "status-page", packet(new MembershipMessage.StatusPage(1, 3, "instance g1\nrefused {}\n")));
     packets.put("section-news", packet(0, ALL_STATES, List.of(), List.of()));
     packets.put("section-claims", packet(0, List.of(), CLAIMS, List.of()));
     packets.put("section-words", packet(0, List.of(), List.of(), WORDS));
     packets.put("section-place", packet(0x0102, List.of(), List.of(), List.of()));
     packets.put("all-sections", packet(0x0102, ALL_STATES, CLAIMS, WORDS));
-    packets.put("certificate", packet(new Message.Ack(1)));
+    packets.put("certificate", packet(new MembershipMessage.Ack(1)));
     return packets;
   }
 
-  private static Packet packet(Message message) {
+  private static Packet packet(MembershipMessage message) {
     return new Packet("gateway-1", SENDER_ADDRESS, INCARNATION, message, List.of(), List.of());
   }
 
-  private static Packet packet(int place, List<News> news, List<Claim> claims, List<Word> words) {
+  private static Packet packet(
+      int place,
+      List<MembershipUpdate> news,
+      List<PeerReport> claims,
+      List<RevisionMessage> words) {
     return new Packet(
-        "gateway-1", SENDER_ADDRESS, place, INCARNATION, new Message.Tell(), news, claims, words);
+        "gateway-1",
+        SENDER_ADDRESS,
+        place,
+        INCARNATION,
+        new MembershipMessage.Tell(),
+        news,
+        claims,
+        words);
   }
 
   static Set<String> names() {
@@ -120,7 +137,7 @@
   void storedDatagramIsDecodedToTheSameValues(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
     Packet expected = PACKETS.get(name);
-    Head header = GossipCodec.head(stored);
+    DatagramHeader header = GossipCodec.head(stored);
     assertEquals(CLUSTER_CHECKSUM, header.cluster());
     assertEquals("gateway-1", header.sender());
     assertEquals(SEQUENCE_NUMBER, header.seq());
@@ -146,7 +163,7 @@
   @MethodSource("names")
   void decodedDatagramIsEncodedToTheStoredBytes(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
-    Head header = GossipCodec.head(stored);
+    DatagramHeader header = GossipCodec.head(stored);
     byte[] encoded = encode(GossipCodec.read(stored, header), header.certificate());
     assertArrayEquals(stored, encoded);
   }
@@ -169,7 +186,7 @@
   @Test
   void eachKindOfMessageHasAStoredDatagram() {
     Set<Class<?>> kinds =
-        Stream.of(Message.class.getPermittedSubclasses()).collect(Collectors.toSet());
+        Stream.of(MembershipMessage.class.getPermittedSubclasses()).collect(Collectors.toSet());
     Set<Class<?>> stored =
         PACKETS.values().stream().map(p -> p.message().getClass()).collect(Collectors.toSet());
     assertEquals(kinds, stored);
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -13,74 +13,75 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import reachloom.evidence.Claim;
 import reachloom.gossip.Packet;
-import reachloom.gossip.Refusal;
+import reachloom.gossip.RejectionReason;
 import reachloom.gossip.wire.GossipCodec.UnreadableException;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.membership.State;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.PeerReport;
 import reachloom.revision.Ballot;
 import reachloom.revision.Revision;
+import reachloom.revision.RevisionMessage;
 import reachloom.revision.Vote;
-import reachloom.revision.Word;
 
 /**
  * Gossip's datagrams: what is written is read, what is torn or made up is refused with its reason.
  */
 class GossipCodecTest {
   private static final long ADDRESS = 0x7f000001L << 16 | 7946;
-  private static final News NEWS = new News("g2", ADDRESS + 1, 1_700_000_000L, State.SUSPECT, "g3");
-  private static final Claim CLAIM =
-      new Claim("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5_000_000);
-  private static final List<Message> MESSAGES =
+  private static final MembershipUpdate NEWS =
+      new MembershipUpdate("g2", ADDRESS + 1, 1_700_000_000L, MemberState.SUSPECT, "g3");
+  private static final PeerReport CLAIM =
+      new PeerReport("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5_000_000);
+  private static final List<MembershipMessage> MESSAGES =
       List.of(
-          new Message.Ping(-7, ""),
-          new Message.Ping(7, "g2"),
-          new Message.Ack(Long.MAX_VALUE),
-          new Message.PingRequest(9, "g4", ADDRESS),
-          new Message.Nack(0),
-          new Message.Pull("a", "", 5, List.of(0, 1, 65_535)),
-          new Message.Part(true, List.of(NEWS)),
-          new Message.Part(false, List.of()),
-          new Message.Tell(),
-          new Message.Status(3),
-          new Message.StatusPage(3, 4, "member g1\n"),
-          new Message.Leave());
+          new MembershipMessage.Ping(-7, ""),
+          new MembershipMessage.Ping(7, "g2"),
+          new MembershipMessage.Ack(Long.MAX_VALUE),
+          new MembershipMessage.PingRequest(9, "g4", ADDRESS),
+          new MembershipMessage.Nack(0),
+          new MembershipMessage.Pull("a", "", 5, List.of(0, 1, 65_535)),
+          new MembershipMessage.Part(true, List.of(NEWS)),
+          new MembershipMessage.Part(false, List.of()),
+          new MembershipMessage.Tell(),
+          new MembershipMessage.Status(3),
+          new MembershipMessage.StatusPage(3, 4, "member g1\n"),
+          new MembershipMessage.Leave());
 
-  private static final byte[] CHAIN = new byte[Revision.HASH];
+  private static final byte[] CHAIN = new byte[Revision.HASH_BYTES];
   private static final Revision REVISION =
       new Revision(7, CHAIN, CHAIN, 99, 1_700_000_000_000L, "c1");
   private static final Ballot BALLOT = new Ballot(3, "c2");
   private static final Vote VOTE = new Vote("c2", new byte[GossipCodec.SIGNATURE]);
-  private static final List<Word> WORDS =
+  private static final List<RevisionMessage> WORDS =
       List.of(
-          new Word.Have(7, -5, 8),
-          new Word.Notice(REVISION, List.of(VOTE, VOTE, VOTE)),
-          new Word.Want(8, 7, -5, 3),
-          new Word.Piece(8, 0, 1, 2, new byte[] {1, 2, 3}),
-          new Word.Acknowledgement(7, -5, "settings: no"),
-          new Word.Census(0x0203, 7, 58, 57, 1, List.of("g9"), 4_000),
-          new Word.Prepare(BALLOT, 8),
-          new Word.Promise(BALLOT, 8, Ballot.NONE, null),
-          new Word.Promise(BALLOT, 8, BALLOT, REVISION),
-          new Word.Propose(BALLOT, REVISION),
-          new Word.Accepted(BALLOT, 8, VOTE),
-          new Word.Rejected(BALLOT, new Ballot(4, "c1")));
+          new RevisionMessage.Have(7, -5, 8),
+          new RevisionMessage.Notice(REVISION, List.of(VOTE, VOTE, VOTE)),
+          new RevisionMessage.Want(8, 7, -5, 3),
+          new RevisionMessage.Piece(8, 0, 1, 2, new byte[] {1, 2, 3}),
+          new RevisionMessage.Acknowledgement(7, -5, "settings: no"),
+          new RevisionMessage.Census(0x0203, 7, 58, 57, 1, List.of("g9"), 4_000),
+          new RevisionMessage.Prepare(BALLOT, 8),
+          new RevisionMessage.Promise(BALLOT, 8, Ballot.NONE, null),
+          new RevisionMessage.Promise(BALLOT, 8, BALLOT, REVISION),
+          new RevisionMessage.Propose(BALLOT, REVISION),
+          new RevisionMessage.Accepted(BALLOT, 8, VOTE),
+          new RevisionMessage.Rejected(BALLOT, new Ballot(4, "c1")));
 
   /** A packet that bears that word, and a place. */
-  private static Packet packet(Word w) {
+  private static Packet packet(RevisionMessage w) {
     return new Packet(
-        "g1", ADDRESS, 0x0102, 1, new Message.Tell(), List.of(), List.of(), List.of(w));
+        "g1", ADDRESS, 0x0102, 1, new MembershipMessage.Tell(), List.of(), List.of(), List.of(w));
   }
 
-  private static Packet packet(Message m) {
+  private static Packet packet(MembershipMessage m) {
     return new Packet(
         "g1",
         ADDRESS,
         1_700_000_001L,
         m,
-        List.of(NEWS, new News("g9", 0, 0, State.ALIVE, "")),
+        List.of(NEWS, new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, "")),
         List.of(CLAIM));
   }
 
@@ -92,10 +93,10 @@
 
   @Test
   void whatIsWrittenIsReadAndWeighsWhatWasSaid() throws Exception {
-    for (Message m : MESSAGES) {
+    for (MembershipMessage m : MESSAGES) {
       Packet p = packet(m);
       byte[] bytes = whole(p, null, true);
-      Head head = GossipCodec.head(bytes);
+      DatagramHeader head = GossipCodec.head(bytes);
       assertEquals(p, GossipCodec.read(bytes, head));
       assertEquals(42, head.seq());
       assertEquals(1_234, head.time());
@@ -109,26 +110,27 @@
       assertEquals(weight, bytes.length + GossipCodec.UDP, m.toString());
     }
     byte[] certificate = new byte[250];
-    byte[] bytes = whole(packet(new Message.Ack(1)), certificate, false);
+    byte[] bytes = whole(packet(new MembershipMessage.Ack(1)), certificate, false);
     assertArrayEquals(certificate, GossipCodec.head(bytes).certificate());
     assertEquals(
-        GossipCodec.size("g1", new Message.Ack(1), 250)
+        GossipCodec.size("g1", new MembershipMessage.Ack(1), 250)
             + GossipCodec.size(NEWS)
-            + GossipCodec.size(new News("g9", 0, 0, State.ALIVE, ""))
+            + GossipCodec.size(new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, ""))
             + GossipCodec.size(CLAIM),
         bytes.length + GossipCodec.UDP);
   }
 
   @Test
   void wordsAreReadAsWrittenAndWeighWhatWasSaid() throws Exception {
-    for (Word w : WORDS) {
+    for (RevisionMessage w : WORDS) {
       byte[] bytes = whole(packet(w), null, false);
       Packet read = GossipCodec.read(bytes, GossipCodec.head(bytes));
       assertEquals(0x0102, read.place());
       assertEquals(w.getClass(), read.words().get(0).getClass());
       assertArrayEquals(bytes, whole(read, null, false), w.toString());
       assertEquals(
-          GossipCodec.size("g1", new Message.Tell(), 0) + GossipCodec.riding(0x0102, List.of(w)),
+          GossipCodec.size("g1", new MembershipMessage.Tell(), 0)
+              + GossipCodec.riding(0x0102, List.of(w)),
           bytes.length + GossipCodec.UDP,
           w.toString());
     }
@@ -136,7 +138,7 @@
 
   @Test
   void aWordOfALaterKindIsSkippedAndOneWithImpossibleFiguresIsNonsense() throws Exception {
-    byte[] bytes = whole(packet(new Word.Have(1, 2, 3)), null, false);
+    byte[] bytes = whole(packet(new RevisionMessage.Have(1, 2, 3)), null, false);
     int kind =
         bytes.length - GossipCodec.SIGNATURE - 5 - 3 * Long.BYTES - 1; // before a place's section
     byte[] later = bytes.clone();
@@ -145,7 +147,7 @@
     byte[] negative = bytes.clone();
     negative[kind + 1] = -1;
     assertEquals(
-        Refusal.NONSENSE,
+        RejectionReason.NONSENSE,
         assertThrows(
                 UnreadableException.class,
                 () -> GossipCodec.read(negative, GossipCodec.head(negative)))
@@ -153,12 +155,13 @@
     byte[] large =
         whole(
             packet(
-                new Word.Propose(
-                    BALLOT, new Revision(1, CHAIN, CHAIN, Revision.MOST_DOCUMENT + 1, 0, "c1"))),
+                new RevisionMessage.Propose(
+                    BALLOT,
+                    new Revision(1, CHAIN, CHAIN, Revision.MAX_DOCUMENT_BYTES + 1, 0, "c1"))),
             null,
             false);
     assertEquals(
-        Refusal.NONSENSE,
+        RejectionReason.NONSENSE,
         assertThrows(
                 UnreadableException.class, () -> GossipCodec.read(large, GossipCodec.head(large)))
             .why());
@@ -166,7 +169,7 @@
 
   @Test
   void withoutPlaceAndWordsTheBytesAreThoseOfBefore() {
-    Packet p = packet(new Message.Tell());
+    Packet p = packet(new MembershipMessage.Tell());
     byte[] bytes = whole(p, null, false);
     int claims = bytes.length - GossipCodec.SIGNATURE - GossipCodec.size(CLAIM) - 3;
     assertEquals(3, bytes[claims], "the section of claims is the last one");
@@ -192,7 +195,7 @@
         try {
           GossipCodec.read(torn, GossipCodec.head(torn));
         } catch (UnreadableException e) {
-          assertTrue(e.why() == Refusal.FORM || e.why() == Refusal.NONSENSE);
+          assertTrue(e.why() == RejectionReason.FORM || e.why() == RejectionReason.NONSENSE);
         }
       }
     }
@@ -226,20 +229,20 @@
   void anOversizeDatagramAnotherVersionAndAnotherClusterAreTold() throws Exception {
     byte[] bytes = whole(packet(MESSAGES.get(0)), null, false);
     assertEquals(
-        Refusal.FORM,
+        RejectionReason.FORM,
         assertThrows(
                 UnreadableException.class, () -> GossipCodec.head(new byte[GossipCodec.MOST + 1]))
             .why());
     bytes[2] = 2;
     assertEquals(
-        Refusal.VERSION,
+        RejectionReason.VERSION,
         assertThrows(UnreadableException.class, () -> GossipCodec.head(bytes)).why());
     assertTrue(GossipCodec.cluster("east") != GossipCodec.cluster("west"));
   }
 
   @Test
   void whatALaterVersionAddsIsSkipped() throws Exception {
-    Packet p = packet(new Message.Tell());
+    Packet p = packet(new MembershipMessage.Tell());
     byte[] bytes = whole(p, null, false);
     ByteArrayOutputStream longer = new ByteArrayOutputStream();
     longer.write(bytes, 0, bytes.length - GossipCodec.SIGNATURE);
@@ -250,8 +253,9 @@
 
   @Test
   void fieldsBehindThoseKnownOfAPieceOfNewsAreSkipped() throws Exception {
-    News all = new News("g2", ADDRESS + 1, 1_700_000_000L, State.SUSPECT, "g3", 0x0102);
-    Packet p = new Packet("g1", ADDRESS, 1, new Message.Tell(), List.of(all), List.of());
+    MembershipUpdate all =
+        new MembershipUpdate("g2", ADDRESS + 1, 1_700_000_000L, MemberState.SUSPECT, "g3", 0x0102);
+    Packet p = new Packet("g1", ADDRESS, 1, new MembershipMessage.Tell(), List.of(all), List.of());
     byte[] bytes = whole(p, null, false);
     int at = bytes.length - GossipCodec.SIGNATURE - 3 - GossipCodec.size(all); // its length byte
     List<Byte> longer = new ArrayList<>();
--- a/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import reachloom.revision.Ballot;
 import reachloom.revision.Revision;
+import reachloom.revision.RevisionMessage;
 import reachloom.revision.Vote;
-import reachloom.revision.Word;
 
 /**
  * The wire form of every revision message, fixed by bytes that an earlier version wrote (resources
@@ -36,7 +36,7 @@
 
   @Test
   void have() {
-    Word.Have have = golden("have", Word.Have.class);
+    RevisionMessage.Have have = golden("have", RevisionMessage.Have.class);
     assertEquals(0x0102030405060708L, have.inForce());
     assertEquals(MARK, have.mark());
     assertEquals(Long.MAX_VALUE, have.known());
@@ -44,7 +44,7 @@
 
   @Test
   void noticeWithThreeVotes() {
-    Word.Notice notice = golden("notice", Word.Notice.class);
+    RevisionMessage.Notice notice = golden("notice", RevisionMessage.Notice.class);
     assertRevision(notice.revision());
     assertEquals(3, notice.votes().size());
     assertVote("issuer-1", 1, 64, notice.votes().get(0));
@@ -54,14 +54,14 @@
 
   @Test
   void noticeWithoutVotes() {
-    Word.Notice notice = golden("notice-without-votes", Word.Notice.class);
+    RevisionMessage.Notice notice = golden("notice-without-votes", RevisionMessage.Notice.class);
     assertRevision(notice.revision());
     assertEquals(List.of(), notice.votes());
   }
 
   @Test
   void want() {
-    Word.Want want = golden("want", Word.Want.class);
+    RevisionMessage.Want want = golden("want", RevisionMessage.Want.class);
     assertEquals(8, want.number());
     assertEquals(7, want.base());
     assertEquals(MARK, want.baseMark());
@@ -70,7 +70,7 @@
 
   @Test
   void piece() {
-    Word.Piece piece = golden("piece", Word.Piece.class);
+    RevisionMessage.Piece piece = golden("piece", RevisionMessage.Piece.class);
     assertEquals(8, piece.number());
     assertEquals(7, piece.base());
     assertEquals(25, piece.index());
@@ -80,7 +80,7 @@
 
   @Test
   void emptyPiece() {
-    Word.Piece piece = golden("piece-empty", Word.Piece.class);
+    RevisionMessage.Piece piece = golden("piece-empty", RevisionMessage.Piece.class);
     assertEquals(8, piece.number());
     assertEquals(0, piece.base());
     assertEquals(0, piece.index());
@@ -90,7 +90,8 @@
 
   @Test
   void acknowledgementOfWhatIsInForce() {
-    Word.Acknowledgement acknowledgement = golden("acknowledgement", Word.Acknowledgement.class);
+    RevisionMessage.Acknowledgement acknowledgement =
+        golden("acknowledgement", RevisionMessage.Acknowledgement.class);
     assertEquals(8, acknowledgement.number());
     assertEquals(MARK, acknowledgement.mark());
     assertEquals("", acknowledgement.refusal());
@@ -98,8 +99,8 @@
 
   @Test
   void acknowledgementWithARefusal() {
-    Word.Acknowledgement acknowledgement =
-        golden("acknowledgement-refused", Word.Acknowledgement.class);
+    RevisionMessage.Acknowledgement acknowledgement =
+        golden("acknowledgement-refused", RevisionMessage.Acknowledgement.class);
     assertEquals(9, acknowledgement.number());
     assertEquals(MARK, acknowledgement.mark());
     assertEquals("settings: 'x' is not known (line 3)", acknowledgement.refusal());
@@ -107,7 +108,7 @@
 
   @Test
   void census() {
-    Word.Census census = golden("census", Word.Census.class);
+    RevisionMessage.Census census = golden("census", RevisionMessage.Census.class);
     assertEquals(0xfe02, census.place());
     assertEquals(8, census.number());
     assertEquals(60_000, census.members());
@@ -119,7 +120,7 @@
 
   @Test
   void censusOfAPlaceWhereAllHaveIt() {
-    Word.Census census = golden("census-complete", Word.Census.class);
+    RevisionMessage.Census census = golden("census-complete", RevisionMessage.Census.class);
     assertEquals(0x0102, census.place());
     assertEquals(8, census.number());
     assertEquals(59, census.members());
@@ -131,22 +132,22 @@
 
   @Test
   void aDurationBeyondTheFieldIsWrittenAsTheLargest() {
-    Word.Census tooLong =
-        new Word.Census(
+    RevisionMessage.Census tooLong =
+        new RevisionMessage.Census(
             0xfe02, 8, 60_000, 58, 40_001, List.of("gateway-9", "gateway-10"), 1L << 40);
     assertArrayEquals(stored("census"), encoded(tooLong));
   }
 
   @Test
   void prepare() {
-    Word.Prepare prepare = golden("prepare", Word.Prepare.class);
+    RevisionMessage.Prepare prepare = golden("prepare", RevisionMessage.Prepare.class);
     assertBallot(3, "issuer-2", prepare.ballot());
     assertEquals(8, prepare.number());
   }
 
   @Test
   void promiseOfOneThatHasAcceptedNothing() {
-    Word.Promise promise = golden("promise", Word.Promise.class);
+    RevisionMessage.Promise promise = golden("promise", RevisionMessage.Promise.class);
     assertBallot(3, "issuer-2", promise.ballot());
     assertEquals(8, promise.number());
     assertEquals(Ballot.NONE, promise.acceptedUnder());
@@ -155,7 +156,7 @@
 
   @Test
   void promiseWithAnAcceptedRevision() {
-    Word.Promise promise = golden("promise-accepted", Word.Promise.class);
+    RevisionMessage.Promise promise = golden("promise-accepted", RevisionMessage.Promise.class);
     assertBallot(4, "issuer-3", promise.ballot());
     assertEquals(8, promise.number());
     assertBallot(3, "issuer-2", promise.acceptedUnder());
@@ -164,14 +165,14 @@
 
   @Test
   void propose() {
-    Word.Propose propose = golden("propose", Word.Propose.class);
+    RevisionMessage.Propose propose = golden("propose", RevisionMessage.Propose.class);
     assertBallot(3, "issuer-2", propose.ballot());
     assertRevision(propose.revision());
   }
 
   @Test
   void accepted() {
-    Word.Accepted accepted = golden("accepted", Word.Accepted.class);
+    RevisionMessage.Accepted accepted = golden("accepted", RevisionMessage.Accepted.class);
     assertBallot(3, "issuer-2", accepted.ballot());
     assertEquals(8, accepted.number());
     assertVote("issuer-1", 1, 64, accepted.vote());
@@ -179,7 +180,8 @@
 
   @Test
   void acceptedWithTheLongestSignature() {
-    Word.Accepted accepted = golden("accepted-long-signature", Word.Accepted.class);
+    RevisionMessage.Accepted accepted =
+        golden("accepted-long-signature", RevisionMessage.Accepted.class);
     assertBallot(3, "issuer-2", accepted.ballot());
     assertEquals(8, accepted.number());
     assertVote("issuer-1", 1, 255, accepted.vote());
@@ -187,7 +189,7 @@
 
   @Test
   void rejected() {
-    Word.Rejected rejected = golden("rejected", Word.Rejected.class);
+    RevisionMessage.Rejected rejected = golden("rejected", RevisionMessage.Rejected.class);
     assertBallot(3, "issuer-2", rejected.ballot());
     assertBallot(0x0102030405060708L, "issuer-3", rejected.promised());
   }
@@ -195,7 +197,7 @@
   /** What an issuer signs, and what the next revision names as the one before. */
   @Test
   void theHashChainOfARevision() {
-    Revision revision = golden("propose", Word.Propose.class).revision();
+    Revision revision = golden("propose", RevisionMessage.Propose.class).revision();
     assertArrayEquals(stored("revision-chain"), revision.chain());
     assertEquals(ByteBuffer.wrap(stored("revision-chain")).getLong(), revision.mark());
   }
@@ -203,14 +205,15 @@
   /** A message of a kind not known here, then one with a field more than is known here. */
   @Test
   void whatALaterVersionAddsIsSkipped() {
-    List<Word> read = WordCodec.words(ByteBuffer.wrap(stored("later-version")));
+    List<RevisionMessage> read =
+        RevisionMessageCodec.words(ByteBuffer.wrap(stored("later-version")));
     assertEquals(2, read.size());
-    Word.Have have = assertInstanceOf(Word.Have.class, read.get(0));
+    RevisionMessage.Have have = assertInstanceOf(RevisionMessage.Have.class, read.get(0));
     assertEquals(7, have.inForce());
     assertEquals(MARK, have.mark());
     assertEquals(8, have.known());
-    Word.Acknowledgement acknowledgement =
-        assertInstanceOf(Word.Acknowledgement.class, read.get(1));
+    RevisionMessage.Acknowledgement acknowledgement =
+        assertInstanceOf(RevisionMessage.Acknowledgement.class, read.get(1));
     assertEquals(8, acknowledgement.number());
     assertEquals("not known: '?'", acknowledgement.refusal());
   }
@@ -226,16 +229,16 @@
       })
   void whatCanNotBeOneIsRefused(String name) {
     ByteBuffer in = ByteBuffer.wrap(stored(name));
-    assertThrows(BufferUnderflowException.class, () -> WordCodec.words(in));
+    assertThrows(BufferUnderflowException.class, () -> RevisionMessageCodec.words(in));
   }
 
   // ---- Fields that several messages have ----
 
   private static void assertRevision(Revision revision) {
     assertEquals(0x0102030405060708L, revision.number());
-    assertArrayEquals(bytes(0x20, Revision.HASH), revision.previous());
-    assertArrayEquals(bytes(0xa0, Revision.HASH), revision.digest());
-    assertEquals(Revision.MOST_DOCUMENT, revision.size());
+    assertArrayEquals(bytes(0x20, Revision.HASH_BYTES), revision.previous());
+    assertArrayEquals(bytes(0xa0, Revision.HASH_BYTES), revision.digest());
+    assertEquals(Revision.MAX_DOCUMENT_BYTES, revision.size());
     assertEquals(ISSUED_AT_MILLIS, revision.issuedAt());
     assertEquals("issuer-2", revision.issuer());
   }
@@ -262,18 +265,18 @@
   // ---- Stored bytes ----
 
   /** The one message that is stored there, after it was seen that it is encoded as it is stored. */
-  private static <T extends Word> T golden(String name, Class<T> type) {
+  private static <T extends RevisionMessage> T golden(String name, Class<T> type) {
     byte[] stored = stored(name);
-    List<Word> read = WordCodec.words(ByteBuffer.wrap(stored));
+    List<RevisionMessage> read = RevisionMessageCodec.words(ByteBuffer.wrap(stored));
     assertEquals(1, read.size());
     T message = assertInstanceOf(type, read.get(0));
     assertArrayEquals(stored, encoded(message));
     return message;
   }
 
-  private static byte[] encoded(Word message) {
-    ByteBuffer out = ByteBuffer.allocate(WordCodec.size(message));
-    WordCodec.put(out, message);
+  private static byte[] encoded(RevisionMessage message) {
+    ByteBuffer out = ByteBuffer.allocate(RevisionMessageCodec.size(message));
+    RevisionMessageCodec.put(out, message);
     assertEquals(0, out.remaining(), "the size that was told");
     return out.array();
   }
--- a/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
+++ b/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
@@ -38,14 +38,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.gossip.net.Pem;
 import reachloom.revision.Ballot;
-import reachloom.revision.Result;
+import reachloom.revision.ConsensusStore;
+import reachloom.revision.ProposalResult;
 import reachloom.revision.Revision;
-import reachloom.revision.Store;
+import reachloom.revision.RevisionMessage;
 import reachloom.revision.Vote;
-import reachloom.revision.Word;
 import reachloom.time.WallClock;
 
 /**
@@ -86,13 +86,14 @@
   // ---- The issuer's store ----
 
   /** The contents of the stores, by the names of their directories. */
-  static Map<String, Store.State> states() throws Exception {
-    Word.Notice second = new Word.Notice(SECOND, List.of(vote("c1", SECOND), vote("c2", SECOND)));
-    Map<String, Store.State> states = new LinkedHashMap<>();
-    states.put("first", Store.State.first());
+  static Map<String, ConsensusStore.State> states() throws Exception {
+    RevisionMessage.Notice second =
+        new RevisionMessage.Notice(SECOND, List.of(vote("c1", SECOND), vote("c2", SECOND)));
+    Map<String, ConsensusStore.State> states = new LinkedHashMap<>();
+    states.put("first", ConsensusStore.State.first());
     states.put(
         "accepted",
-        new Store.State(
+        new ConsensusStore.State(
             new Ballot(12, "c3"),
             new Ballot(11, "c2"),
             THIRD,
@@ -102,10 +103,11 @@
             1));
     states.put(
         "learning",
-        new Store.State(Ballot.NONE, Ballot.NONE, null, null, second, null, Store.NEVER));
+        new ConsensusStore.State(
+            Ballot.NONE, Ballot.NONE, null, null, second, null, ConsensusStore.NEVER));
     states.put(
         "rejoined",
-        new Store.State(
+        new ConsensusStore.State(
             new Ballot(1L << 40, "c1"), Ballot.NONE, null, null, second, SECOND_DOCUMENT, 5));
     return states;
   }
@@ -139,9 +141,9 @@
   @ParameterizedTest
   @ValueSource(strings = {"first", "accepted", "learning", "rejoined"})
   void aStoreIsReadWithEachField(String store) throws Exception {
-    Store.State expected = states().get(store);
+    ConsensusStore.State expected = states().get(store);
     try (FileStore opened = FileStore.open(copyOfStore(store), ISSUER, CLUSTER)) {
-      Store.State read = opened.load();
+      ConsensusStore.State read = opened.load();
       assertEquals(expected.promised(), read.promised());
       assertEquals(expected.acceptedUnder(), read.acceptedUnder());
       assertSameRevision(expected.accepted(), read.accepted());
@@ -170,7 +172,8 @@
     assertArrayEquals(expected.chain(), read.chain());
   }
 
-  private static void assertSameVotes(Word.Notice expected, Word.Notice read) throws Exception {
+  private static void assertSameVotes(RevisionMessage.Notice expected, RevisionMessage.Notice read)
+      throws Exception {
     assertEquals(
         expected.votes().stream().map(Vote::issuer).toList(),
         read.votes().stream().map(Vote::issuer).toList());
@@ -285,11 +288,11 @@
 
   // ---- The operators' spool ----
 
-  private static final Progress PROGRESS =
-      new Progress(3, 7, 4, 1, List.of("g-05", "place 2.17"), 12_345);
+  private static final RolloutStatus PROGRESS =
+      new RolloutStatus(3, 7, 4, 1, List.of("g-05", "place 2.17"), 12_345);
 
   /** A document that the spool has handed over, and where its results go. */
-  private record Taken(String document, Consumer<Result> results) {}
+  private record Taken(String document, Consumer<ProposalResult> results) {}
 
   private Path copyOfSpool() throws IOException {
     Path copy = folder.resolve("spool");
@@ -322,7 +325,7 @@
     Files.setLastModifiedTime(
         copy.resolve("inbox/05-stale.json"),
         FileTime.fromMillis(WallClock.unixMillis() - 3_600_000));
-    Spool spool = new Spool(copy);
+    SpoolDirectory spool = new SpoolDirectory(copy);
     assertEquals(List.of(), names(copy.resolve("taken")));
     assertGolden(copy, "after", "00-cut-off.result");
 
@@ -341,12 +344,17 @@
         Files.readString(SPOOL.resolve("after/05-stale.result")),
         stale.replaceFirst("for \\d+ s", "for 3600 s"));
 
-    Consumer<Result> first = taken.get(0).results();
-    first.accept(new Result(Result.Kind.NO_MAJORITY, 3, "it was proposed and may yet be issued"));
+    Consumer<ProposalResult> first = taken.get(0).results();
+    first.accept(
+        new ProposalResult(
+            ProposalResult.Kind.NO_MAJORITY, 3, "it was proposed and may yet be issued"));
     assertGolden(copy, "between", "01-issued.result");
     assertTrue(Files.exists(copy.resolve("taken/01-issued.json")));
-    first.accept(new Result(Result.Kind.ISSUED, 3, "issued as revision 3"));
-    taken.get(1).results().accept(new Result(Result.Kind.STOOD_STILL, 0, "it is withdrawn"));
+    first.accept(new ProposalResult(ProposalResult.Kind.ISSUED, 3, "issued as revision 3"));
+    taken
+        .get(1)
+        .results()
+        .accept(new ProposalResult(ProposalResult.Kind.STOOD_STILL, 0, "it is withdrawn"));
     for (String name : names(SPOOL.resolve("after"))) {
       if (!name.equals("05-stale.result")) {
         assertGolden(copy, "after", name);
@@ -375,19 +383,19 @@
   void theKindsOfResultsKeepTheirNames() {
     assertEquals(
         "[ISSUED, SUPERSEDED, OVERTAKEN, NO_MAJORITY, STOOD_STILL, BAD_SIZE, NOT_SAVED, ABSTAINS]",
-        Arrays.toString(Result.Kind.values()));
+        Arrays.toString(ProposalResult.Kind.values()));
   }
 
   @Test
   void theStatusIsReadWithEachFieldAndWrittenWithTheSameBytes() throws Exception {
-    Progress read = Progress.read(json(SPOOL.resolve("status.json")));
+    RolloutStatus read = RolloutStatus.read(json(SPOOL.resolve("status.json")));
     assertEquals(PROGRESS.number(), read.number());
     assertEquals(PROGRESS.members(), read.members());
     assertEquals(PROGRESS.inForce(), read.inForce());
     assertEquals(PROGRESS.refused(), read.refused());
     assertEquals(PROGRESS.lacking(), read.lacking());
     assertEquals(PROGRESS.longest(), read.longest());
-    new Spool(folder).status(PROGRESS);
+    new SpoolDirectory(folder).status(PROGRESS);
     assertEquals(
         Files.readString(SPOOL.resolve("status.json")),
         Files.readString(folder.resolve("status.json")));
@@ -443,10 +451,10 @@
   void certificatesAreReadWithEachFieldAndWrittenWithTheSameBytes(
       String file, String name, String serial, Instant end) throws Exception {
     Path path = KEYS.resolve(file + ".crt");
-    X509Certificate certificate = Identity.certificate(Pem.read(path, "CERTIFICATE"));
-    assertEquals(name, Identity.commonName(certificate));
+    X509Certificate certificate = NodeIdentity.certificate(Pem.read(path, "CERTIFICATE"));
+    assertEquals(name, NodeIdentity.commonName(certificate));
     assertEquals("CN=golden-ca", certificate.getIssuerX500Principal().getName());
-    assertEquals(serial, Identity.serial(certificate));
+    assertEquals(serial, NodeIdentity.serial(certificate));
     assertEquals(end, certificate.getNotAfter().toInstant());
     assertEquals(file.equals("ca") ? 0 : -1, certificate.getBasicConstraints());
     if (!file.equals("ca")) {
@@ -459,11 +467,12 @@
   void anIssuersSettingsKeyCertificatesAndRevocationsBelongTogether() throws Exception {
     GossipSettings settings = IssuerServer.settings(copyOfKeys().resolve("c1.xml").toString());
     assertEquals(CLUSTER, settings.cluster());
-    Identity identity = Identity.read(settings);
+    NodeIdentity identity = NodeIdentity.read(settings);
     assertEquals("c1", identity.name());
     long time = Instant.parse("2030-01-01T00:00:00Z").toEpochMilli();
     X509Certificate own = identity.own();
-    X509Certificate other = Identity.certificate(Pem.read(KEYS.resolve("c2.crt"), "CERTIFICATE"));
+    X509Certificate other =
+        NodeIdentity.certificate(Pem.read(KEYS.resolve("c2.crt"), "CERTIFICATE"));
     assertTrue(identity.trusts(own, time));
     assertTrue(identity.trusts(other, time));
     assertFalse(identity.revoked(own));
--- a/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
@@ -18,7 +18,7 @@
 import reachloom.lab.rig.Script;
 import reachloom.lab.rig.Trouble;
 import reachloom.lab.rig.Truth;
-import reachloom.membership.Message;
+import reachloom.membership.MembershipMessage;
 import reachloom.time.WallClock;
 
 /**
@@ -175,7 +175,7 @@
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(Installation.CLUSTER),
-            new Packet(name, 1, 1, new Message.Tell(), List.of(), List.of()),
+            new Packet(name, 1, 1, new MembershipMessage.Tell(), List.of(), List.of()),
             Long.MAX_VALUE - 1_000_000_000 + seq,
             WallClock.unixMillis(),
             null,
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -15,16 +15,16 @@
 import java.util.function.ToIntFunction;
 import java.util.function.ToLongBiFunction;
 import java.util.function.UnaryOperator;
-import reachloom.evidence.Claim;
-import reachloom.gossip.Gossip;
+import reachloom.gossip.GossipProtocol;
 import reachloom.gossip.Packet;
 import reachloom.gossip.Transport;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.membership.Member;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.membership.State;
-import reachloom.revision.Word;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
+import reachloom.peerreport.PeerReport;
+import reachloom.revision.RevisionMessage;
 import reachloom.standin.model.Agenda;
 
 /**
@@ -50,7 +50,7 @@
     private final ArrayDeque<long[]> lately = new ArrayDeque<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private long latelyBytes;
-    public Gossip gossip;
+    public GossipProtocol gossip;
     public boolean up = true;
     public boolean slow;
 
@@ -93,27 +93,27 @@
     }
 
     @Override
-    public int message(String to, Message message) {
+    public int message(String to, MembershipMessage message) {
       return GossipCodec.size(name, message, knowsMe.contains(to) ? 0 : CERTIFICATE);
     }
 
     @Override
-    public int news(News news) {
+    public int news(MembershipUpdate news) {
       return GossipCodec.size(news);
     }
 
     @Override
-    public int claim(Claim claim) {
+    public int claim(PeerReport claim) {
       return GossipCodec.size(claim);
     }
 
     @Override
-    public int word(Word word) {
+    public int word(RevisionMessage word) {
       return GossipCodec.size(word);
     }
 
     @Override
-    public int riding(int place, List<Word> words) {
+    public int riding(int place, List<RevisionMessage> words) {
       return GossipCodec.riding(place, words);
     }
 
@@ -206,7 +206,7 @@
     n.waiting.clear();
     int life = ++n.life;
     n.gossip =
-        new Gossip(
+        new GossipProtocol(
             n.name,
             n.address,
             of,
@@ -301,7 +301,7 @@
       for (Member m : n.gossip.membership().members()) {
         Node of = byAddress.get(m.address());
         long pair = n.address << Integer.SIZE ^ m.address();
-        if (m.state() == State.DEAD && of != null && of.up) {
+        if (m.state() == MemberState.DEAD && of != null && of.up) {
           falseDead += dead.add(pair) ? 1 : 0;
         } else if (!dead.isEmpty()) {
           dead.remove(pair);
@@ -311,7 +311,7 @@
   }
 
   /** How many live instances hold that one in the given state or worse. */
-  public int holding(Node of, State state) {
+  public int holding(Node of, MemberState state) {
     int count = 0;
     for (Node n : nodes) {
       Member m = n.up ? n.gossip.membership().member(of.name) : null;
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import reachloom.evidence.Claim;
 import reachloom.gossip.Packet;
 import reachloom.lab.gossip.VirtualCluster.Node;
-import reachloom.membership.State;
+import reachloom.membership.MemberState;
+import reachloom.peerreport.PeerReport;
 
 /** One run of the gossip experiment in simulated time: what was asked for, and what came of it. */
 public final class VirtualRun {
@@ -132,8 +132,8 @@
     }
   }
 
-  private List<Claim> claims(List<String> engines, String target, long now) {
-    List<Claim> told = new ArrayList<>();
+  private List<PeerReport> claims(List<String> engines, String target, long now) {
+    List<PeerReport> told = new ArrayList<>();
     boolean odd = now / (2 * SECOND) % 2 == 1;
     for (String e : engines.subList(0, Math.min(engines.size(), MOST_CLAIMS))) {
       boolean bad =
@@ -146,7 +146,7 @@
           };
       boolean spoken = bad || plan.lie == Lie.PRAISE || plan.lie == Lie.FRIEND;
       if (spoken) {
-        told.add(new Claim(e, 0, bad ? 0 : 50, 0, bad ? 50 : 0, 0));
+        told.add(new PeerReport(e, 0, bad ? 0 : 50, 0, bad ? 50 : 0, 0));
       }
     }
     return told;
@@ -176,9 +176,9 @@
       long first = -1;
       long live = c.nodes.stream().filter(x -> x.up).count();
       while (c.agenda.now() < at + LONGEST_START * plan.period
-          && c.holding(n, State.DEAD) < KNOWN * live) {
+          && c.holding(n, MemberState.DEAD) < KNOWN * live) {
         c.run(STEP);
-        first = first < 0 && c.holding(n, State.SUSPECT) > 0 ? c.agenda.now() : first;
+        first = first < 0 && c.holding(n, MemberState.SUSPECT) > 0 ? c.agenda.now() : first;
       }
       seen.add((first - at) / (double) plan.period);
       spread.add((c.agenda.now() - first) / (double) plan.period);
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import reachloom.evidence.Ledger;
+import reachloom.peerreport.OutcomeWindow;
 import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
@@ -279,7 +279,7 @@
         node.gossip.seen(
             node.clock(),
             t.engine.name,
-            outcome == AttemptOutcome.SERVED ? Ledger.Seen.SERVED : Ledger.Seen.LOST);
+            outcome == AttemptOutcome.SERVED ? OutcomeWindow.Seen.SERVED : OutcomeWindow.Seen.LOST);
       }
       if (outcome == AttemptOutcome.SERVED && !o.over) {
         settle(o, true);
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
@@ -21,7 +21,7 @@
 import reachloom.gateway.Loop;
 import reachloom.gateway.Observer;
 import reachloom.gossip.net.GossipNode;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
@@ -100,7 +100,7 @@
     gateway = new Gateway(config, loop, QueryScheduler::new);
     if (local.gossip().isPresent()) {
       GossipSettings s = local.gossip().get();
-      gossip = new GossipNode(loop, s, Identity.read(s), config.seed(), gateway::hearsay);
+      gossip = new GossipNode(loop, s, NodeIdentity.read(s), config.seed(), gateway::hearsay);
       loop.post(0, gossip::start);
       loop.post(0, this::see);
     }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -155,7 +155,7 @@
             Arguments.share(line, "loss", 0.02),
             Arguments.number(line, "cap", 17_000, 1_024, 1 << 20),
             Arguments.number(line, "control-cap", 1 << 20, 1_024, 1 << 20),
-            Arguments.number(line, "document", 2_000, 100, Revision.MOST_DOCUMENT),
+            Arguments.number(line, "document", 2_000, 100, Revision.MAX_DOCUMENT_BYTES),
             trouble);
     origin.put("plan", plan);
     return Figures.tell(line, origin, new VirtualControl(plan).play());
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -11,17 +11,17 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import reachloom.gossip.Rider;
+import reachloom.gossip.PiggybackPayload;
 import reachloom.lab.gossip.VirtualCluster;
 import reachloom.lab.gossip.VirtualCluster.Node;
-import reachloom.revision.Council;
-import reachloom.revision.Dissemination;
+import reachloom.revision.ConsensusNode;
+import reachloom.revision.ConsensusStore;
 import reachloom.revision.Peer;
-import reachloom.revision.Result;
+import reachloom.revision.ProposalResult;
 import reachloom.revision.Revision;
-import reachloom.revision.Seal;
-import reachloom.revision.Store;
-import reachloom.revision.Word;
+import reachloom.revision.RevisionDissemination;
+import reachloom.revision.RevisionMessage;
+import reachloom.revision.SignatureScheme;
 
 /**
  * The control part alone in simulated time: gossip, dissemination and the issuers' council of every
@@ -93,12 +93,12 @@
   }
 
   /** What one instance remembers over a restart is its store alone. */
-  private final class Member implements Rider, Dissemination.Host {
+  private final class Member implements PiggybackPayload, RevisionDissemination.Host {
     private final Node node;
     private final Disk disk = new Disk();
     private final boolean issuer;
-    private Dissemination dissemination;
-    private Council council;
+    private RevisionDissemination dissemination;
+    private ConsensusNode council;
     private long upSince;
     private long newest;
     private long counted;
@@ -113,14 +113,14 @@
       long now = cluster.agenda.now();
       upSince = now;
       newest = 0;
-      Seal seal = new Stamp(node.name);
+      SignatureScheme seal = new Stamp(node.name);
       dissemination =
-          new Dissemination(
+          new RevisionDissemination(
               node.name,
               place(node),
               issuer,
               issuers,
-              Council.quorum(plan.control),
+              ConsensusNode.quorum(plan.control),
               seal,
               random.split(),
               node.gossip,
@@ -128,19 +128,19 @@
               now);
       council =
           issuer
-              ? new Council(
+              ? new ConsensusNode(
                   node.name, issuers, seal, disk, dissemination, node.gossip, random.split(), now)
               : null;
       node.gossip.carry(place(node), this);
     }
 
     @Override
-    public List<Word> always() {
+    public List<RevisionMessage> always() {
       return List.of(dissemination.have());
     }
 
     @Override
-    public void hear(long now, Peer sender, List<Word> words) {
+    public void hear(long now, Peer sender, List<RevisionMessage> words) {
       dissemination.hear(now, sender, words);
       if (council != null) {
         council.hear(now, sender, words);
@@ -180,7 +180,7 @@
   }
 
   /** A store that outlives its process. */
-  private static final class Disk implements Store {
+  private static final class Disk implements ConsensusStore {
     private State state = State.first();
 
     @Override
@@ -196,7 +196,7 @@
   }
 
   /** Signatures of the right size that nobody forges here. */
-  private record Stamp(String name) implements Seal {
+  private record Stamp(String name) implements SignatureScheme {
     @Override
     public byte[] sign(byte[] chain) {
       try {
@@ -355,8 +355,8 @@
     by.council.propose(by.node.clock(), document.clone(), r -> decided(now, r));
   }
 
-  private void decided(long at, Result r) {
-    if (r.kind() == Result.Kind.ISSUED) {
+  private void decided(long at, ProposalResult r) {
+    if (r.kind() == ProposalResult.Kind.ISSUED) {
       changes.putIfAbsent(r.number(), new Change(at));
     } else if (r.last()) {
       notIssued++;
@@ -401,7 +401,7 @@
                         up
                             == m.dissemination.censuses().stream()
                                 .filter(s -> s.number() == number)
-                                .mapToInt(Word.Census::inForce)
+                                .mapToInt(RevisionMessage.Census::inForce)
                                 .sum());
     if (known) {
       c.knownAt = cluster.agenda.now();
--- a/lab/src/test/java/reachloom/gossip/net/DoorwayTest.java
+++ b/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
@@ -12,21 +12,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.gossip.Packet;
-import reachloom.gossip.Refusal;
+import reachloom.gossip.RejectionReason;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.lab.gossip.Installation;
-import reachloom.membership.Message;
+import reachloom.membership.MembershipMessage;
 
 /** What the doorway takes as time passes, with a clock handed in. */
-class DoorwayTest {
+class DatagramVerifierTest {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long DAY = 24 * 60 * 60 * 1_000L; // milliseconds
 
   @TempDir Path folder;
 
   private Installation installation;
-  private Identity sender;
-  private Doorway doorway;
+  private NodeIdentity sender;
+  private DatagramVerifier doorway;
   private long seq = 1;
   private long wallClock;
 
@@ -37,12 +37,12 @@
     installation.instance("g2", "ca", 3);
     sender = identity("g2");
     doorway =
-        new Doorway(
+        new DatagramVerifier(
             Installation.CLUSTER, identity("g1"), 1_000 * MILLISECOND, false, () -> wallClock);
   }
 
-  private Identity identity(String name) throws Exception {
-    return Identity.read(
+  private NodeIdentity identity(String name) throws Exception {
+    return NodeIdentity.read(
         installation.settings(name, Installation.freeAddress(), 1, 1, List.of(), "ca"));
   }
 
@@ -50,7 +50,7 @@
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(Installation.CLUSTER),
-            new Packet("g2", 1, 1, new Message.Tell(), List.of(), List.of()),
+            new Packet("g2", 1, 1, new MembershipMessage.Tell(), List.of(), List.of()),
             seq++,
             time,
             certified ? sender.certificate() : null,
@@ -60,11 +60,11 @@
     return whole;
   }
 
-  private Doorway.Entered enter(long time, byte[] bytes) {
+  private DatagramVerifier.Entered enter(long time, byte[] bytes) {
     return enter(time, time, bytes);
   }
 
-  private Doorway.Entered enter(long time, long wall, byte[] bytes) {
+  private DatagramVerifier.Entered enter(long time, long wall, byte[] bytes) {
     wallClock = wall * MILLISECOND;
     return doorway.enter(time * MILLISECOND, 7, bytes);
   }
@@ -77,7 +77,7 @@
         enter(now, stepped, datagram(now, true)), "of a peer whose clock was not stepped");
     assertNotNull(enter(now, stepped, datagram(stepped, true)), "of a tool started after the step");
     assertNull(enter(now, stepped, datagram(now - DAY / 24, true)));
-    assertEquals(1L, doorway.refused().get(Refusal.TIME));
+    assertEquals(1L, doorway.refused().get(RejectionReason.TIME));
   }
 
   @Test
@@ -89,7 +89,7 @@
     long later = now + 4 * DAY;
     assertNull(enter(later, datagram(later, false)));
     assertNull(enter(later, datagram(later, true)));
-    assertEquals(2L, doorway.refused().get(Refusal.CERTIFICATE));
+    assertEquals(2L, doorway.refused().get(RejectionReason.CERTIFICATE));
   }
 
   @Test
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -30,9 +30,9 @@
 import reachloom.gateway.Loop;
 import reachloom.gossip.Packet;
 import reachloom.gossip.net.GossipNode;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.membership.Message;
+import reachloom.membership.MembershipMessage;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
@@ -59,7 +59,8 @@
 
     Instance(GossipSettings s) throws Exception {
       listen = s.listen();
-      node = new GossipNode(loop, s, Identity.read(s), 7, (engine, level) -> hearsay.add(level));
+      node =
+          new GossipNode(loop, s, NodeIdentity.read(s), 7, (engine, level) -> hearsay.add(level));
       Thread t = new Thread(loop);
       t.setDaemon(true);
       t.start();
@@ -181,7 +182,7 @@
       throws Exception {
     GossipSettings s =
         installation.settings(name, Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
-    Identity id = Identity.read(s);
+    NodeIdentity id = NodeIdentity.read(s);
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(cluster),
@@ -189,7 +190,7 @@
                 name,
                 0x7f000001L << 16 | 9,
                 time / 1000,
-                new Message.Ping(1, ""),
+                new MembershipMessage.Ping(1, ""),
                 List.of(),
                 List.of()),
             seq,
@@ -271,11 +272,11 @@
     Instance one = new Instance("g1", "ca");
     GossipSettings s =
         installation.settings("g2", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
-    Identity id = Identity.read(s);
+    NodeIdentity id = NodeIdentity.read(s);
     byte[] signed =
         GossipCodec.write(
             GossipCodec.cluster(Installation.CLUSTER),
-            new Packet("g2", 1, 1, new Message.Tell(), List.of(), List.of()),
+            new Packet("g2", 1, 1, new MembershipMessage.Tell(), List.of(), List.of()),
             5,
             System.currentTimeMillis(),
             id.certificate(),
@@ -335,7 +336,7 @@
     GossipSettings s =
         installation.settings("g1", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
     assertTrue(
-        assertThrows(ConfigException.class, () -> Identity.read(s))
+        assertThrows(ConfigException.class, () -> NodeIdentity.read(s))
             .getMessage()
             .contains("g1.key"));
     Files.copy(installation.path("g2.crt"), installation.path("x.crt"));
@@ -343,7 +344,7 @@
     GossipSettings mixed =
         installation.settings("x", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
     assertTrue(
-        assertThrows(ConfigException.class, () -> Identity.read(mixed))
+        assertThrows(ConfigException.class, () -> NodeIdentity.read(mixed))
             .getMessage()
             .contains("is not the key of"));
   }
--- a/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
@@ -10,7 +10,7 @@
 import reachloom.lab.gossip.VirtualCluster.Node;
 import reachloom.lab.gossip.VirtualRun.Lie;
 import reachloom.lab.gossip.VirtualRun.Plan;
-import reachloom.membership.State;
+import reachloom.membership.MemberState;
 
 /** The failures that membership and evidence are for, brought about in simulated time. */
 class VirtualClusterTest {
@@ -50,7 +50,7 @@
     Node crashed = c.nodes.get(20);
     crashed.up = false;
     c.run(40 * SECOND);
-    assertEquals(39, c.holding(crashed, State.DEAD));
+    assertEquals(39, c.holding(crashed, MemberState.DEAD));
     assertEquals(0, c.falseDead);
     assertTrue(c.mostBytes(false) <= CAP, c.mostBytes(false) + " bytes");
   }
@@ -122,11 +122,11 @@
     Node n = c.nodes.get(6);
     n.up = false;
     c.run(60 * SECOND);
-    assertEquals(11, c.holding(n, State.DEAD));
+    assertEquals(11, c.holding(n, MemberState.DEAD));
     n.skew = -20 * SECOND; // its new incarnation is an old one
     c.start(n, 3);
     awaitAgreement(c, 60);
-    assertEquals(State.ALIVE, c.nodes.get(0).gossip.membership().member(n.name).state());
+    assertEquals(MemberState.ALIVE, c.nodes.get(0).gossip.membership().member(n.name).state());
   }
 
   @Test
@@ -160,7 +160,7 @@
     Node n = c.nodes.get(7);
     n.up = false;
     c.run(60 * SECOND);
-    assertEquals(9, c.holding(n, State.DEAD));
+    assertEquals(9, c.holding(n, MemberState.DEAD));
     assertTrue(c.mostBytes(false) <= 1_024, c.mostBytes(false) + " bytes");
   }
 
--- a/lab/src/test/java/reachloom/lab/slopes/DatagramBenchmark.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DatagramBenchmark.java
@@ -22,11 +22,12 @@
 import org.openjdk.jmh.annotations.Threads;
 import org.openjdk.jmh.annotations.Warmup;
 import reachloom.gossip.Packet;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.lab.gossip.Installation;
-import reachloom.membership.Message;
-import reachloom.membership.News;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
 
 /** What a datagram of gossip takes: written, signed, checked, read; by the news that ride on it. */
 @BenchmarkMode(Mode.SampleTime)
@@ -45,7 +46,7 @@
     public int news;
 
     private Path folder;
-    private Identity identity;
+    private NodeIdentity identity;
     private Packet packet;
     private byte[] unsigned;
     private byte[] signature;
@@ -57,13 +58,13 @@
       Installation installation = new Installation(folder);
       installation.instance("g1", "ca", 3);
       identity =
-          Identity.read(
+          NodeIdentity.read(
               installation.settings("g1", Installation.freeAddress(), 1, 1, List.of(), "ca"));
-      List<News> told = new ArrayList<>();
+      List<MembershipUpdate> told = new ArrayList<>();
       for (int i = 0; i < news; i++) {
-        told.add(new News("g" + (100 + i), i, i, reachloom.membership.State.ALIVE, ""));
+        told.add(new MembershipUpdate("g" + (100 + i), i, i, MemberState.ALIVE, ""));
       }
-      packet = new Packet("g1", 1, 1, new Message.Ping(1, "g2"), told, List.of());
+      packet = new Packet("g1", 1, 1, new MembershipMessage.Ping(1, "g2"), told, List.of());
       unsigned = write();
       signature = identity.sign(unsigned);
       whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
@@ -94,7 +95,7 @@
 
   @Benchmark
   public boolean verify(Sender s) {
-    return Identity.verify(
+    return NodeIdentity.verify(
         s.identity.own().getPublicKey(), s.whole, s.unsigned.length, s.signature);
   }
 
--- a/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
@@ -12,9 +12,9 @@
 import reachloom.gossip.Packet;
 import reachloom.lab.gossip.VirtualCluster;
 import reachloom.lab.gossip.VirtualCluster.Node;
-import reachloom.membership.Message;
-import reachloom.membership.News;
-import reachloom.membership.State;
+import reachloom.membership.MemberState;
+import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipUpdate;
 
 /**
  * What gossip costs a member, and how soon news is with all, by the number of instances: in
@@ -197,11 +197,13 @@
     down.up = false;
     long at = s.cluster.agenda.now();
     long first = -1;
-    while (s.cluster.holding(down, State.DEAD) < MOST_SHARE * (s.instances - 1)
+    while (s.cluster.holding(down, MemberState.DEAD) < MOST_SHARE * (s.instances - 1)
         && s.cluster.agenda.now() < at + LONGEST_NEWS * s.period) {
       s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS);
       first =
-          first < 0 && s.cluster.holding(down, State.SUSPECT) > 0 ? s.cluster.agenda.now() : first;
+          first < 0 && s.cluster.holding(down, MemberState.SUSPECT) > 0
+              ? s.cluster.agenda.now()
+              : first;
     }
     figures.put("crash_first_seen", round((first - at) / (double) s.period));
     figures.put(
@@ -228,8 +230,8 @@
               teller.name,
               teller.address,
               teller.gossip.membership().incarnation(),
-              new Message.Nack(-1),
-              List.of(new News(n.name, n.address ^ 1, old, State.ALIVE, "")),
+              new MembershipMessage.Nack(-1),
+              List.of(new MembershipUpdate(n.name, n.address ^ 1, old, MemberState.ALIVE, "")),
               List.of()));
       wanted[i] = n.gossip.membership().incarnation();
       if (wanted[i] == old) {
--- a/tools/src/main/java/reachloom/tools/GossipTool.java
+++ b/tools/src/main/java/reachloom/tools/GossipTool.java
@@ -38,7 +38,7 @@
 import org.bouncycastle.cert.X509v3CertificateBuilder;
 import org.bouncycastle.operator.OperatorCreationException;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.gossip.net.Pem;
 import reachloom.gossip.net.StatusClient;
 import reachloom.time.WallClock;
@@ -191,7 +191,7 @@
   }
 
   private static KeyPair pair() throws GeneralSecurityException {
-    return KeyPairGenerator.getInstance(Identity.ALGORITHM).generateKeyPair();
+    return KeyPairGenerator.getInstance(NodeIdentity.ALGORITHM).generateKeyPair();
   }
 
   private void authority(CommandLine line)
@@ -224,16 +224,21 @@
       throws ParseException, IOException, GeneralSecurityException, OperatorCreationException {
     String ca = needed(line, "ca");
     String name = name(line);
-    KeyFactory keys = KeyFactory.getInstance(Identity.ALGORITHM);
+    KeyFactory keys = KeyFactory.getInstance(NodeIdentity.ALGORITHM);
     PrivateKey by =
         keys.generatePrivate(new PKCS8EncodedKeySpec(Pem.readPrivate(with(ca, ".key"))));
-    X509Certificate authority = Identity.certificate(Pem.read(with(ca, ".crt"), "CERTIFICATE"));
+    X509Certificate authority = NodeIdentity.certificate(Pem.read(with(ca, ".crt"), "CERTIFICATE"));
     PublicKey of =
         keys.generatePublic(
             new X509EncodedKeySpec(Pem.read(Path.of(needed(line, "public")), "PUBLIC KEY")));
     byte[] made =
         issue(
-            "CN=" + Identity.commonName(authority), "CN=" + name, of, by, days(line, "365"), false);
+            "CN=" + NodeIdentity.commonName(authority),
+            "CN=" + name,
+            of,
+            by,
+            days(line, "365"),
+            false);
     write(Path.of(needed(line, "out")), Pem.text("CERTIFICATE", made), false);
     out.println(needed(line, "out") + ": " + name + ", " + made.length + " bytes");
   }
@@ -254,14 +259,16 @@
     if (authority) {
       builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(0));
     }
-    return builder.build(new JcaContentSignerBuilder(Identity.ALGORITHM).build(by)).getEncoded();
+    return builder
+        .build(new JcaContentSignerBuilder(NodeIdentity.ALGORITHM).build(by))
+        .getEncoded();
   }
 
   private void show(CommandLine line) throws ParseException, IOException, GeneralSecurityException {
     X509Certificate c = certificate(needed(line, "certificate"));
-    out.println("name       " + Identity.commonName(c));
+    out.println("name       " + NodeIdentity.commonName(c));
     out.println("authority  " + c.getIssuerX500Principal().getName());
-    out.println("serial     " + Identity.serial(c));
+    out.println("serial     " + NodeIdentity.serial(c));
     out.println(
         "valid      " + c.getNotBefore().toInstant() + " to " + c.getNotAfter().toInstant());
     out.println("bytes      " + c.getEncoded().length);
@@ -269,7 +276,7 @@
 
   private static X509Certificate certificate(String file)
       throws IOException, GeneralSecurityException {
-    return Identity.certificate(Pem.read(Path.of(file), "CERTIFICATE"));
+    return NodeIdentity.certificate(Pem.read(Path.of(file), "CERTIFICATE"));
   }
 
   private void revoke(CommandLine line)
@@ -278,13 +285,13 @@
     Path list = Path.of(needed(line, "list"));
     Files.writeString(
         list,
-        Identity.serial(c) + "  # " + Identity.commonName(c) + "\n",
+        NodeIdentity.serial(c) + "  # " + NodeIdentity.commonName(c) + "\n",
         StandardOpenOption.CREATE,
         StandardOpenOption.APPEND);
     out.println(
         list
             + ": "
-            + Identity.commonName(c)
+            + NodeIdentity.commonName(c)
             + " is taken back once the instances have read it again");
   }
 
--- a/tools/src/main/java/reachloom/tools/RevisionTool.java
+++ b/tools/src/main/java/reachloom/tools/RevisionTool.java
@@ -23,11 +23,11 @@
 import reachloom.config.GatewayConfig;
 import reachloom.config.GossipSettings;
 import reachloom.config.MergePatch;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.revision.Revision;
 import reachloom.revision.net.FileStore;
 import reachloom.revision.net.IssuerServer;
-import reachloom.revision.net.Progress;
+import reachloom.revision.net.RolloutStatus;
 import reachloom.time.WallClock;
 import sun.misc.Signal;
 
@@ -141,7 +141,7 @@
   private int init(CommandLine line) throws ParseException, ConfigException {
     Path store = Path.of(needed(line, "store"));
     GossipSettings s = IssuerServer.settings(needed(line, "settings"));
-    String name = Identity.read(s).name();
+    String name = NodeIdentity.read(s).name();
     FileStore.create(store, name, s.cluster()).close();
     out.println(
         store + ": issuer " + name + " of " + s.cluster() + " may take part from revision 1 on");
@@ -187,9 +187,9 @@
   private byte[] checked(CommandLine line) throws ParseException, ConfigException, IOException {
     Path file = Path.of(needed(line, "document"));
     long size = Files.size(file);
-    if (size == 0 || size > Revision.MOST_DOCUMENT) {
+    if (size == 0 || size > Revision.MAX_DOCUMENT_BYTES) {
       throw new ConfigException(
-          file + ": has " + size + " bytes; 1 to " + Revision.MOST_DOCUMENT + " are allowed");
+          file + ": has " + size + " bytes; 1 to " + Revision.MAX_DOCUMENT_BYTES + " are allowed");
     }
     byte[] document = Files.readAllBytes(file);
     try {
@@ -274,10 +274,10 @@
       throws IOException, InterruptedException {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(wait);
     while (true) {
-      Progress p =
+      RolloutStatus p =
           Files.exists(status)
-              ? Progress.read(new ObjectMapper().readTree(Files.readAllBytes(status)))
-              : new Progress(0, 0, 0, 0, List.of(), 0);
+              ? RolloutStatus.read(new ObjectMapper().readTree(Files.readAllBytes(status)))
+              : new RolloutStatus(0, 0, 0, 0, List.of(), 0);
       if (p.number() >= number && p.everywhere()) {
         out.println(p);
         return OK;
--- a/tools/src/test/java/reachloom/tools/Installation.java
+++ b/tools/src/test/java/reachloom/tools/Installation.java
@@ -19,7 +19,7 @@
 import java.util.function.BooleanSupplier;
 import reachloom.gateway.Loop;
 import reachloom.gossip.net.GossipNode;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.revision.net.IssuerServer;
 
 /**
@@ -193,7 +193,7 @@
       var s = IssuerServer.settings(path(name + ".xml"));
       g.node =
           new GossipNode(
-              g.loop, s, Identity.read(s), name.hashCode(), (engine, level) -> {}, g::put);
+              g.loop, s, NodeIdentity.read(s), name.hashCode(), (engine, level) -> {}, g::put);
       gateways.put(name, g);
       g.loop.post(0, g.node::start);
       Thread t = new Thread(g.loop, name);
--- a/tools/src/test/java/reachloom/tools/KeyFilesGoldenTest.java
+++ b/tools/src/test/java/reachloom/tools/KeyFilesGoldenTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.gossip.net.Identity;
+import reachloom.gossip.net.NodeIdentity;
 import reachloom.gossip.net.Pem;
 
 /**
@@ -57,7 +57,7 @@
   }
 
   private X509Certificate certificate(String file) throws Exception {
-    return Identity.certificate(Pem.read(folder.resolve(file), "CERTIFICATE"));
+    return NodeIdentity.certificate(Pem.read(folder.resolve(file), "CERTIFICATE"));
   }
 
   @Test
