--- a/gateway/src/main/java/reachloom/Main.java
+++ b/gateway/src/main/java/reachloom/Main.java
@@ -17,11 +17,11 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import reachloom.benchlink.BenchLink;
 import reachloom.config.ConfigException;
 import reachloom.config.GatewayConfig;
 import reachloom.config.LocalSettings;
-import reachloom.gateway.lifecycle.Server;
+import reachloom.gateway.lifecycle.GatewayServer;
+import reachloom.simulator.SimulatorAdapter;
 
 /** Entry point: picks what is to be run by its sub-command. */
 public final class Main {
@@ -105,17 +105,17 @@
       switch (command) {
         case "serve" -> {
           Map<String, String> environment = System.getenv();
-          return new Server(
+          return new GatewayServer(
                   GatewayConfig.fromEnvironment(environment),
                   environment,
                   line.getOptionValue("settings"))
               .run();
         }
         case "rehearse" -> {
-          return new Server(GatewayConfig.sample(), Map.of(), null).rehearse();
+          return new GatewayServer(GatewayConfig.sample(), Map.of(), null).rehearse();
         }
         case "benchlink" -> {
-          return new BenchLink(err).serve(System.in, out);
+          return new SimulatorAdapter(err).serve(System.in, out);
         }
         case "check-config" -> {
           out.println(words.get(1) + ": good; " + checked(words.get(1)));
@@ -170,10 +170,10 @@
     if (file.endsWith(".xml")) {
       LocalSettings local = LocalSettings.read(file, Map.of());
       String idle =
-          local.clientIdleTimeout().isEmpty()
+          local.clientIdleTimeoutNanos().isEmpty()
               ? ""
               : ", clients idle for "
-                  + local.clientIdleTimeout().getAsLong() / MILLISECOND
+                  + local.clientIdleTimeoutNanos().getAsLong() / MILLISECOND
                   + " ms are closed";
       return local
               .gossip()
@@ -194,7 +194,7 @@
         + " at "
         + config.listen()
         + ", "
-        + config.known().size()
+        + config.knownEngines().size()
         + " engines known, "
         + config.names().classes().size()
         + " classes";
--- a/gateway/src/main/java/reachloom/config/ConfigurationSettings.java
+++ b/gateway/src/main/java/reachloom/config/ConfigurationSettings.java
@@ -12,7 +12,7 @@
   /**
    * One that may vote for a revision: its name in gossip, where it listens, and its certificate.
    */
-  public record Issuer(String name, InetSocketAddress address, Path certificate) {}
+  public record Issuer(String name, InetSocketAddress address, Path certificateFile) {}
 
   /** How many votes prove a revision: more than half of the issuers. */
   public int quorum() {
--- a/gateway/src/main/java/reachloom/config/Member.java
+++ b/gateway/src/main/java/reachloom/config/EngineMember.java
@@ -4,4 +4,4 @@
 import reachloom.scheduler.api.EngineEndpoint;
 
 /** An engine as the list of engines tells it: what decisions need, and where it listens. */
-public record Member(EngineEndpoint info, InetSocketAddress address) {}
+public record EngineMember(EngineEndpoint endpoint, InetSocketAddress address) {}
--- a/gateway/src/main/java/reachloom/config/GatewayConfig.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfig.java
@@ -30,10 +30,10 @@
     String name,
     InetSocketAddress listen,
     long seed,
-    int sockets,
+    int maxSockets,
     InetSocketAddress changeLog,
-    long lastEvent,
-    List<Member> known,
+    long lastEventNumber,
+    List<EngineMember> knownEngines,
     SchedulerSettings settings,
     Names names,
     Transport transport) {
@@ -68,17 +68,21 @@
       List<String> reportFields) {}
 
   /** Figures of connections, in nanoseconds and counts. */
-  public record Transport(long dialTimeout, long keepalive, int streamsPerConn, int maxOpen) {}
+  public record Transport(
+      long dialTimeoutNanos,
+      long keepaliveNanos,
+      int maxStreamsPerConnection,
+      int maxOpenRequests) {}
 
   /**
    * The keys whose values in a configuration read anew differ and can't change while the gateway
    * runs.
    */
-  public List<String> fixed(GatewayConfig next) {
+  public List<String> changesNeedingRestart(GatewayConfig next) {
     List<String> keys = new ArrayList<>();
     difference(keys, "name", name, next.name);
     difference(keys, "listen", listen, next.listen);
-    difference(keys, "limits.sockets", sockets, next.sockets);
+    difference(keys, "limits.sockets", maxSockets, next.maxSockets);
     boolean settingsAgree = settings.equals(next.settings) && names.equals(next.names);
     difference(keys, "settings", settingsAgree && transport.equals(next.transport), true);
     return keys;
@@ -162,9 +166,9 @@
                 Math.min(
                     Integer.MAX_VALUE,
                     positive(limits, "settings.limits", "maxOpen", DEFAULT_MAX_OPEN)));
-    JsonNode known = object(root.path("known"), "known");
-    Map<String, Member> members = new LinkedHashMap<>();
-    long last = fold(known, names, members);
+    JsonNode knownEngines = object(root.path("known"), "known");
+    Map<String, EngineMember> members = new LinkedHashMap<>();
+    long last = fold(knownEngines, names, members);
     return new GatewayConfig(
         environment.getOrDefault("LB_NAME", text(root, "name")),
         address(environment.getOrDefault("LB_LISTEN", text(root, "listen")), "listen"),
@@ -176,7 +180,7 @@
         address(text(root, "changelog"), "changelog"),
         last,
         List.copyOf(members.values()),
-        SettingsReader.checked(settings),
+        SchedulerSettingsReader.readChecked(settings),
         names,
         transport);
   }
@@ -202,11 +206,11 @@
   }
 
   /** Plays the events of the start into one list; gives the number of the last one. */
-  private static long fold(JsonNode known, Names names, Map<String, Member> members)
+  private static long fold(JsonNode knownEngines, Names names, Map<String, EngineMember> members)
       throws ConfigException {
     long last = 0;
     int index = 0;
-    for (JsonNode event : array(known.path("results"), "known.results")) {
+    for (JsonNode event : array(knownEngines.path("results"), "known.results")) {
       String where = "known.results[" + index++ + "]";
       JsonNode fleet = object(event.path("fleet"), where + ".fleet");
       if (fleet.path("whole").asBoolean()) {
@@ -214,28 +218,29 @@
       }
       int place = 0;
       for (JsonNode host : array(fleet.path("hosts"), where + ".fleet.hosts")) {
-        Member member = member(host, names, where + ".fleet.hosts[" + place++ + "]");
-        members.remove(member.info().name());
-        members.put(member.info().name(), member);
+        EngineMember member = member(host, names, where + ".fleet.hosts[" + place++ + "]");
+        members.remove(member.endpoint().name());
+        members.put(member.endpoint().name(), member);
       }
       last = Math.max(last, event.path("seq").asLong());
     }
-    members.values().removeIf(m -> m.info().state() == EngineState.REMOVED);
-    JsonNode seq = known.path("seq");
+    members.values().removeIf(m -> m.endpoint().state() == EngineState.REMOVED);
+    JsonNode seq = knownEngines.path("seq");
     if (!seq.isIntegralNumber() || seq.asLong() < 0) {
       throw new ConfigException("known.seq: is not a whole number from 0 up");
     }
     return Math.max(last, seq.asLong());
   }
 
-  private static Member member(JsonNode host, Names names, String where) throws ConfigException {
+  private static EngineMember member(JsonNode host, Names names, String where)
+      throws ConfigException {
     String id = text(host, "host", where + ".host");
     if (!ENGINE.matcher(id).matches()) {
       throw new ConfigException(where + ".host: '" + id + "' is not s- and 8 hex digits");
     }
-    // A state not known here reads as draining: nothing new is sent.
+    // A state not knownEngines here reads as draining: nothing new is sent.
     EngineState state = STATES.getOrDefault(host.path("health").asText(), EngineState.DRAINING);
-    return new Member(
+    return new EngineMember(
         new EngineEndpoint(
             id,
             state,
--- a/gateway/src/main/java/reachloom/config/LocalSettings.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettings.java
@@ -14,7 +14,7 @@
  * nanoseconds, is how long a connection of a client may rest with nothing open; absent, the
  * gateway's own bound holds.
  */
-public record LocalSettings(Optional<GossipSettings> gossip, OptionalLong clientIdleTimeout) {
+public record LocalSettings(Optional<GossipSettings> gossip, OptionalLong clientIdleTimeoutNanos) {
   /** The variable that names the file where the command line does not. */
   public static final String VARIABLE = "REACHLOOM_SETTINGS";
 
@@ -27,11 +27,11 @@
   public static LocalSettings read(String option, Map<String, String> environment)
       throws ConfigException {
     String file = option != null ? option : environment.getOrDefault(VARIABLE, "");
-    return file.isBlank() ? none() : SettingsFile.read(Path.of(file));
+    return file.isBlank() ? none() : LocalSettingsParser.read(Path.of(file));
   }
 
   /** What differs in settings read anew and can't change while the gateway runs. */
-  public List<String> fixed(LocalSettings next) {
+  public List<String> changesNeedingRestart(LocalSettings next) {
     List<String> keys = new ArrayList<>();
     GossipSettings old = gossip.orElse(null);
     GossipSettings now = next.gossip.orElse(null);
@@ -43,26 +43,26 @@
     }
     difference(keys, "gossip cluster", old.cluster(), now.cluster());
     difference(keys, "gossip listen", old.listen(), now.listen());
-    difference(keys, "gossip periodMs", old.period(), now.period());
+    difference(keys, "gossip periodMs", old.periodNanos(), now.periodNanos());
     difference(keys, "gossip bytesPerSecond", old.bytesPerSecond(), now.bytesPerSecond());
     difference(keys, "gossip configuration", old.configuration(), now.configuration());
     return keys;
   }
 
   /** What differs in settings read anew and takes effect at once. */
-  public List<String> taken(LocalSettings next) {
+  public List<String> changesAppliedAtOnce(LocalSettings next) {
     List<String> keys = new ArrayList<>();
-    difference(keys, "clients idleTimeoutMs", clientIdleTimeout, next.clientIdleTimeout);
+    difference(keys, "clients idleTimeoutMs", clientIdleTimeoutNanos, next.clientIdleTimeoutNanos);
     if (gossip.isPresent() && next.gossip.isPresent()) {
       GossipSettings old = gossip.get();
       GossipSettings now = next.gossip.get();
       difference(
           keys,
           "gossip identity",
-          List.of(old.key(), old.certificate()),
-          List.of(now.key(), now.certificate()));
-      difference(keys, "gossip authority", old.authorities(), now.authorities());
-      difference(keys, "gossip revoked", old.revoked(), now.revoked());
+          List.of(old.keyFile(), old.certificateFile()),
+          List.of(now.keyFile(), now.certificateFile()));
+      difference(keys, "gossip authority", old.authorityFiles(), now.authorityFiles());
+      difference(keys, "gossip revoked", old.revocationFile(), now.revocationFile());
       difference(keys, "gossip seed", old.seeds(), now.seeds());
     }
     return keys;
--- a/gateway/src/main/java/reachloom/config/SettingsFile.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
@@ -34,7 +34,7 @@
  * defaults. Document type declarations, and with them entities from elsewhere, are refused: a
  * settings file has no use for them.
  */
-final class SettingsFile extends DefaultHandler {
+final class LocalSettingsParser extends DefaultHandler {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long MOST_BYTES = 1 << 20;
 
@@ -51,7 +51,7 @@
   private Locator locator;
   private SAXParseException fault;
 
-  private SettingsFile(Path file) {
+  private LocalSettingsParser(Path file) {
     this.file = file;
   }
 
@@ -66,7 +66,7 @@
     } catch (IOException e) {
       throw new ConfigException(file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
     }
-    SettingsFile reader = new SettingsFile(file);
+    LocalSettingsParser reader = new LocalSettingsParser(file);
     try {
       parser().parse(new InputSource(new ByteArrayInputStream(text)), reader);
       if (reader.fault != null) {
@@ -84,7 +84,7 @@
     SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
     schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
     schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
-    URL schema = SettingsFile.class.getResource("reachloom.xsd");
+    URL schema = LocalSettingsParser.class.getResource("reachloom.xsd");
     SAXParserFactory parsers = SAXParserFactory.newInstance();
     parsers.setNamespaceAware(true);
     parsers.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
--- a/gateway/src/main/java/reachloom/config/MergePatch.java
+++ b/gateway/src/main/java/reachloom/config/MergePatch.java
@@ -64,7 +64,7 @@
   }
 
   /** The patch laid over that value, which is left as it is. */
-  public JsonNode over(JsonNode target) {
+  public JsonNode applyTo(JsonNode target) {
     return merged(target, patch);
   }
 
--- a/gateway/src/main/java/reachloom/config/SettingsReader.java
+++ b/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
@@ -18,7 +18,7 @@
 /**
  * Reads the settings object of a starting instance. Absent settings mean "none" or "not allowed".
  */
-public final class SettingsReader {
+public final class SchedulerSettingsReader {
   private static final Map<String, Idempotency> EFFECTS =
       Map.of(
           "repeatable",
@@ -44,13 +44,13 @@
           "swap",
           OvercommitPolicy.PAGE);
 
-  private SettingsReader() {}
+  private SchedulerSettingsReader() {}
 
   /**
    * The settings in that object, or what is wrong with them: a reference to a kind or zone not
    * listed.
    */
-  public static SchedulerSettings checked(JsonNode root) throws ConfigException {
+  public static SchedulerSettings readChecked(JsonNode root) throws ConfigException {
     int index = 0;
     for (JsonNode c : root.path("classes")) {
       String where = "settings.classes[" + index++ + "].";
--- a/gateway/src/main/java/reachloom/gateway/ChangeLog.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -11,30 +11,30 @@
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import reachloom.config.Member;
+import reachloom.config.EngineMember;
 import reachloom.discovery.EndpointWatch;
-import reachloom.gateway.tables.Deadlines.Deadline;
-import reachloom.gateway.wire.Change;
+import reachloom.gateway.state.DeadlineQueue.Deadline;
 import reachloom.gateway.wire.ChangeLogDecoder;
 import reachloom.gateway.wire.DecodingHandler;
+import reachloom.gateway.wire.EndpointListEvent;
 import reachloom.gateway.wire.Listener;
 import reachloom.gateway.wire.Sockets;
 import reachloom.scheduler.api.EngineState;
 
 /** Follows the change log from the last event held; the list held stays while it is away. */
-final class ChangeLog {
-  private static final Logger LOG = System.getLogger(ChangeLog.class.getName());
-  private static final AttributeKey ROUND = new AttributeKey(ChangeLog.class, "round");
+final class ChangeLogClient {
+  private static final Logger LOG = System.getLogger(ChangeLogClient.class.getName());
+  private static final AttributeKey ROUND = new AttributeKey(ChangeLogClient.class, "round");
 
-  private final Loop loop;
-  private final Closing closing;
+  private final EventLoop loop;
+  private final LingeringClose closing;
   private final NioSocketConnector connector;
   private final EndpointWatch watch;
 
   /** Parts of a list that is told anew from its beginning. */
-  private final Map<String, Member> parts = new LinkedHashMap<>();
+  private final Map<String, EngineMember> parts = new LinkedHashMap<>();
 
-  private final Consumer<Change> news;
+  private final Consumer<EndpointListEvent> news;
   private final Runnable away;
   private InetSocketAddress address;
 
@@ -52,16 +52,16 @@
   private long waitingUntil;
   private Deadline settling;
 
-  ChangeLog(
-      Loop loop,
+  ChangeLogClient(
+      EventLoop loop,
       Sockets sockets,
-      Closing closing,
+      LingeringClose closing,
       InetSocketAddress address,
       long last,
       long seed,
       int zones,
       int kinds,
-      Consumer<Change> news,
+      Consumer<EndpointListEvent> news,
       Runnable away) {
     this.loop = loop;
     this.closing = closing;
@@ -81,9 +81,9 @@
    * log is now. The old address is left once what has been read from there is dealt with: it counts
    * as told, and the new one, which goes on with the same numbers, may tell of it late.
    */
-  void follow(InetSocketAddress now, long lastKnown, List<Member> known) {
+  void follow(InetSocketAddress now, long lastKnown, List<EngineMember> known) {
     if (watch.toldElsewhere(lastKnown)) {
-      news.accept(new Change(lastKnown, false, true, known));
+      news.accept(new EndpointListEvent(lastKnown, false, true, known));
     }
     if (now.equals(address)) {
       return;
@@ -181,7 +181,7 @@
     }
   }
 
-  private void heard(Change change) {
+  private void heard(EndpointListEvent change) {
     if (waiting != null) {
       loop.later(() -> settle(change.nothing())); // once it is dealt with
     }
@@ -193,7 +193,8 @@
       case FOLD -> fold(change);
       case WHOLE -> {
         fold(change);
-        news.accept(new Change(change.number(), false, true, List.copyOf(parts.values())));
+        news.accept(
+            new EndpointListEvent(change.number(), false, true, List.copyOf(parts.values())));
         parts.clear();
       }
       default -> {
@@ -202,20 +203,20 @@
     }
   }
 
-  private void fold(Change change) {
+  private void fold(EndpointListEvent change) {
     if (change.whole()) {
       parts.clear();
     }
-    for (Member m : change.members()) {
-      if (m.info().state() == EngineState.REMOVED) {
-        parts.remove(m.info().name());
+    for (EngineMember m : change.members()) {
+      if (m.endpoint().state() == EngineState.REMOVED) {
+        parts.remove(m.endpoint().name());
       } else {
-        parts.put(m.info().name(), m);
+        parts.put(m.endpoint().name(), m);
       }
     }
   }
 
-  private final class Heard implements Listener<Change> {
+  private final class Heard implements Listener<EndpointListEvent> {
     @Override
     public void opened(IoSession s) {
       long mine = (Long) s.getAttribute(ROUND);
@@ -238,7 +239,7 @@
     }
 
     @Override
-    public void received(IoSession s, Change change, int bytes) {
+    public void received(IoSession s, EndpointListEvent change, int bytes) {
       long mine = (Long) s.getAttribute(ROUND);
       loop.postFirst(
           bytes,
--- a/gateway/src/main/java/reachloom/gateway/Engines.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
@@ -15,18 +15,18 @@
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig.Transport;
-import reachloom.config.Member;
-import reachloom.gateway.tables.Attempt;
-import reachloom.gateway.tables.Link;
-import reachloom.gateway.tables.Reach;
-import reachloom.gateway.tables.Slots;
+import reachloom.gateway.state.AttemptProgress;
+import reachloom.gateway.state.EngineAttempt;
+import reachloom.gateway.state.EngineConnection;
+import reachloom.gateway.state.GenerationalSlots;
 import reachloom.gateway.wire.Bytes;
 import reachloom.gateway.wire.DecodingHandler;
+import reachloom.gateway.wire.EngineCommandWriter;
+import reachloom.gateway.wire.EngineResponse;
+import reachloom.gateway.wire.EngineResponseDecoder;
 import reachloom.gateway.wire.Listener;
-import reachloom.gateway.wire.NodeAnswer;
-import reachloom.gateway.wire.NodeDecoder;
-import reachloom.gateway.wire.NodeWriter;
 import reachloom.gateway.wire.Numbers;
 import reachloom.gateway.wire.Rows;
 import reachloom.gateway.wire.Sockets;
@@ -39,10 +39,10 @@
  * Connections to engines, and the attempts and probes on them. Connections belong to engines by
  * name.
  */
-final class Engines {
-  private static final Logger LOG = System.getLogger(Engines.class.getName());
+final class EngineConnectionPool {
+  private static final Logger LOG = System.getLogger(EngineConnectionPool.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final AttributeKey LINK = new AttributeKey(Engines.class, "link");
+  private static final AttributeKey LINK = new AttributeKey(EngineConnectionPool.class, "link");
 
   /**
    * Idle connections go at this share of the engine's own limit, so that no request crosses its
@@ -83,42 +83,42 @@
     /**
      * Asked in the instant before the first byte of an attempt leaves: whether it may still begin.
      */
-    boolean mayStart(Attempt attempt);
+    boolean mayStart(EngineAttempt attempt);
 
-    void ended(Attempt attempt, AttemptOutcome outcome);
+    void ended(EngineAttempt attempt, AttemptOutcome outcome);
 
-    void noted(Attempt attempt, ProgressKind kind, double amount);
+    void noted(EngineAttempt attempt, ProgressKind kind, double amount);
 
     void probed(String engine, boolean answered, LoadReport report);
   }
 
   private static final class Peer {
-    private Member member;
-    private final List<Link> links = new ArrayList<>();
+    private EngineMember member;
+    private final List<EngineConnection> links = new ArrayList<>();
   }
 
-  private final Loop loop;
-  private final Closing closing;
+  private final EventLoop loop;
+  private final LingeringClose closing;
   private final Watcher watcher;
   private final Transport transport;
   private final boolean reports;
   private final Sockets sockets;
   private final NioSocketConnector connector;
-  private final Slots<Link> table;
+  private final GenerationalSlots<EngineConnection> table;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
 
   /**
    * Connections on which something waits to be handed over, and that have to be looked at again.
    */
-  private final Set<Link> toHandOver = new LinkedHashSet<>();
+  private final Set<EngineConnection> toHandOver = new LinkedHashSet<>();
 
   private long probeCount;
   private long gathered;
 
-  Engines(
-      Loop loop,
+  EngineConnectionPool(
+      EventLoop loop,
       Sockets sockets,
-      Closing closing,
+      LingeringClose closing,
       Watcher watcher,
       Transport transport,
       boolean reports,
@@ -128,12 +128,12 @@
     this.watcher = watcher;
     this.transport = transport;
     this.reports = reports;
-    this.table = new Slots<>(mostLinks);
+    this.table = new GenerationalSlots<>(mostLinks);
     this.sockets = sockets;
     this.connector =
         sockets.connector(
-            new DecodingHandler<>("engine", NodeDecoder::new, new Heard()),
-            transport.dialTimeout());
+            new DecodingHandler<>("engine", EngineResponseDecoder::new, new Heard()),
+            transport.dialTimeoutNanos());
     loop.atTurnEnd(this::handOver);
   }
 
@@ -142,9 +142,10 @@
   /**
    * Takes over what the list tells; a process that has started anew gets connections of its own.
    */
-  void update(boolean whole, List<Member> members) {
+  void update(boolean whole, List<EngineMember> members) {
     if (whole) {
-      Set<String> named = members.stream().map(m -> m.info().name()).collect(Collectors.toSet());
+      Set<String> named =
+          members.stream().map(m -> m.endpoint().name()).collect(Collectors.toSet());
       peers.forEach(
           (name, peer) -> {
             if (!named.contains(name)) {
@@ -152,18 +153,20 @@
             }
           });
     }
-    for (Member m : members) {
-      Peer peer = peers.computeIfAbsent(m.info().name(), n -> new Peer());
-      peer.member = m.info().state() == EngineState.REMOVED ? null : m;
-      for (Link l : List.copyOf(peer.links)) {
-        if (l.since < m.info().incarnation()) {
+    for (EngineMember m : members) {
+      Peer peer = peers.computeIfAbsent(m.endpoint().name(), n -> new Peer());
+      peer.member = m.endpoint().state() == EngineState.REMOVED ? null : m;
+      for (EngineConnection l : List.copyOf(peer.links)) {
+        if (l.since < m.endpoint().incarnation()) {
           close(l, false, "the engine has started anew");
         }
       }
     }
     // Only those that are named, of thousands, can have changed.
     List<String> told =
-        whole ? List.copyOf(peers.keySet()) : members.stream().map(m -> m.info().name()).toList();
+        whole
+            ? List.copyOf(peers.keySet())
+            : members.stream().map(m -> m.endpoint().name()).toList();
     told.forEach(this::listChanged);
   }
 
@@ -177,12 +180,12 @@
       return;
     }
     toHandOver.addAll(peer.links);
-    if (peer.member == null || peer.member.info().state() != EngineState.UP) {
+    if (peer.member == null || peer.member.endpoint().state() != EngineState.UP) {
       peer.links.forEach(l -> l.open.values().forEach(this::keepFromLeaving));
     }
     if (peer.member == null) {
       List.copyOf(peer.links).stream()
-          .filter(Link::unused)
+          .filter(EngineConnection::unused)
           .forEach(l -> close(l, false, "the engine is gone"));
     }
     if (peer.member == null && peer.links.isEmpty()) {
@@ -208,8 +211,8 @@
   // ---- Attempts ----
 
   /** Brings an attempt to its engine; what becomes of it is told later, never within this call. */
-  void send(Attempt a) {
-    Link link = link(a.engine, a);
+  void send(EngineAttempt a) {
+    EngineConnection link = link(a.engine, a);
     if (link == null) {
       loop.later(() -> end(a, AttemptOutcome.UNREACHED));
       return;
@@ -227,11 +230,11 @@
    * dial, or for a connection that takes nothing.
    */
   private void handOver() {
-    List<Link> links = List.copyOf(toHandOver);
+    List<EngineConnection> links = List.copyOf(toHandOver);
     toHandOver.clear();
     boolean refused = false;
-    for (Link l : links) {
-      for (Attempt a : List.copyOf(l.waiting)) {
+    for (EngineConnection l : links) {
+      for (EngineAttempt a : List.copyOf(l.waiting)) {
         if (!watcher.mayStart(a)) {
           l.waiting.remove(a);
           loop.later(() -> end(a, AttemptOutcome.NOT_SENT));
@@ -254,9 +257,9 @@
    * Where an attempt that may not begin is on its way, and its connection doesn't take it, that
    * ends.
    */
-  private void keepFromLeaving(Attempt a) {
-    if (a.reach() == Reach.NOT_WHOLE) {
-      Link l = a.link;
+  private void keepFromLeaving(EngineAttempt a) {
+    if (a.reach() == AttemptProgress.NOT_WHOLE) {
+      EngineConnection l = a.link;
       loop.deadlines()
           .add(
               loop.now() + STUCK,
@@ -275,28 +278,28 @@
    * A connection with room, which no earlier attempt of the request used: late answers can't be
    * mixed up.
    */
-  private Link link(String engine, Attempt a) {
+  private EngineConnection link(String engine, EngineAttempt a) {
     Peer peer = peers.get(engine);
     if (peer == null || peer.member == null) {
       return null;
     }
-    Link best = null;
-    for (Link l : peer.links) {
+    EngineConnection best = null;
+    for (EngineConnection l : peer.links) {
       boolean fresh = a == null || a.request.attempts.stream().noneMatch(o -> o.link == l);
       fresh &= l.session == null || !l.session.isClosing();
       if (fresh
-          && l.open.size() < transport.streamsPerConn()
+          && l.open.size() < transport.maxStreamsPerConnection()
           && (best == null || better(l, best))) {
         best = l;
       }
     }
     boolean want = best == null || best.suspect;
-    Link dialled = want && peer.links.size() < MOST_LINKS ? dial(peer) : null;
+    EngineConnection dialled = want && peer.links.size() < MOST_LINKS ? dial(peer) : null;
     return dialled != null ? dialled : best;
   }
 
   /** First those that are not silent, then those that are up, then the least used. */
-  private static boolean better(Link l, Link other) {
+  private static boolean better(EngineConnection l, EngineConnection other) {
     if (l.suspect != other.suspect) {
       return !l.suspect;
     }
@@ -306,15 +309,15 @@
     return l.open.size() < other.open.size();
   }
 
-  private void ask(Attempt a) {
+  private void ask(EngineAttempt a) {
     long now = loop.now();
     long budget = Math.max(1, (a.until - now) / MILLISECOND);
-    a.reach = Reach.NOT_WHOLE;
+    a.reach = AttemptProgress.NOT_WHOLE;
     a.written =
         a.link.writing =
             Sockets.write(
                 a.link.session,
-                NodeWriter.ask(
+                EngineCommandWriter.ask(
                     a.request.id,
                     a.request.queryClass,
                     budget,
@@ -327,36 +330,38 @@
    * Gives up an attempt that has not ended: the engine is told, and its answer is no longer known
    * here.
    */
-  void withdraw(Attempt a) {
+  void withdraw(EngineAttempt a) {
     gathered -= a.size;
     a.size = 0;
-    Link l = a.link;
+    EngineConnection l = a.link;
     if (l == null || l.open.get(a.request.id) != a) {
       return;
     }
     l.open.remove(a.request.id);
     l.waiting.remove(a);
     keepFromLeaving(a);
-    if (a.reach != Reach.NOT_CONNECTED) {
+    if (a.reach != AttemptProgress.NOT_CONNECTED) {
       // Silence is told by time: a request withdrawn at once has seen none.
-      l.suspect |= l.lastHeard < a.sentAt && loop.now() - a.sentAt > transport.dialTimeout();
+      l.suspect |= l.lastHeard < a.sentAt && loop.now() - a.sentAt > transport.dialTimeoutNanos();
       write(
           l,
-          a.reach == Reach.ANSWERING
-              ? NodeWriter.free(a.request.id)
-              : NodeWriter.quit(a.request.id));
+          a.reach == AttemptProgress.ANSWERING
+              ? EngineCommandWriter.free(a.request.id)
+              : EngineCommandWriter.quit(a.request.id));
     }
     rest(l);
   }
 
   /** Sets the priority of an attempt that is out. */
-  void priority(Attempt a, int priority) {
-    if (a.link != null && !a.ended && (a.reach == Reach.OUT || a.reach == Reach.NOT_WHOLE)) {
-      write(a.link, NodeWriter.priority(a.request.id, priority));
+  void priority(EngineAttempt a, int priority) {
+    if (a.link != null
+        && !a.ended
+        && (a.reach == AttemptProgress.OUT || a.reach == AttemptProgress.NOT_WHOLE)) {
+      write(a.link, EngineCommandWriter.priority(a.request.id, priority));
     }
   }
 
-  private void end(Attempt a, AttemptOutcome outcome) {
+  private void end(EngineAttempt a, AttemptOutcome outcome) {
     if (a.link != null) {
       a.link.open.remove(a.request.id, a);
       rest(a.link);
@@ -368,7 +373,7 @@
 
   /** Asks an engine how it is. */
   void probe(String engine) {
-    Link link = link(engine, null);
+    EngineConnection link = link(engine, null);
     if (link == null) {
       loop.later(() -> watcher.probed(engine, false, null));
       return;
@@ -377,14 +382,14 @@
     link.probes.put(
         tag,
         loop.deadlines()
-            .add(loop.now() + transport.dialTimeout(), () -> probed(link, tag, false, null)));
+            .add(loop.now() + transport.dialTimeoutNanos(), () -> probed(link, tag, false, null)));
     touch(link);
     if (link.session != null) {
-      write(link, NodeWriter.probe(tag, reports));
+      write(link, EngineCommandWriter.probe(tag, reports));
     }
   }
 
-  private void probed(Link l, String tag, boolean answered, LoadReport report) {
+  private void probed(EngineConnection l, String tag, boolean answered, LoadReport report) {
     if (l.probes.containsKey(tag)) {
       loop.deadlines().cancel(l.probes.remove(tag));
       rest(l);
@@ -394,10 +399,11 @@
 
   // ---- Connections ----
 
-  private Link dial(Peer peer) {
-    Link l = new Link(peer.member.info().name(), peer.member.info().incarnation());
+  private EngineConnection dial(Peer peer) {
+    EngineConnection l =
+        new EngineConnection(peer.member.endpoint().name(), peer.member.endpoint().incarnation());
     l.handle = table.add(l);
-    if (l.handle == Slots.NONE) {
+    if (l.handle == GenerationalSlots.NONE) {
       return null;
     }
     peer.links.add(l);
@@ -405,7 +411,7 @@
     l.dial =
         loop.deadlines()
             .add(
-                loop.now() + transport.dialTimeout(),
+                loop.now() + transport.dialTimeoutNanos(),
                 () -> {
                   LOG.log(
                       Level.INFO, "engine {0} at {1}: no connection in time", l.engine, address);
@@ -419,7 +425,7 @@
   /**
    * Connects; again after a moment, within the dial's time, where it is this machine that can't.
    */
-  private void connect(Link l, InetSocketAddress address) {
+  private void connect(EngineConnection l, InetSocketAddress address) {
     if (l.closed) {
       return;
     }
@@ -434,7 +440,7 @@
         });
   }
 
-  private void connectFailed(Link l, InetSocketAddress address, ConnectFuture future) {
+  private void connectFailed(EngineConnection l, InetSocketAddress address, ConnectFuture future) {
     LOG.log(Level.DEBUG, "engine {0} at {1}: {2}", l.engine, address, future.getException());
     l.failedHere = sockets.failedHere(future);
     if (l.failedHere) {
@@ -444,7 +450,7 @@
     }
   }
 
-  private void up(Link l, IoSession session) {
+  private void up(EngineConnection l, IoSession session) {
     if (l == null || l.closed) {
       session.closeNow();
       return;
@@ -453,11 +459,11 @@
     l.session = session;
     l.lastHeard = loop.now();
     toHandOver.add(l);
-    l.probes.keySet().forEach(tag -> write(l, NodeWriter.probe(tag, reports)));
+    l.probes.keySet().forEach(tag -> write(l, EngineCommandWriter.probe(tag, reports)));
     rest(l);
   }
 
-  private void touch(Link l) {
+  private void touch(EngineConnection l) {
     loop.deadlines().cancel(l.idle);
     l.idle = null;
   }
@@ -466,7 +472,7 @@
    * A connection on which nothing is open is closed once its engine is gone, or when it is idle for
    * long.
    */
-  private void rest(Link l) {
+  private void rest(EngineConnection l) {
     if (l.closed || !l.unused() || l.session == null) {
       return;
     }
@@ -479,7 +485,7 @@
     l.idle =
         loop.deadlines()
             .add(
-                loop.now() + (long) (transport.keepalive() * IDLE_SHARE),
+                loop.now() + (long) (transport.keepaliveNanos() * IDLE_SHARE),
                 () -> close(l, false, "idle"));
   }
 
@@ -488,7 +494,7 @@
    * ended by itself, what waits to be written still goes out, so nothing handed to it is proved
    * never to have run. The reason is for the log.
    */
-  private void close(Link l, boolean hasEnded, String why) {
+  private void close(EngineConnection l, boolean hasEnded, String why) {
     if (l.closed) {
       return;
     }
@@ -506,7 +512,7 @@
     if (l.session != null) {
       closing.end(l.session); // commands that give requests up go out first
     }
-    List<Attempt> open = List.copyOf(l.open.values());
+    List<EngineAttempt> open = List.copyOf(l.open.values());
     List<String> tags = List.copyOf(l.probes.keySet());
     if (!open.isEmpty()) {
       LOG.log(
@@ -519,12 +525,14 @@
     l.open.clear();
     l.waiting.clear();
     toHandOver.remove(l);
-    for (Attempt a : open) {
-      Reach reach = a.reach();
-      boolean mayStillGo = reach == Reach.NOT_WHOLE && !hasEnded;
+    for (EngineAttempt a : open) {
+      AttemptProgress reach = a.reach();
+      boolean mayStillGo = reach == AttemptProgress.NOT_WHOLE && !hasEnded;
       // A dial that this machine could not make is no evidence against the engine.
       AttemptOutcome broken =
-          reach == Reach.NOT_CONNECTED && l.failedHere ? AttemptOutcome.NOT_SENT : reach.broken;
+          reach == AttemptProgress.NOT_CONNECTED && l.failedHere
+              ? AttemptOutcome.NOT_SENT
+              : reach.broken;
       loop.later(() -> watcher.ended(a, mayStillGo ? AttemptOutcome.RESET : broken));
     }
     for (String tag : tags) {
@@ -533,7 +541,7 @@
     }
   }
 
-  private void write(Link l, ByteBuffer bytes) {
+  private void write(EngineConnection l, ByteBuffer bytes) {
     if (l.session != null && !l.closed) {
       l.writing = Sockets.write(l.session, bytes);
     }
@@ -549,7 +557,7 @@
 
   // ---- What engines say ----
 
-  private final class Heard implements Listener<NodeAnswer> {
+  private final class Heard implements Listener<EngineResponse> {
     @Override
     public void opened(IoSession session) {
       long handle = (Long) session.getAttribute(LINK);
@@ -557,12 +565,12 @@
     }
 
     @Override
-    public void received(IoSession session, NodeAnswer answer, int bytes) {
+    public void received(IoSession session, EngineResponse answer, int bytes) {
       long handle = (Long) session.getAttribute(LINK);
       loop.post(
           bytes,
           () -> {
-            Link l = table.get(handle);
+            EngineConnection l = table.get(handle);
             if (l != null) {
               heard(l, answer);
             }
@@ -575,7 +583,7 @@
       loop.post(
           0,
           () -> {
-            Link l = table.get(handle);
+            EngineConnection l = table.get(handle);
             if (l != null) {
               l.begunAt = loop.now();
             }
@@ -588,7 +596,7 @@
       loop.post(
           0,
           () -> {
-            Link l = table.get(handle);
+            EngineConnection l = table.get(handle);
             if (l != null) {
               close(l, false, "it sent what can't be read");
             }
@@ -601,7 +609,7 @@
       loop.post(
           0,
           () -> {
-            Link l = table.get(handle);
+            EngineConnection l = table.get(handle);
             if (l != null) {
               close(l, true, "it has ended");
             }
@@ -609,24 +617,24 @@
     }
   }
 
-  private void heard(Link l, NodeAnswer answer) {
+  private void heard(EngineConnection l, EngineResponse answer) {
     l.lastHeard = loop.now();
     l.suspect = false;
     l.begunAt = Long.MAX_VALUE;
     LoadReport report = report(answer.fields().get("use"));
     if (l.probes.containsKey(answer.id())) {
       switch (answer.word()) {
-        case UP, DOWN -> probed(l, answer.id(), answer.word() == NodeAnswer.Word.UP, report);
+        case UP, DOWN -> probed(l, answer.id(), answer.word() == EngineResponse.Word.UP, report);
         default -> spoilt(l, answer.word() + " to a probe");
       }
       return;
     }
-    Attempt a = l.open.get(answer.id());
+    EngineAttempt a = l.open.get(answer.id());
     if (a == null) {
       return; // the answer to a request given up, or to none
     }
-    if (a.reach == Reach.NOT_WHOLE) {
-      a.reach = Reach.OUT; // only what has come whole is answered
+    if (a.reach == AttemptProgress.NOT_WHOLE) {
+      a.reach = AttemptProgress.OUT; // only what has come whole is answered
     }
     a.report = report != null ? report : a.report;
     switch (answer.word()) {
@@ -644,7 +652,7 @@
     }
   }
 
-  private void firstPage(Link l, Attempt a, NodeAnswer answer) {
+  private void firstPage(EngineConnection l, EngineAttempt a, EngineResponse answer) {
     if (!a.pages.isEmpty()) {
       return; // a second copy
     }
@@ -653,14 +661,14 @@
       spoilt(l, "a result of " + answer.fields().get("fetches") + " pages");
       return;
     }
-    a.reach = Reach.ANSWERING;
+    a.reach = AttemptProgress.ANSWERING;
     a.pageCount = (int) count;
     a.costMs = Math.round(Numbers.real(answer.fields().get("effort"), 0));
     a.memoryMb = Numbers.real(answer.fields().get("high"), 0);
     page(l, a, answer.body());
   }
 
-  private void furtherPage(Link l, Attempt a, NodeAnswer answer) {
+  private void furtherPage(EngineConnection l, EngineAttempt a, EngineResponse answer) {
     long number = Numbers.whole(answer.fields().get("fetch_no"), -1);
     if (number > 0 && number < a.pages.size()) {
       return; // a second copy
@@ -672,7 +680,7 @@
     page(l, a, answer.body());
   }
 
-  private void page(Link l, Attempt a, byte[] body) {
+  private void page(EngineConnection l, EngineAttempt a, byte[] body) {
     a.pages.add(body);
     a.size += body.length;
     gathered += body.length;
@@ -684,13 +692,13 @@
           "{0} bytes of results wait for their rest: one of {1} is dropped",
           gathered,
           l.engine);
-      write(l, NodeWriter.free(a.request.id));
+      write(l, EngineCommandWriter.free(a.request.id));
       end(a, AttemptOutcome.ERROR);
     } else if (a.pages.size() < a.pageCount) {
-      write(l, NodeWriter.next(a.request.id, a.pages.size()));
+      write(l, EngineCommandWriter.next(a.request.id, a.pages.size()));
     } else {
       if (a.pageCount > 1) {
-        write(l, NodeWriter.free(a.request.id));
+        write(l, EngineCommandWriter.free(a.request.id));
       }
       end(a, AttemptOutcome.SERVED);
     }
@@ -701,12 +709,12 @@
    * open on it ends with it, now instead of at its time-out. Harms where an engine is only odd: its
    * other work is lost.
    */
-  private void spoilt(Link l, String what) {
+  private void spoilt(EngineConnection l, String what) {
     LOG.log(Level.WARNING, "engine {0} sent {1}; its connection is closed", l.engine, what);
     close(l, false, "it sent what can't be passed on");
   }
 
-  private void note(Attempt a, NodeAnswer answer) {
+  private void note(EngineAttempt a, EngineResponse answer) {
     double amount = Numbers.real(answer.fields().get("figure"), 0);
     ProgressKind kind =
         switch (answer.fields().getOrDefault("detail", "")) {
--- a/gateway/src/main/java/reachloom/gateway/Loop.java
+++ b/gateway/src/main/java/reachloom/gateway/EventLoop.java
@@ -4,7 +4,7 @@
 import java.lang.System.Logger.Level;
 import java.util.ArrayDeque;
 import java.util.concurrent.Semaphore;
-import reachloom.gateway.tables.Deadlines;
+import reachloom.gateway.state.DeadlineQueue;
 import reachloom.time.MonotonicClock;
 
 /**
@@ -12,8 +12,8 @@
  * they did, and what is due. What came from the sockets goes before deadlines that are judged by
  * it.
  */
-public final class Loop implements Runnable {
-  private static final Logger LOG = System.getLogger(Loop.class.getName());
+public final class EventLoop implements Runnable {
+  private static final Logger LOG = System.getLogger(EventLoop.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
   /**
@@ -32,8 +32,8 @@
   private record Task(Runnable action, int bytes, boolean first) {}
 
   private final MonotonicClock clock = new MonotonicClock();
-  private final Deadlines deadlines = new Deadlines();
-  private final Handover<Task> queue = new Handover<>();
+  private final DeadlineQueue deadlines = new DeadlineQueue();
+  private final HandoffQueue<Task> queue = new HandoffQueue<>();
   private final Semaphore room = new Semaphore(MOST_WAITING);
   private final ArrayDeque<Runnable> later = new ArrayDeque<>();
   private Runnable atTurnEnd = () -> {};
@@ -54,7 +54,7 @@
   }
 
   /** All deadlines and timers; for the loop's own thread. */
-  public Deadlines deadlines() {
+  public DeadlineQueue deadlines() {
     return deadlines;
   }
 
--- a/gateway/src/main/java/reachloom/gateway/Gateway.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -12,19 +12,19 @@
 import java.util.function.Function;
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
-import reachloom.config.Member;
-import reachloom.gateway.tables.Attempt;
-import reachloom.gateway.tables.Client;
-import reachloom.gateway.tables.Clients;
-import reachloom.gateway.tables.Reach;
-import reachloom.gateway.tables.Request;
-import reachloom.gateway.tables.Slots;
+import reachloom.gateway.state.AttemptProgress;
+import reachloom.gateway.state.ClientConnection;
+import reachloom.gateway.state.ClientConnectionTable;
+import reachloom.gateway.state.ClientRequest;
+import reachloom.gateway.state.EngineAttempt;
+import reachloom.gateway.state.GenerationalSlots;
 import reachloom.gateway.wire.Bytes;
-import reachloom.gateway.wire.Change;
 import reachloom.gateway.wire.ClientCall;
 import reachloom.gateway.wire.Decoder;
 import reachloom.gateway.wire.DecodingHandler;
+import reachloom.gateway.wire.EndpointListEvent;
 import reachloom.gateway.wire.FrameDecoder;
 import reachloom.gateway.wire.Listener;
 import reachloom.gateway.wire.Sockets;
@@ -45,10 +45,10 @@
  * It translates, keeps time and keeps bounds; it decides nothing. All of it runs on the loop's
  * thread.
  */
-public final class Gateway implements SchedulerActions, Engines.Watcher {
-  private static final Logger LOG = System.getLogger(Gateway.class.getName());
+public final class GatewayService implements SchedulerActions, EngineConnectionPool.Watcher {
+  private static final Logger LOG = System.getLogger(GatewayService.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final AttributeKey CLIENT = new AttributeKey(Gateway.class, "client");
+  private static final AttributeKey CLIENT = new AttributeKey(GatewayService.class, "client");
   private static final int MOST_FRAME = 64 * 1024;
 
   /** Connections just accepted, or just closed, beside those in the table: a part of as many. */
@@ -100,16 +100,16 @@
   private static final long SWEEP = 200 * MILLISECOND;
 
   private final GatewayConfig config;
-  private final Loop loop;
+  private final EventLoop loop;
   private final SchedulerEvents module;
   private final Sockets sockets;
-  private final Closing closing;
-  private final Engines engines;
-  private final ChangeLog changeLog;
-  private final Clients clients;
+  private final LingeringClose closing;
+  private final EngineConnectionPool engines;
+  private final ChangeLogClient changeLog;
+  private final ClientConnectionTable clients;
   private final int mostClients;
-  private final Slots<Request> requests;
-  private final Map<String, Request> byId = new HashMap<>();
+  private final GenerationalSlots<ClientRequest> requests;
+  private final Map<String, ClientRequest> byId = new HashMap<>();
   private long heldBytes;
   private final AtomicLong unsent = new AtomicLong();
   private boolean good;
@@ -119,25 +119,27 @@
   private boolean closed;
 
   /** Hears of engines; null where nobody does. */
-  private Observer observer;
+  private EngineOutcomeListener observer;
 
   /** Once the gateway is to stop: by when all must be answered; else the largest time. */
   private long answerBy = Long.MAX_VALUE;
 
   /** A gateway that has not started; the factory makes its decision module. */
-  public Gateway(
-      GatewayConfig config, Loop loop, Function<SchedulerActions, SchedulerEvents> factory) {
+  public GatewayService(
+      GatewayConfig config, EventLoop loop, Function<SchedulerActions, SchedulerEvents> factory) {
     this.config = config;
     this.loop = loop;
     module = factory.apply(this);
-    int third = config.sockets() / 3;
+    int third = config.maxSockets() / 3;
     sockets = new Sockets(third + third / ARRIVING_PART);
-    clients = new Clients(third + third / ARRIVING_PART);
+    clients = new ClientConnectionTable(third + third / ARRIVING_PART);
     mostClients = third;
-    requests = new Slots<>(config.transport().maxOpen());
-    closing = new Closing(loop, sockets, config.transport().dialTimeout(), third / ARRIVING_PART);
+    requests = new GenerationalSlots<>(config.transport().maxOpenRequests());
+    closing =
+        new LingeringClose(
+            loop, sockets, config.transport().dialTimeoutNanos(), third / ARRIVING_PART);
     engines =
-        new Engines(
+        new EngineConnectionPool(
             loop,
             sockets,
             closing,
@@ -146,12 +148,12 @@
             config.settings().traits().loadReports(),
             third);
     changeLog =
-        new ChangeLog(
+        new ChangeLogClient(
             loop,
             sockets,
             closing,
             config.changeLog(),
-            config.lastEvent(),
+            config.lastEventNumber(),
             config.seed(),
             config.names().zones().size(),
             config.names().kinds().size(),
@@ -172,21 +174,23 @@
 
   /** Starts the module and follows the change log. */
   public void start() {
-    engines.update(true, config.known());
+    engines.update(true, config.knownEngines());
     tell(() -> module.onStart(loop.now(), config.seed(), config.settings()));
     tell(
         () ->
             module.onEndpoints(
-                loop.now(), true, config.known().stream().map(Member::info).toList()));
+                loop.now(),
+                true,
+                config.knownEngines().stream().map(EngineMember::endpoint).toList()));
     if (observer != null) {
-      observer.engines(true, config.known());
+      observer.onEndpoints(true, config.knownEngines());
     }
     changeLog.connect();
     sweep();
   }
 
   /** Lets somebody hear what is learned of engines; before the start. */
-  public void observe(Observer of) {
+  public void observe(EngineOutcomeListener of) {
     observer = of;
   }
 
@@ -202,7 +206,7 @@
 
   /** Takes over from a configuration read anew what may change while the gateway runs. */
   public void reload(GatewayConfig next) {
-    changeLog.follow(next.changeLog(), next.lastEvent(), next.known());
+    changeLog.follow(next.changeLog(), next.lastEventNumber(), next.knownEngines());
   }
 
   /**
@@ -230,7 +234,7 @@
 
   /** Answers all that is still open, as far as the rules allow without a decision. */
   public void answerAll() {
-    for (Request r : requests.all()) {
+    for (ClientRequest r : requests.all()) {
       if (!r.over) {
         giveUp(r, "the gateway stops");
       }
@@ -290,14 +294,16 @@
 
   // ---- The list of engines ----
 
-  private void changed(Change change) {
+  private void changed(EndpointListEvent change) {
     engines.update(change.whole(), change.members());
     tell(
         () ->
             module.onEndpoints(
-                loop.now(), change.whole(), change.members().stream().map(Member::info).toList()));
+                loop.now(),
+                change.whole(),
+                change.members().stream().map(EngineMember::endpoint).toList()));
     if (observer != null) {
-      observer.engines(change.whole(), change.members());
+      observer.onEndpoints(change.whole(), change.members());
     }
   }
 
@@ -348,7 +354,7 @@
               closing.end(session);
               return;
             }
-            Client c = new Client(session, loop.now());
+            ClientConnection c = new ClientConnection(session, loop.now());
             if (!admit(c)) {
               session.closeNow();
               return;
@@ -366,7 +372,7 @@
       loop.post(
           bytes,
           () -> {
-            Client c = client(session);
+            ClientConnection c = client(session);
             if (c != null) {
               clients.heard(c, at);
               called(c, call, at);
@@ -379,7 +385,7 @@
       loop.post(
           0,
           () -> {
-            Client c = client(session);
+            ClientConnection c = client(session);
             if (c != null) {
               clients.begun(c, loop.now());
             }
@@ -391,7 +397,7 @@
       loop.post(
           0,
           () -> {
-            Client c = client(session);
+            ClientConnection c = client(session);
             if (c != null) {
               hangUp(c, "it sent what can't be read");
             }
@@ -403,11 +409,11 @@
       loop.post(
           0,
           () -> {
-            Client c = client(session);
+            ClientConnection c = client(session);
             if (c != null) {
               clients.remove(c);
               tellOfClose(c, "it has ended");
-              List.copyOf(c.open.values()).forEach(Gateway.this::left);
+              List.copyOf(c.open.values()).forEach(GatewayService.this::left);
             }
           });
     }
@@ -420,7 +426,7 @@
    */
   private void sweep() {
     long now = loop.now();
-    for (Client c = overdue(now); c != null && closing.hasRoom(); c = overdue(now)) {
+    for (ClientConnection c = overdue(now); c != null && closing.hasRoom(); c = overdue(now)) {
       hangUp(c, "it rests, or stays silent");
     }
     engines.sweep();
@@ -438,7 +444,7 @@
     }
   }
 
-  private Client overdue(long now) {
+  private ClientConnection overdue(long now) {
     return clients.overdue(now - MOST_SILENCE, now - mostIdle);
   }
 
@@ -446,7 +452,7 @@
    * Takes a client in; false where the table is full and all in it have work open. Past their
    * number another one gives way, but not at once: what has been read of it by now counts first.
    */
-  private boolean admit(Client c) {
+  private boolean admit(ClientConnection c) {
     if (!clients.add(c)) {
       makeRoom();
       return clients.add(c);
@@ -458,13 +464,14 @@
   }
 
   private void makeRoom() {
-    Client other = clients.size() > mostClients ? clients.inTheWay(loop.now() - FIRST_WORDS) : null;
+    ClientConnection other =
+        clients.size() > mostClients ? clients.inTheWay(loop.now() - FIRST_WORDS) : null;
     if (other != null) {
       hangUp(other, "it makes room for others");
     }
   }
 
-  private void hangUp(Client c, String why) {
+  private void hangUp(ClientConnection c, String why) {
     clients.remove(c);
     tellOfClose(c, why);
     closing.end(c.session);
@@ -474,7 +481,7 @@
   /**
    * Tells of a client's connection that goes with requests open on it: nobody gets their answers.
    */
-  private static void tellOfClose(Client c, String why) {
+  private static void tellOfClose(ClientConnection c, String why) {
     if (!c.open.isEmpty()) {
       LOG.log(
           Level.INFO,
@@ -485,16 +492,16 @@
     }
   }
 
-  private Client client(IoSession session) {
+  private ClientConnection client(IoSession session) {
     Long handle = (Long) session.getAttribute(CLIENT);
     return handle == null ? null : clients.get(handle);
   }
 
-  private void called(Client c, ClientCall call, long at) {
+  private void called(ClientConnection c, ClientCall call, long at) {
     if (call instanceof ClientCall.Execute e) {
       execute(c, e, at);
     } else if (call instanceof ClientCall.Interrupt i) {
-      Request r = c.open.get(i.target());
+      ClientRequest r = c.open.get(i.target());
       if (r != null) {
         left(r);
       }
@@ -505,7 +512,7 @@
     }
   }
 
-  private void execute(Client c, ClientCall.Execute call, long at) {
+  private void execute(ClientConnection c, ClientCall.Execute call, long at) {
     Optional<RequestFields> read = RequestFields.read(call.fields(), config);
     boolean known = read.isPresent() && byId.containsKey(read.get().id());
     if (read.isEmpty() || known || c.open.containsKey(call.seq())) {
@@ -519,8 +526,8 @@
     RequestFields fields = read.get();
     Bytes statement = call.statement();
     long deadline = Math.min(at + fields.limitMs() * MILLISECOND, answerBy);
-    Request r =
-        new Request(
+    ClientRequest r =
+        new ClientRequest(
             fields.id(),
             config.names().classes().get(fields.queryClass()),
             fields.key(),
@@ -532,8 +539,8 @@
             at,
             deadline);
     boolean room = c.open.size() < MOST_OPEN && heldBytes + statement.array().length <= MOST_HELD;
-    r.handle = room ? requests.add(r) : Slots.NONE;
-    if (r.handle == Slots.NONE) {
+    r.handle = room ? requests.add(r) : GenerationalSlots.NONE;
+    if (r.handle == GenerationalSlots.NONE) {
       LOG.log(
           Level.WARNING,
           "no room for a request: {0} open, {1} on its connection, {2} bytes held",
@@ -560,7 +567,7 @@
   }
 
   /** Books a request that is taken. */
-  private void open(Client c, Request r) {
+  private void open(ClientConnection c, ClientRequest r) {
     heldBytes += r.frame.length;
     byId.put(r.id, r);
     c.open.put(r.seq, r);
@@ -570,11 +577,11 @@
             .add(r.deadline - ahead(r) / BACKSTOP_PART, () -> giveUp(r, "its time is up"));
   }
 
-  private static long ahead(Request r) {
+  private static long ahead(ClientRequest r) {
     return Math.min(AHEAD, (r.deadline - r.arrivedAt) / AHEAD_PART);
   }
 
-  private void left(Request r) {
+  private void left(ClientRequest r) {
     if (r.over) {
       return;
     }
@@ -586,7 +593,7 @@
   /**
    * The front's own end of a request, for when no decision has come: a failure promises nothing.
    */
-  private void giveUp(Request r, String why) {
+  private void giveUp(ClientRequest r, String why) {
     if (r.over) {
       return;
     }
@@ -594,14 +601,14 @@
     RequestLog.unserved(r, r.attempts.isEmpty() ? "refused" : "failed", loop.now());
     answer(r, r.attempts.isEmpty() ? ThriftWriter.busy(r.seq) : ThriftWriter.failed(r.seq));
     tell(() -> module.onClientGone(loop.now(), r.id));
-    for (Attempt a : List.copyOf(r.attempts)) {
+    for (EngineAttempt a : List.copyOf(r.attempts)) {
       finish(a, AttemptOutcome.CANCELLED); // those that the module may not call off
     }
     drop(r);
   }
 
-  private void answer(Request r, ByteBuffer bytes) {
-    Client c = clients.get(r.client);
+  private void answer(ClientRequest r, ByteBuffer bytes) {
+    ClientConnection c = clients.get(r.client);
     close(r);
     if (c != null) {
       write(c, bytes);
@@ -609,10 +616,10 @@
   }
 
   /** The request is owed nothing more. */
-  private void close(Request r) {
+  private void close(ClientRequest r) {
     r.over = true;
     loop.deadlines().cancel(r.backstop);
-    Client c = clients.get(r.client);
+    ClientConnection c = clients.get(r.client);
     if (c != null) {
       c.open.remove(r.seq, r);
       clients.touch(c, loop.now());
@@ -620,7 +627,7 @@
   }
 
   /** Forgets a request that is over and has nothing out. */
-  private void drop(Request r) {
+  private void drop(ClientRequest r) {
     if (r.over && r.out == 0 && requests.get(r.handle) == r) {
       requests.remove(r.handle);
       byId.remove(r.id);
@@ -628,7 +635,7 @@
     }
   }
 
-  private void write(Client c, ByteBuffer bytes) {
+  private void write(ClientConnection c, ByteBuffer bytes) {
     clients.touch(c, loop.now());
     int size = bytes.remaining();
     boolean full = unsent.get() + size > MOST_UNSENT;
@@ -648,8 +655,8 @@
 
   /** The conditions that hold when bytes leave: the front's own, and what the module says. */
   @Override
-  public boolean mayStart(Attempt a) {
-    Request r = a.request;
+  public boolean mayStart(EngineAttempt a) {
+    ClientRequest r = a.request;
     long now = loop.now();
     try {
       return !r.over && !a.ended && now < a.until && module.mayStart(now, r.id, a.number);
@@ -660,7 +667,7 @@
   }
 
   @Override
-  public void ended(Attempt a, AttemptOutcome outcome) {
+  public void ended(EngineAttempt a, AttemptOutcome outcome) {
     finish(a, outcome);
   }
 
@@ -668,13 +675,13 @@
    * Ends an attempt here; the module hears of it at once, or once the engine knows that it is given
    * up.
    */
-  private void finish(Attempt a, AttemptOutcome outcome) {
+  private void finish(EngineAttempt a, AttemptOutcome outcome) {
     if (a.ended) {
       return;
     }
     a.ended = true;
     loop.deadlines().cancel(a.timeout);
-    boolean givenUp = outcome.mayRunOn && a.reach != Reach.NOT_CONNECTED;
+    boolean givenUp = outcome.mayRunOn && a.reach != AttemptProgress.NOT_CONNECTED;
     engines.withdraw(a);
     if (outcome == AttemptOutcome.SERVED && !a.request.over) {
       answer(
@@ -690,8 +697,8 @@
     }
   }
 
-  private void told(Attempt a, AttemptOutcome outcome) {
-    Request r = a.request;
+  private void told(EngineAttempt a, AttemptOutcome outcome) {
+    ClientRequest r = a.request;
     r.out--;
     long now = loop.now();
     boolean served = outcome == AttemptOutcome.SERVED;
@@ -709,14 +716,14 @@
             a.report);
     a.pages.clear();
     if (observer != null) {
-      observer.ended(a.engine, outcome, served || !r.over);
+      observer.onAttemptEnded(a.engine, outcome, served || !r.over);
     }
     tell(() -> module.onAttemptEnded(now, end));
     drop(r);
   }
 
   @Override
-  public void noted(Attempt a, ProgressKind kind, double amount) {
+  public void noted(EngineAttempt a, ProgressKind kind, double amount) {
     tell(
         () ->
             module.onProgress(
@@ -732,7 +739,7 @@
 
   @Override
   public void forward(String query, String engine, long timeout) {
-    Request r = byId.get(query);
+    ClientRequest r = byId.get(query);
     if (r == null) {
       LOG.log(Level.ERROR, "the module sends {0}, which is not open", query);
       return;
@@ -740,7 +747,7 @@
     long now = loop.now();
     long latest = r.deadline - ahead(r);
     long until = timeout <= 0 ? latest : Math.min(latest, now + timeout);
-    Attempt a = new Attempt(r, r.attempts.size(), engine, now, until);
+    EngineAttempt a = new EngineAttempt(r, r.attempts.size(), engine, now, until);
     r.attempts.add(a);
     r.out++;
     boolean allowed = !r.over && until > now && a.number < config.settings().limits().maxAttempts();
@@ -757,7 +764,7 @@
 
   @Override
   public void setResources(String query, double grantMb, int priority) {
-    Request r = byId.get(query);
+    ClientRequest r = byId.get(query);
     if (r != null && r.priority != priority) { // engines of this protocol take no grant
       r.priority = priority;
       r.attempts.stream().filter(a -> !a.ended).forEach(a -> engines.priority(a, priority));
@@ -766,7 +773,7 @@
 
   @Override
   public void cancelAttempt(String query, int attempt) {
-    Request r = byId.get(query);
+    ClientRequest r = byId.get(query);
     if (r != null && attempt < r.attempts.size()) {
       loop.later(() -> finish(r.attempts.get(attempt), AttemptOutcome.CANCELLED));
     }
@@ -783,8 +790,8 @@
   }
 
   /** The module's final answer; one that comes after another changes nothing. */
-  private void conclude(String query, String answer, Function<Request, ByteBuffer> words) {
-    Request r = byId.get(query);
+  private void conclude(String query, String answer, Function<ClientRequest, ByteBuffer> words) {
+    ClientRequest r = byId.get(query);
     if (r != null && !r.over) {
       RequestLog.unserved(r, answer, loop.now());
       answer(r, words.apply(r));
--- a/gateway/src/main/java/reachloom/gateway/Handover.java
+++ b/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
@@ -12,7 +12,7 @@
  *
  * @param <T> what is handed over
  */
-final class Handover<T> {
+final class HandoffQueue<T> {
   /** How the taking thread waits and is woken. */
   interface Waiting {
     /** Waits for that many nanoseconds at most; may return early, also for no reason. */
@@ -36,7 +36,7 @@
   private final Waiting waiting;
   private volatile Thread waiter;
 
-  Handover() {
+  HandoffQueue() {
     this(
         new Waiting() {
           @Override
@@ -56,7 +56,7 @@
         });
   }
 
-  Handover(Waiting waiting) {
+  HandoffQueue(Waiting waiting) {
     this.waiting = waiting;
   }
 
--- a/gateway/src/main/java/reachloom/gateway/Closing.java
+++ b/gateway/src/main/java/reachloom/gateway/LingeringClose.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.apache.mina.core.session.IoSession;
-import reachloom.gateway.tables.Deadlines.Deadline;
+import reachloom.gateway.state.DeadlineQueue.Deadline;
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.Sockets;
 
@@ -14,8 +14,8 @@
  * A close over unread bytes would reset it, and take with it what the other side has not read yet.
  * For the loop's own thread.
  */
-final class Closing {
-  private final Loop loop;
+final class LingeringClose {
+  private final EventLoop loop;
   private final Sockets sockets;
   private final long longest;
   private int most;
@@ -24,7 +24,7 @@
   private final Map<IoSession, Deadline> pending = new LinkedHashMap<>();
 
   /** Waits so long for the other side, in nanoseconds, and for so many connections at once. */
-  Closing(Loop loop, Sockets sockets, long longest, int most) {
+  LingeringClose(EventLoop loop, Sockets sockets, long longest, int most) {
     this.loop = loop;
     this.sockets = sockets;
     this.longest = longest;
--- a/gateway/src/main/java/reachloom/gateway/RequestLog.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestLog.java
@@ -2,8 +2,8 @@
 
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import reachloom.gateway.tables.Attempt;
-import reachloom.gateway.tables.Request;
+import reachloom.gateway.state.ClientRequest;
+import reachloom.gateway.state.EngineAttempt;
 import reachloom.scheduler.api.AttemptOutcome;
 
 /**
@@ -20,7 +20,7 @@
   private RequestLog() {}
 
   /** An attempt that is not the first one is sent at that time. */
-  static void repeated(Request r, Attempt a, long now) {
+  static void repeated(ClientRequest r, EngineAttempt a, long now) {
     REPEATS.log(
         Level.INFO,
         "request {0} ({1}): attempt {2} at {3}, {4} ms after the first",
@@ -32,7 +32,7 @@
   }
 
   /** An attempt has ended after so many nanoseconds; one that was served needs no line. */
-  static void ended(Attempt a, AttemptOutcome outcome, long spent) {
+  static void ended(EngineAttempt a, AttemptOutcome outcome, long spent) {
     if (outcome != AttemptOutcome.SERVED) {
       ATTEMPTS.log(
           Level.INFO,
@@ -47,7 +47,7 @@
   }
 
   /** A request is answered with anything but a result. */
-  static void unserved(Request r, String answer, long now) {
+  static void unserved(ClientRequest r, String answer, long now) {
     ANSWERS.log(
         Level.INFO,
         "request {0} ({1}) is {2} after {3} ms and {4} attempts, {5} ms before its time",
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Configuration.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/ConfigurationReloader.java
@@ -19,8 +19,8 @@
  * before in force. All changes pass through here one after another, so that never an older revision
  * follows a newer one.
  */
-final class Configuration {
-  private static final Logger LOG = System.getLogger(Configuration.class.getName());
+final class ConfigurationReloader {
+  private static final Logger LOG = System.getLogger(ConfigurationReloader.class.getName());
 
   private final GatewayConfig atStart;
   private final Map<String, String> environment;
@@ -31,7 +31,7 @@
   private UnaryOperator<JsonNode> revision = UnaryOperator.identity();
 
   /** {@code takeOver} is given each configuration that is to be in force from now on. */
-  Configuration(
+  ConfigurationReloader(
       GatewayConfig atStart,
       Map<String, String> environment,
       String settingsFile,
@@ -55,14 +55,14 @@
       GatewayConfig next = GatewayConfig.fromEnvironment(environment, revision);
       LocalSettings nextLocal = LocalSettings.read(settingsFile, environment);
       List<String> waiting = waiting(next);
-      waiting.addAll(local.fixed(nextLocal));
+      waiting.addAll(local.changesNeedingRestart(nextLocal));
       tellWaiting(waiting);
       LOG.log(
           Level.INFO,
           "the configuration is read again: changelog {0}, known up to event {1}",
           next.changeLog(),
-          Long.toString(next.lastEvent()));
-      List<String> taken = local.taken(nextLocal);
+          Long.toString(next.lastEventNumber()));
+      List<String> taken = local.changesAppliedAtOnce(nextLocal);
       if (!taken.isEmpty()) {
         LOG.log(
             Level.INFO,
@@ -82,7 +82,7 @@
       return "revision " + number + " is in force, which is newer";
     }
     try {
-      UnaryOperator<JsonNode> patch = MergePatch.read(document)::over;
+      UnaryOperator<JsonNode> patch = MergePatch.read(document)::applyTo;
       GatewayConfig read = GatewayConfig.fromEnvironment(environment, patch);
       tellWaiting(waiting(read));
       number = next;
@@ -92,7 +92,7 @@
           "revision {0} is in force: changelog {1}, known up to event {2}",
           Long.toString(next),
           read.changeLog(),
-          Long.toString(read.lastEvent()));
+          Long.toString(read.lastEventNumber()));
       takeOver.accept(read, local);
       return "";
     } catch (ConfigException | RuntimeException e) { // whatever is in it must not end the gateway
@@ -107,7 +107,7 @@
   }
 
   private List<String> waiting(GatewayConfig next) {
-    return new ArrayList<>(atStart.fixed(next));
+    return new ArrayList<>(atStart.changesNeedingRestart(next));
   }
 
   private static void tellWaiting(List<String> keys) {
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Server.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
@@ -14,8 +14,8 @@
 import reachloom.config.GossipSettings;
 import reachloom.config.LocalSettings;
 import reachloom.discovery.EndpointWatch;
-import reachloom.gateway.Gateway;
-import reachloom.gateway.Loop;
+import reachloom.gateway.EventLoop;
+import reachloom.gateway.GatewayService;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.scheduler.QueryScheduler;
@@ -23,8 +23,8 @@
 import sun.misc.SignalHandler;
 
 /** Runs one gateway from its start to its end. */
-public final class Server {
-  private static final Logger LOG = System.getLogger(Server.class.getName());
+public final class GatewayServer {
+  private static final Logger LOG = System.getLogger(GatewayServer.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
   /** New connections and requests may come for so long after SIGTERM. */
@@ -57,11 +57,11 @@
 
   private final GatewayConfig config;
   private final Map<String, String> environment;
-  private final Configuration configuration;
-  private final Loop loop = new Loop();
+  private final ConfigurationReloader configuration;
+  private final EventLoop loop = new EventLoop();
   private final CountDownLatch stopped = new CountDownLatch(1);
   private final CountDownLatch open = new CountDownLatch(1);
-  private Gateway gateway;
+  private GatewayService gateway;
 
   /** Null where gossip is off; then none of its classes is loaded. */
   private GossipNode gossip;
@@ -78,17 +78,17 @@
    * settings of the installation are in the given file, else in the one that the environment names,
    * else all at their defaults.
    */
-  public Server(GatewayConfig config, Map<String, String> environment, String settingsFile)
+  public GatewayServer(GatewayConfig config, Map<String, String> environment, String settingsFile)
       throws ConfigException {
     this.config = config;
     this.environment = environment;
-    configuration = new Configuration(config, environment, settingsFile, this::takeOver);
+    configuration = new ConfigurationReloader(config, environment, settingsFile, this::takeOver);
   }
 
   /** Serves until SIGTERM; gives the exit status. */
   public int run() throws InterruptedException {
-    gateway = new Gateway(config, loop, QueryScheduler::new);
-    gateway.clientIdleTimeout(configuration.local().clientIdleTimeout());
+    gateway = new GatewayService(config, loop, QueryScheduler::new);
+    gateway.clientIdleTimeout(configuration.local().clientIdleTimeoutNanos());
     GossipSettings others = configuration.local().gossip().orElse(null);
     if (others != null && !joinOthers(others)) {
       return BAD_CONFIGURATION;
@@ -108,7 +108,7 @@
     Thread rehearsal =
         new Thread(
             () -> {
-              new Rehearsal(config, QueryScheduler::new).run(open);
+              new WarmUp(config, QueryScheduler::new).run(open);
               loop.post(0, this::ready);
             },
             "rehearsal");
@@ -177,7 +177,7 @@
           "{0} serves at {1} with {2} engines known",
           config.name(),
           config.listen(),
-          config.known().size());
+          config.knownEngines().size());
     }
   }
 
@@ -232,7 +232,7 @@
         0,
         () -> {
           gateway.reload(next);
-          gateway.clientIdleTimeout(nextLocal.clientIdleTimeout());
+          gateway.clientIdleTimeout(nextLocal.clientIdleTimeoutNanos());
           if (gossip != null) {
             nextLocal.gossip().ifPresent(gossip::reload);
           }
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/Rehearsal.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
-import reachloom.config.Member;
-import reachloom.gateway.tables.Deadlines;
+import reachloom.gateway.state.DeadlineQueue;
 import reachloom.gateway.wire.Bytes;
 import reachloom.gateway.wire.ClientCall;
-import reachloom.gateway.wire.NodeDecoder;
-import reachloom.gateway.wire.NodeWriter;
+import reachloom.gateway.wire.EngineCommandWriter;
+import reachloom.gateway.wire.EngineResponseDecoder;
 import reachloom.gateway.wire.TableGroup;
 import reachloom.gateway.wire.ThriftReader;
 import reachloom.gateway.wire.ThriftWriter;
@@ -43,8 +43,8 @@
  * gateway's own address whether it is there. A virtual machine compiles code while it first runs:
  * without this, the first clients would pay for it.
  */
-final class Rehearsal implements SchedulerActions {
-  private static final Logger LOG = System.getLogger(Rehearsal.class.getName());
+final class WarmUp implements SchedulerActions {
+  private static final Logger LOG = System.getLogger(WarmUp.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long LONGEST =
       800 * MILLISECOND; // on the machine's clock; a restart waits for it
@@ -70,12 +70,12 @@
   private final SchedulerEvents module;
   private final ArrayDeque<Sent> out = new ArrayDeque<>();
   private final Map<String, Integer> attempts = new LinkedHashMap<>();
-  private final Deadlines timers = new Deadlines();
-  private final NodeDecoder decoder = new NodeDecoder();
+  private final DeadlineQueue timers = new DeadlineQueue();
+  private final EngineResponseDecoder decoder = new EngineResponseDecoder();
   private long now;
   private int answered;
 
-  Rehearsal(GatewayConfig config, Function<SchedulerActions, SchedulerEvents> factory) {
+  WarmUp(GatewayConfig config, Function<SchedulerActions, SchedulerEvents> factory) {
     this.config = config;
     module = factory.apply(this);
   }
@@ -112,7 +112,8 @@
   /** Plays one query after the other for as long as that says; gives how many were served. */
   int play(BooleanSupplier goOn) {
     now = MILLISECOND;
-    List<EngineEndpoint> engines = config.known().stream().map(Member::info).toList();
+    List<EngineEndpoint> engines =
+        config.knownEngines().stream().map(EngineMember::endpoint).toList();
     module.onStart(now, config.seed(), config.settings());
     module.onEndpoints(now, true, engines);
     byte[] page = "a\tb\tc\n".repeat(PAGE / 6).getBytes(StandardCharsets.UTF_8);
@@ -261,7 +262,8 @@
   public void forward(String query, String engine, long timeout) {
     int number = attempts.merge(query, 1, Integer::sum) - 1;
     out.add(new Sent(query, number, engine, now));
-    NodeWriter.ask(query, "a", 1, query, 1, Bytes.of(STATEMENT.getBytes(StandardCharsets.UTF_8)));
+    EngineCommandWriter.ask(
+        query, "a", 1, query, 1, Bytes.of(STATEMENT.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Override
--- a/gateway/src/main/java/reachloom/gateway/tables/Reach.java
+++ b/gateway/src/main/java/reachloom/gateway/state/AttemptProgress.java
@@ -1,9 +1,9 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import reachloom.scheduler.api.AttemptOutcome;
 
 /** How far an attempt has come; what its failure proves follows from that. */
-public enum Reach {
+public enum AttemptProgress {
   /** No connection carries it yet. */
   NOT_CONNECTED(AttemptOutcome.UNREACHED, AttemptOutcome.UNREACHED),
   /**
@@ -22,7 +22,7 @@
   /** How it ends when its time runs out here. */
   public final AttemptOutcome expired;
 
-  Reach(AttemptOutcome broken, AttemptOutcome expired) {
+  AttemptProgress(AttemptOutcome broken, AttemptOutcome expired) {
     this.broken = broken;
     this.expired = expired;
   }
--- a/gateway/src/main/java/reachloom/gateway/tables/Client.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientConnection.java
@@ -1,11 +1,11 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.HashMap;
 import java.util.Map;
 import org.apache.mina.core.session.IoSession;
 
 /** A connection of a client. */
-public final class Client {
+public final class ClientConnection {
   public final IoSession session;
   public long handle;
 
@@ -16,10 +16,10 @@
   public long begunAt;
 
   /** The open requests by their numbers. */
-  public final Map<Integer, Request> open = new HashMap<>();
+  public final Map<Integer, ClientRequest> open = new HashMap<>();
 
   /** A connection just accepted. */
-  public Client(IoSession session, long now) {
+  public ClientConnection(IoSession session, long now) {
     this.session = session;
     activeAt = now;
   }
--- a/gateway/src/main/java/reachloom/gateway/tables/Clients.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientConnectionTable.java
@@ -1,4 +1,4 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -11,36 +11,36 @@
  * is let in and out at the cost of those that come, also while the code that does it has only just
  * started to run.
  */
-public final class Clients {
-  private final Slots<Client> table;
+public final class ClientConnectionTable {
+  private final GenerationalSlots<ClientConnection> table;
 
   /** Those that have not sent a whole message yet, in the order in which they came. */
-  private final Set<Client> silent = new LinkedHashSet<>();
+  private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
   /** Those that have, with nothing open, in the order in which they were last heard or answered. */
-  private final Set<Client> idle = new LinkedHashSet<>();
+  private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   /** Those within a message, in the order in which it began. */
-  private final Set<Client> begun = new LinkedHashSet<>();
+  private final Set<ClientConnection> begun = new LinkedHashSet<>();
 
   /** Room for that many connections. */
-  public Clients(int most) {
-    table = new Slots<>(most);
+  public ClientConnectionTable(int most) {
+    table = new GenerationalSlots<>(most);
   }
 
   /** Takes a new connection in; false where there is no room. */
-  public boolean add(Client c) {
+  public boolean add(ClientConnection c) {
     c.handle = table.add(c);
-    return c.handle != Slots.NONE && silent.add(c);
+    return c.handle != GenerationalSlots.NONE && silent.add(c);
   }
 
   /** The connection of that handle, or null once it is gone. */
-  public Client get(long handle) {
+  public ClientConnection get(long handle) {
     return table.get(handle);
   }
 
   /** Forgets a connection. */
-  public void remove(Client c) {
+  public void remove(ClientConnection c) {
     table.remove(c.handle);
     silent.remove(c);
     idle.remove(c);
@@ -48,21 +48,21 @@
   }
 
   /** A message has begun that is not whole yet. */
-  public void begun(Client c, long now) {
+  public void begun(ClientConnection c, long now) {
     c.begunAt = now;
     begun.remove(c);
     begun.add(c);
   }
 
   /** A whole message has come. */
-  public void heard(Client c, long now) {
+  public void heard(ClientConnection c, long now) {
     begun.remove(c);
     silent.remove(c);
     touch(c, now);
   }
 
   /** Something has come from it or gone to it, or a request of it has been opened or closed. */
-  public void touch(Client c, long now) {
+  public void touch(ClientConnection c, long now) {
     c.activeAt = now;
     idle.remove(c);
     if (c.open.isEmpty() && !silent.contains(c) && table.get(c.handle) == c) {
@@ -75,8 +75,8 @@
    * idle for longest. Last come those whose first words may still be on their way, since a request
    * that comes to a closed connection is lost to its client.
    */
-  public Client inTheWay(long latest) {
-    Client first = first(silent);
+  public ClientConnection inTheWay(long latest) {
+    ClientConnection first = first(silent);
     return first != null && (first.activeAt < latest || idle.isEmpty()) ? first : first(idle);
   }
 
@@ -84,8 +84,8 @@
    * One that has been silent, or within a message, since before the first time, or idle since the
    * other.
    */
-  public Client overdue(long latestWord, long latestUse) {
-    Client c = first(silent);
+  public ClientConnection overdue(long latestWord, long latestUse) {
+    ClientConnection c = first(silent);
     if (c != null && c.activeAt < latestWord) {
       return c;
     }
@@ -97,8 +97,8 @@
     return c != null && c.activeAt < latestUse ? c : null;
   }
 
-  private static Client first(Set<Client> clients) {
-    Iterator<Client> all = clients.iterator();
+  private static ClientConnection first(Set<ClientConnection> clients) {
+    Iterator<ClientConnection> all = clients.iterator();
     return all.hasNext() ? all.next() : null;
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** All of them. */
-  public List<Client> all() {
+  public List<ClientConnection> all() {
     return table.all();
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/tables/Request.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientRequest.java
@@ -1,11 +1,11 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.ArrayList;
 import java.util.List;
-import reachloom.gateway.tables.Deadlines.Deadline;
+import reachloom.gateway.state.DeadlineQueue.Deadline;
 
 /** A request that was taken, until it is answered and nothing of it is out. */
-public final class Request {
+public final class ClientRequest {
   public final String id;
   public final String queryClass;
   public final String key;
@@ -22,7 +22,7 @@
   public final long arrivedAt;
 
   public final long deadline;
-  public final List<Attempt> attempts = new ArrayList<>(1);
+  public final List<EngineAttempt> attempts = new ArrayList<>(1);
   public long handle;
   public int out;
   public int priority = 1;
@@ -32,7 +32,7 @@
   public Deadline backstop;
 
   /** A request as it came; the statement is a stretch of the frame. */
-  public Request(
+  public ClientRequest(
       String id,
       String queryClass,
       String key,
--- a/gateway/src/main/java/reachloom/gateway/tables/Deadlines.java
+++ b/gateway/src/main/java/reachloom/gateway/state/DeadlineQueue.java
@@ -1,4 +1,4 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.TreeSet;
 
@@ -6,7 +6,7 @@
  * All deadlines and timers of a gateway in one order: by time, and in the order set where times
  * agree.
  */
-public final class Deadlines {
+public final class DeadlineQueue {
   private final TreeSet<Deadline> order = new TreeSet<>();
   private long count;
 
--- a/gateway/src/main/java/reachloom/gateway/tables/Attempt.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
@@ -1,14 +1,14 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.mina.core.future.WriteFuture;
-import reachloom.gateway.tables.Deadlines.Deadline;
+import reachloom.gateway.state.DeadlineQueue.Deadline;
 import reachloom.scheduler.api.LoadReport;
 
 /** One attempt of a request. */
-public final class Attempt {
-  public final Request request;
+public final class EngineAttempt {
+  public final ClientRequest request;
   public final int number;
   public final String engine;
   public final long sentAt;
@@ -17,12 +17,12 @@
   public final long until;
 
   /** How far it has come as far as the loop knows; {@link #reach()} asks the connection, too. */
-  public Reach reach = Reach.NOT_CONNECTED;
+  public AttemptProgress reach = AttemptProgress.NOT_CONNECTED;
 
   /** The write of its request, which tells whether it is whole on the wire. */
   public WriteFuture written;
 
-  public Link link;
+  public EngineConnection link;
   public boolean ended;
   public Deadline timeout;
 
@@ -36,7 +36,7 @@
   public LoadReport report;
 
   /** An attempt that starts now. */
-  public Attempt(Request request, int number, String engine, long sentAt, long until) {
+  public EngineAttempt(ClientRequest request, int number, String engine, long sentAt, long until) {
     this.request = request;
     this.number = number;
     this.engine = engine;
@@ -45,9 +45,9 @@
   }
 
   /** How far it has come. */
-  public Reach reach() {
-    if (reach == Reach.NOT_WHOLE && written != null && written.isWritten()) {
-      reach = Reach.OUT;
+  public AttemptProgress reach() {
+    if (reach == AttemptProgress.NOT_WHOLE && written != null && written.isWritten()) {
+      reach = AttemptProgress.OUT;
     }
     return reach;
   }
--- a/gateway/src/main/java/reachloom/gateway/tables/Link.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineConnection.java
@@ -1,4 +1,4 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -7,10 +7,10 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.session.IoSession;
-import reachloom.gateway.tables.Deadlines.Deadline;
+import reachloom.gateway.state.DeadlineQueue.Deadline;
 
 /** A connection to an engine. */
-public final class Link {
+public final class EngineConnection {
   public final String engine;
 
   /** The start of the process that it leads to, as the list of engines told it. */
@@ -23,10 +23,10 @@
   public long handle;
 
   /** What is open on it, by id. */
-  public final Map<String, Attempt> open = new LinkedHashMap<>();
+  public final Map<String, EngineAttempt> open = new LinkedHashMap<>();
 
   /** Those of them that wait to be handed to the connection, oldest first. */
-  public final Set<Attempt> waiting = new LinkedHashSet<>();
+  public final Set<EngineAttempt> waiting = new LinkedHashSet<>();
 
   /** The latest write of a request. */
   public WriteFuture writing;
@@ -51,7 +51,7 @@
   public Deadline idle;
 
   /** A connection that is being made. */
-  public Link(String engine, long since) {
+  public EngineConnection(String engine, long since) {
     this.engine = engine;
     this.since = since;
   }
--- a/gateway/src/main/java/reachloom/gateway/tables/Slots.java
+++ b/gateway/src/main/java/reachloom/gateway/state/GenerationalSlots.java
@@ -1,4 +1,4 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,7 +10,7 @@
  *
  * @param <T> what a slot holds
  */
-public final class Slots<T> {
+public final class GenerationalSlots<T> {
   /** The handle of nothing. */
   public static final long NONE = -1;
 
@@ -24,7 +24,7 @@
   private int used;
 
   /** A table of at most that many slots. */
-  public Slots(int most) {
+  public GenerationalSlots(int most) {
     this.most = most;
     int size = Math.min(FIRST_SIZE, most);
     values = new Object[size];
--- a/gateway/src/main/java/reachloom/gateway/tables/package-info.java
+++ b/gateway/src/main/java/reachloom/gateway/state/package-info.java
@@ -2,4 +2,4 @@
  * What is kept: numbered slots with generations, and one ordered structure for deadlines and
  * timers.
  */
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
--- a/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
@@ -7,13 +7,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
-import reachloom.config.Member;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
 
 /** Frames of the change log. */
-public final class ChangeLogDecoder implements Decoder<Change> {
+public final class ChangeLogDecoder implements Decoder<EndpointListEvent> {
   private static final int HEAD = Long.BYTES + 1;
   private static final int RECORD = 27;
   private static final int MOST_RECORDS = 16_384;
@@ -46,14 +46,14 @@
   }
 
   @Override
-  public String feed(byte[] bytes, int from, int to, Consumer<? super Change> messages) {
+  public String feed(byte[] bytes, int from, int to, Consumer<? super EndpointListEvent> messages) {
     String broken =
         frames.feed(
             bytes,
             from,
             to,
             f -> {
-              Change change = fault == null ? change(ByteBuffer.wrap(f)) : null;
+              EndpointListEvent change = fault == null ? change(ByteBuffer.wrap(f)) : null;
               if (change != null) {
                 messages.accept(change);
               }
@@ -61,7 +61,7 @@
     return fault != null ? fault : broken;
   }
 
-  private Change change(ByteBuffer frame) {
+  private EndpointListEvent change(ByteBuffer frame) {
     long number = frame.getLong();
     int kind = frame.get() & LOW_BYTE;
     if (kind > CHANGES
@@ -70,14 +70,16 @@
       fault = "a frame of kind " + kind + " with " + frame.remaining() + " bytes";
       return null;
     }
-    List<Member> members = new ArrayList<>(frame.remaining() / RECORD);
+    List<EngineMember> members = new ArrayList<>(frame.remaining() / RECORD);
     while (frame.hasRemaining() && fault == null) {
       members.add(member(frame));
     }
-    return fault == null ? new Change(number, kind == NOTHING, kind == WHOLE, members) : null;
+    return fault == null
+        ? new EndpointListEvent(number, kind == NOTHING, kind == WHOLE, members)
+        : null;
   }
 
-  private Member member(ByteBuffer record) {
+  private EngineMember member(ByteBuffer record) {
     String id = String.format("s-%08x", record.getInt());
     byte[] address = new byte[Integer.BYTES];
     record.get(address);
@@ -100,7 +102,7 @@
     EngineEndpoint info =
         new EngineEndpoint(id, state, kind, zone, cell, weight, record.getLong() * MILLISECOND);
     try {
-      return new Member(info, new InetSocketAddress(InetAddress.getByAddress(address), port));
+      return new EngineMember(info, new InetSocketAddress(InetAddress.getByAddress(address), port));
     } catch (UnknownHostException e) { // four bytes are always an address
       fault = "engine " + id + " without an address";
       return null;
--- a/gateway/src/main/java/reachloom/gateway/wire/Change.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EndpointListEvent.java
@@ -1,7 +1,8 @@
 package reachloom.gateway.wire;
 
 import java.util.List;
-import reachloom.config.Member;
+import reachloom.config.EngineMember;
 
 /** A message of the change log; {@code whole} means that engines not named here are gone. */
-public record Change(long number, boolean nothing, boolean whole, List<Member> members) {}
+public record EndpointListEvent(
+    long number, boolean nothing, boolean whole, List<EngineMember> members) {}
--- a/gateway/src/main/java/reachloom/gateway/wire/NodeWriter.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineCommandWriter.java
@@ -4,10 +4,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** Writes commands to engines. */
-public final class NodeWriter {
+public final class EngineCommandWriter {
   private static final int USUAL_PRIORITY = 1;
 
-  private NodeWriter() {}
+  private EngineCommandWriter() {}
 
   /** Runs a statement; the key is null where the client gave none. */
   public static ByteBuffer ask(
--- a/gateway/src/main/java/reachloom/gateway/wire/NodeDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -9,7 +9,7 @@
 /**
  * Answers of engines: a line {@code ID WORD FIELDS LENGTH}, so many bytes, and the end of a line.
  */
-public final class NodeDecoder implements Decoder<NodeAnswer> {
+public final class EngineResponseDecoder implements Decoder<EngineResponse> {
   private static final int MOST_LINE = 4096;
   private static final int MOST_BODY = 6_000; // a page, as the protocol says
   private static final int FIRST_LINE = 128;
@@ -26,7 +26,7 @@
   private State state = State.LINE;
   private byte[] line = new byte[FIRST_LINE];
   private int lineLength;
-  private NodeAnswer answer;
+  private EngineResponse answer;
   private int have;
 
   @Override
@@ -35,7 +35,7 @@
   }
 
   @Override
-  public String feed(byte[] bytes, int from, int to, Consumer<? super NodeAnswer> messages) {
+  public String feed(byte[] bytes, int from, int to, Consumer<? super EngineResponse> messages) {
     int at = from;
     String fault = null;
     while (at < to && fault == null) {
@@ -90,20 +90,20 @@
       return "a line that is no answer";
     }
     answer =
-        new NodeAnswer(
+        new EngineResponse(
             words[0], word(words[1]), fields(words[2]), length == 0 ? NOTHING : new byte[length]);
     have = 0;
     state = length == 0 ? State.BODY_CR : State.BODY;
     return null;
   }
 
-  private static NodeAnswer.Word word(String text) {
-    for (NodeAnswer.Word w : NodeAnswer.Word.values()) {
+  private static EngineResponse.Word word(String text) {
+    for (EngineResponse.Word w : EngineResponse.Word.values()) {
       if (w.name().equals(text)) {
         return w;
       }
     }
-    return NodeAnswer.Word.OTHER;
+    return EngineResponse.Word.OTHER;
   }
 
   private static int length(String text) {
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -14,10 +14,10 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 import reachloom.config.ConfigException;
+import reachloom.config.EngineMember;
 import reachloom.config.GossipSettings;
-import reachloom.config.Member;
-import reachloom.gateway.Loop;
-import reachloom.gateway.Observer;
+import reachloom.gateway.EngineOutcomeListener;
+import reachloom.gateway.EventLoop;
 import reachloom.gossip.GossipProtocol;
 import reachloom.gossip.Packet;
 import reachloom.gossip.Transport;
@@ -37,7 +37,7 @@
  * This gateway among the others: ties the pure modules to the loop and the port. All but the port's
  * own threads runs on the loop.
  */
-public final class GossipNode implements Observer, Transport {
+public final class GossipNode implements EngineOutcomeListener, Transport {
   private static final Logger LOG = System.getLogger(GossipNode.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final int PAGE = 900; // bytes of a page of status
@@ -46,7 +46,7 @@
   /** What went through the port so far; bytes count what IP and UDP add. */
   public record Traffic(long sent, long sentBytes, long received, long receivedBytes) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final GossipSettings settings;
   private final DatagramVerifier doorway;
   private final DatagramTransport port;
@@ -65,7 +65,7 @@
 
   /** An instance that hears of revisions, where the settings say so, but puts none in force. */
   public GossipNode(
-      Loop loop,
+      EventLoop loop,
       GossipSettings settings,
       NodeIdentity identity,
       long seed,
@@ -79,7 +79,7 @@
    * {@code installer} puts revisions of the configuration in force.
    */
   public GossipNode(
-      Loop loop,
+      EventLoop loop,
       GossipSettings settings,
       NodeIdentity identity,
       long seed,
@@ -97,7 +97,7 @@
             DatagramTransport.number(settings.listen()),
             seeds(settings),
             loop.now(),
-            settings.period(),
+            settings.periodNanos(),
             settings.bytesPerSecond(),
             seed,
             this,
@@ -108,7 +108,8 @@
       gossip.carry(settings.configuration().get().place(), revisions);
     }
     doorway =
-        new DatagramVerifier(settings.cluster(), identity, settings.period(), revisions != null);
+        new DatagramVerifier(
+            settings.cluster(), identity, settings.periodNanos(), revisions != null);
     port =
         new DatagramTransport(
             settings.listen(),
@@ -208,17 +209,17 @@
   // ---- What the gateway sees ----
 
   @Override
-  public void engines(boolean whole, List<Member> members) {
-    Set<String> named = members.stream().map(m -> m.info().name()).collect(Collectors.toSet());
+  public void onEndpoints(boolean whole, List<EngineMember> members) {
+    Set<String> named = members.stream().map(m -> m.endpoint().name()).collect(Collectors.toSet());
     if (whole) {
       engines.stream().filter(e -> !named.contains(e)).toList().forEach(this::gone);
     }
-    for (Member m : members) {
-      if (m.info().state() == EngineState.REMOVED) {
-        gone(m.info().name());
+    for (EngineMember m : members) {
+      if (m.endpoint().state() == EngineState.REMOVED) {
+        gone(m.endpoint().name());
       } else {
-        engines.add(m.info().name());
-        gossip.engine(m.info().name(), m.info().incarnation());
+        engines.add(m.endpoint().name());
+        gossip.engine(m.endpoint().name(), m.endpoint().incarnation());
       }
     }
   }
@@ -229,7 +230,7 @@
   }
 
   @Override
-  public void ended(String engine, AttemptOutcome outcome, boolean wanted) {
+  public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {
     OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(outcome, wanted);
     if (seen != null) {
       gossip.seen(loop.now(), engine, seen);
--- a/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -37,10 +37,10 @@
     Map<String, PublicKey> keys = new LinkedHashMap<>();
     for (ConfigurationSettings.Issuer i : settings.issuers()) {
       try {
-        X509Certificate c = NodeIdentity.certificate(Pem.read(i.certificate(), "CERTIFICATE"));
+        X509Certificate c = NodeIdentity.certificate(Pem.read(i.certificateFile(), "CERTIFICATE"));
         if (!NodeIdentity.commonName(c).equals(i.name())) {
           throw new ConfigException(
-              i.certificate()
+              i.certificateFile()
                   + ": is the certificate of '"
                   + NodeIdentity.commonName(c)
                   + "', not of issuer '"
@@ -49,13 +49,13 @@
         }
         if (!self.trusts(c, time) || self.revoked(c)) {
           throw new ConfigException(
-              i.certificate() + ": no authority vouches for it, or it is revoked");
+              i.certificateFile() + ": no authority vouches for it, or it is revoked");
         }
         keys.put(i.name(), c.getPublicKey());
       } catch (IOException e) {
         throw new ConfigException("issuer '" + i.name() + "': " + e.getMessage());
       } catch (GeneralSecurityException e) {
-        throw new ConfigException(i.certificate() + ": can't be used: " + e.getMessage());
+        throw new ConfigException(i.certificateFile() + ": can't be used: " + e.getMessage());
       }
     }
     return new IssuerSignatures(self, keys);
--- a/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -51,17 +51,17 @@
   public static NodeIdentity read(GossipSettings s) throws ConfigException {
     try {
       KeyFactory keys = KeyFactory.getInstance(ALGORITHM);
-      PrivateKey key = keys.generatePrivate(new PKCS8EncodedKeySpec(Pem.readPrivate(s.key())));
-      X509Certificate own = certificate(Pem.read(s.certificate(), "CERTIFICATE"));
+      PrivateKey key = keys.generatePrivate(new PKCS8EncodedKeySpec(Pem.readPrivate(s.keyFile())));
+      X509Certificate own = certificate(Pem.read(s.certificateFile(), "CERTIFICATE"));
       List<X509Certificate> authorities = new ArrayList<>();
-      for (Path a : s.authorities()) {
+      for (Path a : s.authorityFiles()) {
         authorities.add(certificate(Pem.read(a, "CERTIFICATE")));
       }
       NodeIdentity read =
-          new NodeIdentity(key, own, List.copyOf(authorities), revoked(s.revoked()));
+          new NodeIdentity(key, own, List.copyOf(authorities), revoked(s.revocationFile()));
       byte[] probe = {1};
       if (!verify(own.getPublicKey(), probe, probe.length, read.sign(probe))) {
-        throw new ConfigException(s.key() + ": is not the key of " + s.certificate());
+        throw new ConfigException(s.keyFile() + ": is not the key of " + s.certificateFile());
       }
       return read;
     } catch (IOException e) {
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -9,7 +9,7 @@
 import reachloom.config.ConfigException;
 import reachloom.config.ConfigurationSettings;
 import reachloom.config.GossipSettings;
-import reachloom.gateway.Loop;
+import reachloom.gateway.EventLoop;
 import reachloom.gossip.PiggybackPayload;
 import reachloom.revision.ConsensusNode;
 import reachloom.revision.Peer;
@@ -34,7 +34,7 @@
     String put(long number, byte[] document);
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Installer installer;
   private final RevisionDissemination dissemination;
   private final List<Peer> issuers;
@@ -44,7 +44,7 @@
   private ConsensusNode council;
 
   RevisionService(
-      Loop loop,
+      EventLoop loop,
       String name,
       GossipSettings settings,
       NodeIdentity identity,
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -13,7 +13,7 @@
 import reachloom.config.ConfigurationSettings;
 import reachloom.config.GossipSettings;
 import reachloom.config.LocalSettings;
-import reachloom.gateway.Loop;
+import reachloom.gateway.EventLoop;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.membership.Member;
@@ -34,7 +34,7 @@
   private final String settingsFile;
   private final FileStore store;
   private final SpoolDirectory spool;
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private final GossipNode node;
   private final ConsensusNode council;
   private final CountDownLatch stopped = new CountDownLatch(1);
@@ -107,7 +107,7 @@
             .orElseThrow(
                 () ->
                     new ConfigException(
-                        s.certificate()
+                        s.certificateFile()
                             + ": '"
                             + name
                             + "' is not among the issuers of the settings"));
--- a/gateway/src/main/java/reachloom/benchlink/ActionWriter.java
+++ b/gateway/src/main/java/reachloom/simulator/ActionWriter.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/gateway/src/main/java/reachloom/benchlink/MalformedBatchException.java
+++ b/gateway/src/main/java/reachloom/simulator/MalformedBatchException.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 /** A line on standard input that the wire does not allow. */
 final class MalformedBatchException extends Exception {
--- a/gateway/src/main/java/reachloom/benchlink/Neighbours.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -20,7 +20,7 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /** Carries shared evidence over the simulator's messages between instances; decides nothing. */
-final class Neighbours {
+final class PeerReportExchange {
   private static final int MOST_BYTES = 256; // of a message, as the wire has it
   private static final int CLAIM = 4 + 2 + 2 + 2; // bytes: engine, failed, lost, age
   private static final long MILLISECOND = 1_000_000; // nanoseconds
@@ -36,7 +36,7 @@
   private final Map<String, Double> told = new LinkedHashMap<>();
   private long nextReview;
 
-  Neighbours(
+  PeerReportExchange(
       SchedulerEvents module,
       ActionWriter actions,
       int self,
--- a/gateway/src/main/java/reachloom/benchlink/BenchLink.java
+++ b/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import reachloom.config.SettingsReader;
+import reachloom.config.SchedulerSettingsReader;
 import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
@@ -33,7 +33,7 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /** The simulator's wire: batches of events in, one reply each out, for many instances at once. */
-public final class BenchLink {
+public final class SimulatorAdapter {
   private static final Map<String, AttemptOutcome> OUTCOMES =
       Map.of(
           "S",
@@ -70,14 +70,15 @@
   }
 
   /** Neighbours are null where instances may not talk. */
-  private record Instance(SchedulerEvents events, ActionWriter actions, Neighbours neighbours) {}
+  private record Instance(
+      SchedulerEvents events, ActionWriter actions, PeerReportExchange neighbours) {}
 
   /** A link whose instances each hold a {@link QueryScheduler}. */
-  public BenchLink(PrintStream err) {
+  public SimulatorAdapter(PrintStream err) {
     this(err, QueryScheduler::new);
   }
 
-  BenchLink(PrintStream err, Factory factory) {
+  SimulatorAdapter(PrintStream err, Factory factory) {
     this.err = err;
     this.factory = factory;
   }
@@ -182,10 +183,10 @@
 
   private static Instance instance(JsonNode item, SchedulerEvents events, ActionWriter writer) {
     JsonNode info = item.path("bootInfo");
-    Neighbours others =
+    PeerReportExchange others =
         !info.path("limits").path("peers").asBoolean()
             ? null
-            : new Neighbours(
+            : new PeerReportExchange(
                 events,
                 writer,
                 info.path("selfIndex").asInt(),
@@ -196,12 +197,14 @@
   }
 
   private void deliver(
-      long now, String name, JsonNode item, SchedulerEvents events, Neighbours others)
+      long now, String name, JsonNode item, SchedulerEvents events, PeerReportExchange others)
       throws MalformedBatchException {
     switch (name) {
       case "NewInstance" ->
           events.onStart(
-              now, item.path("entropy").asLong(), SettingsReader.read(item.path("bootInfo")));
+              now,
+              item.path("entropy").asLong(),
+              SchedulerSettingsReader.read(item.path("bootInfo")));
       case "BackendsChanged" -> engines(now, item, events, others);
       case "Order" -> events.onQuery(now, query(item, name));
       case "Started" ->
@@ -239,7 +242,7 @@
     }
   }
 
-  private static void neighbourSays(long now, JsonNode item, Neighbours others) {
+  private static void neighbourSays(long now, JsonNode item, PeerReportExchange others) {
     try {
       if (others != null) {
         others.heard(now, item.path("neighbour").asInt(), item.path("raw").binaryValue());
@@ -249,7 +252,7 @@
     }
   }
 
-  private void engines(long now, JsonNode item, SchedulerEvents events, Neighbours others)
+  private void engines(long now, JsonNode item, SchedulerEvents events, PeerReportExchange others)
       throws MalformedBatchException {
     String how = text(item, "how", "BackendsChanged");
     if (how.equals("unavailable")) {
--- a/gateway/src/main/java/reachloom/benchlink/package-info.java
+++ b/gateway/src/main/java/reachloom/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** The adapter between the simulator's wire and the decision module. */
-package reachloom.benchlink;
+package reachloom.simulator;
--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -107,7 +107,7 @@
   @Test
   void packagesDependOneWay() throws IOException {
     Pattern up =
-        Pattern.compile("import reachloom\\.(scheduler\\.QueryScheduler|benchlink|gateway)\\b");
+        Pattern.compile("import reachloom\\.(scheduler\\.QueryScheduler|simulator|gateway)\\b");
     assertNone(
         up,
         MAIN.resolve("config"),
@@ -116,9 +116,9 @@
         PURE.resolve("scheduler/api"));
     Pattern wire =
         Pattern.compile(
-            "import reachloom\\.(scheduler\\.(QueryScheduler|state)|benchlink|gateway\\.(wire|lifecycle))\\b");
-    assertNone(wire, MAIN.resolve("gateway/tables"));
-    Pattern front = Pattern.compile("import reachloom\\.(scheduler\\.state|benchlink)\\b");
+            "import reachloom\\.(scheduler\\.(QueryScheduler|state)|simulator|gateway\\.(wire|lifecycle))\\b");
+    assertNone(wire, MAIN.resolve("gateway/state"));
+    Pattern front = Pattern.compile("import reachloom\\.(scheduler\\.state|simulator)\\b");
     assertNone(front, MAIN.resolve("gateway"));
   }
 
@@ -130,13 +130,13 @@
             "\\.(utilization|queueLength|memoryShare|diskShare|crossZonePrice|healthCheckPrice|priorityWeight"
                 + "|latencyObjectiveNanos|idempotencyWindowNanos|slowStartShare|overloadMultiple"
                 + "|retryBudgetWindowNanos)\\(\\)|\\bRandom\\b|Math\\.random");
-    assertNone(decisions, MAIN.resolve("gateway"), MAIN.resolve("benchlink"));
+    assertNone(decisions, MAIN.resolve("gateway"), MAIN.resolve("simulator"));
     // Its own answers are three: unusable or without room, never sent, out of time; see
     // architecture.md.
     assertEquals(
         5,
         matches(
-                MAIN.resolve("gateway/Gateway.java"),
+                MAIN.resolve("gateway/GatewayService.java"),
                 Pattern.compile("ThriftWriter\\.(busy|failed)\\("))
             .size());
   }
--- a/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
+++ b/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
@@ -131,7 +131,7 @@
             "gossip periodMs",
             "gossip bytesPerSecond",
             "gossip configuration"),
-        old.fixed(next));
+        old.changesNeedingRestart(next));
     assertEquals(
         List.of(
             "clients idleTimeoutMs",
@@ -139,11 +139,12 @@
             "gossip authority",
             "gossip revoked",
             "gossip seed"),
-        old.taken(next));
-    assertEquals(List.of("gossip"), old.fixed(settings("good-empty.xml")));
+        old.changesAppliedAtOnce(next));
+    assertEquals(List.of("gossip"), old.changesNeedingRestart(settings("good-empty.xml")));
     GatewayConfig configuration = gateway("good-defaults.json");
     assertEquals(
-        List.of("limits.sockets", "settings"), configuration.fixed(gateway("good-all-keys.json")));
+        List.of("limits.sockets", "settings"),
+        configuration.changesNeedingRestart(gateway("good-all-keys.json")));
   }
 
   private static LocalSettings settings(String name) throws ConfigException {
--- a/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
@@ -51,10 +51,10 @@
     GatewayConfig config = parse(GOOD);
     assertEquals(
         List.of("s-00c41f7a", "s-00c41f7c"),
-        config.known().stream().map(m -> m.info().name()).toList());
-    assertEquals(EngineState.DRAINING, config.known().get(0).info().state());
-    assertEquals(1_700_000_000_123_000_000L, config.known().get(1).info().incarnation());
-    assertEquals(3, config.lastEvent());
+        config.knownEngines().stream().map(m -> m.endpoint().name()).toList());
+    assertEquals(EngineState.DRAINING, config.knownEngines().get(0).endpoint().state());
+    assertEquals(1_700_000_000_123_000_000L, config.knownEngines().get(1).endpoint().incarnation());
+    assertEquals(3, config.lastEventNumber());
   }
 
   @Test
@@ -62,12 +62,14 @@
     GatewayConfig config = parse(GOOD);
     assertEquals(
         new GatewayConfig.Transport(250_000_000, 5_000_000_000L, 100, 20_000), config.transport());
-    assertEquals(512, config.sockets());
+    assertEquals(512, config.maxSockets());
     assertEquals(0xfc1f30d27a5be964L, config.seed());
-    assertEquals(List.of(), config.fixed(parse(GOOD.replace("127.2.0.1:4222", "127.2.0.2:4222"))));
+    assertEquals(
+        List.of(),
+        config.changesNeedingRestart(parse(GOOD.replace("127.2.0.1:4222", "127.2.0.2:4222"))));
     assertEquals(
         List.of("name", "limits.sockets", "settings"),
-        config.fixed(
+        config.changesNeedingRestart(
             parse(
                 GOOD.replace("n3", "n4")
                     .replace("\"sockets\":512", "\"sockets\":256")
--- a/gateway/src/test/java/reachloom/config/SettingsFileTest.java
+++ b/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
@@ -19,7 +19,7 @@
  * The settings of an installation: defaults, messages, and what a hostile file must not bring
  * about.
  */
-class SettingsFileTest {
+class LocalSettingsParserTest {
   private static final String GOSSIP =
       """
       <gossip cluster="east" listen="127.0.0.1:7946">
@@ -59,11 +59,11 @@
   void whatIsLeftOutHasItsDefaultAndFilesAreBesideTheSettings() throws Exception {
     GossipSettings g = read(GOSSIP).gossip().orElseThrow();
     assertEquals(4096, g.bytesPerSecond());
-    assertEquals(1_000_000_000, g.period());
-    assertEquals(folder.resolve("g1.key"), g.key());
-    assertEquals(Path.of("/etc/g1.crt"), g.certificate());
+    assertEquals(1_000_000_000, g.periodNanos());
+    assertEquals(folder.resolve("g1.key"), g.keyFile());
+    assertEquals(Path.of("/etc/g1.crt"), g.certificateFile());
     assertEquals(7947, g.seeds().get(0).getPort());
-    assertEquals(null, g.revoked());
+    assertEquals(null, g.revocationFile());
     Path file = folder.resolve("s.xml");
     assertEquals(
         g,
@@ -91,7 +91,7 @@
             .orElseThrow();
     assertEquals(0x0207, c.place());
     assertEquals(2, c.quorum());
-    assertEquals(folder.resolve("c3.crt"), c.issuers().get(2).certificate());
+    assertEquals(folder.resolve("c3.crt"), c.issuers().get(2).certificateFile());
     assertTrue(read(GOSSIP).gossip().orElseThrow().configuration().isEmpty());
     String again = refused(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"c3\"", "\"c1\"")));
     assertEquals(folder.resolve("s.xml") + ":10: issuer: name: 'c1' stands here twice", again);
@@ -115,13 +115,13 @@
 
   @Test
   void howLongClientsMayRestIsReadAndAbsentUnlessItIsSet() throws Exception {
-    assertEquals(OptionalLong.empty(), read("").clientIdleTimeout());
-    assertEquals(OptionalLong.empty(), read(GOSSIP).clientIdleTimeout());
+    assertEquals(OptionalLong.empty(), read("").clientIdleTimeoutNanos());
+    assertEquals(OptionalLong.empty(), read(GOSSIP).clientIdleTimeoutNanos());
     assertEquals(
         OptionalLong.of(600_000_000_000L),
-        read("<clients idleTimeoutMs=\"600000\"/>").clientIdleTimeout());
+        read("<clients idleTimeoutMs=\"600000\"/>").clientIdleTimeoutNanos());
     LocalSettings both = read(GOSSIP + "<clients idleTimeoutMs=\"1000\"/>");
-    assertEquals(OptionalLong.of(1_000_000_000L), both.clientIdleTimeout());
+    assertEquals(OptionalLong.of(1_000_000_000L), both.clientIdleTimeoutNanos());
     assertTrue(both.gossip().isPresent());
   }
 
@@ -144,10 +144,11 @@
   void anIdleTimeoutThatChangesTakesEffectAtOnce() throws Exception {
     LocalSettings old = read("<clients idleTimeoutMs=\"5000\"/>");
     assertEquals(
-        List.of("clients idleTimeoutMs"), old.taken(read("<clients idleTimeoutMs=\"6000\"/>")));
-    assertEquals(List.of("clients idleTimeoutMs"), old.taken(LocalSettings.none()));
-    assertEquals(List.of(), old.taken(old));
-    assertEquals(List.of(), old.fixed(LocalSettings.none()));
+        List.of("clients idleTimeoutMs"),
+        old.changesAppliedAtOnce(read("<clients idleTimeoutMs=\"6000\"/>")));
+    assertEquals(List.of("clients idleTimeoutMs"), old.changesAppliedAtOnce(LocalSettings.none()));
+    assertEquals(List.of(), old.changesAppliedAtOnce(old));
+    assertEquals(List.of(), old.changesNeedingRestart(LocalSettings.none()));
   }
 
   @Test
@@ -188,9 +189,9 @@
   void aReloadTellsWhatTakesEffectAndWhatWaits() throws Exception {
     LocalSettings old = read(GOSSIP);
     LocalSettings next = read(GOSSIP.replace("\"ca.crt\"", "\"new.crt\"").replace("7946", "7950"));
-    assertEquals(List.of("gossip listen"), old.fixed(next));
-    assertEquals(List.of("gossip authority"), old.taken(next));
-    assertEquals(List.of("gossip"), old.fixed(LocalSettings.none()));
-    assertEquals(List.of(), LocalSettings.none().fixed(LocalSettings.none()));
+    assertEquals(List.of("gossip listen"), old.changesNeedingRestart(next));
+    assertEquals(List.of("gossip authority"), old.changesAppliedAtOnce(next));
+    assertEquals(List.of("gossip"), old.changesNeedingRestart(LocalSettings.none()));
+    assertEquals(List.of(), LocalSettings.none().changesNeedingRestart(LocalSettings.none()));
   }
 }
--- a/gateway/src/test/java/reachloom/config/MergePatchTest.java
+++ b/gateway/src/test/java/reachloom/config/MergePatchTest.java
@@ -46,7 +46,7 @@
       JsonNode patch = JSON.readTree(example[1].replace('\'', '"'));
       assertEquals(
           JSON.readTree(example[2].replace('\'', '"')),
-          new MergePatch((ObjectNode) patch).over(value),
+          new MergePatch((ObjectNode) patch).applyTo(value),
           example[1]);
       assertEquals(before, value);
     }
--- a/gateway/src/test/java/reachloom/gateway/LoopTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EventLoopTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class LoopTest {
+class EventLoopTest {
   private static final long MILLISECOND = 1_000_000;
 
   @Test
   void afterAStandstillTheListComesBeforeWhatIsDecidedByItAndBothBeforeDeadlines() {
-    Loop loop = new Loop();
+    EventLoop loop = new EventLoop();
     List<String> order = new ArrayList<>();
     loop.deadlines().add(loop.now() + 30 * MILLISECOND, () -> order.add("deadline"));
     loop.deadlines()
@@ -37,7 +37,7 @@
 
   @Test
   void withoutAStandstillEachGoesInItsTurn() {
-    Loop loop = new Loop();
+    EventLoop loop = new EventLoop();
     List<String> order = new ArrayList<>();
     loop.post(0, () -> order.add("request"));
     loop.postFirst(0, () -> order.add("list"));
--- a/gateway/src/test/java/reachloom/gateway/FrontsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/FrontsTest.java
@@ -13,7 +13,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import reachloom.benchlink.BenchLinkProbe;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -23,6 +22,7 @@
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.simulator.SimulatorAdapterProbe;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -201,7 +201,7 @@
                 .replace("\n", "")
             + "\n";
     List<Object> simulator = new ArrayList<>();
-    BenchLinkProbe.serve(
+    SimulatorAdapterProbe.serve(
         a -> new Recorder(simulator),
         new ByteArrayInputStream(batch.getBytes(StandardCharsets.UTF_8)),
         new ByteArrayOutputStream(),
--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -33,13 +33,13 @@
   /** What the module was told, where that is one that notes it. */
   final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
 
-  final Loop loop = new Loop();
+  final EventLoop loop = new EventLoop();
   GatewayConfig config;
   SchedulerActions actions;
-  Gateway gateway;
+  GatewayService gateway;
 
   /** Hears of engines beside the module, or null. */
-  Observer observer;
+  EngineOutcomeListener observer;
 
   /** What the scripted module says of attempts that are about to begin. */
   volatile boolean allowed = true;
@@ -51,7 +51,7 @@
   void serve(String text, Function<SchedulerActions, SchedulerEvents> module) throws Exception {
     config = config(text);
     gateway =
-        new Gateway(
+        new GatewayService(
             config,
             loop,
             a -> {
--- a/gateway/src/test/java/reachloom/gateway/HandoverTest.java
+++ b/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class HandoverTest {
+class HandoffQueueTest {
   private static final long MILLISECOND = 1_000_000;
 
   /** A thread that adds is stopped at its worst moment: the thing is in, the wake-up isn't out. */
-  private static final class Stopped implements Handover.Waiting {
+  private static final class Stopped implements HandoffQueue.Waiting {
     final CountDownLatch reached = new CountDownLatch(1);
     final CountDownLatch goOn = new CountDownLatch(1);
     final AtomicInteger parks = new AtomicInteger();
@@ -58,7 +58,7 @@
 
   @Test
   void whatIsInIsTakenInOrderAndEmptyTakesItsTime() throws InterruptedException {
-    Handover<Integer> h = new Handover<>();
+    HandoffQueue<Integer> h = new HandoffQueue<>();
     for (int i = 0; i < 3; i++) {
       h.add(i);
     }
@@ -73,7 +73,7 @@
 
   @Test
   void aWaitEndsWhenSomethingComes() throws InterruptedException {
-    Handover<Integer> h = new Handover<>();
+    HandoffQueue<Integer> h = new HandoffQueue<>();
     Thread adds = new Thread(() -> h.add(7));
     adds.start();
     assertEquals(7, h.poll(20_000 * MILLISECOND));
@@ -83,7 +83,7 @@
   @Test
   void aThreadStoppedWithinAddingHoldsUpNobody() throws InterruptedException {
     Stopped stopped = new Stopped(true);
-    Handover<Integer> h = new Handover<>(stopped);
+    HandoffQueue<Integer> h = new HandoffQueue<>(stopped);
     Thread adds =
         new Thread(
             () -> {
@@ -104,7 +104,7 @@
   @Test
   void waitsThatReturnForNothingEndInSleepInsteadOfSpinning() throws InterruptedException {
     Stopped never = new Stopped(false);
-    Handover<Integer> h = new Handover<>(never);
+    HandoffQueue<Integer> h = new HandoffQueue<>(never);
     assertNull(h.poll(30 * MILLISECOND));
     assertTrue(
         never.parks.get() <= 3 && never.sleeps.get() <= 31, never.parks + " and " + never.sleeps);
@@ -112,7 +112,7 @@
 
   @Test
   void manyThreadsLoseNothing() throws InterruptedException {
-    Handover<int[]> h = new Handover<>();
+    HandoffQueue<int[]> h = new HandoffQueue<>();
     int threads = 6;
     int each = 20_000;
     for (int t = 0; t < threads; t++) {
--- a/gateway/src/test/java/reachloom/gateway/LongDayTest.java
+++ b/gateway/src/test/java/reachloom/gateway/LongDayTest.java
@@ -26,10 +26,10 @@
 
   @TempDir Path folder;
 
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private QueryScheduler module;
 
-  private Map<String, Integer> held(Gateway gateway) throws Exception {
+  private Map<String, Integer> held(GatewayService gateway) throws Exception {
     CompletableFuture<Map<String, Integer>> held = new CompletableFuture<>();
     loop.post(0, () -> held.complete(gateway.held()));
     return held.get(10, TimeUnit.SECONDS);
@@ -66,7 +66,8 @@
               folder.resolve("config.json"),
               GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node));
       GatewayConfig config = GatewayConfig.fromFile(file, Map.of());
-      Gateway gateway = new Gateway(config, loop, a -> module = new QueryScheduler(a));
+      GatewayService gateway =
+          new GatewayService(config, loop, a -> module = new QueryScheduler(a));
       gateway.listen();
       loop.post(0, gateway::start);
       NodeStandIn.daemon(loop);
--- a/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
@@ -38,9 +38,9 @@
   static final String ENGINE = "s-00000001";
   static final String OTHER = "s-00000002";
 
-  final Loop loop = new Loop();
+  final EventLoop loop = new EventLoop();
   final GatewayConfig config;
-  final Gateway gateway;
+  final GatewayService gateway;
   final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
   SchedulerActions actions;
 
@@ -71,7 +71,7 @@
     config =
         GatewayConfig.fromFile(Files.writeString(folder.resolve("config.json"), text), Map.of());
     gateway =
-        new Gateway(
+        new GatewayService(
             config,
             loop,
             a -> {
@@ -172,7 +172,7 @@
   }
 
   private Object ofLoop(String name) throws ReflectiveOperationException {
-    Field field = Loop.class.getDeclaredField(name);
+    Field field = EventLoop.class.getDeclaredField(name);
     field.setAccessible(true);
     return field.get(loop);
   }
@@ -191,7 +191,7 @@
    * connection.
    */
   void awaitQueued(int wanted) throws Exception {
-    Handover<?> queue = (Handover<?>) ofLoop("queue");
+    HandoffQueue<?> queue = (HandoffQueue<?>) ofLoop("queue");
     await(() -> queue.size() >= wanted);
     assertEquals(wanted, queue.size());
   }
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
-import reachloom.config.Member;
 import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.HeldPeer.Connection;
 import reachloom.scheduler.QueryScheduler;
@@ -44,14 +44,14 @@
     stays = new NodeStandIn();
     log = new HeldPeer();
     observer =
-        new Observer() {
+        new EngineOutcomeListener() {
           @Override
-          public void engines(boolean whole, List<Member> members) {
+          public void onEndpoints(boolean whole, List<EngineMember> members) {
             told.add(members);
           }
 
           @Override
-          public void ended(String engine, AttemptOutcome outcome, boolean judged) {
+          public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean judged) {
             // not looked at
           }
         };
@@ -159,7 +159,8 @@
         Connection later = moved.accept();
         assertEquals(1, later.number());
         later.say(list(2, WatchSocketsTest.CHANGES, WatchSocketsTest.DRAINING));
-        assertEquals(EngineState.DRAINING, ((Member) next(List.class).get(0)).info().state());
+        assertEquals(
+            EngineState.DRAINING, ((EngineMember) next(List.class).get(0)).endpoint().state());
         before = drains.count("ASK");
         assertNothingNewWhereItDrains(before);
       } else {
@@ -199,7 +200,7 @@
     for (byte b : list) {
       again.say(new byte[] {b});
     }
-    assertEquals(EngineState.DRAINING, ((Member) next(List.class).get(0)).info().state());
+    assertEquals(EngineState.DRAINING, ((EngineMember) next(List.class).get(0)).endpoint().state());
     assertNothingNewWhereItDrains(drains.count("ASK"));
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
@@ -79,12 +79,12 @@
         .stream().map(e -> ((EngineEndpoint) e).name().substring(9)).sorted().toList();
   }
 
-  private Loop start(HeldPeer log) throws Exception {
+  private EventLoop start(HeldPeer log) throws Exception {
     String text = GatewayProcess.config(GatewayProcess.freeAddress(), log.address());
     GatewayConfig config =
         GatewayConfig.fromFile(Files.writeString(folder.resolve("config.json"), text), Map.of());
-    Loop loop = new Loop();
-    Gateway gateway = new Gateway(config, loop, a -> new FrontsTest.Recorder(told));
+    EventLoop loop = new EventLoop();
+    GatewayService gateway = new GatewayService(config, loop, a -> new FrontsTest.Recorder(told));
     loop.post(0, gateway::start);
     NodeStandIn.daemon(loop);
     assertTrue(told.poll(10, TimeUnit.SECONDS) instanceof SchedulerSettings);
@@ -95,7 +95,7 @@
   @Test
   void aWatchThatFallsSilentIsDialledAgainAndNoLongerListenedTo() throws Exception {
     try (HeldPeer log = new HeldPeer()) {
-      Loop loop = start(log);
+      EventLoop loop = start(log);
       Connection first = log.accept();
       assertEquals(1, first.number());
       first.say(frame(2, CHANGES, 1));
@@ -118,7 +118,7 @@
   @Test
   void eventsThatAreLeftOutLeadToTheWholeListAndNothingIsTakenBeforeItIsThere() throws Exception {
     try (HeldPeer log = new HeldPeer()) {
-      Loop loop = start(log);
+      EventLoop loop = start(log);
       Connection first = log.accept();
       assertEquals(1, first.number());
       first.say(frame(4, CHANGES, 4));
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/ConfigurationTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/ConfigurationReloaderTest.java
@@ -18,13 +18,13 @@
  * A gateway's own file and the installation's revisions over it: what is in force after which
  * order.
  */
-class ConfigurationTest {
+class ConfigurationReloaderTest {
   @TempDir Path folder;
 
   private final List<GatewayConfig> taken = new ArrayList<>();
   private Path file;
   private String own;
-  private Configuration configuration;
+  private ConfigurationReloader configuration;
 
   @BeforeEach
   void start() throws Exception {
@@ -35,7 +35,7 @@
     Map<String, String> environment =
         Map.of("LB_CONFIG", file.toString(), "LB_LISTEN", "127.0.0.1:4100");
     configuration =
-        new Configuration(
+        new ConfigurationReloader(
             GatewayConfig.fromEnvironment(environment),
             environment,
             null,
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/RehearsalTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
@@ -14,7 +14,7 @@
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
 
-class RehearsalTest {
+class WarmUpTest {
   private static final int QUERIES = 300;
 
   @TempDir Path folder;
@@ -29,8 +29,7 @@
             Files.writeString(
                 folder.resolve("config.json"),
                 text.replace("\"goalTime\":500000000", "\"goalTime\":" + aim));
-        Rehearsal rehearsal =
-            new Rehearsal(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
+        WarmUp rehearsal = new WarmUp(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
         int[] left = {QUERIES};
         int served = rehearsal.play(() -> left[0]-- > 0);
         assertTrue(served > QUERIES / 2, served + " of " + QUERIES + " served with aims of " + aim);
--- a/gateway/src/test/java/reachloom/gateway/tables/TablesTest.java
+++ b/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
@@ -1,4 +1,4 @@
-package reachloom.gateway.tables;
+package reachloom.gateway.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,14 +16,14 @@
 class TablesTest {
   @Test
   void theSilentThenTheIdleThenTheNewGiveWay() {
-    Clients clients = new Clients(3);
-    Client silent = new Client(null, 10);
-    Client idle = new Client(null, 20);
-    Client fresh = new Client(null, 90);
-    for (Client c : new Client[] {silent, idle, fresh}) {
+    ClientConnectionTable clients = new ClientConnectionTable(3);
+    ClientConnection silent = new ClientConnection(null, 10);
+    ClientConnection idle = new ClientConnection(null, 20);
+    ClientConnection fresh = new ClientConnection(null, 90);
+    for (ClientConnection c : new ClientConnection[] {silent, idle, fresh}) {
       assertTrue(clients.add(c));
     }
-    assertFalse(clients.add(new Client(null, 95)), "full");
+    assertFalse(clients.add(new ClientConnection(null, 95)), "full");
     clients.heard(idle, 30);
     assertSame(silent, clients.inTheWay(50));
     clients.remove(silent);
@@ -49,7 +49,7 @@
 
   @Test
   void aHandleKeptPastItsEndFindsNothing() {
-    Slots<String> slots = new Slots<>(2);
+    GenerationalSlots<String> slots = new GenerationalSlots<>(2);
     long a = slots.add("a");
     slots.remove(a);
     long b = slots.add("b");
@@ -58,27 +58,27 @@
     slots.remove(a);
     assertEquals("b", slots.get(b));
     assertEquals(1, slots.size());
-    assertNull(slots.get(Slots.NONE));
+    assertNull(slots.get(GenerationalSlots.NONE));
   }
 
   @Test
   void aFullTableTakesNoMore() {
-    Slots<Integer> slots = new Slots<>(200);
+    GenerationalSlots<Integer> slots = new GenerationalSlots<>(200);
     for (int i = 0; i < 200; i++) {
       assertEquals(i, slots.get(slots.add(i)));
     }
-    assertEquals(Slots.NONE, slots.add(200));
+    assertEquals(GenerationalSlots.NONE, slots.add(200));
     assertEquals(200, slots.all().size());
   }
 
   @Test
   void deadlinesComeByTimeAndThenInTheOrderSet() {
-    Deadlines deadlines = new Deadlines();
+    DeadlineQueue deadlines = new DeadlineQueue();
     List<String> done = new ArrayList<>();
     deadlines.add(20, () -> done.add("c"));
     deadlines.add(10, () -> done.add("a"));
     deadlines.add(10, () -> done.add("b"));
-    Deadlines.Deadline gone = deadlines.add(5, () -> done.add("x"));
+    DeadlineQueue.Deadline gone = deadlines.add(5, () -> done.add("x"));
     deadlines.cancel(gone);
     deadlines.cancel(gone);
     deadlines.cancel(null);
@@ -93,13 +93,13 @@
 
   @Test
   void onlyWhatWasWholeOnTheWireMayHaveRun() {
-    assertEquals(AttemptOutcome.UNREACHED, Reach.NOT_CONNECTED.broken);
-    assertEquals(AttemptOutcome.UNREACHED, Reach.NOT_WHOLE.broken);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.broken);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_WHOLE.broken);
     // What waits to be written goes out later, before the word that gives it up.
-    assertEquals(AttemptOutcome.TIMEOUT, Reach.NOT_WHOLE.expired);
-    assertEquals(AttemptOutcome.UNREACHED, Reach.NOT_CONNECTED.expired);
-    assertEquals(AttemptOutcome.RESET, Reach.OUT.broken);
-    assertEquals(AttemptOutcome.TIMEOUT, Reach.OUT.expired);
-    assertEquals(AttemptOutcome.RESET, Reach.ANSWERING.broken);
+    assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.NOT_WHOLE.expired);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.expired);
+    assertEquals(AttemptOutcome.RESET, AttemptProgress.OUT.broken);
+    assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.OUT.expired);
+    assertEquals(AttemptOutcome.RESET, AttemptProgress.ANSWERING.broken);
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
@@ -29,7 +29,7 @@
         .putLong(7);
   }
 
-  private static Decoder<Change> decoder() {
+  private static Decoder<EndpointListEvent> decoder() {
     return new ChangeLogDecoder(3, 2);
   }
 
@@ -40,26 +40,27 @@
             frame(0, 0, 0).array(),
             record(frame(4, 1, 1), 0xc41f7a, 0, 2, 1).array(),
             record(record(frame(5, 2, 2), 1, 1, 0, 0), 2, 2, 0, 0).array());
-    List<Change> read = Feeds.alike(stream, ChangeLogDecoderTest::decoder, c -> c);
-    assertEquals(List.of(true, false, false), read.stream().map(Change::nothing).toList());
-    assertEquals(List.of(false, true, false), read.stream().map(Change::whole).toList());
+    List<EndpointListEvent> read = Feeds.alike(stream, ChangeLogDecoderTest::decoder, c -> c);
+    assertEquals(
+        List.of(true, false, false), read.stream().map(EndpointListEvent::nothing).toList());
+    assertEquals(List.of(false, true, false), read.stream().map(EndpointListEvent::whole).toList());
     var member = read.get(1).members().get(0);
-    assertEquals("s-00c41f7a", member.info().name());
+    assertEquals("s-00c41f7a", member.endpoint().name());
     assertEquals("/127.1.2.3:41000", member.address().toString());
-    assertEquals(1.5, member.info().weight());
-    assertEquals(7_000_000, member.info().incarnation());
-    assertEquals(2, member.info().cell());
+    assertEquals(1.5, member.endpoint().weight());
+    assertEquals(7_000_000, member.endpoint().incarnation());
+    assertEquals(2, member.endpoint().cell());
     assertEquals(
         List.of(EngineState.DRAINING, EngineState.REMOVED),
-        read.get(2).members().stream().map(m -> m.info().state()).toList());
+        read.get(2).members().stream().map(m -> m.endpoint().state()).toList());
   }
 
   @Test
   void aStateNotKnownTakesNothingNew() {
-    List<Change> read =
+    List<EndpointListEvent> read =
         Feeds.alike(
             record(frame(5, 2, 1), 1, 9, 0, 0).array(), ChangeLogDecoderTest::decoder, c -> c);
-    assertEquals(EngineState.DRAINING, read.get(0).members().get(0).info().state());
+    assertEquals(EngineState.DRAINING, read.get(0).members().get(0).endpoint().state());
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import reachloom.config.Member;
+import reachloom.config.EngineMember;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
 
@@ -33,39 +33,40 @@
   private static final int KINDS = 2;
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  private static final Member UP =
+  private static final EngineMember UP =
       member(
           new EngineEndpoint(
               "s-00c41f7a", EngineState.UP, 1, 2, 2, 1.5, 1_700_000_000_123L * MILLISECOND),
           "127.1.2.3",
           41_000);
-  private static final Member DRAINING =
+  private static final EngineMember DRAINING =
       member(
           new EngineEndpoint("s-00000001", EngineState.DRAINING, 0, 0, 0, 1.0, 0),
           "10.0.0.1",
           4100);
-  private static final Member GONE =
+  private static final EngineMember GONE =
       member(
           new EngineEndpoint(
               "s-ffffffff", EngineState.REMOVED, 0, 1, 65_535, 4_294_967.295, 7 * MILLISECOND),
           "255.255.255.255",
           65_535);
-  private static final Member UNKNOWN_STATE =
+  private static final EngineMember UNKNOWN_STATE =
       member(
           new EngineEndpoint("s-00000002", EngineState.DRAINING, 0, 0, 1, 0.25, 0), "127.0.0.1", 1);
 
-  private static final Map<String, Change> READ = read();
+  private static final Map<String, EndpointListEvent> READ = read();
   private static final Map<String, ByteBuffer> WRITTEN = written();
 
-  private static Map<String, Change> read() {
-    Map<String, Change> read = new LinkedHashMap<>();
-    read.put("nothing-new", new Change(41, true, false, List.of()));
-    read.put("whole-list", new Change(4, false, true, List.of(UP, DRAINING)));
-    read.put("whole-list-empty", new Change(5, false, true, List.of()));
-    read.put("changes", new Change(6, false, false, List.of(DRAINING, GONE)));
-    read.put("changes-up", new Change(7, false, false, List.of(UP)));
-    read.put("changes-unknown-state", new Change(8, false, false, List.of(UNKNOWN_STATE)));
-    read.put("changes-empty", new Change(Long.MAX_VALUE, false, false, List.of()));
+  private static Map<String, EndpointListEvent> read() {
+    Map<String, EndpointListEvent> read = new LinkedHashMap<>();
+    read.put("nothing-new", new EndpointListEvent(41, true, false, List.of()));
+    read.put("whole-list", new EndpointListEvent(4, false, true, List.of(UP, DRAINING)));
+    read.put("whole-list-empty", new EndpointListEvent(5, false, true, List.of()));
+    read.put("changes", new EndpointListEvent(6, false, false, List.of(DRAINING, GONE)));
+    read.put("changes-up", new EndpointListEvent(7, false, false, List.of(UP)));
+    read.put(
+        "changes-unknown-state", new EndpointListEvent(8, false, false, List.of(UNKNOWN_STATE)));
+    read.put("changes-empty", new EndpointListEvent(Long.MAX_VALUE, false, false, List.of()));
     return read;
   }
 
@@ -76,9 +77,9 @@
     return written;
   }
 
-  private static Member member(EngineEndpoint info, String address, int port) {
+  private static EngineMember member(EngineEndpoint info, String address, int port) {
     try {
-      return new Member(info, new InetSocketAddress(InetAddress.getByName(address), port));
+      return new EngineMember(info, new InetSocketAddress(InetAddress.getByName(address), port));
     } catch (UnknownHostException e) {
       throw new IllegalArgumentException(e);
     }
@@ -92,13 +93,14 @@
     return WRITTEN.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
   }
 
-  private static Decoder<Change> decoder() {
+  private static Decoder<EndpointListEvent> decoder() {
     return new ChangeLogDecoder(ZONES, KINDS);
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("frames")
-  void storedFramesAreReadWithAllTheirFieldsHoweverTheyAreCut(String name, Change expected) {
+  void storedFramesAreReadWithAllTheirFieldsHoweverTheyAreCut(
+      String name, EndpointListEvent expected) {
     byte[] stored = GoldenHex.read(FOLDER, name);
     assertEquals(
         List.of(expected), Feeds.alike(stored, ChangeLogGoldenTest::decoder, change -> change));
@@ -108,7 +110,7 @@
   void storedFramesThatFollowEachOtherAreReadAsOneByOne() {
     byte[][] stored =
         READ.keySet().stream().map(name -> GoldenHex.read(FOLDER, name)).toArray(byte[][]::new);
-    List<Change> read = new ArrayList<>();
+    List<EndpointListEvent> read = new ArrayList<>();
     byte[] stream = Feeds.join(stored);
     assertNull(decoder().feed(stream, 0, stream.length, read::add));
     assertEquals(List.copyOf(READ.values()), read);
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
@@ -34,8 +34,9 @@
   private static final Map<String, Fields> READ = read();
 
   /** All fields of an answer, with the body's bytes as digits so that answers can be compared. */
-  private record Fields(String id, NodeAnswer.Word word, Map<String, String> fields, String body) {
-    Fields(NodeAnswer answer) {
+  private record Fields(
+      String id, EngineResponse.Word word, Map<String, String> fields, String body) {
+    Fields(EngineResponse answer) {
       this(answer.id(), answer.word(), answer.fields(), GoldenHex.hex(answer.body()));
     }
   }
@@ -45,21 +46,22 @@
     byte[] binary =
         "select \"\u00c3\u00a4\u00e2\u0082\u00ac\"\r\nfrom \0t\u00ff\r\n".getBytes(ISO_8859_1);
     Map<String, ByteBuffer> written = new LinkedHashMap<>();
-    written.put("ask", NodeWriter.ask(REQUEST, "report", 150, null, 1, plain));
-    written.put("ask-with-key", NodeWriter.ask(REQUEST, "load", 1, KEY, 1, plain));
-    written.put("ask-with-priority", NodeWriter.ask(REQUEST, "report", 25_000, null, 0, plain));
+    written.put("ask", EngineCommandWriter.ask(REQUEST, "report", 150, null, 1, plain));
+    written.put("ask-with-key", EngineCommandWriter.ask(REQUEST, "load", 1, KEY, 1, plain));
+    written.put(
+        "ask-with-priority", EngineCommandWriter.ask(REQUEST, "report", 25_000, null, 0, plain));
     written.put(
         "ask-with-key-and-priority",
-        NodeWriter.ask(REQUEST, "load", 150, KEY, 3, Bytes.of(binary)));
+        EngineCommandWriter.ask(REQUEST, "load", 150, KEY, 3, Bytes.of(binary)));
     written.put(
         "ask-with-empty-statement",
-        NodeWriter.ask(REQUEST, "report", 150, null, 1, Bytes.of(new byte[0])));
-    written.put("quit", NodeWriter.quit(REQUEST));
-    written.put("prio", NodeWriter.priority(REQUEST, 0));
-    written.put("next", NodeWriter.next(REQUEST, 1023));
-    written.put("free", NodeWriter.free(REQUEST));
-    written.put("info", NodeWriter.probe(PROBE, true));
-    written.put("noop", NodeWriter.probe(PROBE, false));
+        EngineCommandWriter.ask(REQUEST, "report", 150, null, 1, Bytes.of(new byte[0])));
+    written.put("quit", EngineCommandWriter.quit(REQUEST));
+    written.put("prio", EngineCommandWriter.priority(REQUEST, 0));
+    written.put("next", EngineCommandWriter.next(REQUEST, 1023));
+    written.put("free", EngineCommandWriter.free(REQUEST));
+    written.put("info", EngineCommandWriter.probe(PROBE, true));
+    written.put("noop", EngineCommandWriter.probe(PROBE, false));
     return written;
   }
 
@@ -68,7 +70,7 @@
     read.put(
         "ok-one-page",
         answer(
-            NodeAnswer.Word.OK,
+            EngineResponse.Word.OK,
             Map.of(
                 "fetches",
                 "1",
@@ -82,57 +84,62 @@
     read.put(
         "ok-first-of-pages",
         answer(
-            NodeAnswer.Word.OK,
+            EngineResponse.Word.OK,
             Map.of("fetches", "1024", "effort", "0.5", "high", "0"),
             ROWS.getBytes(UTF_8)));
-    read.put("ok-without-rows", answer(NodeAnswer.Word.OK, Map.of("fetches", "1")));
+    read.put("ok-without-rows", answer(EngineResponse.Word.OK, Map.of("fetches", "1")));
     read.put(
         "ok-body-with-line-ends",
         answer(
-            NodeAnswer.Word.OK,
+            EngineResponse.Word.OK,
             Map.of("fetches", "1"),
             "a\tb\r\nc\n\r\n\0\u00ff".getBytes(ISO_8859_1)));
     read.put(
         "ok-largest-body",
         answer(
-            NodeAnswer.Word.OK,
+            EngineResponse.Word.OK,
             Map.of("fetches", "1"),
             ("x".repeat(5994) + "\tb\tcd\n").getBytes(UTF_8)));
-    read.put("rows", answer(NodeAnswer.Word.ROWS, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
-    read.put("busy", answer(NodeAnswer.Word.BUSY, Map.of()));
+    read.put(
+        "rows", answer(EngineResponse.Word.ROWS, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
+    read.put("busy", answer(EngineResponse.Word.BUSY, Map.of()));
     read.put(
         "busy-with-report",
-        answer(NodeAnswer.Word.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
-    read.put("err", answer(NodeAnswer.Word.ERR, Map.of(), "no such table".getBytes(UTF_8)));
-    read.put("void", answer(NodeAnswer.Word.VOID, Map.of()));
+        answer(EngineResponse.Word.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
+    read.put("err", answer(EngineResponse.Word.ERR, Map.of(), "no such table".getBytes(UTF_8)));
+    read.put("void", answer(EngineResponse.Word.VOID, Map.of()));
     read.put(
-        "note-so-far", answer(NodeAnswer.Word.NOTE, Map.of("detail", "so_far", "figure", "0.25")));
+        "note-so-far",
+        answer(EngineResponse.Word.NOTE, Map.of("detail", "so_far", "figure", "0.25")));
     read.put(
-        "note-lacking", answer(NodeAnswer.Word.NOTE, Map.of("detail", "lacking", "figure", "12")));
+        "note-lacking",
+        answer(EngineResponse.Word.NOTE, Map.of("detail", "lacking", "figure", "12")));
     read.put(
-        "note-waiting", answer(NodeAnswer.Word.NOTE, Map.of("detail", "waiting", "figure", "2")));
+        "note-waiting",
+        answer(EngineResponse.Word.NOTE, Map.of("detail", "waiting", "figure", "2")));
     read.put(
         "up-with-report",
-        probeAnswer(NodeAnswer.Word.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
-    read.put("up", probeAnswer(NodeAnswer.Word.UP, Map.of()));
-    read.put("down", probeAnswer(NodeAnswer.Word.DOWN, Map.of()));
-    read.put("unknown-word", answer(NodeAnswer.Word.OTHER, Map.of(), "xyz".getBytes(UTF_8)));
+        probeAnswer(EngineResponse.Word.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
+    read.put("up", probeAnswer(EngineResponse.Word.UP, Map.of()));
+    read.put("down", probeAnswer(EngineResponse.Word.DOWN, Map.of()));
+    read.put("unknown-word", answer(EngineResponse.Word.OTHER, Map.of(), "xyz".getBytes(UTF_8)));
     read.put(
         "unreadable-fields",
         answer(
-            NodeAnswer.Word.OK, Map.of("fetches", "1", "twice", "2", "note", "a=b", "empty", "")));
+            EngineResponse.Word.OK,
+            Map.of("fetches", "1", "twice", "2", "note", "a=b", "empty", "")));
     return read;
   }
 
-  private static Fields answer(NodeAnswer.Word word, Map<String, String> fields) {
+  private static Fields answer(EngineResponse.Word word, Map<String, String> fields) {
     return answer(word, fields, new byte[0]);
   }
 
-  private static Fields answer(NodeAnswer.Word word, Map<String, String> fields, byte[] body) {
+  private static Fields answer(EngineResponse.Word word, Map<String, String> fields, byte[] body) {
     return new Fields(REQUEST, word, fields, GoldenHex.hex(body));
   }
 
-  private static Fields probeAnswer(NodeAnswer.Word word, Map<String, String> fields) {
+  private static Fields probeAnswer(EngineResponse.Word word, Map<String, String> fields) {
     return new Fields(PROBE, word, fields, "");
   }
 
@@ -154,7 +161,7 @@
   @MethodSource("answers")
   void storedAnswersAreReadWithAllTheirFieldsHoweverTheyAreCut(String name, Fields expected) {
     byte[] stored = GoldenHex.read(ANSWERS, name);
-    assertEquals(List.of(expected), Feeds.alike(stored, NodeDecoder::new, Fields::new));
+    assertEquals(List.of(expected), Feeds.alike(stored, EngineResponseDecoder::new, Fields::new));
   }
 
   @Test
@@ -164,7 +171,8 @@
     List<Fields> read = new ArrayList<>();
     byte[] stream = Feeds.join(stored);
     String fault =
-        new NodeDecoder().feed(stream, 0, stream.length, answer -> read.add(new Fields(answer)));
+        new EngineResponseDecoder()
+            .feed(stream, 0, stream.length, answer -> read.add(new Fields(answer)));
     assertNull(fault);
     assertEquals(List.copyOf(READ.values()), read);
   }
--- a/gateway/src/test/java/reachloom/gateway/wire/NodeDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Lines of engines: whole, torn and merged, and bytes that are none. */
-class NodeDecoderTest {
+class EngineResponseDecoderTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  private static String view(NodeAnswer a) {
+  private static String view(EngineResponse a) {
     return a.id()
         + "|"
         + a.word()
@@ -44,7 +44,7 @@
             "p1|UP|{use=util:0.5;queue:2}|",
             "8a|BUSY|{}|",
             "8b|OTHER|{}|xyz"),
-        Feeds.alike(stream, NodeDecoder::new, NodeDecoderTest::view));
+        Feeds.alike(stream, EngineResponseDecoder::new, EngineResponseDecoderTest::view));
   }
 
   @Test
@@ -60,15 +60,15 @@
             "7f OK - 1\r\nabc",
             "7f OK - x\r\n",
             "x".repeat(5000))) {
-      assertNotNull(Feeds.fault(bytes(bad), new NodeDecoder()), bad);
+      assertNotNull(Feeds.fault(bytes(bad), new EngineResponseDecoder()), bad);
     }
   }
 
   @Test
   void fieldsThatCannotBeReadArePassedOver() {
-    List<NodeAnswer> read = new ArrayList<>();
+    List<EngineResponse> read = new ArrayList<>();
     byte[] stream = bytes("1 OK =x,novalue,fetches=1 0\r\n\r\n");
-    assertNull(new NodeDecoder().feed(stream, 0, stream.length, read::add));
+    assertNull(new EngineResponseDecoder().feed(stream, 0, stream.length, read::add));
     assertEquals(Map.of("fetches", "1"), read.get(0).fields());
   }
 
@@ -78,7 +78,7 @@
     for (int round = 0; round < 2_000; round++) {
       byte[] garbage = new byte[random.nextInt(200)];
       random.nextBytes(garbage);
-      Feeds.fault(garbage, new NodeDecoder());
+      Feeds.fault(garbage, new EngineResponseDecoder());
     }
   }
 
@@ -87,16 +87,16 @@
     Bytes statement = new Bytes(bytes("xxselect 1yy"), 2, 8);
     assertEquals(
         "ASK 7f queue=report,budget=150,uniq=k1,weight=3 8\r\nselect 1\r\n",
-        text(NodeWriter.ask("7f", "report", 150, "k1", 3, statement)));
+        text(EngineCommandWriter.ask("7f", "report", 150, "k1", 3, statement)));
     assertEquals(
         "ASK 7f queue=report,budget=150 8\r\nselect 1\r\n",
-        text(NodeWriter.ask("7f", "report", 150, null, 1, statement)));
-    assertEquals("QUIT 7f\r\n", text(NodeWriter.quit("7f")));
-    assertEquals("PRIO 7f 0\r\n", text(NodeWriter.priority("7f", 0)));
-    assertEquals("NEXT 7f 2\r\n", text(NodeWriter.next("7f", 2)));
-    assertEquals("FREE 7f\r\n", text(NodeWriter.free("7f")));
-    assertEquals("INFO p1\r\n", text(NodeWriter.probe("p1", true)));
-    assertEquals("NOOP p1\r\n", text(NodeWriter.probe("p1", false)));
+        text(EngineCommandWriter.ask("7f", "report", 150, null, 1, statement)));
+    assertEquals("QUIT 7f\r\n", text(EngineCommandWriter.quit("7f")));
+    assertEquals("PRIO 7f 0\r\n", text(EngineCommandWriter.priority("7f", 0)));
+    assertEquals("NEXT 7f 2\r\n", text(EngineCommandWriter.next("7f", 2)));
+    assertEquals("FREE 7f\r\n", text(EngineCommandWriter.free("7f")));
+    assertEquals("INFO p1\r\n", text(EngineCommandWriter.probe("p1", true)));
+    assertEquals("NOOP p1\r\n", text(EngineCommandWriter.probe("p1", false)));
   }
 
   private static String text(ByteBuffer bytes) {
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.ConfigurationSettings;
 import reachloom.config.GossipSettings;
-import reachloom.gateway.Loop;
+import reachloom.gateway.EventLoop;
 import reachloom.gossip.GossipProtocol;
 import reachloom.gossip.Packet;
 import reachloom.membership.MemberState;
@@ -57,7 +57,7 @@
 
   @TempDir Path folder;
 
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private GossipNode node;
   private long nowNanos;
 
--- a/gateway/src/test/java/reachloom/benchlink/NeighboursTest.java
+++ b/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,7 +19,7 @@
  * Shared evidence over the simulator's messages: what goes out, what comes of it, and engines that
  * start anew.
  */
-class NeighboursTest {
+class PeerReportExchangeTest {
   private static final long SECOND = 1_000_000_000;
   private final List<String> batches = new ArrayList<>();
 
@@ -88,7 +88,7 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     byte[] in = (String.join("\n", batches) + "\n").getBytes(StandardCharsets.UTF_8);
-    BenchLinkProbe.serve(
+    SimulatorAdapterProbe.serve(
         QueryScheduler::new, new ByteArrayInputStream(in), out, new PrintStream(err, true));
     assertEquals("", err.toString());
     List<JsonNode> sent = new ArrayList<>();
--- a/gateway/src/test/java/reachloom/benchlink/BenchLinkProbe.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterProbe.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -9,8 +9,8 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /** Opens the simulator's front to tests of other packages. */
-public final class BenchLinkProbe {
-  private BenchLinkProbe() {}
+public final class SimulatorAdapterProbe {
+  private SimulatorAdapterProbe() {}
 
   /** Plays batches to modules of that factory. */
   public static void serve(
@@ -19,6 +19,6 @@
       OutputStream out,
       PrintStream err)
       throws IOException {
-    new BenchLink(err, factory::apply).serve(in, out);
+    new SimulatorAdapter(err, factory::apply).serve(in, out);
   }
 }
--- a/gateway/src/test/java/reachloom/benchlink/BenchLinkTest.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package reachloom.benchlink;
+package reachloom.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +20,7 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /** The adapter on lines of text. */
-class BenchLinkTest {
+class SimulatorAdapterTest {
   private static final String START =
       "{\"cmd\":\"NewInstance\",\"gatewayId\":\"gateway_0\",\"entropy\":1,"
           + "\"bootInfo\":{\"classes\":[{\"goalTime\":1000000000,\"giveUp\":5000000000,\"worth\":1,"
@@ -50,10 +50,10 @@
         + "\",\"qos\":0,\"patienceLeft\":5000000000,\"novel\":{}}";
   }
 
-  private String[] serve(BenchLink.Factory factory, String... batches) throws IOException {
+  private String[] serve(SimulatorAdapter.Factory factory, String... batches) throws IOException {
     String input = String.join("", batches);
     status =
-        new BenchLink(new PrintStream(err, true), factory)
+        new SimulatorAdapter(new PrintStream(err, true), factory)
             .serve(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
     return out.toString(StandardCharsets.UTF_8).split("\n");
   }
@@ -128,7 +128,8 @@
 
   @Test
   void bailsOutForTheInstanceWhoseModuleThrows() throws IOException {
-    String[] replies = serve(BenchLinkTest::broken, batch(1, START, order("01"), order("02")));
+    String[] replies =
+        serve(SimulatorAdapterTest::broken, batch(1, START, order("01"), order("02")));
     assertEquals(
         "{\"batch\":1,\"actions\":[{\"cmd\":\"BailOut\",\"gatewayId\":\"gateway_0\","
             + "\"words\":\"java.lang.IllegalStateException: broken on purpose\"}]}",
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import reachloom.config.SettingsReader;
+import reachloom.config.SchedulerSettingsReader;
 import reachloom.lab.rig.Conditions;
 import reachloom.lab.rig.Director;
 import reachloom.lab.rig.Plan;
@@ -210,7 +210,7 @@
       this.number = number;
       zone = plan.zoneOf(number);
       clockOff = (long) ((2 * random.nextDouble() - 1) * plan.clocksApart());
-      settings = SettingsReader.read(Conditions.settings(plan, number));
+      settings = SchedulerSettingsReader.read(Conditions.settings(plan, number));
       World.View view = world.views.get(zone);
       view.hear(e -> hear(view));
     }
--- a/lab/src/main/java/reachloom/lab/gossip/Installation.java
+++ b/lab/src/main/java/reachloom/lab/gossip/Installation.java
@@ -96,11 +96,13 @@
     text.append(
         String.format(
             "bytesPerSecond=\"%d\" periodMs=\"%d\">%n",
-            s.bytesPerSecond(), s.period() / 1_000_000));
+            s.bytesPerSecond(), s.periodNanos() / 1_000_000));
     text.append(
-        String.format("    <identity key=\"%s\" certificate=\"%s\"/>%n", s.key(), s.certificate()));
-    s.authorities().forEach(a -> text.append(String.format("    <authority file=\"%s\"/>%n", a)));
-    text.append(String.format("    <revoked file=\"%s\"/>%n", s.revoked()));
+        String.format(
+            "    <identity key=\"%s\" certificate=\"%s\"/>%n", s.keyFile(), s.certificateFile()));
+    s.authorityFiles()
+        .forEach(a -> text.append(String.format("    <authority file=\"%s\"/>%n", a)));
+    text.append(String.format("    <revoked file=\"%s\"/>%n", s.revocationFile()));
     s.seeds().forEach(a -> text.append(String.format("    <seed address=\"%s\"/>%n", words(a))));
     s.configuration()
         .ifPresent(
@@ -115,7 +117,7 @@
                           text.append(
                               String.format(
                                   "      <issuer name=\"%s\" address=\"%s\" certificate=\"%s\"/>%n",
-                                  i.name(), words(i.address()), i.certificate())));
+                                  i.name(), words(i.address()), i.certificateFile())));
               text.append("    </configuration>\n");
             });
     return Files.writeString(path(name + ".xml"), text + "  </gossip>\n</reachloom>\n");
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import reachloom.balancing.EngineSubset;
 import reachloom.config.ConfigException;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
 import reachloom.config.GossipSettings;
 import reachloom.config.LocalSettings;
-import reachloom.config.Member;
-import reachloom.gateway.Gateway;
-import reachloom.gateway.Loop;
-import reachloom.gateway.Observer;
+import reachloom.gateway.EngineOutcomeListener;
+import reachloom.gateway.EventLoop;
+import reachloom.gateway.GatewayService;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.scheduler.QueryScheduler;
@@ -39,7 +39,7 @@
     void ready(int gateway, long lastEvent);
 
     /** It has been told this of the list since. */
-    void holds(int gateway, Member member);
+    void holds(int gateway, EngineMember member);
 
     /** A configuration read again is in force. */
     void applied(int gateway, String issue);
@@ -55,10 +55,10 @@
   private final double rate;
   private final SplittableRandom random;
   private final ThreadGroup threads;
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private final Set<String> held = ConcurrentHashMap.newKeySet();
   private final Map<Long, Long> spent = new LinkedHashMap<>();
-  private Gateway gateway;
+  private GatewayService gateway;
   private GossipNode gossip;
   private final Set<String> inUse = new TreeSet<>();
   private List<String> first = List.of();
@@ -97,7 +97,7 @@
   private void open() throws ConfigException, IOException {
     GatewayConfig config = GatewayConfig.fromFile(configFile, Map.of());
     LocalSettings local = LocalSettings.read(settingsFile, Map.of());
-    gateway = new Gateway(config, loop, QueryScheduler::new);
+    gateway = new GatewayService(config, loop, QueryScheduler::new);
     if (local.gossip().isPresent()) {
       GossipSettings s = local.gossip().get();
       gossip = new GossipNode(loop, s, NodeIdentity.read(s), config.seed(), gateway::hearsay);
@@ -105,16 +105,16 @@
       loop.post(0, this::see);
     }
     gateway.observe(new Heard());
-    loop.post(0, () -> gateway.start(() -> watcher.ready(number, config.lastEvent())));
+    loop.post(0, () -> gateway.start(() -> watcher.ready(number, config.lastEventNumber())));
   }
 
-  private final class Heard implements Observer {
+  private final class Heard implements EngineOutcomeListener {
     @Override
-    public void engines(boolean whole, List<Member> members) {
+    public void onEndpoints(boolean whole, List<EngineMember> members) {
       if (gossip != null) {
-        gossip.engines(whole, members);
+        gossip.onEndpoints(whole, members);
       }
-      for (Member m : members) {
+      for (EngineMember m : members) {
         if (begun && held.add(key(m))) {
           watcher.holds(number, m);
         }
@@ -124,22 +124,22 @@
     }
 
     @Override
-    public void ended(String engine, AttemptOutcome outcome, boolean wanted) {
+    public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {
       if (gossip != null) {
-        gossip.ended(engine, outcome, wanted);
+        gossip.onAttemptEnded(engine, outcome, wanted);
       }
     }
   }
 
-  private void keepTo(boolean whole, List<Member> members) {
+  private void keepTo(boolean whole, List<EngineMember> members) {
     if (whole) {
       inUse.clear();
     }
-    for (Member m : members) {
-      if (m.info().state() == EngineState.UP) {
-        inUse.add(m.info().name());
+    for (EngineMember m : members) {
+      if (m.endpoint().state() == EngineState.UP) {
+        inUse.add(m.endpoint().name());
       } else {
-        inUse.remove(m.info().name());
+        inUse.remove(m.endpoint().name());
       }
     }
     first =
@@ -165,12 +165,12 @@
   }
 
   /** What one event of the list said. */
-  static String key(Member m) {
-    return m.info().name()
+  static String key(EngineMember m) {
+    return m.endpoint().name()
         + " "
-        + m.info().state().ordinal()
+        + m.endpoint().state().ordinal()
         + " "
-        + m.info().incarnation() / 1_000_000;
+        + m.endpoint().incarnation() / 1_000_000;
   }
 
   /** Reads the configuration again, as the program does on SIGHUP, on a thread of its own. */
--- a/lab/src/main/java/reachloom/lab/scale/HollowPart.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowPart.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
-import reachloom.config.Member;
+import reachloom.config.EngineMember;
 import reachloom.gossip.net.GossipNode;
 
 /**
@@ -113,7 +113,7 @@
   }
 
   @Override
-  public void holds(int gateway, Member member) {
+  public void holds(int gateway, EngineMember member) {
     synchronized (held) {
       Held h = held.computeIfAbsent(HollowGateway.key(member), k -> new Held());
       h.count++;
--- a/lab/src/test/java/reachloom/gateway/EngineList.java
+++ b/lab/src/test/java/reachloom/gateway/EngineList.java
@@ -1,9 +1,9 @@
 package reachloom.gateway;
 
 import java.util.List;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig.Transport;
-import reachloom.config.Member;
-import reachloom.gateway.tables.Attempt;
+import reachloom.gateway.state.EngineAttempt;
 import reachloom.gateway.wire.Sockets;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.LoadReport;
@@ -14,30 +14,30 @@
   private static final int LINKS = 300;
   private static final int CLIENTS = 10;
 
-  private final Engines engines;
+  private final EngineConnectionPool engines;
 
   /** An empty list. */
   public EngineList() {
-    Loop loop = new Loop();
+    EventLoop loop = new EventLoop();
     Sockets sockets = new Sockets(CLIENTS);
     engines =
-        new Engines(
+        new EngineConnectionPool(
             loop,
             sockets,
-            new Closing(loop, sockets, 1, 1),
-            new Engines.Watcher() {
+            new LingeringClose(loop, sockets, 1, 1),
+            new EngineConnectionPool.Watcher() {
               @Override
-              public boolean mayStart(Attempt attempt) {
+              public boolean mayStart(EngineAttempt attempt) {
                 return false;
               }
 
               @Override
-              public void ended(Attempt attempt, AttemptOutcome outcome) {
+              public void ended(EngineAttempt attempt, AttemptOutcome outcome) {
                 // there are none
               }
 
               @Override
-              public void noted(Attempt attempt, ProgressKind kind, double amount) {
+              public void noted(EngineAttempt attempt, ProgressKind kind, double amount) {
                 // there are none
               }
 
@@ -52,7 +52,7 @@
   }
 
   /** Takes over what the list tells. */
-  public void update(boolean whole, List<Member> members) {
+  public void update(boolean whole, List<EngineMember> members) {
     engines.update(whole, members);
   }
 }
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.ConfigException;
+import reachloom.config.EngineMember;
 import reachloom.config.GossipSettings;
-import reachloom.config.Member;
-import reachloom.gateway.Loop;
+import reachloom.gateway.EventLoop;
 import reachloom.gossip.Packet;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
@@ -46,7 +46,7 @@
   @TempDir Path folder;
 
   private final class Instance {
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final InetSocketAddress listen;
     private final GossipNode node;
     private final ConcurrentLinkedQueue<Double> hearsay = new ConcurrentLinkedQueue<>();
@@ -72,7 +72,7 @@
                 IntStream.rangeClosed(1, 8)
                     .mapToObj(
                         i ->
-                            new Member(
+                            new EngineMember(
                                 new EngineEndpoint("s-0000000" + i, EngineState.UP, 0, 0, 0, 1, 0),
                                 listen))
                     .toList());
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -8,12 +8,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
-import reachloom.config.Member;
 import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.EngineList;
-import reachloom.gateway.wire.Change;
 import reachloom.gateway.wire.ChangeLogDecoder;
+import reachloom.gateway.wire.EndpointListEvent;
 import reachloom.lab.slopes.Fit.Point;
 import reachloom.scheduler.api.EngineEndpoint;
 
@@ -65,8 +65,8 @@
       return GatewayConfig.fromFile(file, Map.of());
     }
 
-    static Change decode(byte[] frame) {
-      Change[] read = new Change[1];
+    static EndpointListEvent decode(byte[] frame) {
+      EndpointListEvent[] read = new EndpointListEvent[1];
       String fault =
           new ChangeLogDecoder(Lists.bounds().get(0), Lists.bounds().get(1))
               .feed(frame, 0, frame.length, c -> read[0] = c);
@@ -83,24 +83,24 @@
         list.update(true, decode(whole).members());
       }
       count("read the file, us", this::read);
-      Change[] all = new Change[1];
+      EndpointListEvent[] all = new EndpointListEvent[1];
       count("decode a whole frame, us", () -> all[0] = decode(Lists.whole(++number, engines)));
       watch.heard(number, true, false);
-      List<EngineEndpoint> infos = all[0].members().stream().map(Member::info).toList();
+      List<EngineEndpoint> infos = all[0].members().stream().map(EngineMember::endpoint).toList();
       count(
           "apply a whole list in the decisions, us",
           () -> desk.choice.onEndpoints(desk.now, true, infos));
       count("apply a whole list in the gateway, us", () -> list.update(true, all[0].members()));
       desk.step();
       byte[] frame = Lists.one(++number, (int) (number % engines));
-      Change[] one = new Change[1];
+      EndpointListEvent[] one = new EndpointListEvent[1];
       count("decode one change, us", () -> one[0] = decode(frame));
       watch.heard(number, false, false);
       count(
           "apply one change in the decisions, us",
           () ->
               desk.choice.onEndpoints(
-                  desk.now, false, one[0].members().stream().map(Member::info).toList()));
+                  desk.now, false, one[0].members().stream().map(EngineMember::endpoint).toList()));
       count("apply one change in the gateway, us", () -> list.update(false, one[0].members()));
       desk.step();
     }
@@ -170,11 +170,12 @@
       config.add(new Point(s.engines, keptBy(s::read)));
     }
     for (Size s : sizes) {
-      List<EngineEndpoint> infos = s.read().known().stream().map(Member::info).toList();
+      List<EngineEndpoint> infos =
+          s.read().knownEngines().stream().map(EngineMember::endpoint).toList();
       decisions.add(new Point(s.engines, keptBy(() -> Desk.listed(infos))));
     }
     for (Size s : sizes) {
-      List<Member> members = s.read().known();
+      List<EngineMember> members = s.read().knownEngines();
       gateway.add(
           new Point(
               s.engines,
--- a/tools/src/main/java/reachloom/tools/RevisionTool.java
+++ b/tools/src/main/java/reachloom/tools/RevisionTool.java
@@ -198,7 +198,7 @@
         Map<String, String> like = Map.of("LB_CONFIG", needed(line, "like"));
         List<String> later =
             GatewayConfig.fromEnvironment(like)
-                .fixed(GatewayConfig.fromEnvironment(like, patch::over));
+                .changesNeedingRestart(GatewayConfig.fromEnvironment(like, patch::applyTo));
         later.forEach(k -> out.println(k + ": takes effect at a gateway's next start only"));
       }
     } catch (ConfigException e) {
--- a/tools/src/test/java/reachloom/tools/Installation.java
+++ b/tools/src/test/java/reachloom/tools/Installation.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import reachloom.gateway.Loop;
+import reachloom.gateway.EventLoop;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.revision.net.IssuerServer;
@@ -36,7 +36,7 @@
 
   /** A member that keeps what is put in force. */
   private static final class Gateway {
-    final Loop loop = new Loop();
+    final EventLoop loop = new EventLoop();
     final Map<Long, String> inForce = new TreeMap<>();
     GossipNode node;
 
