--- a/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
+++ b/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
@@ -25,10 +25,10 @@
   private static final double REPORT_WEIGHT = 0.02;
 
   /** Reports before what they tell is taken for the pool's: fewer are of too few engines. */
-  private static final int LEAST_REPORTS = 20;
+  private static final int MIN_REPORTS = 20;
 
   /** A pool that is hardly in use tells nothing of shares, and nothing there needs a bound. */
-  private static final double LEAST_USE = 0.02;
+  private static final double MIN_USE = 0.02;
 
   private final int gateways;
   private double use;
@@ -56,7 +56,7 @@
 
   /** How many gateways like this one make up the fleet: as many as the settings name, or fewer. */
   public double fleet(double poolMemoryMb) {
-    if (reports < LEAST_REPORTS || use < LEAST_USE || own <= 0) {
+    if (reports < MIN_REPORTS || use < MIN_USE || own <= 0) {
       return gateways;
     }
     return Math.max(1, Math.min(gateways, use * poolMemoryMb / own));
--- a/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
+++ b/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
@@ -19,7 +19,7 @@
    * and of the 7 s after which all counts as told enough is left for three dials that fail and the
    * list itself.
    */
-  public static final long MOST_SILENCE = 5 * FRAME / 2;
+  public static final long MAX_SILENCE = 5 * FRAME / 2;
 
   /** Reaching the log takes no longer where it can be reached: half of a frame. */
   public static final long DIAL_TIMEOUT = FRAME / 2;
@@ -46,7 +46,7 @@
   /**
    * Frames that say nothing new, in an answer that should tell all: it has ended, and may be short.
    */
-  private static final int MOST_QUIET = 2;
+  private static final int MAX_QUIET = 2;
 
   /** What is to be done with a frame. */
   public enum Verdict {
@@ -132,7 +132,7 @@
 
   private Verdict partOfAll(long number, boolean nothing) {
     if (nothing) {
-      if (++quiet >= MOST_QUIET) { // it does not hold what it told before: the list held stays
+      if (++quiet >= MAX_QUIET) { // it does not hold what it told before: the list held stays
         wanted = -1;
         sparse = true;
       }
--- a/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
+++ b/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
@@ -27,8 +27,8 @@
   private static final double SOURCE_RATE = 5; // ... from one other address
   private static final double STRANGER_RATE = 50; // ... and from all other addresses together
   private static final double TOTAL_RATE = 250; // ... and at all
-  private static final int MOST_SOURCES = 4_096;
-  private static final int MOST_SENDERS = 4_096;
+  private static final int MAX_SOURCES = 4_096;
+  private static final int MAX_SENDERS = 4_096;
 
   private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
   private final Map<Long, TokenBucket> members = new LinkedHashMap<>();
@@ -109,7 +109,7 @@
   private static TokenBucket bucket(Map<Long, TokenBucket> of, long source, double rate) {
     TokenBucket b = of.get(source);
     if (b == null) {
-      if (of.size() >= MOST_SOURCES) {
+      if (of.size() >= MAX_SOURCES) {
         of.remove(of.keySet().iterator().next());
       }
       b = new TokenBucket(rate, rate);
@@ -122,7 +122,7 @@
   public boolean take(String sender, long seq) {
     Replay r = senders.get(sender);
     if (r == null) {
-      if (senders.size() >= MOST_SENDERS) {
+      if (senders.size() >= MAX_SENDERS) {
         senders.remove(senders.keySet().iterator().next());
       }
       r = new Replay();
--- a/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -27,12 +27,12 @@
 public final class GossipProtocol implements MessageSender, RevisionMessageSender {
   private static final int REVIEWS = 4; // in a period
   private static final double STEP = 0.1; // a level that has moved by less is not told again
-  private static final int MOST_CLAIMS = 32; // in one packet
+  private static final int MAX_CLAIMS = 32; // in one packet
 
   /**
    * Words in one packet: a certificate, the longest names and what always rides find room beside.
    */
-  private static final int MOST_WORDS = 700; // bytes
+  private static final int MAX_WORDS = 700; // bytes
 
   private final String name;
   private final long address;
@@ -229,7 +229,7 @@
     List<PeerReport> claims = new ArrayList<>();
     if (size < most) {
       int room = most - size;
-      int fit = Math.min(MOST_CLAIMS, room / LEAST_CLAIM);
+      int fit = Math.min(MAX_CLAIMS, room / MIN_CLAIM);
       for (PeerReport c : fit <= 0 ? List.<PeerReport>of() : ledger.tell(now, fit)) {
         int weight = transport.claim(c);
         if (weight > room) {
@@ -274,7 +274,7 @@
 
   @Override
   public int maxPacketBytes() {
-    return MOST_WORDS;
+    return MAX_WORDS;
   }
 
   @Override
@@ -295,7 +295,7 @@
   }
 
   /** A claim takes no less; only so that no more are looked at than may fit. */
-  private static final int LEAST_CLAIM = 24;
+  private static final int MIN_CLAIM = 24;
 
   @Override
   public void changed(long now, MembershipUpdate member) {
--- a/decisions/src/main/java/reachloom/membership/MembershipService.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipService.java
@@ -27,26 +27,26 @@
  */
 public final class MembershipService {
   private static final long SECOND = 1_000_000_000; // nanoseconds
-  private static final int MOST_PACKET = 1_200; // bytes; fits each usual path without being cut up
-  private static final int MOST_NAME = 33; // bytes of a name on the wire
+  private static final int MAX_PACKET = 1_200; // bytes; fits each usual path without being cut up
+  private static final int MAX_NAME = 33; // bytes of a name on the wire
   private static final double DIRECT_SHARE = 0.4; // of a period, for a member's own answer
   private static final double RELAY_SHARE = 0.3; // ... and for a relay's word on its way back
   private static final int RELAYS = 3; // k of SWIM: others that are asked to ask
   private static final int LAST_ASKS = 2; // own questions to one whose time is up
   private static final int RETOLD = 2; // suspects told again in a period
-  private static final int MOST_RELAYED = 64; // questions that others have put through this one
+  private static final int MAX_RELAYED = 64; // questions that others have put through this one
   private static final int TICKS = 10; // in a period, at least: more than that late is a standstill
   private static final double STANDSTILL = 0.5; // of a period
   private static final int RECONNECT = 4; // periods between tries to reach one given up, or a seed
   private static final double GREETERS =
       4; // members that greet a newcomer without being asked, about
-  private static final int MOST_DOUBLINGS = 1; // of the pause between two tries to join
+  private static final int MAX_DOUBLINGS = 1; // of the pause between two tries to join
   // periods between two rounds of bringing tables together, at most and on average
   private static final int SYNC = 12;
   private static final int CROWD = 3; // newcomers after which tables are compared soon
   private static final int SETTLING = 15; // periods after which one that starts probes in any case
   private static final int MARK = 2; // bytes
-  private static final int MOST_MEMBERS = 2_048; // held, the dead among them
+  private static final int MAX_MEMBERS = 2_048; // held, the dead among them
   private static final long DEAD_MEMORY = 600; // periods for which one that is gone is remembered
   private static final long FUTURE =
       60; // seconds that an incarnation heard of may be ahead of the clock
@@ -177,7 +177,7 @@
 
   /** The largest packet. */
   public int mostPacket() {
-    return MOST_PACKET;
+    return MAX_PACKET;
   }
 
   /** Takes over seeds of settings read anew. */
@@ -394,7 +394,7 @@
       long seed = unknown.get(random.nextInt(unknown.size()));
       send(now, Use.SYNC, "", seed, new MembershipMessage.Ping(seq++, ""));
       if (present == 0) { // the more often in vain, the more others there must be who try
-        long pause = period << Math.min(lonely++, MOST_DOUBLINGS);
+        long pause = period << Math.min(lonely++, MAX_DOUBLINGS);
         nextReconnectAt = now + pause / 2 + random.nextLong(pause);
       }
     }
@@ -417,14 +417,14 @@
     int salt = random.nextInt();
     int size =
         weights.message(m.name(), new MembershipMessage.Pull(syncAfter, "", salt, List.of()))
-            + MOST_NAME;
+            + MAX_NAME;
     if (!meter.room(now, Use.SYNC, size)) {
       nextSyncAt = now + random.nextLong(period);
       return;
     }
     List<Integer> marks = new ArrayList<>();
     String last = "";
-    int room = (meter.sync(now, size, MOST_PACKET) - size) / MARK;
+    int room = (meter.sync(now, size, MAX_PACKET) - size) / MARK;
     for (Member held : members.tailMap(syncAfter, false).values()) {
       if (marks.size() >= room) {
         break;
@@ -555,7 +555,7 @@
     } else if (message instanceof MembershipMessage.Pull p) {
       int size = weights.message(m.name(), new MembershipMessage.Part(false, List.of()));
       if (meter.room(now, Use.SYNC, size)) {
-        int most = meter.sync(now, size, MOST_PACKET);
+        int most = meter.sync(now, size, MAX_PACKET);
         meter.sent(
             now, out.send(now, m.name(), m.address, lacking(p, most - size), List.of(), most), 0);
       }
@@ -572,7 +572,7 @@
   private void welcome(long now, Member m) {
     MembershipMessage none = new MembershipMessage.Part(true, List.of());
     int size = weights.message(m.name(), none);
-    int left = Math.min(meter.packet(), MOST_PACKET - size);
+    int left = Math.min(meter.packet(), MAX_PACKET - size);
     List<MembershipUpdate> some = new ArrayList<>();
     for (Member other :
         draw(left / weights.news(own()), o -> o != m && o.state == MemberState.ALIVE)) {
@@ -610,7 +610,7 @@
   }
 
   private void relay(long now, Member asker, MembershipMessage.PingRequest r) {
-    if (relayed.size() >= MOST_RELAYED || r.target().equals(name)) {
+    if (relayed.size() >= MAX_RELAYED || r.target().equals(name)) {
       return;
     }
     long mine = seq++;
@@ -661,7 +661,7 @@
   }
 
   private Member join(long now, MembershipUpdate n, boolean isNews) {
-    if (members.size() >= MOST_MEMBERS && !evict()) {
+    if (members.size() >= MAX_MEMBERS && !evict()) {
       return null;
     }
     Member m = new Member(n.member(), n.address(), n.incarnation(), MemberState.ALIVE, now);
@@ -817,7 +817,7 @@
     if (!meter.room(now, use, least)) {
       return false;
     }
-    int most = meter.fill(now, least, MOST_PACKET);
+    int most = meter.fill(now, least, MAX_PACKET);
     List<MembershipUpdate> news = rumours.take(first, size(), most - size, weights);
     int sent = out.send(now, to, at, message, news, most);
     meter.sent(now, sent, sent - least);
--- a/decisions/src/main/java/reachloom/membership/Suspicion.java
+++ b/decisions/src/main/java/reachloom/membership/Suspicion.java
@@ -11,8 +11,8 @@
 final class Suspicion {
   // periods for each decade of members; what follows, the last questions, makes up for memberlist's
   // fourth
-  private static final double LEAST_FACTOR = 3;
-  private static final double MOST_FACTOR = 6; // ... and the longest time in least times
+  private static final double MIN_FACTOR = 3;
+  private static final double MAX_FACTOR = 6; // ... and the longest time in least times
   private static final int ACCUSERS = 2; // further accusers that shorten it to the least
 
   private final Set<String> accusers = new LinkedHashSet<>();
@@ -23,7 +23,7 @@
 
   Suspicion(long now, long period, int members, String accuser) {
     startedAt = now;
-    least = (long) (LEAST_FACTOR * Math.max(1, Math.log10(Math.max(1, members))) * period);
+    least = (long) (MIN_FACTOR * Math.max(1, Math.log10(Math.max(1, members))) * period);
     accusers.add(accuser);
   }
 
@@ -42,7 +42,7 @@
   /** When its time is up. */
   long until() {
     double part = Math.log(accusers.size()) / Math.log(ACCUSERS + 1);
-    long time = startedAt + (long) (least * (MOST_FACTOR - (MOST_FACTOR - 1) * part));
+    long time = startedAt + (long) (least * (MAX_FACTOR - (MAX_FACTOR - 1) * part));
     return Math.max(time, askedUntil);
   }
 
--- a/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
+++ b/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
@@ -39,7 +39,7 @@
       10; // of the span: long enough for a count, short enough to be of now
   private static final int STREAK = 2; // attempts in a row that came to nothing: one may be chance
   private static final long MEMORY = 20 * SLICE; // of such a row: nobody has seen better since
-  private static final int MOST_ENGINES = 4_096;
+  private static final int MAX_ENGINES = 4_096;
 
   private static final class Page {
     private final long since;
@@ -71,7 +71,7 @@
     }
     if (p == null || since > p.since) {
       pages.remove(engine);
-      if (pages.size() >= MOST_ENGINES) {
+      if (pages.size() >= MAX_ENGINES) {
         pages.remove(pages.keySet().iterator().next());
       }
       p = new Page(since);
--- a/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
+++ b/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
@@ -16,7 +16,7 @@
    * Of bytes, over 256 for each query: at 0.0088 and 0.026 the gain is within noise, so free ones
    * only.
    */
-  private static final double MOST_PRICE = 0;
+  private static final double MAX_PRICE = 0;
 
   private final int self;
   private final int instances;
@@ -33,7 +33,7 @@
     this.self = self;
     this.instances = instances;
     this.random = random;
-    worth = price <= MOST_PRICE && instances > 1;
+    worth = price <= MAX_PRICE && instances > 1;
   }
 
   /** Something was seen of an engine. */
--- a/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -47,9 +47,9 @@
   private static final double ONE_PEER =
       0.4; // the most that one peer alone, or one group, can bring about
   private static final double PRIOR = 0.15; // weight against each accusation
-  private static final double MOST_ACCUSED = 0.25; // share of the engines
-  private static final int MOST_PEERS = 2_048;
-  private static final int MOST_CLAIMS = 256; // of one peer
+  private static final double MAX_ACCUSED = 0.25; // share of the engines
+  private static final int MAX_PEERS = 2_048;
+  private static final int MAX_CLAIMS = 256; // of one peer
 
   private record Held(PeerReport claim, long at) {}
 
@@ -82,7 +82,7 @@
   public void hear(long now, String peer, List<PeerReport> claims) {
     Peer p = peers.get(peer);
     if (p == null) {
-      if (peers.size() >= MOST_PEERS) {
+      if (peers.size() >= MAX_PEERS) {
         return;
       }
       p = new Peer();
@@ -94,7 +94,7 @@
       if (!usable) {
         continue;
       }
-      if (!p.claims.containsKey(c.engine()) && p.claims.size() >= MOST_CLAIMS) {
+      if (!p.claims.containsKey(c.engine()) && p.claims.size() >= MAX_CLAIMS) {
         p.claims.remove(p.claims.keySet().iterator().next());
       }
       p.claims.put(c.engine(), new Held(c, now - c.age()));
@@ -264,7 +264,7 @@
    * No more than a part of the engines can be accused: the most accused stay, the others are talk.
    */
   private static List<Belief> bounded(List<Belief> beliefs, int engines) {
-    int most = (int) (engines * MOST_ACCUSED);
+    int most = (int) (engines * MAX_ACCUSED);
     List<Belief> order = new ArrayList<>(beliefs);
     order.sort(Comparator.<Belief>comparingDouble(b -> -b.level).thenComparing(Belief::engine));
     List<Belief> bounded = new ArrayList<>();
--- a/decisions/src/main/java/reachloom/revision/Acceptor.java
+++ b/decisions/src/main/java/reachloom/revision/Acceptor.java
@@ -22,7 +22,7 @@
   private static final long FORGOTTEN = 2;
 
   /** A round that is so far ahead of all others is a lie, which would leave none to go on with. */
-  private static final long MOST_LEAP = 1L << 32;
+  private static final long MAX_LEAP = 1L << 32;
 
   private final String name;
   private final SignatureScheme seal;
@@ -60,7 +60,7 @@
   boolean plausible(Ballot ballot, String sender) {
     return ballot.issuer().equals(sender)
         && ballot.round() > 0
-        && ballot.round() - state.promised().round() <= MOST_LEAP;
+        && ballot.round() - state.promised().round() <= MAX_LEAP;
   }
 
   /** The answer to phase one; null where there is none. */
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
@@ -16,9 +16,9 @@
   /** Counters of a place: one may fail, and the other counts on. */
   static final int COUNTERS = 2;
 
-  private static final int MOST_REPORTS = 2_048;
-  private static final int MOST_NAMED = 8;
-  private static final int MOST_REFUSAL = 120; // characters
+  private static final int MAX_REPORTS = 2_048;
+  private static final int MAX_NAMED = 8;
+  private static final int MAX_REFUSAL = 120; // characters
   private static final long FNV = 0xcbf29ce484222325L; // FNV-1a, and the finish of MurmurHash3
   private static final long FNV_PRIME = 0x100000001b3L;
   private static final long MIX = 0xff51afd7ed558ccdL;
@@ -57,10 +57,10 @@
 
   /** What a member has in force, by its own word; whether that is new. */
   boolean note(String name, long number, long mark, String refusal) {
-    if (reports.size() >= MOST_REPORTS && !reports.containsKey(name)) {
+    if (reports.size() >= MAX_REPORTS && !reports.containsKey(name)) {
       return false;
     }
-    String why = refusal.substring(0, Math.min(MOST_REFUSAL, refusal.length()));
+    String why = refusal.substring(0, Math.min(MAX_REFUSAL, refusal.length()));
     Report told = new Report(number, mark, why);
     return !told.equals(reports.put(name, told));
   }
@@ -106,7 +106,7 @@
         continue;
       }
       refused += refuses(name, newest) ? 1 : 0;
-      if (lacking.size() < MOST_NAMED) {
+      if (lacking.size() < MAX_NAMED) {
         lacking.add(name);
       }
     }
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
@@ -12,8 +12,8 @@
 final class AcknowledgementSummary {
   private record Told(RevisionMessage.Census census, long at) {}
 
-  private static final int MOST_PLACES = 256;
-  private static final int MOST_TELLERS =
+  private static final int MAX_PLACES = 256;
+  private static final int MAX_TELLERS =
       4; // of a place: while members come and go there are more than two
   private static final long MEMORY = 60_000_000_000L; // nanoseconds
   private static final double SECOND = 1e9;
@@ -24,13 +24,13 @@
   private final TreeMap<Integer, TreeMap<String, Told>> places = new TreeMap<>();
 
   void told(long now, String teller, RevisionMessage.Census census) {
-    if (places.size() >= MOST_PLACES && !places.containsKey(census.place())) {
+    if (places.size() >= MAX_PLACES && !places.containsKey(census.place())) {
       return;
     }
     TreeMap<String, Told> of = places.computeIfAbsent(census.place(), k -> new TreeMap<>());
     of.values().removeIf(t -> now - t.at > MEMORY);
     of.put(teller, new Told(census, now));
-    if (of.size() > MOST_TELLERS) { // some counted only as long as they saw few others
+    if (of.size() > MAX_TELLERS) { // some counted only as long as they saw few others
       of.remove(
           Collections.min(of.entrySet(), Comparator.comparingLong(e -> e.getValue().at)).getKey());
     }
--- a/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -18,7 +18,7 @@
   /** Pieces sent for one question: a document of the usual size takes one or two round trips. */
   static final int WINDOW = 6;
 
-  private static final int MOST_PIECES = pieces(Revision.MAX_DOCUMENT_BYTES);
+  private static final int MAX_PIECES = pieces(Revision.MAX_DOCUMENT_BYTES);
   private static final long ANSWER =
       400_000_000; // nanoseconds without a piece before it is asked again
   // ... and more for the first of a large document: who serves it finishes others before
@@ -145,7 +145,7 @@
     boolean fits =
         p.number() == revision.number()
             && p.of() >= 1
-            && p.of() <= MOST_PIECES
+            && p.of() <= MAX_PIECES
             && p.index() >= 0
             && p.index() < p.of()
             && p.bytes().length <= PIECE
--- a/decisions/src/main/java/reachloom/revision/FetchScheduler.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -17,7 +17,7 @@
   private static final int TRIES =
       2; // questions to one peer without a piece, where it has sent some
   private static final int QUICK_PEERS = 4; // asked one after the other, before there are pauses
-  private static final int MOST_SOURCES = 8;
+  private static final int MAX_SOURCES = 8;
 
   private final PeerTable neighbours;
   private final RevisionLog log;
@@ -52,7 +52,7 @@
 
   /** That one can be asked for the document of the newest. */
   void source(Peer peer) {
-    if (fetch != null && sources.size() < MOST_SOURCES) {
+    if (fetch != null && sources.size() < MAX_SOURCES) {
       sources.put(peer.name(), peer);
     }
   }
--- a/decisions/src/main/java/reachloom/revision/PeerTable.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -51,12 +51,12 @@
     private boolean lied;
   }
 
-  private static final int MOST_OTHERS = 2_048; // as many as the table of members holds
-  private static final int MOST_RESTING = 256;
+  private static final int MAX_OTHERS = 2_048; // as many as the table of members holds
+  private static final int MAX_RESTING = 256;
   private static final long SECOND = 1_000_000_000; // nanoseconds
   private static final long REST =
       2 * SECOND; // after the first strike; an honest one had a packet lost
-  private static final int MOST_DOUBLINGS = 8; // 512 s
+  private static final int MAX_DOUBLINGS = 8; // 512 s
 
   private final int place;
   private final Set<String> issuers = new TreeSet<>();
@@ -77,7 +77,7 @@
     TreeMap<String, Other> now = new TreeMap<>();
     places.clear();
     for (Peer p : present) {
-      if (now.size() >= MOST_OTHERS) {
+      if (now.size() >= MAX_OTHERS) {
         break;
       }
       Other old = others.get(p.name());
@@ -148,7 +148,7 @@
   void strike(long now, String name, Strike why, long claimed) {
     Rest r = resting.get(name);
     if (r == null) {
-      if (resting.size() >= MOST_RESTING) {
+      if (resting.size() >= MAX_RESTING) {
         resting.remove(
             Collections.min(
                     resting.entrySet(),
@@ -158,7 +158,7 @@
       r = new Rest();
       resting.put(name, r);
     }
-    r.until = Math.max(r.until, now + (REST << Math.min(r.strikes, MOST_DOUBLINGS)));
+    r.until = Math.max(r.until, now + (REST << Math.min(r.strikes, MAX_DOUBLINGS)));
     r.strikes += why == Strike.SILENT ? 0 : 1;
     r.lied |= why == Strike.LIED;
     r.claimed = Math.max(r.claimed, claimed);
--- a/decisions/src/main/java/reachloom/revision/ProposalCache.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -13,7 +13,7 @@
   private record Draft(Revision revision, byte[] document) {}
 
   private static final int MOST = 8; // of each issuer one, about
-  private static final int MOST_FETCHES = 4;
+  private static final int MAX_FETCHES = 4;
   private static final int TRIES = 6;
 
   private final Map<Long, Draft> drafts = new LinkedHashMap<>(); // by mark
@@ -34,7 +34,7 @@
 
   /** Fetches one; {@code then} is given null where it can't be had. */
   void fetch(long now, Revision revision, Peer from, Consumer<byte[]> then) {
-    if (fetches.size() >= MOST_FETCHES) {
+    if (fetches.size() >= MAX_FETCHES) {
       then.accept(null);
       return;
     }
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -24,7 +24,7 @@
   /** Silence after which a question is put again: longer than a way round the earth and back. */
   private static final long RETRY = 300 * MILLISECOND;
 
-  private static final long MOST_RETRY = 1_000 * MILLISECOND;
+  private static final long MAX_RETRY = 1_000 * MILLISECOND;
 
   /**
    * Rest after a higher ballot was met, on average and at first: two ways to another region and
@@ -32,7 +32,7 @@
    */
   private static final long REST = 150 * MILLISECOND;
 
-  private static final int MOST_DOUBLINGS = 4;
+  private static final int MAX_DOUBLINGS = 4;
 
   /**
    * A document not issued by then is not proposed any more; members need a part of the 10 s, too.
@@ -47,7 +47,7 @@
    */
   private static final long FINISH = 2_000 * MILLISECOND;
 
-  private static final int MOST_UNSURE = 4;
+  private static final int MAX_UNSURE = 4;
   private static final String UNWRITABLE = "this issuer's store can't be written";
 
   /** What the proposer needs of its council. */
@@ -216,7 +216,7 @@
       return;
     }
     finishAt = now + FINISH + random.nextLong(FINISH);
-    if (unsure.size() >= MOST_UNSURE) {
+    if (unsure.size() >= MAX_UNSURE) {
       unsure.poll();
     }
     unsure.add(old);
@@ -264,7 +264,7 @@
         if (wanted == null && own == null && lying == null) {
           leave();
         } else if (now >= until) {
-          pause = Math.min(MOST_RETRY, 2 * pause);
+          pause = Math.min(MAX_RETRY, 2 * pause);
           ask(now);
         }
       }
@@ -286,7 +286,7 @@
     leave();
     phase = Phase.RESTING;
     long mean = REST << doublings;
-    doublings = Math.min(MOST_DOUBLINGS, doublings + 1);
+    doublings = Math.min(MAX_DOUBLINGS, doublings + 1);
     until = now + mean / 2 + random.nextLong(mean);
   }
 
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -55,26 +55,26 @@
   private static final long RETELL = 500 * MILLI; // until one that was told is told again
   private static final long GRACE =
       SECOND; // for zones to tell their own, before issuers tell who lacks it
-  private static final int MOST_OWED = 64;
-  private static final int MOST_ASKED = 8;
+  private static final int MAX_OWED = 64;
+  private static final int MAX_ASKED = 8;
   private static final long ANSWER = 1_500 * MILLI; // to a question for the newest notice
   private static final int PROOFS =
       32; // checked in a second: three signatures of 0.15 ms each, 2% of a core
   private static final long REMIND_AFTER =
       600 * MILLI; // the waves have gone through a zone by then
   private static final long REMIND_AGAIN = SECOND; // doubling
-  private static final int MOST_REMIND_DOUBLINGS = 1;
+  private static final int MAX_REMIND_DOUBLINGS = 1;
   private static final int REMINDERS = 2; // a tick: 10 KB a second
   private static final long CENSUS = 250 * MILLI; // after a change
   private static final long CENSUS_AGAIN = 2 * SECOND;
   private static final long SEEK = 500 * MILLI; // until one that knows nothing asks again, doubling
-  private static final int MOST_SEEK_DOUBLINGS = 4;
+  private static final int MAX_SEEK_DOUBLINGS = 4;
   private static final int SEEKS_AFTER_STANDSTILL = 2;
   private static final int EARLY =
       8; // one of so many that start with nothing asks an issuer at once
   private static final long STANDSTILL = SECOND; // between two ticks
-  private static final int MOST_VOTES = 9;
-  private static final int MOST_NAME = 64;
+  private static final int MAX_VOTES = 9;
+  private static final int MAX_NAME = 64;
   private static final int ACKS = 4; // a second, to those that ask for them by reminding
   private static final long APPLIED = 30 * SECOND; // the host should have put it in force by then
 
@@ -262,7 +262,7 @@
    */
   private void ask(long now, Peer peer, long number) {
     if (!asked.containsKey(peer.name())
-        && asked.size() < MOST_ASKED
+        && asked.size() < MAX_ASKED
         && !neighbours.rests(now, peer.name())
         && tell(now, peer, new RevisionMessage.Want(0, 0, 0, 0))) {
       asked.put(peer.name(), new Asked(number, now + ANSWER));
@@ -279,7 +279,7 @@
     // Who tells of one has its document: the other will ask for that next.
     if (log.newest() != null
         && log.newest().document() != null
-        && owed.size() < MOST_OWED
+        && owed.size() < MAX_OWED
         && !justTold) {
       owed.put(peer.name(), peer);
     }
@@ -322,8 +322,8 @@
         && r.digest().length == Revision.HASH_BYTES
         && r.size() >= 0
         && r.size() <= Revision.MAX_DOCUMENT_BYTES
-        && r.issuer().length() <= MOST_NAME
-        && votes.size() <= MOST_VOTES;
+        && r.issuer().length() <= MAX_NAME
+        && votes.size() <= MAX_VOTES;
   }
 
   private boolean proved(Revision r, List<Vote> votes) {
@@ -533,7 +533,7 @@
       }
     }
     seeksLeft--;
-    long pause = SEEK << Math.min(seeks++, MOST_SEEK_DOUBLINGS);
+    long pause = SEEK << Math.min(seeks++, MAX_SEEK_DOUBLINGS);
     nextSeek = now + pause / 2 + random.nextLong(pause);
   }
 
@@ -585,7 +585,7 @@
     }
     int left = REMINDERS;
     for (Other o : neighbours.zone()) {
-      long pause = REMIND_AGAIN << Math.min(o.reminders, MOST_REMIND_DOUBLINGS);
+      long pause = REMIND_AGAIN << Math.min(o.reminders, MAX_REMIND_DOUBLINGS);
       boolean due =
           now - o.toldAt >= pause
               && !counting.has(o.peer.name(), newest)
--- a/decisions/src/main/java/reachloom/revision/RevisionLog.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionLog.java
@@ -22,10 +22,10 @@
   record Entry(Revision revision, long mark, List<Vote> votes, byte[] document) {}
 
   /** Bases for deltas: one who missed a burst of ten still gets a delta. */
-  private static final int MOST_REVISIONS = 16;
+  private static final int MAX_REVISIONS = 16;
 
-  private static final int MOST_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
-  private static final int MOST_FORKS = 8; // remembered; one is an alarm already
+  private static final int MAX_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
+  private static final int MAX_FORKS = 8; // remembered; one is an alarm already
 
   private final TreeMap<Long, Entry> entries = new TreeMap<>();
   private final TreeMap<Long, Revision> forks = new TreeMap<>(); // by mark
@@ -72,7 +72,7 @@
     for (Map.Entry<Long, Entry> e : List.copyOf(entries.entrySet())) {
       int bytes =
           entries.values().stream().mapToInt(h -> h.document == null ? 0 : h.document.length).sum();
-      if (entries.size() <= MOST_REVISIONS && bytes <= MOST_BYTES) {
+      if (entries.size() <= MAX_REVISIONS && bytes <= MAX_BYTES) {
         return;
       }
       long n = e.getKey();
@@ -88,7 +88,7 @@
 
   /** Notes one that contradicts what is held; whether it is a new one. */
   boolean fork(Revision r) {
-    return forks.size() < MOST_FORKS && forks.putIfAbsent(r.mark(), r) == null;
+    return forks.size() < MAX_FORKS && forks.putIfAbsent(r.mark(), r) == null;
   }
 
   /** The newest that is proved, or null. */
--- a/decisions/src/main/java/reachloom/revision/TransferQueue.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -28,10 +28,10 @@
     }
   }
 
-  private static final int MOST_ORDERS = 32; // who finds no room asks another
+  private static final int MAX_ORDERS = 32; // who finds no room asks another
   // Who has waited for so long (nanoseconds) has asked another by now.
   private static final long PATIENCE = 1_500_000_000;
-  private static final int MOST_ASKERS = 256;
+  private static final int MAX_ASKERS = 256;
   // for one asker; a document has 26, asked for again where some were lost
   private static final int PIECES_A_SECOND = 52;
   private static final int PIECES_A_TICK = 24; // where the budget bears it: 200 KB a second
@@ -44,7 +44,7 @@
    * turn.
    */
   void order(long now, Peer to, long number, long base, byte[] bytes, int from) {
-    boolean full = orders.size() >= MOST_ORDERS && !orders.containsKey(to.name());
+    boolean full = orders.size() >= MAX_ORDERS && !orders.containsKey(to.name());
     if (full || from < 0 || from >= ChunkedFetch.pieces(bytes.length)) {
       return;
     }
@@ -74,7 +74,7 @@
         if (left-- <= 0) {
           return;
         }
-        if (!askers.containsKey(o.to.name()) && askers.size() >= MOST_ASKERS) {
+        if (!askers.containsKey(o.to.name()) && askers.size() >= MAX_ASKERS) {
           askers.remove(askers.keySet().iterator().next());
         }
         TokenBucket bucket =
--- a/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
+++ b/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
@@ -14,7 +14,7 @@
   private static final double WEIGHT = 0.2; // of the newest answer, given by the design
   private static final double LEAST = 0.25; // one odd answer must not make an engine look free
   private static final double MOST = 20; // ... nor close it for good
-  private static final double LEAST_PREDICTED = 1e-3; // seconds
+  private static final double MIN_PREDICTED = 1e-3; // seconds
 
   /** Of the engines that are up and have answered: the sum of their ratios, and their number. */
   private double sum;
@@ -64,7 +64,7 @@
    */
   public void answered(Engine engine, boolean isUp, double taken, double predicted) {
     double before = of(engine);
-    double newest = taken / Math.max(predicted, LEAST_PREDICTED);
+    double newest = taken / Math.max(predicted, MIN_PREDICTED);
     double after = Math.max(LEAST, Math.min(MOST, before + WEIGHT * (newest - before)));
     if (isUp) {
       sum += engine.hasAnswered ? after - before : after;
--- a/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
+++ b/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
@@ -131,9 +131,9 @@
   void aDeadWatchIsFoundAndDialledAgainBeforeAllCountsAsTold() {
     long frame = 1_000_000_000L;
     long told = 7 * frame;
-    assertTrue(EndpointWatch.MOST_SILENCE > 2 * frame, "frames may be late");
+    assertTrue(EndpointWatch.MAX_SILENCE > 2 * frame, "frames may be late");
     assertTrue(
-        EndpointWatch.MOST_SILENCE + 3 * (EndpointWatch.DIAL_TIMEOUT + 400_000_000L) < told,
+        EndpointWatch.MAX_SILENCE + 3 * (EndpointWatch.DIAL_TIMEOUT + 400_000_000L) < told,
         "three dials may fail");
   }
 }
--- a/decisions/src/test/java/reachloom/revision/Net.java
+++ b/decisions/src/test/java/reachloom/revision/Net.java
@@ -24,7 +24,7 @@
   private static final int ISSUER_BUDGET = 400_000;
   private static final int GOSSIP = 4_096;
   private static final int HEAD = 180; // bytes of a packet without words: names, signature, UDP
-  private static final int MOST_PACKET = 700;
+  private static final int MAX_PACKET = 700;
 
   /**
    * Any signature that names the issuer and the chain is good; who lies in these tests makes up
@@ -168,7 +168,7 @@
 
     @Override
     public int maxPacketBytes() {
-      return MOST_PACKET;
+      return MAX_PACKET;
     }
 
     @Override
--- a/gateway/src/main/java/reachloom/config/GatewayConfig.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfig.java
@@ -43,7 +43,7 @@
   private static final int DEFAULT_MAX_OPEN = 20_000;
   private static final long DEFAULT_DIAL = 250 * MILLISECOND;
   private static final long DEFAULT_KEEPALIVE = 30_000 * MILLISECOND;
-  private static final int MOST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
   private static final double THOUSANDTHS = 1e3;
   private static final Pattern ADDRESS = Pattern.compile("((?:\\d{1,3}\\.){3}\\d{1,3}):(\\d{1,5})");
   private static final Pattern ENGINE = Pattern.compile("s-[0-9a-f]{8}");
@@ -278,7 +278,7 @@
   static InetSocketAddress address(String text, String key) throws ConfigException {
     Matcher m = ADDRESS.matcher(text);
     int port = m.matches() ? Integer.parseInt(m.group(2)) : 0;
-    if (port < 1 || port > MOST_PORT) {
+    if (port < 1 || port > MAX_PORT) {
       throw new ConfigException(
           key + ": '" + text + "' is not an address of the form 10.0.0.1:4100");
     }
--- a/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
@@ -36,7 +36,7 @@
  */
 final class LocalSettingsParser extends DefaultHandler {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long MOST_BYTES = 1 << 20;
+  private static final long MAX_BYTES = 1 << 20;
 
   private record Element(
       String name, int line, Map<String, String> values, List<Element> children) {
@@ -59,8 +59,8 @@
   static LocalSettings read(Path file) throws ConfigException {
     byte[] text;
     try {
-      if (Files.size(file) > MOST_BYTES) {
-        throw new ConfigException(file + ": is larger than " + MOST_BYTES + " bytes");
+      if (Files.size(file) > MAX_BYTES) {
+        throw new ConfigException(file + ": is larger than " + MAX_BYTES + " bytes");
       }
       text = Files.readAllBytes(file);
     } catch (IOException e) {
--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -185,7 +185,7 @@
     if (waiting != null) {
       loop.later(() -> settle(change.nothing())); // once it is dealt with
     }
-    awaited(EndpointWatch.MOST_SILENCE, "silent");
+    awaited(EndpointWatch.MAX_SILENCE, "silent");
     long before = watch.last();
     switch (watch.heard(change.number(), change.whole(), change.nothing())) {
       case TAKE -> news.accept(change);
@@ -234,7 +234,7 @@
             watch.asked();
             parts.clear();
             Sockets.write(s, ChangeLogDecoder.hello(watch.askAfter()));
-            awaited(EndpointWatch.MOST_SILENCE, "silent");
+            awaited(EndpointWatch.MAX_SILENCE, "silent");
           });
     }
 
--- a/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
@@ -50,25 +50,25 @@
    */
   private static final double IDLE_SHARE = 0.8;
 
-  private static final int MOST_RESULT = 48_000;
-  private static final int MOST_PAGES = 1024;
+  private static final int MAX_RESULT = 48_000;
+  private static final int MAX_PAGES = 1024;
 
   /** Bytes of results that are not whole yet, of all attempts together. */
-  private static final long MOST_GATHERED = 8L << 20;
+  private static final long MAX_GATHERED = 8L << 20;
 
-  private static final int MOST_LINKS = 8; // for each engine
+  private static final int MAX_LINKS = 8; // for each engine
 
   /**
    * An answer that has stopped for so long will not go on: an engine may pause, but hardly within
    * one.
    */
-  private static final long MOST_PARTIAL = 1_000 * MILLISECOND;
+  private static final long MAX_PARTIAL = 1_000 * MILLISECOND;
 
   /**
    * Bytes that a connection has not taken yet: past that, requests wait here, where they can be
    * ended.
    */
-  private static final int MOST_HANDED = 8 * 1024;
+  private static final int MAX_HANDED = 8 * 1024;
 
   /**
    * A request given up that its connection has not taken whole by then is kept back by ending that.
@@ -239,7 +239,7 @@
           l.waiting.remove(a);
           loop.later(() -> end(a, AttemptOutcome.NOT_SENT));
           refused = true;
-        } else if (l.session != null && l.session.getScheduledWriteBytes() <= MOST_HANDED) {
+        } else if (l.session != null && l.session.getScheduledWriteBytes() <= MAX_HANDED) {
           l.waiting.remove(a);
           ask(a);
         }
@@ -294,7 +294,7 @@
       }
     }
     boolean want = best == null || best.suspect;
-    EngineConnection dialled = want && peer.links.size() < MOST_LINKS ? dial(peer) : null;
+    EngineConnection dialled = want && peer.links.size() < MAX_LINKS ? dial(peer) : null;
     return dialled != null ? dialled : best;
   }
 
@@ -549,7 +549,7 @@
 
   /** Ends connections on which an answer has stopped half-way: nothing more can be read there. */
   void sweep() {
-    long latest = loop.now() - MOST_PARTIAL;
+    long latest = loop.now() - MAX_PARTIAL;
     table.all().stream()
         .filter(l -> l.begunAt < latest)
         .forEach(l -> spoilt(l, "an answer that stopped"));
@@ -657,7 +657,7 @@
       return; // a second copy
     }
     long count = Numbers.whole(answer.fields().get("fetches"), -1);
-    if (count < 1 || count > MOST_PAGES) {
+    if (count < 1 || count > MAX_PAGES) {
       spoilt(l, "a result of " + answer.fields().get("fetches") + " pages");
       return;
     }
@@ -684,9 +684,9 @@
     a.pages.add(body);
     a.size += body.length;
     gathered += body.length;
-    if (a.size > MOST_RESULT || !Rows.whole(body)) {
+    if (a.size > MAX_RESULT || !Rows.whole(body)) {
       spoilt(l, "a page that is not whole rows, or " + a.size + " bytes of a result");
-    } else if (gathered > MOST_GATHERED) {
+    } else if (gathered > MAX_GATHERED) {
       LOG.log(
           Level.WARNING,
           "{0} bytes of results wait for their rest: one of {1} is dropped",
--- a/gateway/src/main/java/reachloom/gateway/EventLoop.java
+++ b/gateway/src/main/java/reachloom/gateway/EventLoop.java
@@ -27,14 +27,14 @@
   private static final long LONGEST_WAIT = 1_000 * MILLISECOND;
 
   /** Bytes of messages not yet looked at; past that, reading from sockets waits. */
-  private static final int MOST_WAITING = 4 << 20;
+  private static final int MAX_WAITING = 4 << 20;
 
   private record Task(Runnable action, int bytes, boolean first) {}
 
   private final MonotonicClock clock = new MonotonicClock();
   private final DeadlineQueue deadlines = new DeadlineQueue();
   private final HandoffQueue<Task> queue = new HandoffQueue<>();
-  private final Semaphore room = new Semaphore(MOST_WAITING);
+  private final Semaphore room = new Semaphore(MAX_WAITING);
   private final ArrayDeque<Runnable> later = new ArrayDeque<>();
   private Runnable atTurnEnd = () -> {};
   private volatile boolean ended;
@@ -72,7 +72,7 @@
   }
 
   private void post(int bytes, Runnable action, boolean first) {
-    int weight = Math.min(bytes, MOST_WAITING);
+    int weight = Math.min(bytes, MAX_WAITING);
     room.acquireUninterruptibly(weight);
     queue.add(new Task(action, weight, first));
   }
@@ -93,7 +93,7 @@
 
   /** Bytes of messages that wait to be dealt with. */
   int waiting() {
-    return MOST_WAITING - room.availablePermits();
+    return MAX_WAITING - room.availablePermits();
   }
 
   /** Ends the loop after the present event. */
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -49,20 +49,20 @@
   private static final Logger LOG = System.getLogger(GatewayService.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final AttributeKey CLIENT = new AttributeKey(GatewayService.class, "client");
-  private static final int MOST_FRAME = 64 * 1024;
+  private static final int MAX_FRAME = 64 * 1024;
 
   /** Connections just accepted, or just closed, beside those in the table: a part of as many. */
   private static final int ARRIVING_PART = 8;
 
-  private static final int MOST_OPEN = 32; // requests on one connection, as the protocol says
+  private static final int MAX_OPEN = 32; // requests on one connection, as the protocol says
 
   /** Bytes of statements held; past that, requests are refused unseen. */
-  private static final long MOST_HELD = 8L << 20;
+  private static final long MAX_HELD = 8L << 20;
 
   /**
    * Bytes of answers that clients have not taken yet, of all and of one that others would wait for.
    */
-  private static final long MOST_UNSENT = 8L << 20;
+  private static final long MAX_UNSENT = 8L << 20;
 
   /**
    * Time-outs come so long before the client stops waiting, or a part of its time where that is
@@ -83,13 +83,13 @@
    * Clients that stay silent, or stop within a message, are closed after so long: they hold
    * descriptors.
    */
-  private static final long MOST_SILENCE = 2_000 * MILLISECOND;
+  private static final long MAX_SILENCE = 2_000 * MILLISECOND;
 
   /**
    * Clients close idle connections after 4 s by themselves; one that is idle for longer only holds
    * on. Where an installation's clients keep theirs, its settings say for how long.
    */
-  private static final long MOST_IDLE = 10_000 * MILLISECOND;
+  private static final long MAX_IDLE = 10_000 * MILLISECOND;
 
   /**
    * The first message of a client that means to ask is here by then, also where this process is
@@ -113,7 +113,7 @@
   private long heldBytes;
   private final AtomicLong unsent = new AtomicLong();
   private boolean good;
-  private long mostIdle = MOST_IDLE;
+  private long mostIdle = MAX_IDLE;
 
   /** No more clients are taken; some may have come up that the loop has not heard of. */
   private boolean closed;
@@ -214,7 +214,7 @@
    * setting.
    */
   public void clientIdleTimeout(OptionalLong time) {
-    mostIdle = time.orElse(MOST_IDLE);
+    mostIdle = time.orElse(MAX_IDLE);
   }
 
   /** What {@code check} answers from now on. */
@@ -316,7 +316,7 @@
   // ---- Clients ----
 
   private static final class CallDecoder implements Decoder<ClientCall> {
-    private final FrameDecoder frames = new FrameDecoder(1, MOST_FRAME);
+    private final FrameDecoder frames = new FrameDecoder(1, MAX_FRAME);
     private String fault;
 
     @Override
@@ -445,7 +445,7 @@
   }
 
   private ClientConnection overdue(long now) {
-    return clients.overdue(now - MOST_SILENCE, now - mostIdle);
+    return clients.overdue(now - MAX_SILENCE, now - mostIdle);
   }
 
   /**
@@ -538,7 +538,7 @@
             call.seq(),
             at,
             deadline);
-    boolean room = c.open.size() < MOST_OPEN && heldBytes + statement.array().length <= MOST_HELD;
+    boolean room = c.open.size() < MAX_OPEN && heldBytes + statement.array().length <= MAX_HELD;
     r.handle = room ? requests.add(r) : GenerationalSlots.NONE;
     if (r.handle == GenerationalSlots.NONE) {
       LOG.log(
@@ -638,8 +638,8 @@
   private void write(ClientConnection c, ByteBuffer bytes) {
     clients.touch(c, loop.now());
     int size = bytes.remaining();
-    boolean full = unsent.get() + size > MOST_UNSENT;
-    if (full && c.session.getScheduledWriteBytes() > MOST_UNSENT / clients.size()) {
+    boolean full = unsent.get() + size > MAX_UNSENT;
+    if (full && c.session.getScheduledWriteBytes() > MAX_UNSENT / clients.size()) {
       LOG.log(
           Level.WARNING,
           "client {0} does not take its answers; its connection is closed",
--- a/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
+++ b/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
@@ -29,7 +29,7 @@
    * A wake-up for nothing may have been meant for what was taken since; more tell of a wait that
    * fails.
    */
-  private static final int MOST_EMPTY = 3;
+  private static final int MAX_EMPTY = 3;
 
   private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
   private final AtomicInteger size = new AtomicInteger();
@@ -99,7 +99,7 @@
         if (thing != null || left <= 0) {
           return thing;
         }
-        if (empty < MOST_EMPTY) {
+        if (empty < MAX_EMPTY) {
           waiting.park(left);
         } else {
           waiting.sleep(); // a wait of another kind, which lets any other thread run
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
@@ -15,7 +15,7 @@
   private static final long SPAN = 1_000_000_000; // nanoseconds
 
   /** Lines of one class in a span: a flood of faults must not flood the log, nor cost its CPU. */
-  private static final int MOST_LINES = 10;
+  private static final int MAX_LINES = 10;
 
   @Override
   public System.Logger getLogger(String name, Module module) {
@@ -65,14 +65,14 @@
     private synchronized boolean room() {
       long now = System.nanoTime();
       if (now - spanFrom >= SPAN) {
-        int left = lines - MOST_LINES;
+        int left = lines - MAX_LINES;
         spanFrom = now;
         lines = 0;
         if (left > 0) {
           write(Level.WARNING, left + " more lines were left out", null);
         }
       }
-      return ++lines <= MOST_LINES;
+      return ++lines <= MAX_LINES;
     }
 
     private void write(Level level, String message, Throwable thrown) {
--- a/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
@@ -16,7 +16,7 @@
 public final class ChangeLogDecoder implements Decoder<EndpointListEvent> {
   private static final int HEAD = Long.BYTES + 1;
   private static final int RECORD = 27;
-  private static final int MOST_RECORDS = 16_384;
+  private static final int MAX_RECORDS = 16_384;
   private static final int NOTHING = 0;
   private static final int WHOLE = 1;
   private static final int CHANGES = 2;
@@ -24,7 +24,7 @@
   private static final int LOW_SHORT = 0xffff;
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  private final FrameDecoder frames = new FrameDecoder(HEAD, HEAD + RECORD * MOST_RECORDS);
+  private final FrameDecoder frames = new FrameDecoder(HEAD, HEAD + RECORD * MAX_RECORDS);
   private final int zones;
   private final int kinds;
   private String fault;
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -10,8 +10,8 @@
  * Answers of engines: a line {@code ID WORD FIELDS LENGTH}, so many bytes, and the end of a line.
  */
 public final class EngineResponseDecoder implements Decoder<EngineResponse> {
-  private static final int MOST_LINE = 4096;
-  private static final int MOST_BODY = 6_000; // a page, as the protocol says
+  private static final int MAX_LINE = 4096;
+  private static final int MAX_BODY = 6_000; // a page, as the protocol says
   private static final int FIRST_LINE = 128;
   private static final int WORDS = 4;
   private static final byte[] NOTHING = new byte[0];
@@ -66,11 +66,11 @@
 
   private String lineByte(byte b) {
     if (b != '\n') {
-      if (lineLength == MOST_LINE) {
+      if (lineLength == MAX_LINE) {
         return "a line without end";
       }
       if (lineLength == line.length) {
-        line = Arrays.copyOf(line, Math.min(MOST_LINE, 2 * lineLength));
+        line = Arrays.copyOf(line, Math.min(MAX_LINE, 2 * lineLength));
       }
       line[lineLength++] = b;
       return null;
@@ -108,7 +108,7 @@
 
   private static int length(String text) {
     long read = Numbers.whole(text, -1);
-    return read >= 0 && read <= MOST_BODY ? (int) read : -1;
+    return read >= 0 && read <= MAX_BODY ? (int) read : -1;
   }
 
   private static Map<String, String> fields(String text) {
--- a/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
@@ -2,13 +2,13 @@
 
 /** Numbers in texts of others: what can't be read is a value, not an exception. */
 public final class Numbers {
-  private static final int MOST_DIGITS = 18;
+  private static final int MAX_DIGITS = 18;
 
   private Numbers() {}
 
   /** A whole number from 0 up in plain digits, else the given value. */
   public static long whole(String text, long otherwise) {
-    if (text == null || text.isEmpty() || text.length() > MOST_DIGITS) {
+    if (text == null || text.isEmpty() || text.length() > MAX_DIGITS) {
       return otherwise;
     }
     long read = 0;
@@ -24,7 +24,7 @@
 
   /** A finite number, else the given value. */
   public static double real(String text, double otherwise) {
-    if (text == null || text.length() > 2 * MOST_DIGITS) {
+    if (text == null || text.length() > 2 * MAX_DIGITS) {
       return otherwise;
     }
     try {
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -30,12 +30,12 @@
 /** All sockets of a gateway, served by Apache MINA with one thread that reads and writes. */
 public final class Sockets {
   private static final int BACKLOG = 512;
-  private static final int LEAST_READ = 512;
+  private static final int MIN_READ = 512;
   private static final int FIRST_READ = 2048;
-  private static final int MOST_READ = 16 * 1024;
+  private static final int MAX_READ = 16 * 1024;
 
   /** Bytes that are read from a connection in one go where so much is there. */
-  private static final int MOST_AT_ONCE = 256 * 1024;
+  private static final int MAX_AT_ONCE = 256 * 1024;
 
   private static final long CONNECT_CHECK_MS = 50;
   private static final long FULL_PAUSE_MS = 2;
@@ -99,7 +99,7 @@
       }
       if (read == END_OF_STREAM) {
         session.setAttribute(ENDED);
-      } else if (!buffer.hasRemaining() && buffer.capacity() < MOST_AT_ONCE) {
+      } else if (!buffer.hasRemaining() && buffer.capacity() < MAX_AT_ONCE) {
         buffer.expand(buffer.capacity()); // the library goes on while there is room
       }
       return read;
@@ -236,9 +236,9 @@
 
   private static void configure(SocketSessionConfig config) {
     config.setTcpNoDelay(true);
-    config.setMinReadBufferSize(LEAST_READ);
+    config.setMinReadBufferSize(MIN_READ);
     config.setReadBufferSize(FIRST_READ);
-    config.setMaxReadBufferSize(MOST_READ);
+    config.setMaxReadBufferSize(MAX_READ);
     // The library measures it on the wall clock, and ends all that wait to write once that goes
     // forward.
     // Who takes nothing is ended by bounds of the gateway: on unsent answers and on rest.
--- a/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
@@ -54,8 +54,8 @@
           "having",
           "returning");
   private static final String STAGING = "staging";
-  private static final int MOST_DIGITS = 9;
-  private static final int MOST_DEPTH = 256;
+  private static final int MAX_DIGITS = 9;
+  private static final int MAX_DEPTH = 256;
 
   private final byte[] text;
   private final int end;
@@ -113,7 +113,7 @@
                 && !NOT_FUNCTIONS.contains(before)
                 && !TABLE_WORDS.contains(before)
                 && !wanted;
-        if (functions.size() >= MOST_DEPTH) {
+        if (functions.size() >= MAX_DEPTH) {
           return fallback;
         }
         functions.push(function);
@@ -218,7 +218,7 @@
     String schema = parts.get(parts.size() - 2);
     int underscore = schema.lastIndexOf('_');
     String digits = schema.substring(underscore + 1);
-    if (underscore < 0 || digits.length() > MOST_DIGITS || schema.equalsIgnoreCase(STAGING)) {
+    if (underscore < 0 || digits.length() > MAX_DIGITS || schema.equalsIgnoreCase(STAGING)) {
       return NONE;
     }
     return (int) Numbers.whole(digits, NONE);
--- a/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
@@ -24,9 +24,9 @@
   static final int SET = 14;
   static final int LIST = 15;
 
-  private static final int MOST_NESTING = 32;
-  private static final int MOST_NAME = 64;
-  private static final int MOST_FIELDS = 64;
+  private static final int MAX_NESTING = 32;
+  private static final int MAX_NAME = 64;
+  private static final int MAX_FIELDS = 64;
   private static final int LOW_BYTE = 0xff;
 
   private final byte[] frame;
@@ -122,7 +122,7 @@
     int values = u8();
     int size = i32();
     boolean texts = keys == STRING && values == STRING;
-    if (size != 0 && !texts || size > MOST_FIELDS) {
+    if (size != 0 && !texts || size > MAX_FIELDS) {
       skipPairs(keys, values, size, 0);
       return null;
     }
@@ -135,7 +135,7 @@
   }
 
   private void skip(int type, int depth) {
-    if (depth > MOST_NESTING) {
+    if (depth > MAX_NESTING) {
       fault = "nested too deeply";
     }
     if (fault != null) {
@@ -181,7 +181,7 @@
 
   private String name() {
     Bytes name = binary();
-    if (fault == null && name.length() > MOST_NAME) {
+    if (fault == null && name.length() > MAX_NAME) {
       fault = "a method name of " + name.length() + " bytes";
     }
     return fault == null ? name.text() : "";
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
@@ -27,7 +27,7 @@
  */
 final class DatagramTransport {
   private static final Logger LOG = System.getLogger(DatagramTransport.class.getName());
-  private static final int MOST_OUT = 256; // datagrams that wait to be signed
+  private static final int MAX_OUT = 256; // datagrams that wait to be signed
   private static final int SOCKET_BUFFER = 256 * 1024;
 
   private record Out(long address, byte[] unsigned) {}
@@ -38,7 +38,7 @@
   private final DatagramVerifier doorway;
   private final LongSupplier clock;
   private final Consumer<DatagramVerifier.Entered> entered;
-  private final ArrayBlockingQueue<Out> out = new ArrayBlockingQueue<>(MOST_OUT);
+  private final ArrayBlockingQueue<Out> out = new ArrayBlockingQueue<>(MAX_OUT);
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicLong sent = new AtomicLong();
   private final AtomicLong sentBytes = new AtomicLong();
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -21,7 +21,7 @@
  */
 final class DatagramVerifier {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final int MOST_KNOWN = 2_048;
+  private static final int MAX_KNOWN = 2_048;
 
   /** What has come whole and proved; {@code timeMs} is its sender's Unix time in milliseconds. */
   record Entered(Packet packet, int knows, long source, long timeMs) {}
@@ -183,7 +183,7 @@
 
   private void keep(String sender, X509Certificate c) {
     synchronized (known) {
-      if (known.size() >= MOST_KNOWN) {
+      if (known.size() >= MAX_KNOWN) {
         known.remove(known.keySet().iterator().next());
       }
       known.put(sender, c);
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -41,7 +41,7 @@
   private static final Logger LOG = System.getLogger(GossipNode.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final int PAGE = 900; // bytes of a page of status
-  private static final int MOST_PAGES = 200;
+  private static final int MAX_PAGES = 200;
 
   /** What went through the port so far; bytes count what IP and UDP add. */
   public record Traffic(long sent, long sentBytes, long received, long receivedBytes) {}
@@ -340,7 +340,7 @@
       page.append(line).append('\n');
     }
     pages.add(page.toString());
-    return pages.subList(0, Math.min(MOST_PAGES, pages.size()));
+    return pages.subList(0, Math.min(MAX_PAGES, pages.size()));
   }
 
   private static boolean valid(X509Certificate c) {
--- a/gateway/src/main/java/reachloom/gossip/net/Pem.java
+++ b/gateway/src/main/java/reachloom/gossip/net/Pem.java
@@ -11,15 +11,15 @@
 
 /** Files in PEM (RFC 7468), as keys and certificates are kept. */
 public final class Pem {
-  private static final int MOST_BYTES = 64 * 1024;
+  private static final int MAX_BYTES = 64 * 1024;
   private static final int COLUMNS = 64;
 
   private Pem() {}
 
   /** The bytes of the first block of that label. */
   public static byte[] read(Path file, String label) throws IOException {
-    if (Files.size(file) > MOST_BYTES) {
-      throw new IOException(file + ": is larger than " + MOST_BYTES + " bytes");
+    if (Files.size(file) > MAX_BYTES) {
+      throw new IOException(file + ": is larger than " + MAX_BYTES + " bytes");
     }
     String text = Files.readString(file, StandardCharsets.US_ASCII);
     String begin = "-----BEGIN " + label + "-----";
--- a/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
@@ -50,8 +50,8 @@
   private static final byte CLAIMS = 3;
   private static final byte WORDS = 4;
   private static final byte PLACE = 5;
-  private static final int MOST_NAME = 32;
-  private static final int MOST_COUNT = 0xffff;
+  private static final int MAX_NAME = 32;
+  private static final int MAX_COUNT = 0xffff;
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
   /** Bytes that can't be read, with the reason as it is counted. */
@@ -266,7 +266,7 @@
   }
 
   private static short count(int value) {
-    return (short) Math.min(MOST_COUNT, value);
+    return (short) Math.min(MAX_COUNT, value);
   }
 
   // ---- In ----
@@ -360,7 +360,7 @@
   }
 
   private static String shortText(ByteBuffer in) {
-    if (!in.hasRemaining() || Byte.toUnsignedInt(in.get(in.position())) > MOST_NAME) {
+    if (!in.hasRemaining() || Byte.toUnsignedInt(in.get(in.position())) > MAX_NAME) {
       throw new BufferUnderflowException();
     }
     return text(in);
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
@@ -23,8 +23,8 @@
   private static final int HEAD = 2 + 1;
   private static final int FIXED =
       Long.BYTES + 2 * Revision.HASH_BYTES + Integer.BYTES + Long.BYTES;
-  private static final int MOST_VOTES = 9;
-  private static final int MOST_LACKING = 32;
+  private static final int MAX_VOTES = 9;
+  private static final int MAX_LACKING = 32;
 
   private RevisionMessageCodec() {}
 
@@ -232,7 +232,7 @@
 
   private static List<Vote> votes(ByteBuffer in) {
     int count = Byte.toUnsignedInt(in.get());
-    if (count > MOST_VOTES) {
+    if (count > MAX_VOTES) {
       throw new BufferUnderflowException();
     }
     List<Vote> read = new ArrayList<>();
@@ -263,7 +263,7 @@
     int refused = Short.toUnsignedInt(in.getShort());
     long longest = Integer.toUnsignedLong(in.getInt());
     int count = Byte.toUnsignedInt(in.get());
-    if (count > MOST_LACKING) {
+    if (count > MAX_LACKING) {
       throw new BufferUnderflowException();
     }
     List<String> lacking = new ArrayList<>();
--- a/gateway/src/main/java/reachloom/revision/net/FileStore.java
+++ b/gateway/src/main/java/reachloom/revision/net/FileStore.java
@@ -42,10 +42,10 @@
   private static final String NEXT = "issuer.state.next";
   private static final String LOCK = "issuer.lock";
   private static final int SUM = 32; // bytes of a SHA-256
-  private static final int MOST_SIGNATURE = 256; // bytes
+  private static final int MAX_SIGNATURE = 256; // bytes
 
   /** Two documents, two revisions and all votes, with room to spare. */
-  private static final int MOST_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
+  private static final int MAX_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
 
   private final Path folder;
   private final Path file;
@@ -224,8 +224,8 @@
 
   private State read() throws ConfigException {
     try {
-      if (Files.size(file) > MOST_BYTES) {
-        throw broken("is larger than " + MOST_BYTES + " bytes");
+      if (Files.size(file) > MAX_BYTES) {
+        throw broken("is larger than " + MAX_BYTES + " bytes");
       }
       byte[] all = Files.readAllBytes(file);
       int length = all.length - SUM;
@@ -268,7 +268,7 @@
       throw broken("names " + count + " votes");
     }
     for (int i = 0; i < count; i++) {
-      votes.add(new Vote(in.readUTF(), block(in, MOST_SIGNATURE)));
+      votes.add(new Vote(in.readUTF(), block(in, MAX_SIGNATURE)));
     }
     byte[] document = block(in, Revision.MAX_DOCUMENT_BYTES);
     long from = in.readLong();
--- a/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
+++ b/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
@@ -17,7 +17,7 @@
  */
 public record RolloutStatus(
     long number, int members, int inForce, int refused, List<String> lacking, long longest) {
-  private static final int MOST_NAMED = 50;
+  private static final int MAX_NAMED = 50;
 
   /** The sum over all places; {@code present} is how many members are seen at each. */
   static RolloutStatus of(
@@ -50,7 +50,7 @@
         members,
         inForce,
         refused,
-        lacking.stream().sorted().limit(MOST_NAMED).toList(),
+        lacking.stream().sorted().limit(MAX_NAMED).toList(),
         longest);
   }
 
--- a/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
@@ -35,7 +35,7 @@
 
   private static final long NEVER = Long.MIN_VALUE;
   private static final int AT_ONCE = 16; // files of one look
-  private static final int MOST_RESULTS = 256;
+  private static final int MAX_RESULTS = 256;
   private static final String DOCUMENT = ".json";
   private static final String RESULT = ".result";
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -57,7 +57,7 @@
     taken = Files.createDirectories(folder.resolve("taken"));
     outbox = Files.createDirectories(folder.resolve("outbox"));
     status = folder.resolve("status.json");
-    for (Path f : list(taken, DOCUMENT, MOST_RESULTS)) {
+    for (Path f : list(taken, DOCUMENT, MAX_RESULTS)) {
       result(
           name(f),
           "RESTARTED",
@@ -156,7 +156,7 @@
             .put("last", last);
     try {
       List<Path> old = list(outbox, RESULT, Integer.MAX_VALUE);
-      for (int i = 0; i <= old.size() - MOST_RESULTS; i++) {
+      for (int i = 0; i <= old.size() - MAX_RESULTS; i++) {
         Files.deleteIfExists(old.get(i));
       }
       replace(outbox.resolve(name + RESULT), o.toString());
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -21,7 +21,7 @@
 
 /** Carries shared evidence over the simulator's messages between instances; decides nothing. */
 final class PeerReportExchange {
-  private static final int MOST_BYTES = 256; // of a message, as the wire has it
+  private static final int MAX_BYTES = 256; // of a message, as the wire has it
   private static final int CLAIM = 4 + 2 + 2 + 2; // bytes: engine, failed, lost, age
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long REVIEW = 250 * MILLISECOND;
@@ -117,8 +117,8 @@
   }
 
   private byte[] message(long now) {
-    ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-    for (PeerReport c : ledger.tell(now, MOST_BYTES / CLAIM)) {
+    ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
+    for (PeerReport c : ledger.tell(now, MAX_BYTES / CLAIM)) {
       if (c.served() == 0) { // trouble alone is worth its price
         out.putInt(mark(c.engine(), c.since()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.failed()))
--- a/gateway/src/main/java/reachloom/time/MonotonicClock.java
+++ b/gateway/src/main/java/reachloom/time/MonotonicClock.java
@@ -9,7 +9,7 @@
  * it is off by as much from other machines' time for as long as the process lives.
  */
 public final class MonotonicClock {
-  private static final long LEAST_STEP =
+  private static final long MIN_STEP =
       100_000_000; // nanoseconds; less is the time between two readings
 
   /** One for the whole process, so that times of different clocks in it can be compared. */
@@ -49,7 +49,7 @@
   public synchronized long wallClockStep() {
     long offset = wall.getAsLong() - now();
     long step = offset - lastOffset;
-    if (Math.abs(step) < LEAST_STEP) {
+    if (Math.abs(step) < MIN_STEP) {
       return 0;
     }
     lastOffset = offset;
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfClientsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersOfClientsTest.java
@@ -45,12 +45,12 @@
 @Timeout(60)
 class OrdersOfClientsTest {
   private static final long MILLISECOND = 1_000_000;
-  private static final int MOST_OPEN = 32;
+  private static final int MAX_OPEN = 32;
 
   /** Within so long after a client's going an attempt may still begin, by the rules. */
   private static final long LATEST = 100 * MILLISECOND;
 
-  private static final int MOST_ROUNDS = 20;
+  private static final int MAX_ROUNDS = 20;
   private static final String HELD = "once";
   private static final String LONG = "select '" + "x".repeat(1_000) + "'";
 
@@ -138,11 +138,11 @@
     int floods = 0;
     // A busy machine may come late to all of it; a gateway that begins what has gone does so each
     // time.
-    for (int round = 0; round < MOST_ROUNDS && best > LATEST; round++) {
+    for (int round = 0; round < MAX_ROUNDS && best > LATEST; round++) {
       List<Long> goneAt = new ArrayList<>();
       int first = floods;
       for (int i = 0; i < 8; i++) {
-        goneAt.add(flood(floods++, reset, 2 * MOST_OPEN)); // half of it is refused
+        goneAt.add(flood(floods++, reset, 2 * MAX_OPEN)); // half of it is refused
       }
       gateway.allHasBeenDealtWith(); // another client's words, sent after the last one had gone
       await(() -> gateway.held("clients") == 1); // and all that goings are read behind
@@ -193,7 +193,7 @@
         });
     gateway.awaitFull();
     for (int i = 0; i < 8; i++) {
-      flood(i, false, MOST_OPEN / 2); // no more than the system takes at once
+      flood(i, false, MAX_OPEN / 2); // no more than the system takes at once
     }
     go.countDown();
     filled.get();
@@ -266,7 +266,7 @@
       Map<Integer, Reply> replies = replies(c, 40);
       long served = replies.values().stream().filter(r -> r.body().equals(NodeStandIn.ROW)).count();
       long refused = replies.values().stream().filter(r -> r.kind().equals("BUSY")).count();
-      assertTrue(served >= MOST_OPEN, served + " served");
+      assertTrue(served >= MAX_OPEN, served + " served");
       assertEquals(
           40, served + refused, "those that there was no room for are refused, and nothing else");
       piece.reset();
@@ -318,10 +318,10 @@
       slow.setReceiveBufferSize(4 * 1024); // so that little is on its way unread
       slow.connect(gateway.config.listen());
       slow.setSoTimeout(15_000);
-      int asked = 4 * MOST_OPEN; // more bytes of answers than the system holds for a connection
+      int asked = 4 * MAX_OPEN; // more bytes of answers than the system holds for a connection
       for (int i = 1; i <= asked; i++) {
         slow.getOutputStream().write(execute(i, String.format("%016x", i), "quick", "select 1"));
-        if (i % MOST_OPEN == 0) {
+        if (i % MAX_OPEN == 0) {
           int served = i;
           await(() -> engine.count("FREE") == served); // and none is read
         }
@@ -410,12 +410,12 @@
       for (int i = 0; i < 8; i++) {
         ThriftClient c = new ThriftClient(process.listen);
         clients.add(c);
-        for (int k = 0; k < MOST_OPEN; k++) {
+        for (int k = 0; k < MAX_OPEN; k++) {
           c.execute("select 1", "limit", "20000");
         }
       }
       for (ThriftClient c : clients) {
-        for (int k = 0; k < MOST_OPEN; k++) {
+        for (int k = 0; k < MAX_OPEN; k++) {
           assertEquals("ANSWER", c.reply().kind(), "no early refusal");
         }
         assertTrue(c.check());
--- a/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
+++ b/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
@@ -19,8 +19,8 @@
 /** Measures gossip: crashes, joins, loss, liars and sick engines. */
 public final class GossipCommand implements Command {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final int MOST_VIRTUAL_ENGINES = 1_000;
-  private static final int MOST_ENGINES = 200; // on sockets: each is a listener in this process
+  private static final int MAX_VIRTUAL_ENGINES = 1_000;
+  private static final int MAX_ENGINES = 200; // on sockets: each is a listener in this process
 
   @Override
   public String purpose() {
@@ -70,9 +70,9 @@
     }
     int instances = Arguments.number(line, "instances", 8, 4, 1_000);
     if (mode.equals("sockets")) {
-      return sockets(line, Arguments.number(line, "engines", 0, 0, MOST_ENGINES));
+      return sockets(line, Arguments.number(line, "engines", 0, 0, MAX_ENGINES));
     }
-    int engines = Arguments.number(line, "engines", 0, 0, MOST_VIRTUAL_ENGINES);
+    int engines = Arguments.number(line, "engines", 0, 0, MAX_VIRTUAL_ENGINES);
     Plan plan =
         new Plan(
             instances,
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
@@ -135,7 +135,7 @@
   private List<PeerReport> claims(List<String> engines, String target, long now) {
     List<PeerReport> told = new ArrayList<>();
     boolean odd = now / (2 * SECOND) % 2 == 1;
-    for (String e : engines.subList(0, Math.min(engines.size(), MOST_CLAIMS))) {
+    for (String e : engines.subList(0, Math.min(engines.size(), MAX_CLAIMS))) {
       boolean bad =
           switch (plan.lie) {
             case ONE -> e.equals(target);
@@ -152,7 +152,7 @@
     return told;
   }
 
-  private static final int MOST_CLAIMS = 16;
+  private static final int MAX_CLAIMS = 16;
 
   private void sicken(VirtualService service) {
     for (int i = 0; service != null && i < plan.sick; i++) {
--- a/lab/src/main/java/reachloom/lab/rig/Clients.java
+++ b/lab/src/main/java/reachloom/lab/rig/Clients.java
@@ -23,8 +23,8 @@
  * Clients of the fleet: they send each query when it is due, whatever has become of those before.
  */
 final class Clients implements AutoCloseable {
-  private static final int MOST_OPEN = 32; // on one connection, as the protocol says
-  private static final int MOST_FRAME = 64 * 1024;
+  private static final int MAX_OPEN = 32; // on one connection, as the protocol says
+  private static final int MAX_FRAME = 64 * 1024;
   private static final int SOCKET_THREADS = 2;
 
   /** A query that crosses the end of its connection within this time is sent again, once. */
@@ -77,7 +77,7 @@
     this.killed = killed;
     connector.getSessionConfig().setTcpNoDelay(true);
     connector.setHandler(
-        new DecodingHandler<>("gateway", () -> new FrameDecoder(1, MOST_FRAME), new Heard()));
+        new DecodingHandler<>("gateway", () -> new FrameDecoder(1, MAX_FRAME), new Heard()));
   }
 
   /** The statement of a query: what it needs stands in a comment, which only engines read. */
@@ -126,7 +126,7 @@
   private void put(Asked q, int gateway) {
     List<Conn> of = conns.computeIfAbsent(gateway, g -> new ArrayList<>());
     of.removeIf(c -> c.over);
-    Conn free = of.stream().filter(c -> c.open.size() < MOST_OPEN).findFirst().orElse(null);
+    Conn free = of.stream().filter(c -> c.open.size() < MAX_OPEN).findFirst().orElse(null);
     if (free == null) {
       free = new Conn(gateway);
       of.add(free);
--- a/lab/src/main/java/reachloom/lab/rig/Conditions.java
+++ b/lab/src/main/java/reachloom/lab/rig/Conditions.java
@@ -19,7 +19,7 @@
 
   static final long GRACE = 500 * Plan.MILLISECOND;
   static final long KEY_WINDOW = 12 * Plan.SECOND;
-  static final int MOST_ATTEMPTS = 5;
+  static final int MAX_ATTEMPTS = 5;
   static final long LOOK_BACK = 10 * Plan.SECOND;
   static final double EXTRA_FREE = 20;
   static final double EXTRA_PER_QUERY = 0.5;
@@ -65,7 +65,7 @@
     special.putArray("cpuOfKind").add(Plan.SMALL_CORES).add(Plan.LARGE_CORES);
     special.putArray("ramOfKindMb").add(16_384).add(32_768);
     root.putObject("limits")
-        .put("maxAttempts", MOST_ATTEMPTS)
+        .put("maxAttempts", MAX_ATTEMPTS)
         .put("mayCancel", true)
         .put("probes", true)
         .put("dialTimeout", DIAL)
--- a/lab/src/main/java/reachloom/lab/rig/EngineCommandDecoder.java
+++ b/lab/src/main/java/reachloom/lab/rig/EngineCommandDecoder.java
@@ -10,8 +10,8 @@
  * says.
  */
 public final class EngineCommandDecoder implements Decoder<EngineCommand> {
-  private static final int MOST_LINE = 4096;
-  private static final int MOST_BODY = 64 * 1024;
+  private static final int MAX_LINE = 4096;
+  private static final int MAX_BODY = 64 * 1024;
   private static final int LINE_END = 2;
 
   private final ByteArrayOutputStream part = new ByteArrayOutputStream();
@@ -42,7 +42,7 @@
       byte b = bytes[at++];
       if (b != '\n') {
         part.write(b);
-        if (part.size() > MOST_LINE) {
+        if (part.size() > MAX_LINE) {
           return "a line without end";
         }
         continue;
@@ -56,7 +56,7 @@
       if (words[0].equals("ASK")) {
         int length =
             words.length == 4 && words[3].matches("\\d{1,6}") ? Integer.parseInt(words[3]) : -1;
-        if (length < 0 || length > MOST_BODY) {
+        if (length < 0 || length > MAX_BODY) {
           return "a request of no length";
         }
         ask = words;
--- a/lab/src/main/java/reachloom/lab/rig/Truth.java
+++ b/lab/src/main/java/reachloom/lab/rig/Truth.java
@@ -19,7 +19,7 @@
   /** Each time limit is so much longer, as the platform's protocol allows. */
   private static final long SLACK = 50 * Plan.MILLISECOND;
 
-  private static final int MOST_TOLD = 20;
+  private static final int MAX_TOLD = 20;
   private static final long LONGEST_MICROS = 60_000_000;
 
   /** How a query ended for its client. */
@@ -354,7 +354,7 @@
   }
 
   private void broken(String rule, long who) {
-    if (broken.merge(rule, 1, Integer::sum) == 1 && brokenFirst.size() < MOST_TOLD) {
+    if (broken.merge(rule, 1, Integer::sum) == 1 && brokenFirst.size() < MAX_TOLD) {
       brokenFirst.add(
           String.format("%s: first at %.3f s, %x", rule, (world.time.now() - start) / 1e9, who));
     }
--- a/lab/src/main/java/reachloom/lab/rig/Workload.java
+++ b/lab/src/main/java/reachloom/lab/rig/Workload.java
@@ -11,7 +11,7 @@
 public final class Workload {
   private static final long SECOND = Plan.SECOND;
   private static final int KEYS = 5_000;
-  private static final double MOST_WORK = 6; // means
+  private static final double MAX_WORK = 6; // means
 
   /** A class of queries; times in nanoseconds, work in core-seconds. */
   public record Kind(
@@ -109,7 +109,7 @@
       left -= KINDS.get(++kind).share;
     }
     Kind of = KINDS.get(kind);
-    double work = Math.min(MOST_WORK, -Math.log(1 - random.nextDouble())) * of.work;
+    double work = Math.min(MAX_WORK, -Math.log(1 - random.nextDouble())) * of.work;
     int key = random.nextInt(KEYS);
     return new Arrival(
         ++count, (long) nextAt, gateway, kind, work, of.effect.equals("by_key") ? key : -1);
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
@@ -153,7 +153,7 @@
   private void see() {
     for (due += rate * SEE / 1e9; due >= 1; due--) {
       if (!first.isEmpty()) {
-        gossip.ended(first.get(random.nextInt(first.size())), AttemptOutcome.SERVED, true);
+        gossip.onAttemptEnded(first.get(random.nextInt(first.size())), AttemptOutcome.SERVED, true);
       }
     }
     loop.deadlines().add(loop.now() + SEE, this::see);
--- a/lab/src/main/java/reachloom/lab/scale/Meters.java
+++ b/lab/src/main/java/reachloom/lab/scale/Meters.java
@@ -11,15 +11,15 @@
  * it runs on. Samples are a second long and count between the first query and the last.
  */
 final class Meters {
-  private static final double MOST_MEMORY_MB = 12 * 1024;
-  private static final int MOST_PROCESSES = 300;
+  private static final double MAX_MEMORY_MB = 12 * 1024;
+  private static final int MAX_PROCESSES = 300;
 
   /**
    * Clients, or what the rig does each 100 ms, may come so late; beyond, times are those of the
    * machine's own queue. That it is busy alone makes no run void: the figure of its idle time says
    * so.
    */
-  private static final long MOST_LATE_MS = 1_000;
+  private static final long MAX_LATE_MS = 1_000;
 
   private static final class Gateway {
     private long processor;
@@ -234,16 +234,16 @@
     if (!Integer.valueOf(size.gateways()).equals(figures.get("gateways_ready"))) {
       why.add(figures.get("gateways_ready") + " of " + size.gateways() + " gateways were ready");
     }
-    if (memory > MOST_MEMORY_MB) {
+    if (memory > MAX_MEMORY_MB) {
       why.add("more than 12 GB of memory");
     }
-    if (processes > MOST_PROCESSES) {
-      why.add("more than " + MOST_PROCESSES + " processes");
+    if (processes > MAX_PROCESSES) {
+      why.add("more than " + MAX_PROCESSES + " processes");
     }
-    if (lag > MOST_LATE_MS) {
+    if (lag > MAX_LATE_MS) {
       why.add("a process with hollow gateways was " + lag + " ms late");
     }
-    if (((Number) figures.get("clients_late_ms")).longValue() > MOST_LATE_MS) {
+    if (((Number) figures.get("clients_late_ms")).longValue() > MAX_LATE_MS) {
       why.add("clients were " + figures.get("clients_late_ms") + " ms late");
     }
     return why;
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -39,7 +39,7 @@
   private static final String OPERATOR = "operator";
 
   /** Among more than so many an answer to an operator is too long to be asked for in a run. */
-  private static final int MOST_ASKED = 8;
+  private static final int MAX_ASKED = 8;
 
   private static final Pattern TRAFFIC =
       Pattern.compile("bytes sent (\\d+) .* sent (\\d+), received (\\d+) of (\\d+) bytes");
@@ -55,7 +55,7 @@
    * The longest wait for a change log, its dial and the list, with as much again on a busy machine.
    */
   private static final long REDIAL =
-      2 * (EndpointWatch.MOST_SILENCE / 2 + EndpointWatch.DIAL_TIMEOUT);
+      2 * (EndpointWatch.MAX_SILENCE / 2 + EndpointWatch.DIAL_TIMEOUT);
 
   private static final long PATIENCE_MS = 20_000;
 
@@ -438,7 +438,7 @@
 
   /** What each gateway tells an operator of its gossip, real or hollow. */
   private void askAll(Map<Integer, Meters.Count> to) {
-    for (int g = 0; g < size.gateways && size.gossip && size.gateways <= MOST_ASKED; g++) {
+    for (int g = 0; g < size.gateways && size.gossip && size.gateways <= MAX_ASKED; g++) {
       try {
         Matcher m =
             TRAFFIC.matcher(
--- a/lab/src/main/java/reachloom/lab/slopes/Measurement.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Measurement.java
@@ -25,7 +25,7 @@
   private static final double STEP_S = 0.05;
   private static final double FULL = 0.9; // of a core, by one thread
   private static final double LAGS = 0.05; // of what was sent, or so many a second
-  private static final double LEAST_LAG = 5;
+  private static final double MIN_LAG = 5;
   private static final double GAP_S = 5; // between statements of one connection
   private static final double CONNECT_SETTLE_S = 1;
   private static final double LONGEST_SETTLE_S = 14; // by then as many are ended as connect
@@ -149,7 +149,7 @@
   }
 
   private static double little(Map<String, Object> row) {
-    return Math.max(LEAST_LAG, LAGS * number(row, "sent_per_s"));
+    return Math.max(MIN_LAG, LAGS * number(row, "sent_per_s"));
   }
 
   private static boolean lags(Map<String, Object> row) {
--- a/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
+++ b/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
@@ -29,8 +29,8 @@
 final class PacedClients implements AutoCloseable {
   private static final long SECOND = 1_000_000_000L; // nanoseconds
   private static final int SOCKET_THREADS = 1;
-  private static final int MOST_OPEN = 32; // on one connection, as the protocol says
-  private static final int MOST_FRAME = 64 * 1024;
+  private static final int MAX_OPEN = 32; // on one connection, as the protocol says
+  private static final int MAX_FRAME = 64 * 1024;
   private static final String STATEMENT = "select a, b, c from lab_1.t where a = 1";
   private static final int PATIENCE_S = 60;
   private static final int AT_ONCE = 100; // connects on their way: more than wait would be dropped
@@ -95,7 +95,7 @@
     random = new SplittableRandom(seed);
     connector.getSessionConfig().setTcpNoDelay(true);
     connector.setHandler(
-        new DecodingHandler<>("gateway", () -> new FrameDecoder(1, MOST_FRAME), new Heard()));
+        new DecodingHandler<>("gateway", () -> new FrameDecoder(1, MAX_FRAME), new Heard()));
   }
 
   private <T> T on(Supplier<T> work) throws InterruptedException {
@@ -219,7 +219,7 @@
 
   private void ask(Conn c, long at) {
     sent++;
-    if (c.open.size() >= MOST_OPEN) {
+    if (c.open.size() >= MAX_OPEN) {
       unsent++;
       return;
     }
--- a/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
@@ -21,8 +21,8 @@
   private static final List<String> PATTERNS = List.of("idle", "even", "random");
   private static final List<String> KINDS =
       List.of("statements", "connections", "engines", "connects");
-  private static final int MOST_SIZES = 16;
-  private static final int MOST_ENGINES = 3_200;
+  private static final int MAX_SIZES = 16;
+  private static final int MAX_ENGINES = 3_200;
 
   @Override
   public String purpose() {
@@ -86,7 +86,7 @@
             "rates",
             ofEngines ? "724" : what.equals("connects") ? "100,200,400,800" : "200,500,1000,2000",
             20_000);
-    int[] engines = numbers(line, "engines", ofEngines ? "12,60,150,300,630" : "12", MOST_ENGINES);
+    int[] engines = numbers(line, "engines", ofEngines ? "12,60,150,300,630" : "12", MAX_ENGINES);
     int[] connections = numbers(line, "connections", "500,1000,2000,4000", 4_900);
     OptionalLong idle =
         line.hasOption("idle-timeout-ms")
@@ -162,7 +162,7 @@
       for (int i = 1; i < read.length; i++) {
         rising &= read[i] > read[i - 1];
       }
-      if (rising && read.length <= MOST_SIZES && read[0] >= 1 && read[read.length - 1] <= most) {
+      if (rising && read.length <= MAX_SIZES && read[0] >= 1 && read[read.length - 1] <= most) {
         return read;
       }
     } catch (NumberFormatException e) {
@@ -177,7 +177,7 @@
             + " to "
             + most
             + ", "
-            + MOST_SIZES
+            + MAX_SIZES
             + " at most");
   }
 
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -67,7 +67,7 @@
       loop.post(
           0,
           () -> {
-            node.engines(
+            node.onEndpoints(
                 true,
                 IntStream.rangeClosed(1, 8)
                     .mapToObj(
@@ -210,7 +210,7 @@
     awaitMembers(3, one, two, three);
     for (Instance i : List.of(two, three)) {
       for (int k = 0; k < 3; k++) {
-        i.loop.post(0, () -> i.node.ended(ENGINE, AttemptOutcome.TIMEOUT, true));
+        i.loop.post(0, () -> i.node.onAttemptEnded(ENGINE, AttemptOutcome.TIMEOUT, true));
       }
     }
     await(x -> one.hearsay.stream().anyMatch(l -> l >= 0.5));
@@ -219,7 +219,7 @@
     assertTrue(status.contains("member g2 127.0.0.1:" + two.listen.getPort() + " ALIVE"), status);
     assertFalse(status.contains("member asker"), "who asks is no member");
     for (int k = 0; k < 3; k++) {
-      one.loop.post(0, () -> one.node.ended(ENGINE, AttemptOutcome.SERVED, true));
+      one.loop.post(0, () -> one.node.onAttemptEnded(ENGINE, AttemptOutcome.SERVED, true));
     }
     await(x -> one.hearsay.stream().reduce((a, b) -> b).orElse(1.0) == 0.0);
     three.loop.post(0, three.node::stop);
--- a/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
@@ -37,7 +37,7 @@
   private static final int ITEMS = 10; // pieces of news, one after another
   private static final int BURST = 10; // ... and at once, each of another member
   private static final int LONGEST_NEWS = 120; // periods
-  private static final double MOST_SHARE = 0.99;
+  private static final double MAX_SHARE = 0.99;
 
   /** The serial collector leaves some of the dead in place but for each fourth time. */
   private static final int COLLECTIONS = 4;
@@ -118,7 +118,7 @@
     private static void tell(Map<String, Object> of, String name, List<Long> values) {
       long[] sorted = values.stream().mapToLong(x -> x).sorted().toArray();
       of.put(name + "_mean", round(Arrays.stream(sorted).average().orElse(0)));
-      of.put(name + "_p99", sorted[(int) (sorted.length * MOST_SHARE)]);
+      of.put(name + "_p99", sorted[(int) (sorted.length * MAX_SHARE)]);
       of.put(name + "_max", sorted[sorted.length - 1]);
     }
   }
@@ -197,7 +197,7 @@
     down.up = false;
     long at = s.cluster.agenda.now();
     long first = -1;
-    while (s.cluster.holding(down, MemberState.DEAD) < MOST_SHARE * (s.instances - 1)
+    while (s.cluster.holding(down, MemberState.DEAD) < MAX_SHARE * (s.instances - 1)
         && s.cluster.agenda.now() < at + LONGEST_NEWS * s.period) {
       s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS);
       first =
@@ -255,7 +255,7 @@
         double share = holding / (double) s.instances;
         double[] a = after[i];
         a[0] = a[0] < 0 && share >= 0.5 ? periods : a[0];
-        a[1] = a[1] < 0 && share >= MOST_SHARE ? periods : a[1];
+        a[1] = a[1] < 0 && share >= MAX_SHARE ? periods : a[1];
         a[2] = a[2] < 0 && share >= 1 ? periods : a[2];
       }
     }
--- a/standin/src/main/java/reachloom/standin/ThriftWords.java
+++ b/standin/src/main/java/reachloom/standin/ThriftWords.java
@@ -6,7 +6,7 @@
 
 /** What a client says and hears, as bytes: framed Thrift in its strict binary form. */
 public final class ThriftWords {
-  private static final int MOST_CALL = 64 * 1024;
+  private static final int MAX_CALL = 64 * 1024;
   private static final int VERSION = 0x80010000;
 
   private ThriftWords() {}
@@ -73,8 +73,7 @@
   }
 
   private static ByteBuffer head(String method, int type, int seq) {
-    return text(ByteBuffer.allocate(MOST_CALL).putInt(0).putInt(VERSION | type), method)
-        .putInt(seq);
+    return text(ByteBuffer.allocate(MAX_CALL).putInt(0).putInt(VERSION | type), method).putInt(seq);
   }
 
   private static ByteBuffer text(ByteBuffer out, String text) {
--- a/tools/src/main/java/reachloom/tools/GossipTool.java
+++ b/tools/src/main/java/reachloom/tools/GossipTool.java
@@ -53,7 +53,7 @@
   private static final int BAD_USE = 2;
   private static final int COLUMNS = 100;
   private static final int SERIAL_BYTES = 8;
-  private static final int MOST_DAYS = 36_500;
+  private static final int MAX_DAYS = 36_500;
   private static final Pattern NAME = Pattern.compile("[0-9A-Za-z][0-9A-Za-z._-]{0,31}");
   private static final Duration BACKDATED = Duration.ofMinutes(5); // clocks differ
 
@@ -163,13 +163,13 @@
     String text = line.getOptionValue("days", standard);
     try {
       int days = Integer.parseInt(text);
-      if (days > 0 && days <= MOST_DAYS) {
+      if (days > 0 && days <= MAX_DAYS) {
         return Duration.ofDays(days);
       }
     } catch (NumberFormatException e) {
       // told below
     }
-    throw new ParseException("--days: '" + text + "' is not a whole number from 1 to " + MOST_DAYS);
+    throw new ParseException("--days: '" + text + "' is not a whole number from 1 to " + MAX_DAYS);
   }
 
   private static Path with(String stem, String ending) {
--- a/tools/src/main/java/reachloom/tools/RevisionTool.java
+++ b/tools/src/main/java/reachloom/tools/RevisionTool.java
@@ -44,7 +44,7 @@
   private static final long RESULT_MS = 15_000;
 
   private static final long STOP_S = 10;
-  private static final int MOST_WAIT_S = 86_400;
+  private static final int MAX_WAIT_S = 86_400;
 
   private final PrintStream out;
   private final PrintStream err;
@@ -251,9 +251,9 @@
   }
 
   private static long seconds(String text) throws ParseException {
-    if (!text.matches("\\d{1,5}") || Integer.parseInt(text) > MOST_WAIT_S) {
+    if (!text.matches("\\d{1,5}") || Integer.parseInt(text) > MAX_WAIT_S) {
       throw new ParseException(
-          "--wait: '" + text + "' is not a whole number from 0 to " + MOST_WAIT_S);
+          "--wait: '" + text + "' is not a whole number from 0 to " + MAX_WAIT_S);
     }
     return Long.parseLong(text);
   }
