--- a/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
@@ -6,118 +6,103 @@
 import java.util.TreeMap;
 
 /**
- * What the members of one place are known to have in force, and who of them counts it for the
- * issuers.
+ * What each member of the own place has in force, by its own word, and the sum of it for the
+ * issuers. Every member keeps this; only those that {@link AggregatorElection} names report it.
+ * Bounded; confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementAggregator {
-  /** A member's own word: what it has in force, or refuses where the reason isn't empty. */
-  private record Report(long number, long mark, String refusal) {}
+  /** What a member has in force, or rejects where the reason is not empty. */
+  private record Acknowledged(long number, long mark, String rejection) {}
 
-  /** Counters of a place: one may fail, and the other counts on. */
-  static final int COUNTERS = 2;
+  private static final int MAX_MEMBERS = 2_048;
 
-  private static final int MAX_REPORTS = 2_048;
+  /** Members that the sum names as lacking the newest. */
   private static final int MAX_NAMED = 8;
-  private static final int MAX_REFUSAL = 120; // characters
-  private static final long FNV = 0xcbf29ce484222325L; // FNV-1a, and the finish of MurmurHash3
-  private static final long FNV_PRIME = 0x100000001b3L;
-  private static final long MIX = 0xff51afd7ed558ccdL;
 
-  private final TreeMap<String, Report> reports = new TreeMap<>();
+  /** Characters of a reason that are kept. */
+  private static final int MAX_REJECTION_LENGTH = 120;
+
+  private final TreeMap<String, Acknowledged> byMember = new TreeMap<>();
 
   /**
-   * The names that count for a place, of those present there: rendezvous hashing, the same for
-   * each.
+   * Notes what a member has in force, or rejects.
+   *
+   * @param rejection why the revision can't be put in force; empty where it is in force
+   * @return whether that is new
    */
-  static List<String> counters(int place, Collection<String> names) {
-    TreeMap<Long, String> lightest = new TreeMap<>();
-    for (String n : names) {
-      lightest.put(weight(place, n), n);
-      if (lightest.size() > COUNTERS) {
-        lightest.pollLastEntry();
-      }
-    }
-    return List.copyOf(lightest.values());
-  }
-
-  /** Whether that one may be a counter there, as members don't all see the same others. */
-  static boolean mayCount(int place, Collection<String> names, String who) {
-    long own = weight(place, who);
-    return names.stream().filter(n -> weight(place, n) < own).count() < 2 * COUNTERS;
-  }
-
-  private static long weight(int place, String name) {
-    long hash = (FNV ^ place) * FNV_PRIME;
-    for (int i = 0; i < name.length(); i++) {
-      hash = (hash ^ name.charAt(i)) * FNV_PRIME;
-    }
-    hash = (hash ^ hash >>> Integer.SIZE) * MIX;
-    return hash ^ hash >>> Integer.SIZE;
-  }
-
-  /** What a member has in force, by its own word; whether that is new. */
-  boolean note(String name, long number, long mark, String refusal) {
-    if (reports.size() >= MAX_REPORTS && !reports.containsKey(name)) {
+  boolean record(String member, long number, long mark, String rejection) {
+    if (byMember.size() >= MAX_MEMBERS && !byMember.containsKey(member)) {
       return false;
     }
-    String why = refusal.substring(0, Math.min(MAX_REFUSAL, refusal.length()));
-    Report told = new Report(number, mark, why);
-    return !told.equals(reports.put(name, told));
+    String kept = rejection.substring(0, Math.min(MAX_REJECTION_LENGTH, rejection.length()));
+    Acknowledged acknowledged = new Acknowledged(number, mark, kept);
+    return !acknowledged.equals(byMember.put(member, acknowledged));
   }
 
   /**
-   * A packet tells what its sender has in force; that it refuses a newer one stays as it was told.
+   * Notes what a member has in force, as told by each of its packets. That it rejects a newer one
+   * is told by acknowledgements only, and stays.
+   *
+   * @return whether that is new
    */
-  boolean have(String name, long number, long mark) {
-    Report before = reports.get(name);
-    boolean refuses = before != null && !before.refusal.isEmpty() && before.number > number;
-    return !refuses && note(name, number, mark, "");
+  boolean recordInForce(String member, long number, long mark) {
+    Acknowledged before = byMember.get(member);
+    boolean rejectsNewer = before != null && !before.rejection.isEmpty() && before.number > number;
+    return !rejectsNewer && record(member, number, mark, "");
   }
 
-  /** Only those present are remembered. */
-  void keep(Collection<String> present) {
-    reports.keySet().retainAll(present);
+  /** Forgets all members but those. */
+  void retainOnly(Collection<String> present) {
+    byMember.keySet().retainAll(present);
   }
 
-  boolean has(String name, RevisionLog.Entry newest) {
-    return is(reports.get(name), newest, true);
+  /** Whether a member has that revision in force. */
+  boolean isInForceAt(String member, RevisionLog.Entry revision) {
+    return concerns(byMember.get(member), revision, true);
   }
 
-  boolean refuses(String name, RevisionLog.Entry newest) {
-    return is(reports.get(name), newest, false);
+  /** Whether a member rejects that revision. */
+  boolean isRejectedAt(String member, RevisionLog.Entry revision) {
+    return concerns(byMember.get(member), revision, false);
   }
 
-  private static boolean is(Report r, RevisionLog.Entry newest, boolean inForce) {
-    return r != null
-        && r.number == newest.revision().number()
-        && r.mark == newest.mark()
-        && r.refusal.isEmpty() == inForce;
+  private static boolean concerns(
+      Acknowledged acknowledged, RevisionLog.Entry revision, boolean inForce) {
+    return acknowledged != null
+        && acknowledged.number == revision.number()
+        && acknowledged.mark == revision.mark()
+        && acknowledged.rejection.isEmpty() == inForce;
   }
 
-  /** The sum over those members. */
-  RevisionMessage.Census census(
-      int place, RevisionLog.Entry newest, Collection<String> members, long longest) {
+  /**
+   * The sum over those members.
+   *
+   * @param newestForMillis for how long the newest revision is known; told as the time for which
+   *     the first member lacks it
+   */
+  RevisionMessage.Census summarize(
+      int place, RevisionLog.Entry newest, Collection<String> members, long newestForMillis) {
     int inForce = 0;
-    int refused = 0;
+    int rejected = 0;
     List<String> lacking = new ArrayList<>();
-    for (String name : members) {
-      if (has(name, newest)) {
+    for (String member : members) {
+      if (isInForceAt(member, newest)) {
         inForce++;
         continue;
       }
-      refused += refuses(name, newest) ? 1 : 0;
+      rejected += isRejectedAt(member, newest) ? 1 : 0;
       if (lacking.size() < MAX_NAMED) {
-        lacking.add(name);
+        lacking.add(member);
       }
     }
-    boolean all = inForce == members.size();
+    boolean complete = inForce == members.size();
     return new RevisionMessage.Census(
         place,
-        newest.revision().number(),
+        newest.number(),
         members.size(),
         inForce,
-        refused,
+        rejected,
         List.copyOf(lacking),
-        all ? 0 : longest);
+        complete ? 0 : newestForMillis);
   }
 }
--- /dev/null
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementReminder.java
@@ -0,0 +1,65 @@
+package reachloom.revision;
+
+import reachloom.revision.PeerTable.PeerState;
+
+/**
+ * An aggregator announces the newest revision again to the members of its zone that have not
+ * acknowledged it. Times are nanoseconds of the clock handed in; confined to the thread of {@link
+ * RevisionDissemination}.
+ */
+final class AcknowledgementReminder {
+  /** By then the rounds of {@link EagerPush} have gone through a zone. */
+  private static final long FIRST_REMINDER_NANOS = 600_000_000;
+
+  /** Between two reminders of one member, doubling. */
+  private static final long REPEAT_NANOS = 1_000_000_000;
+
+  private static final int MAX_DOUBLINGS = 1;
+
+  /** 10 KB a second. */
+  private static final int REMINDERS_PER_TICK = 2;
+
+  private final RevisionLog log;
+  private final PeerTable peers;
+  private final AcknowledgementTracker tracker;
+  private final NoticeSender notices;
+
+  AcknowledgementReminder(
+      RevisionLog log, PeerTable peers, AcknowledgementTracker tracker, NoticeSender notices) {
+    this.log = log;
+    this.peers = peers;
+    this.tracker = tracker;
+    this.notices = notices;
+  }
+
+  /** There is a newer revision: nobody has been reminded of it. */
+  void onNewRevision() {
+    peers.zonePeers().forEach(state -> state.reminders = 0);
+  }
+
+  /** Sends the reminders that are due, as far as the budget allows. */
+  void tick(long nowNanos) {
+    RevisionLog.Entry newest = log.newest().filter(RevisionLog.Entry::hasDocument).orElse(null);
+    if (!tracker.isAggregator()
+        || newest == null
+        || nowNanos - log.newestSinceNanos() < FIRST_REMINDER_NANOS
+        || notices.isCongested()) {
+      return;
+    }
+    int left = REMINDERS_PER_TICK;
+    for (PeerState state : peers.zonePeers()) {
+      if (!isDue(nowNanos, state) || tracker.hasAcknowledged(state.peer.name(), newest)) {
+        continue;
+      }
+      if (left-- == 0 || !notices.sendNewest(nowNanos, state.peer)) {
+        return;
+      }
+      state.reminders++;
+    }
+  }
+
+  private static boolean isDue(long nowNanos, PeerState state) {
+    long pauseNanos = REPEAT_NANOS << Math.min(state.reminders, MAX_DOUBLINGS);
+    return nowNanos - state.announcedAtNanos >= pauseNanos;
+  }
+}
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
@@ -1,6 +1,7 @@
 package reachloom.revision;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
@@ -8,88 +9,113 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What an issuer was told of each place by those that count there. */
+/**
+ * At an issuer: the sums that the aggregators of each place sent last. Bounded by places and by
+ * aggregators of a place. Times are nanoseconds of the clock handed in; confined to the thread of
+ * {@link RevisionDissemination}.
+ */
 final class AcknowledgementSummary {
-  private record Told(RevisionMessage.Census census, long at) {}
+  private record Received(RevisionMessage.Census sum, long atNanos) {}
 
   private static final int MAX_PLACES = 256;
-  private static final int MAX_TELLERS =
-      4; // of a place: while members come and go there are more than two
-  private static final long MEMORY = 60_000_000_000L; // nanoseconds
-  private static final double SECOND = 1e9;
-  private static final double MILLIS = 1e3; // in a second
+
+  /** Of a place: while members come and go, more than the elected ones aggregate for a moment. */
+  private static final int MAX_AGGREGATORS = 4;
+
+  private static final long MAX_AGE_NANOS = 60_000_000_000L;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double MILLIS_PER_SECOND = 1e3;
   private static final int REGION_SHIFT = 8;
   private static final int ZONE_MASK = 0xff;
 
-  private final TreeMap<Integer, TreeMap<String, Told>> places = new TreeMap<>();
+  /** By place, then by name of the aggregator. */
+  private final TreeMap<Integer, TreeMap<String, Received>> byPlace = new TreeMap<>();
 
-  void told(long now, String teller, RevisionMessage.Census census) {
-    if (places.size() >= MAX_PLACES && !places.containsKey(census.place())) {
+  /** Takes in the sum that an aggregator sent. */
+  void record(long nowNanos, String aggregator, RevisionMessage.Census sum) {
+    if (byPlace.size() >= MAX_PLACES && !byPlace.containsKey(sum.place())) {
       return;
     }
-    TreeMap<String, Told> of = places.computeIfAbsent(census.place(), k -> new TreeMap<>());
-    of.values().removeIf(t -> now - t.at > MEMORY);
-    of.put(teller, new Told(census, now));
-    if (of.size() > MAX_TELLERS) { // some counted only as long as they saw few others
-      of.remove(
-          Collections.min(of.entrySet(), Comparator.comparingLong(e -> e.getValue().at)).getKey());
+    TreeMap<String, Received> ofPlace = byPlace.computeIfAbsent(sum.place(), k -> new TreeMap<>());
+    ofPlace.values().removeIf(r -> nowNanos - r.atNanos > MAX_AGE_NANOS);
+    ofPlace.put(aggregator, new Received(sum, nowNanos));
+    if (ofPlace.size() > MAX_AGGREGATORS) { // some aggregated only as long as they saw few others
+      ofPlace.remove(
+          Collections.min(ofPlace.entrySet(), Comparator.comparingLong(e -> e.getValue().atNanos))
+              .getKey());
     }
   }
 
-  /** The best word of a place: the newest revision, of equals the one that most have in force. */
-  private static Told best(Map<String, Told> of) {
-    Told best = null;
-    for (Told t : of.values()) {
+  /** The best informed sum: of the newest revision, of equals that with the most in force. */
+  private static Received best(Collection<Received> sums) {
+    Received best = null;
+    for (Received r : sums) {
       boolean better =
           best == null
-              || t.census.number() > best.census.number()
-              || t.census.number() == best.census.number()
-                  && t.census.inForce() > best.census.inForce();
-      best = better ? t : best;
+              || r.sum.number() > best.sum.number()
+              || r.sum.number() == best.sum.number() && r.sum.inForce() > best.sum.inForce();
+      best = better ? r : best;
     }
     return best;
   }
 
-  /** The best word of each place. */
-  List<RevisionMessage.Census> all() {
-    return places.values().stream().filter(p -> !p.isEmpty()).map(p -> best(p).census).toList();
+  /** The best informed sum of each place, in the order of places. */
+  List<RevisionMessage.Census> bestPerPlace() {
+    return byPlace.values().stream()
+        .filter(ofPlace -> !ofPlace.isEmpty())
+        .map(ofPlace -> best(ofPlace.values()).sum)
+        .toList();
   }
 
-  /** The places in words; {@code present} is how many members are seen at each. */
-  List<String> lines(long now, Map<Integer, Integer> present) {
+  /**
+   * One status line for each place.
+   *
+   * @param present how many members this issuer sees at each place
+   */
+  List<String> statusLines(long nowNanos, Map<Integer, Integer> present) {
+    TreeMap<Integer, Integer> seen = new TreeMap<>(present);
+    byPlace.keySet().forEach(place -> seen.putIfAbsent(place, 0));
     List<String> lines = new ArrayList<>();
-    TreeMap<Integer, Integer> all = new TreeMap<>(present);
-    places.keySet().forEach(p -> all.putIfAbsent(p, 0));
-    all.forEach(
-        (place, seen) -> {
-          String where = "place " + (place >> REGION_SHIFT) + "." + (place & ZONE_MASK) + ": ";
-          Map<String, Told> of = places.getOrDefault(place, new TreeMap<>());
-          if (of.isEmpty()) {
-            lines.add(where + "seen " + seen + ", nothing told");
-            return;
-          }
-          Told t = best(of);
-          RevisionMessage.Census c = t.census;
-          boolean agreed =
-              of.values().stream()
-                  .allMatch(
-                      o -> o.census.number() == c.number() && o.census.inForce() == c.inForce());
-          lines.add(
-              where
-                  + String.format(
-                      Locale.ROOT,
-                      "revision %d, members %d, in force %d, refused %d, lacking %s%s, told %.1f s ago%s",
-                      c.number(),
-                      c.members(),
-                      c.inForce(),
-                      c.refused(),
-                      c.lacking().isEmpty() ? "none" : String.join(" ", c.lacking()),
-                      c.longest() == 0
-                          ? ""
-                          : String.format(Locale.ROOT, " for %.1f s", c.longest() / MILLIS),
-                      (now - t.at) / SECOND,
-                      agreed ? "" : ", counters differ"));
-        });
+    seen.forEach((place, members) -> lines.add(statusLine(nowNanos, place, members)));
     return lines;
   }
+
+  private String statusLine(long nowNanos, int place, int seen) {
+    String prefix = "place " + (place >> REGION_SHIFT) + "." + (place & ZONE_MASK) + ": ";
+    Collection<Received> ofPlace = byPlace.getOrDefault(place, new TreeMap<>()).values();
+    if (ofPlace.isEmpty()) {
+      return prefix + "seen " + seen + ", nothing told";
+    }
+    Received best = best(ofPlace);
+    return prefix + describe(best.sum) + age(nowNanos, best) + agreement(best.sum, ofPlace);
+  }
+
+  private static String describe(RevisionMessage.Census sum) {
+    String since =
+        sum.longest() == 0
+            ? ""
+            : String.format(Locale.ROOT, " for %.1f s", sum.longest() / MILLIS_PER_SECOND);
+    return String.format(
+        Locale.ROOT,
+        "revision %d, members %d, in force %d, refused %d, lacking %s%s",
+        sum.number(),
+        sum.members(),
+        sum.inForce(),
+        sum.refused(),
+        sum.lacking().isEmpty() ? "none" : String.join(" ", sum.lacking()),
+        since);
+  }
+
+  private static String age(long nowNanos, Received received) {
+    double seconds = (nowNanos - received.atNanos) / NANOS_PER_SECOND;
+    return String.format(Locale.ROOT, ", told %.1f s ago", seconds);
+  }
+
+  private static String agreement(RevisionMessage.Census best, Collection<Received> ofPlace) {
+    boolean agreed =
+        ofPlace.stream()
+            .map(Received::sum)
+            .allMatch(s -> s.number() == best.number() && s.inForce() == best.inForce());
+    return agreed ? "" : ", counters differ";
+  }
 }
--- a/decisions/src/main/java/reachloom/revision/Delta.java
+++ b/decisions/src/main/java/reachloom/revision/Delta.java
@@ -4,50 +4,55 @@
 import java.util.Arrays;
 
 /**
- * What turns one document into another: the bytes in the middle, between as many at the start and
- * at the end as both have in common. A change of one key of a patch is a few bytes.
+ * The difference between two documents: the length of their common prefix, of their common suffix,
+ * and the bytes of the target between them. A change of one key of a document is a few bytes.
+ *
+ * <pre>
+ * delta = prefixLength:4 suffixLength:4 middle    big-endian
+ * </pre>
  */
 final class Delta {
-  private static final int HEAD = 2 * Integer.BYTES;
+  private static final int HEADER_BYTES = 2 * Integer.BYTES;
 
   private Delta() {}
 
   /** The delta from one document to another. */
   static byte[] encode(byte[] base, byte[] target) {
     int shorter = Math.min(base.length, target.length);
-    int start = Arrays.mismatch(base, target);
-    start = start < 0 ? shorter : start;
-    int end = 0;
-    while (end < shorter - start
-        && base[base.length - 1 - end] == target[target.length - 1 - end]) {
-      end++;
+    int mismatch = Arrays.mismatch(base, target);
+    int prefix = mismatch < 0 ? shorter : mismatch;
+    int suffix = 0;
+    while (suffix < shorter - prefix
+        && base[base.length - 1 - suffix] == target[target.length - 1 - suffix]) {
+      suffix++;
     }
-    int middle = target.length - start - end;
-    return ByteBuffer.allocate(HEAD + middle)
-        .putInt(start)
-        .putInt(end)
-        .put(target, start, middle)
+    int middle = target.length - prefix - suffix;
+    return ByteBuffer.allocate(HEADER_BYTES + middle)
+        .putInt(prefix)
+        .putInt(suffix)
+        .put(target, prefix, middle)
         .array();
   }
 
   /**
-   * The document that a delta makes of another; null where it can't be one, or makes one too large.
+   * The document that a delta makes of another; null where the delta is malformed, does not fit the
+   * base, or would make a document above {@link Revision#MAX_DOCUMENT_BYTES}.
    */
   static byte[] apply(byte[] base, byte[] delta) {
-    if (delta.length < HEAD) {
+    if (delta.length < HEADER_BYTES) {
       return null;
     }
     ByteBuffer in = ByteBuffer.wrap(delta);
-    int start = in.getInt();
-    int end = in.getInt();
-    if (start < 0
-        || end < 0
-        || start > base.length
-        || end > base.length - start
-        || start + end + in.remaining() > Revision.MAX_DOCUMENT_BYTES) {
+    int prefix = in.getInt();
+    int suffix = in.getInt();
+    if (prefix < 0
+        || suffix < 0
+        || prefix > base.length
+        || suffix > base.length - prefix
+        || prefix + suffix + in.remaining() > Revision.MAX_DOCUMENT_BYTES) {
       return null;
     }
-    ByteBuffer out = ByteBuffer.allocate(start + in.remaining() + end);
-    return out.put(base, 0, start).put(in).put(base, base.length - end, end).array();
+    ByteBuffer out = ByteBuffer.allocate(prefix + in.remaining() + suffix);
+    return out.put(base, 0, prefix).put(in).put(base, base.length - suffix, suffix).array();
   }
 }
--- a/decisions/src/main/java/reachloom/revision/FetchScheduler.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -5,156 +5,185 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
-import reachloom.revision.PeerTable.Other;
-import reachloom.revision.PeerTable.Strike;
+import reachloom.revision.PeerBackoff.Misbehaviour;
+import reachloom.revision.PeerTable.PeerState;
 
-/** Pulls the document of the newest revision: whom to ask, and when to turn to another. */
+/**
+ * Fetches the document of the newest revision: which peer is asked, and when another one is. Times
+ * are nanoseconds of the clock handed in; confined to the thread of {@link RevisionDissemination}.
+ */
 final class FetchScheduler {
-  private static final long PAUSE =
-      500_000_000; // nanoseconds on average, once some were asked in vain
-  private static final int TRIES =
-      2; // questions to one peer without a piece, where it has sent some
-  private static final int QUICK_PEERS = 4; // asked one after the other, before there are pauses
+  /** Between two peers, on average, once some were asked in vain. */
+  private static final long PAUSE_NANOS = 500_000_000;
+
+  /** Requests to one peer without a chunk, where it has sent some before. */
+  private static final int MAX_ATTEMPTS = 2;
+
+  /** Peers that are asked one after the other, before there are pauses. */
+  private static final int PEERS_WITHOUT_PAUSE = 4;
+
   private static final int MAX_SOURCES = 8;
 
-  private final PeerTable neighbours;
+  private final PeerTable peers;
   private final RevisionLog log;
-  private final RevisionMessageSender outlet;
+  private final RevisionMessageSender sender;
   private final SplittableRandom random;
+
+  /** Peers that announced the revision, by name; the first ones are kept. */
   private final Map<String, Peer> sources = new LinkedHashMap<>();
-  private ChunkedFetch fetch;
-  private long fetchAt;
+
+  private ChunkedFetch fetch; // null while nothing is fetched
+  private long nextRequestAtNanos;
 
   FetchScheduler(
-      PeerTable neighbours,
-      RevisionLog log,
-      RevisionMessageSender outlet,
-      SplittableRandom random) {
-    this.neighbours = neighbours;
+      PeerTable peers, RevisionLog log, RevisionMessageSender sender, SplittableRandom random) {
+    this.peers = peers;
     this.log = log;
-    this.outlet = outlet;
+    this.sender = sender;
     this.random = random;
   }
 
-  /** Goes for that one from now on; null for none. */
-  void go(long now, Revision newest) {
+  /** Fetches the document of that revision from now on, and of no other. */
+  void start(long nowNanos, Revision revision) {
     sources.clear();
-    fetch = newest == null ? null : new ChunkedFetch(newest, null, now);
-    fetchAt = now;
+    fetch = new ChunkedFetch(revision, null);
+    nextRequestAtNanos = nowNanos;
   }
 
-  /** Whether that one is being pulled. */
-  boolean isFor(Revision r) {
-    return fetch != null && fetch.revision.equals(r);
+  /** Fetches nothing any more: the document of the newest is held. */
+  void stop() {
+    sources.clear();
+    fetch = null;
+  }
+
+  /** Whether the document of that revision is being fetched. */
+  boolean isFetching(Revision revision) {
+    return fetch != null && fetch.revision.equals(revision);
   }
 
-  /** That one can be asked for the document of the newest. */
-  void source(Peer peer) {
+  /** A peer says that it holds the document of the newest. */
+  void addSource(Peer peer) {
     if (fetch != null && sources.size() < MAX_SOURCES) {
       sources.put(peer.name(), peer);
     }
   }
 
   /**
-   * That one has just told of the newest: of a large one, it tells when nobody waits for it there.
+   * A peer has announced the newest just now. It announces a large one when nobody waits for it
+   * there, so that it is asked at once, unless another of the own zone is.
    */
-  void pushed(long now, Peer peer) {
-    source(peer);
+  void onAnnounced(long nowNanos, Peer peer) {
+    addSource(peer);
     boolean free =
         fetch != null
             && fetch.isEmpty()
-            && !neighbours.rests(now, peer.name())
-            && (fetch.from == null || neighbours.isOfZone(peer));
+            && !peers.backoff().isBackedOff(nowNanos, peer.name())
+            && (fetch.peer == null || peers.isInZone(peer));
     if (free) {
-      fetch.ask(now, peer);
-      fetchAt = now;
+      fetch.ask(nowNanos, peer);
+      nextRequestAtNanos = nowNanos;
     }
   }
 
-  /** The whole document, if that piece completes it. */
-  byte[] piece(long now, Peer sender, RevisionMessage.Piece p) {
-    byte[] document = fetch == null ? null : fetch.take(now, sender, p, log, neighbours);
-    if (document != null) {
-      neighbours.good(sender.name(), p.number());
+  /** Takes a chunk; gives the document if that completes it. */
+  Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Piece chunk) {
+    if (fetch == null) {
+      return Optional.empty();
+    }
+    Optional<byte[]> document = fetch.onChunk(nowNanos, from, chunk, log, peers);
+    if (document.isPresent()) {
+      peers.backoff().forgive(from.name(), chunk.number());
     }
     return document;
   }
 
-  /** Asks, or asks another, where it is time. */
-  void step(long now) {
-    if (fetch == null || now < fetchAt) {
+  /** Sends a request where one is due, to another peer where the present one does not answer. */
+  void step(long nowNanos) {
+    if (fetch == null || nowNanos < nextRequestAtNanos) {
       return;
     }
-    boolean silent =
-        fetch.from != null
-            && (fetch.late(now) && (fetch.isEmpty() || fetch.tries >= TRIES)
-                || now >= fetch.leaveAt);
-    if (silent) {
-      neighbours.strike(now, fetch.from.name(), Strike.SILENT, 0);
-      fetch.from = null;
+    boolean unresponsive = isUnresponsive(nowNanos);
+    if (unresponsive) {
+      peers.backoff().penalize(nowNanos, fetch.peer.name(), Misbehaviour.UNRESPONSIVE, 0);
+      fetch.peer = null;
     }
-    if (fetch.from == null) {
-      Peer next = whom(now);
-      if (next == null || silent && fetch.peersTried >= QUICK_PEERS) {
-        fetchAt = now + PAUSE / 2 + random.nextLong(PAUSE);
-      }
-      if (next == null) {
-        return;
-      }
-      fetch.ask(now, next);
+    if (fetch.peer == null && !askNext(nowNanos, unresponsive)) {
+      return;
     }
-    if (now >= fetchAt) {
-      fetch.question(now, outlet, log.newestHeld());
+    if (nowNanos >= nextRequestAtNanos) {
+      fetch.request(nowNanos, sender, log.newestWithDocument().orElse(null));
     }
   }
 
+  private boolean isUnresponsive(long nowNanos) {
+    if (fetch.peer == null) {
+      return false;
+    }
+    boolean silent = fetch.isLate(nowNanos) && (fetch.isEmpty() || fetch.attempts >= MAX_ATTEMPTS);
+    return silent || nowNanos >= fetch.giveUpAtNanos;
+  }
+
+  /** Turns to the next peer; false where there is none to ask now. */
+  private boolean askNext(long nowNanos, boolean unresponsive) {
+    Optional<Peer> next = choosePeer(nowNanos);
+    if (next.isEmpty() || unresponsive && fetch.peersAsked >= PEERS_WITHOUT_PAUSE) {
+      nextRequestAtNanos = nowNanos + PAUSE_NANOS / 2 + random.nextLong(PAUSE_NANOS);
+    }
+    next.ifPresent(peer -> fetch.ask(nowNanos, peer));
+    return next.isPresent();
+  }
+
   /**
-   * One that has it: of the own zone, then others that told of it, then an issuer. Where many want
-   * a large one, the first of a zone to have it can't serve them all, so that every other question
-   * goes to an issuer.
+   * A peer that has the document: one of the own zone, else another one that announced it, else an
+   * issuer. Where many want a large document, the first of a zone to have it can't serve them all;
+   * therefore every other request goes to an issuer.
    */
-  private Peer whom(long now) {
-    Peer issuer = neighbours.anIssuer(now);
-    if (fetch.peersTried % 2 == 1 && issuer != null) {
+  private Optional<Peer> choosePeer(long nowNanos) {
+    Optional<Peer> issuer = peers.randomIssuer(nowNanos);
+    if (fetch.peersAsked % 2 == 1 && issuer.isPresent()) {
       return issuer;
     }
-    Peer near = some(now, neighbours.zone(), neighbours::isOfZone);
-    Peer told = near != null ? near : some(now, List.of(), p -> true);
-    if (told != null || issuer != null) {
-      return told != null ? told : issuer;
-    }
-    return some(now, neighbours.all(), p -> true);
+    return chooseHolder(nowNanos, peers.zonePeers(), peers::isInZone)
+        .or(() -> chooseHolder(nowNanos, List.of(), peer -> true))
+        .or(() -> issuer)
+        .or(() -> chooseHolder(nowNanos, peers.all(), peer -> true));
   }
 
-  /** By chance one of those that told of it, or have it. */
-  private Peer some(long now, Collection<Other> of, Predicate<Peer> wanted) {
+  /** At random one of the sources that match, or of the candidates that hold the document. */
+  private Optional<Peer> chooseHolder(
+      long nowNanos, Collection<PeerState> candidates, Predicate<Peer> sourceFilter) {
     List<Peer> open = new ArrayList<>();
     sources.values().stream()
-        .filter(wanted)
-        .filter(p -> !neighbours.rests(now, p.name()))
+        .filter(sourceFilter)
+        .filter(peer -> !peers.backoff().isBackedOff(nowNanos, peer.name()))
         .forEach(open::add);
-    neighbours
-        .draw(
-            of, 1, o -> o.known == fetch.revision.number() && !neighbours.rests(now, o.peer.name()))
-        .forEach(o -> open.add(o.peer));
-    return open.isEmpty() ? null : open.get(random.nextInt(open.size()));
+    peers
+        .sample(
+            candidates,
+            1,
+            state ->
+                state.knownNumber == fetch.revision.number()
+                    && !peers.backoff().isBackedOff(nowNanos, state.peer.name()))
+        .forEach(state -> open.add(state.peer));
+    return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
   }
 
-  void shift(long by) {
+  /** Moves all deadlines: time in which this process stood still does not count. */
+  void shift(long byNanos) {
     if (fetch != null) {
-      fetch.shift(by);
+      fetch.shift(byNanos);
     }
   }
 
-  /** What is going on, or null. */
-  String line() {
-    return fetch == null
-        ? null
-        : "revision "
-            + fetch.revision.number()
-            + " is being fetched"
-            + (fetch.from == null ? "" : " from " + fetch.from.name());
+  /** What is being fetched, and from whom, for the status lines. */
+  Optional<String> statusLine() {
+    if (fetch == null) {
+      return Optional.empty();
+    }
+    String from = fetch.peer == null ? "" : " from " + fetch.peer.name();
+    return Optional.of("revision " + fetch.revision.number() + " is being fetched" + from);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/PeerTable.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -5,134 +5,182 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Who else is there, what each is known to have, and who is not asked for a while. */
+/**
+ * The other members that are present, and what each is known to hold. Iteration is by name, so that
+ * the same events and the same seed give the same choices. Times are nanoseconds of the clock
+ * handed in; confined to the thread of {@link RevisionDissemination}.
+ */
 final class PeerTable {
-  /** Another member that is present, with what its packets told. */
-  static final class Other {
+  /** Another member that is present, with what its messages told. */
+  static final class PeerState {
     final Peer peer;
-    long heardAt = Long.MIN_VALUE / 2;
-    long known;
-    long inForce;
-    long mark;
 
-    /** The newest revision that was sent to it, and when. */
-    long told;
+    /** When a message of it came last, nanoseconds. */
+    long heardAtNanos = Long.MIN_VALUE / 2;
 
-    long toldAt = Long.MIN_VALUE / 2;
+    /** The newest revision whose document it holds, by its own word; 0 for none. */
+    long knownNumber;
 
-    /** How often it was reminded of the newest without a word of it. */
+    /** The revision that it has in force, by its own word; 0 for none. */
+    long inForceNumber;
+
+    /** The mark ({@link Revision#mark}) of the revision that it has in force. */
+    long inForceMark;
+
+    /** The newest revision that was announced to it; 0 for none. */
+    long announcedNumber;
+
+    /** When it was announced last, nanoseconds. */
+    long announcedAtNanos = Long.MIN_VALUE / 2;
+
+    /** How often it was reminded of the newest revision without an acknowledgement. */
     int reminders;
 
-    Other(Peer peer) {
+    PeerState(Peer peer) {
       this.peer = peer;
     }
   }
 
-  /** What is held against another. */
-  enum Strike {
-    /** It did not answer; a packet may have been lost, or it has much to do. */
-    SILENT,
-    /** It did not prove what it claims; its rest doubles. */
-    UNPROVED,
-    /** What it sent is not so; its rest doubles, and it is not heard either. */
-    LIED
-  }
-
-  private static final class Rest {
-    private long until;
-    private int strikes;
-    private long claimed;
-    private boolean lied;
-  }
-
-  private static final int MAX_OTHERS = 2_048; // as many as the table of members holds
-  private static final int MAX_RESTING = 256;
-  private static final long SECOND = 1_000_000_000; // nanoseconds
-  private static final long REST =
-      2 * SECOND; // after the first strike; an honest one had a packet lost
-  private static final int MAX_DOUBLINGS = 8; // 512 s
+  /** As many as the membership table holds. */
+  private static final int MAX_PEERS = 2_048;
 
-  private final int place;
+  private final LocalMember self;
   private final Set<String> issuers = new TreeSet<>();
   private final List<Peer> otherIssuers;
   private final SplittableRandom random;
-  private TreeMap<String, Other> others = new TreeMap<>();
-  private final TreeMap<Integer, List<Other>> places = new TreeMap<>();
-  private final TreeMap<String, Rest> resting = new TreeMap<>();
-
-  PeerTable(String name, int place, List<Peer> issuers, SplittableRandom random) {
-    otherIssuers = issuers.stream().filter(i -> !i.name().equals(name)).toList();
-    this.place = place;
-    issuers.forEach(i -> this.issuers.add(i.name()));
+  private TreeMap<String, PeerState> peers = new TreeMap<>();
+  private final TreeMap<Integer, List<PeerState>> peersByPlace = new TreeMap<>();
+  private final PeerBackoff backoff = new PeerBackoff();
+  private boolean issuerHeard;
+  private long issuerHeardAtNanos;
+
+  PeerTable(LocalMember self, SplittableRandom random) {
+    otherIssuers = self.otherIssuers();
+    this.self = self;
+    self.issuers().forEach(issuer -> issuers.add(issuer.name()));
     this.random = random;
   }
 
-  void present(Collection<Peer> present) {
-    TreeMap<String, Other> now = new TreeMap<>();
-    places.clear();
+  /** This member, which is not among its peers. */
+  LocalMember self() {
+    return self;
+  }
+
+  /** Which peers, present or not, are asked for nothing for a while. */
+  PeerBackoff backoff() {
+    return backoff;
+  }
+
+  /** Replaces the members that are present; what is known of those that stay is kept. */
+  void setPresent(Collection<Peer> present) {
+    TreeMap<String, PeerState> next = new TreeMap<>();
+    peersByPlace.clear();
     for (Peer p : present) {
-      if (now.size() >= MAX_OTHERS) {
+      if (next.size() >= MAX_PEERS) {
         break;
       }
-      Other old = others.get(p.name());
-      Other o = old != null && old.peer.equals(p) ? old : new Other(p);
-      now.put(p.name(), o);
+      PeerState old = peers.get(p.name());
+      PeerState state = old != null && old.peer.equals(p) ? old : new PeerState(p);
+      next.put(p.name(), state);
       if (!issuers.contains(p.name())) {
-        places.computeIfAbsent(p.place(), k -> new ArrayList<>()).add(o);
+        peersByPlace.computeIfAbsent(p.place(), k -> new ArrayList<>()).add(state);
       }
     }
-    others = now;
+    peers = next;
+  }
+
+  /** Something has come from that member. */
+  void onHeard(long nowNanos, Peer from) {
+    if (isIssuer(from.name())) {
+      issuerHeard = true;
+      issuerHeardAtNanos = nowNanos;
+    }
+    PeerState state = peers.get(from.name());
+    if (state != null) {
+      state.heardAtNanos = nowNanos;
+    }
+  }
+
+  /** A member tells what it holds, and what it has in force. */
+  void onHave(Peer from, RevisionMessage.Have have) {
+    PeerState state = peers.get(from.name());
+    if (state != null) {
+      state.knownNumber = have.known();
+      state.inForceNumber = have.inForce();
+      state.inForceMark = have.mark();
+    }
+  }
+
+  /** A member announces a revision, whose document it holds. */
+  void onAnnounced(Peer from, long number) {
+    PeerState state = peers.get(from.name());
+    if (state != null) {
+      state.knownNumber = Math.max(state.knownNumber, number);
+    }
+  }
+
+  /** Whether anything has come from an issuer so far. */
+  boolean hasHeardIssuer() {
+    return issuerHeard;
+  }
+
+  /** When something came from an issuer last, nanoseconds. */
+  long issuerHeardAtNanos() {
+    return issuerHeardAtNanos;
   }
 
   boolean isIssuer(String name) {
     return issuers.contains(name);
   }
 
-  boolean isOfZone(Peer p) {
-    return p.place() == place && !isIssuer(p.name());
+  /** Whether that is a member of the own zone; issuers belong to none. */
+  boolean isInZone(Peer p) {
+    return p.place() == self.place() && !isIssuer(p.name());
   }
 
-  /** Another issuer that may be asked, by chance, or null. */
-  Peer anIssuer(long now) {
-    List<Peer> open = otherIssuers.stream().filter(i -> !rests(now, i.name())).toList();
-    return open.isEmpty() ? null : open.get(random.nextInt(open.size()));
+  /** Another issuer that is not backed off, chosen at random. */
+  Optional<Peer> randomIssuer(long nowNanos) {
+    List<Peer> open =
+        otherIssuers.stream().filter(i -> !backoff.isBackedOff(nowNanos, i.name())).toList();
+    return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
   }
 
   /** All that are present. */
-  Collection<Other> all() {
-    return others.values();
+  Collection<PeerState> all() {
+    return peers.values();
   }
 
-  /** The member of that name, if it is present; else null. */
-  Other get(String name) {
-    return others.get(name);
+  /** The member of that name if it is present. */
+  Optional<PeerState> find(String name) {
+    return Optional.ofNullable(peers.get(name));
   }
 
-  /** The members of the own place, this one and issuers not among them. */
-  List<Other> zone() {
-    return places.getOrDefault(place, List.of());
+  /** The members of the own zone, without this one and without issuers. */
+  List<PeerState> zonePeers() {
+    return peersByPlace.getOrDefault(self.place(), List.of());
   }
 
-  /** The members by place, issuers not among them. */
-  Map<Integer, List<Other>> places() {
-    return places;
+  /** The members by place, without issuers. */
+  Map<Integer, List<PeerState>> peersByPlace() {
+    return peersByPlace;
   }
 
-  /** Some of those, drawn by chance. */
-  List<Other> draw(Collection<Other> of, int count, Predicate<Other> wanted) {
-    List<Other> open = new ArrayList<>(of.size());
-    for (Other o : of) {
-      if (wanted.test(o)) {
-        open.add(o);
+  /** At most {@code count} of the candidates that match, drawn at random without replacement. */
+  List<PeerState> sample(Collection<PeerState> candidates, int count, Predicate<PeerState> filter) {
+    List<PeerState> open = new ArrayList<>(candidates.size());
+    for (PeerState state : candidates) {
+      if (filter.test(state)) {
+        open.add(state);
       }
     }
-    List<Other> drawn = new ArrayList<>();
+    List<PeerState> drawn = new ArrayList<>();
     while (drawn.size() < count && !open.isEmpty()) {
       int last = open.size() - 1;
       Collections.swap(open, random.nextInt(last + 1), last);
@@ -140,58 +188,4 @@
     }
     return drawn;
   }
-
-  /**
-   * That one did not do as it said and is not asked for a time; {@code claimed}: what it did not
-   * prove.
-   */
-  void strike(long now, String name, Strike why, long claimed) {
-    Rest r = resting.get(name);
-    if (r == null) {
-      if (resting.size() >= MAX_RESTING) {
-        resting.remove(
-            Collections.min(
-                    resting.entrySet(),
-                    (a, b) -> Long.compare(a.getValue().until, b.getValue().until))
-                .getKey());
-      }
-      r = new Rest();
-      resting.put(name, r);
-    }
-    r.until = Math.max(r.until, now + (REST << Math.min(r.strikes, MAX_DOUBLINGS)));
-    r.strikes += why == Strike.SILENT ? 0 : 1;
-    r.lied |= why == Strike.LIED;
-    r.claimed = Math.max(r.claimed, claimed);
-  }
-
-  /**
-   * That one has sent what belongs to that revision; if late, so that it is forgiven, lies are not.
-   */
-  void good(String name, long number) {
-    Rest r = resting.get(name);
-    if (r != null && !r.lied && number >= r.claimed) {
-      resting.remove(name);
-    }
-  }
-
-  boolean rests(long now, String name) {
-    Rest r = resting.get(name);
-    return r != null && now < r.until;
-  }
-
-  boolean isLiar(long now, String name) {
-    return rests(now, name) && resting.get(name).lied;
-  }
-
-  /** After a standstill the time that passed is nobody's. */
-  void shift(long by) {
-    resting.values().forEach(r -> r.until += by);
-  }
-
-  List<String> resting(long now) {
-    return resting.entrySet().stream()
-        .filter(e -> now < e.getValue().until)
-        .map(e -> e.getKey() + (e.getValue().lied ? " (told what is not so)" : ""))
-        .toList();
-  }
 }
--- a/decisions/src/main/java/reachloom/revision/ProposalCache.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -38,7 +39,7 @@
       then.accept(null);
       return;
     }
-    ChunkedFetch f = new ChunkedFetch(revision, then, now);
+    ChunkedFetch f = new ChunkedFetch(revision, then);
     f.ask(now, from);
     fetches.add(f);
   }
@@ -46,11 +47,11 @@
   void piece(
       long now, Peer sender, RevisionMessage.Piece p, RevisionLog log, PeerTable neighbours) {
     for (ChunkedFetch f : List.copyOf(fetches)) {
-      byte[] document = f.take(now, sender, p, log, neighbours);
-      if (document != null) {
+      Optional<byte[]> document = f.onChunk(now, sender, p, log, neighbours);
+      if (document.isPresent()) {
         fetches.remove(f);
-        hold(f.revision, document);
-        f.then.accept(document);
+        hold(f.revision, document.get());
+        f.onCompleted.accept(document.get());
       }
     }
   }
@@ -58,11 +59,11 @@
   /** Asks, or gives up, where it is time. */
   void step(long now, RevisionMessageSender outlet) {
     for (ChunkedFetch f : List.copyOf(fetches)) {
-      if (f.tries > 0 && f.late(now) && f.peersTried++ >= TRIES || now >= f.leaveAt) {
+      if (f.attempts > 0 && f.isLate(now) && f.peersAsked++ >= TRIES || now >= f.giveUpAtNanos) {
         fetches.remove(f);
-        f.then.accept(null);
+        f.onCompleted.accept(null);
       } else {
-        f.question(now, outlet, null);
+        f.request(now, outlet, null);
       }
     }
   }
--- /dev/null
+++ b/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
@@ -0,0 +1,57 @@
+package reachloom.revision;
+
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import reachloom.scheduler.state.TokenBucket;
+
+/**
+ * Whether a revision is well-formed, and proved by the votes of a quorum of the issuers. Confined
+ * to the thread of {@link RevisionDissemination}.
+ */
+final class RevisionVerifier {
+  /** Proofs that are checked in a second: each costs up to a quorum of signature checks. */
+  private static final int PROOFS_PER_SECOND = 32;
+
+  private static final int MAX_VOTES = 9;
+  private static final int MAX_NAME_LENGTH = 64;
+
+  private final LocalMember self;
+  private final TokenBucket proofs = new TokenBucket(PROOFS_PER_SECOND, PROOFS_PER_SECOND);
+
+  RevisionVerifier(LocalMember self) {
+    this.self = self;
+  }
+
+  /** Whether all fields are within their bounds, whatever the votes say. */
+  static boolean isWellFormed(Revision revision, List<Vote> votes) {
+    return revision.number() > 0
+        && revision.previous().length == Revision.HASH_BYTES
+        && revision.digest().length == Revision.HASH_BYTES
+        && revision.size() >= 0
+        && revision.size() <= Revision.MAX_DOCUMENT_BYTES
+        && revision.issuer().length() <= MAX_NAME_LENGTH
+        && votes.size() <= MAX_VOTES;
+  }
+
+  /** Whether one more proof may be checked in this second. */
+  boolean tryAcquire(long nowNanos) {
+    return proofs.take(nowNanos);
+  }
+
+  /** Whether a quorum of the issuers has signed the revision. */
+  boolean isProved(Revision revision, List<Vote> votes) {
+    byte[] chain = revision.chain();
+    Set<String> voters = new TreeSet<>();
+    for (Vote vote : votes) {
+      String issuer = vote.issuer();
+      if (voters.size() < self.quorum()
+          && self.trusts(issuer)
+          && !voters.contains(issuer)
+          && self.signatures().proves(issuer, chain, vote.signature())) {
+        voters.add(issuer);
+      }
+    }
+    return voters.size() >= self.quorum();
+  }
+}
--- a/decisions/src/main/java/reachloom/revision/TransferQueue.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -6,98 +6,120 @@
 import java.util.Map;
 import reachloom.scheduler.state.TokenBucket;
 
-/** The documents that others have asked for: who asked first is served whole before the next. */
+/**
+ * Documents and deltas that other members have asked for, sent chunk by chunk as far as the budget
+ * of the second allows: who asked first gets the whole window before the next one. One transfer per
+ * member; a limit of chunks per second and member. Times are nanoseconds of the clock handed in;
+ * confined to the thread of {@link RevisionDissemination}.
+ */
 final class TransferQueue {
-  private static final class Order {
+  /** The chunks that answer one request. */
+  private static final class Transfer {
     private final Peer to;
     private final long number;
-    private final long base;
+    private final long baseNumber;
     private final byte[] bytes;
     private final int end;
-    private final long until;
+    private final long expiresAtNanos;
     private int next;
 
-    Order(long now, Peer to, long number, long base, byte[] bytes, int from) {
-      until = now + PATIENCE;
+    Transfer(long nowNanos, Peer to, long number, long baseNumber, byte[] bytes, int from) {
+      expiresAtNanos = nowNanos + MAX_WAIT_NANOS;
       this.to = to;
       this.number = number;
-      this.base = base;
+      this.baseNumber = baseNumber;
       this.bytes = bytes;
       next = from;
-      end = Math.min(ChunkedFetch.pieces(bytes.length), from + ChunkedFetch.WINDOW);
+      end = Math.min(Chunks.count(bytes.length), from + Chunks.WINDOW);
+    }
+
+    RevisionMessage.Piece nextChunk() {
+      return new RevisionMessage.Piece(
+          number, baseNumber, next, Chunks.count(bytes.length), Chunks.slice(bytes, next));
     }
   }
 
-  private static final int MAX_ORDERS = 32; // who finds no room asks another
-  // Who has waited for so long (nanoseconds) has asked another by now.
-  private static final long PATIENCE = 1_500_000_000;
-  private static final int MAX_ASKERS = 256;
-  // for one asker; a document has 26, asked for again where some were lost
-  private static final int PIECES_A_SECOND = 52;
-  private static final int PIECES_A_TICK = 24; // where the budget bears it: 200 KB a second
+  /** Who finds no room asks another member. */
+  private static final int MAX_TRANSFERS = 32;
+
+  /** Who has waited for so long has asked another member by now. */
+  private static final long MAX_WAIT_NANOS = 1_500_000_000;
+
+  /** Members whose rate is remembered. */
+  private static final int MAX_RATE_LIMITERS = 256;
 
-  private final Map<String, Order> orders = new LinkedHashMap<>();
-  private final Map<String, TokenBucket> askers = new LinkedHashMap<>();
+  /** To one member; the largest document has 26, asked for again where some were lost. */
+  private static final int CHUNKS_PER_SECOND = 52;
+
+  /** Where the budget allows it: 200 KB a second. */
+  private static final int CHUNKS_PER_TICK = 24;
+
+  private final Map<String, Transfer> transfers = new LinkedHashMap<>(); // by name of the member
+  private final Map<String, TokenBucket> rateLimiters = new LinkedHashMap<>();
 
   /**
-   * Takes an order for the pieces of a document or delta; one asker has one at most, and keeps its
+   * Queues the answer to a request; it replaces an earlier one of the same member, which keeps its
    * turn.
+   *
+   * @param baseNumber the revision that the bytes are a delta from; 0 for a whole document
+   * @param from the first chunk that is wanted; nothing is queued where there is no such chunk
    */
-  void order(long now, Peer to, long number, long base, byte[] bytes, int from) {
-    boolean full = orders.size() >= MAX_ORDERS && !orders.containsKey(to.name());
-    if (full || from < 0 || from >= ChunkedFetch.pieces(bytes.length)) {
+  void add(long nowNanos, Peer to, long number, long baseNumber, byte[] bytes, int from) {
+    boolean full = transfers.size() >= MAX_TRANSFERS && !transfers.containsKey(to.name());
+    if (full || from < 0 || from >= Chunks.count(bytes.length)) {
       return;
     }
-    Order o = new Order(now, to, number, base, bytes, from);
+    Transfer transfer = new Transfer(nowNanos, to, number, baseNumber, bytes, from);
     if (from == 0) {
-      orders.put(to.name(), o);
-      return;
+      transfers.put(to.name(), transfer);
+    } else {
+      putFirst(transfer); // half-way through: before those that have not begun
     }
-    orders.remove(to.name()); // half-way through: before those that have not begun
-    Map<String, Order> behind = new LinkedHashMap<>(orders);
-    orders.clear();
-    orders.put(to.name(), o);
-    orders.putAll(behind);
+  }
+
+  private void putFirst(Transfer transfer) {
+    transfers.remove(transfer.to.name());
+    Map<String, Transfer> others = new LinkedHashMap<>(transfers);
+    transfers.clear();
+    transfers.put(transfer.to.name(), transfer);
+    transfers.putAll(others);
   }
 
   /** Whether nobody waits for a document. */
-  boolean idle() {
-    return orders.isEmpty();
+  boolean isIdle() {
+    return transfers.isEmpty();
   }
 
-  /** Sends what the budget bears. */
-  void tick(long now, RevisionMessageSender outlet) {
-    int left = PIECES_A_TICK;
-    orders.values().removeIf(o -> now >= o.until);
-    for (Order o : new ArrayList<>(orders.values())) {
-      while (o.next < o.end) {
+  /** Sends what the budget allows. */
+  void tick(long nowNanos, RevisionMessageSender sender) {
+    int left = CHUNKS_PER_TICK;
+    transfers.values().removeIf(t -> nowNanos >= t.expiresAtNanos);
+    for (Transfer transfer : new ArrayList<>(transfers.values())) {
+      while (transfer.next < transfer.end) {
         if (left-- <= 0) {
           return;
         }
-        if (!askers.containsKey(o.to.name()) && askers.size() >= MAX_ASKERS) {
-          askers.remove(askers.keySet().iterator().next());
-        }
-        TokenBucket bucket =
-            askers.computeIfAbsent(
-                o.to.name(), k -> new TokenBucket(PIECES_A_SECOND, PIECES_A_SECOND));
-        if (!bucket.take(now)) {
+        if (!rateLimiter(transfer.to.name()).take(nowNanos)) {
           break;
         }
-        RevisionMessage piece =
-            new RevisionMessage.Piece(
-                o.number,
-                o.base,
-                o.next,
-                ChunkedFetch.pieces(o.bytes.length),
-                ChunkedFetch.piece(o.bytes, o.next));
-        if (!outlet.send(now, o.to.name(), o.to.address(), List.of(piece))) {
+        if (!sender.send(
+            nowNanos, transfer.to.name(), transfer.to.address(), List.of(transfer.nextChunk()))) {
           return; // the budget is used up
         }
-        o.next++;
+        transfer.next++;
       }
-      if (o.next >= o.end) {
-        orders.remove(o.to.name());
+      if (transfer.next >= transfer.end) {
+        transfers.remove(transfer.to.name());
       }
     }
   }
+
+  /** The limit of one member; the oldest one is forgotten where there are too many. */
+  private TokenBucket rateLimiter(String name) {
+    if (!rateLimiters.containsKey(name) && rateLimiters.size() >= MAX_RATE_LIMITERS) {
+      rateLimiters.remove(rateLimiters.keySet().iterator().next());
+    }
+    return rateLimiters.computeIfAbsent(
+        name, k -> new TokenBucket(CHUNKS_PER_SECOND, CHUNKS_PER_SECOND));
+  }
 }
--- a/decisions/src/test/java/reachloom/revision/DeltaTest.java
+++ b/decisions/src/test/java/reachloom/revision/DeltaTest.java
@@ -9,9 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Deltas between documents. */
 class DeltaTest {
   @Test
-  void makesOneDocumentOfAnother() {
+  void appliedToTheBaseItGivesTheTarget() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 2_000; i++) {
       byte[] base = new byte[random.nextInt(40)];
@@ -22,21 +23,25 @@
           base, 0, target, 0, Math.min(base.length, random.nextInt(target.length + 1)));
       assertArrayEquals(target, Delta.apply(base, Delta.encode(base, target)));
     }
-    byte[] repeats = new byte[30];
+    byte[] repetitive = new byte[30];
     byte[] longer = new byte[50];
-    assertArrayEquals(longer, Delta.apply(repeats, Delta.encode(repeats, longer)));
-    assertEquals(9, Delta.encode(Net.document(9_000, 1), Net.document(9_000, 2)).length);
+    assertArrayEquals(longer, Delta.apply(repetitive, Delta.encode(repetitive, longer)));
+    byte[] one = Net.document(9_000, 1);
+    byte[] other = Net.document(9_000, 2);
+    assertEquals(9, Delta.encode(one, other).length);
   }
 
   @Test
-  void nonsenseMakesNothing() {
+  void malformedDeltaGivesNothing() {
     byte[] base = new byte[100];
     assertNull(Delta.apply(base, new byte[7]));
-    int[][] nonsense = {{-1, 0}, {0, -1}, {101, 0}, {60, 41}, {Integer.MAX_VALUE, 1}, {1, 1 << 31}};
-    for (int[] ends : nonsense) {
+    int[][] malformed = {
+      {-1, 0}, {0, -1}, {101, 0}, {60, 41}, {Integer.MAX_VALUE, 1}, {1, 1 << 31}
+    };
+    for (int[] lengths : malformed) {
       assertNull(
-          Delta.apply(base, ByteBuffer.allocate(8).putInt(ends[0]).putInt(ends[1]).array()),
-          Arrays.toString(ends));
+          Delta.apply(base, ByteBuffer.allocate(8).putInt(lengths[0]).putInt(lengths[1]).array()),
+          Arrays.toString(lengths));
     }
     assertNull(Delta.apply(base, new byte[8 + Revision.MAX_DOCUMENT_BYTES + 1]), "too large");
     assertEquals(
--- a/decisions/src/test/java/reachloom/revision/Issuers.java
+++ b/decisions/src/test/java/reachloom/revision/Issuers.java
@@ -110,12 +110,8 @@
       if (real) {
         it =
             new RevisionDissemination(
-                name,
-                1,
-                true,
-                peers(),
-                ConsensusNode.quorum(nodes.size()),
-                new Hashes(name),
+                new LocalMember(
+                    name, 1, peers(), ConsensusNode.quorum(nodes.size()), new Hashes(name)),
                 random.split(),
                 this,
                 this,
--- a/decisions/src/test/java/reachloom/revision/Net.java
+++ b/decisions/src/test/java/reachloom/revision/Net.java
@@ -1,7 +1,9 @@
 package reachloom.revision;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
@@ -11,222 +13,255 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Members and issuers under a simulated clock and network; who is present is given, packets are
- * weighed.
+ * Members and issuers under a simulated clock and network. Which members are present is given by
+ * the test; packets are counted against a budget of bytes per second; the same seed gives the same
+ * run.
  */
 final class Net {
-  static final long MILLI = 1_000_000;
-  static final long SECOND = 1_000 * MILLI;
+  static final long MILLISECOND = 1_000_000; // nanoseconds
+  static final long SECOND = 1_000 * MILLISECOND;
 
-  /** What gossip leaves of 17,000 bytes a second, and what an issuer's machine may send. */
-  private static final int BUDGET = 12_900;
+  /** What gossip leaves of 17,000 bytes a second. */
+  private static final int MEMBER_BYTES_PER_SECOND = 12_900;
 
-  private static final int ISSUER_BUDGET = 400_000;
-  private static final int GOSSIP = 4_096;
-  private static final int HEAD = 180; // bytes of a packet without words: names, signature, UDP
-  private static final int MAX_PACKET = 700;
+  /** What an issuer's machine may send. */
+  private static final int ISSUER_BYTES_PER_SECOND = 400_000;
+
+  private static final int GOSSIP_BYTES_PER_SECOND = 4_096;
+
+  /** Of a packet without messages: names, signature, UDP header. */
+  private static final int PACKET_HEADER_BYTES = 180;
+
+  private static final int MAX_PACKET_BYTES = 700;
+  private static final int ISSUERS = 5;
+  private static final int ZONES = 10;
+  private static final int REGIONS = 3;
+  private static final long TICK_NANOS = 100 * MILLISECOND;
+  private static final long GOSSIP_PERIOD_NANOS = SECOND;
 
   /**
-   * Any signature that names the issuer and the chain is good; who lies in these tests makes up
-   * others.
+   * Any signature that names the issuer and the chain is valid; who forges here makes up others.
    */
-  static final class Stamp implements SignatureScheme {
+  static final class FakeSignatures implements SignatureScheme {
     private final String name;
 
-    Stamp(String name) {
+    FakeSignatures(String name) {
       this.name = name;
     }
 
     @Override
     public byte[] sign(byte[] chain) {
-      return Revision.hash((name + Arrays.toString(chain)).getBytes());
+      return Revision.hash((name + Arrays.toString(chain)).getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public boolean proves(String issuer, byte[] chain, byte[] signature) {
-      return Arrays.equals(signature, new Stamp(issuer).sign(chain));
+      return Arrays.equals(signature, new FakeSignatures(issuer).sign(chain));
     }
   }
 
-  /** One member. */
+  /** One member or issuer. */
   final class Node implements RevisionMessageSender, RevisionDissemination.Host {
     final Peer peer;
     final boolean issuer;
-    final Map<Long, Long> inForceAt = new TreeMap<>();
+
+    /** When each revision came in force first, nanoseconds, by number. */
+    final Map<Long, Long> inForceAtNanos = new TreeMap<>();
+
     final List<String> alarms = new ArrayList<>();
-    private final TreeMap<Long, Integer> sent = new TreeMap<>();
-    RevisionDissemination it;
+    RevisionDissemination dissemination;
     boolean up = true;
-    boolean refuses;
-    long stalledUntil;
-    int mostBytes;
+
+    /** Whether its host rejects every revision. */
+    boolean rejecting;
+
+    /** It handles nothing before that time, nanoseconds. */
+    long pausedUntilNanos;
+
+    int peakBytesPerSecond;
+
+    /** How many revisions its host was handed. */
     int applied;
-    private int before;
-    private int life;
-    UnaryOperator<List<RevisionMessage>> lie = w -> w;
+
+    /** What becomes of the messages that it sends. */
+    UnaryOperator<List<RevisionMessage>> tamper = messages -> messages;
+
+    private final TreeMap<Long, Integer> sentBytes = new TreeMap<>(); // by time
+    private int sentInLastSecond;
+    private int incarnation;
 
     Node(String name, int place, boolean issuer) {
       peer = new Peer(name, nodes.size(), place);
       this.issuer = issuer;
     }
 
+    /** Starts with nothing, also if it is up already. */
     void start() {
       up = true;
-      life++;
-      int mine = life;
-      it =
-          new RevisionDissemination(
+      incarnation++;
+      int started = incarnation;
+      LocalMember self =
+          new LocalMember(
               peer.name(),
               peer.place(),
-              issuer,
               issuers,
               issuers.size() / 2 + 1,
-              new Stamp(peer.name()),
-              random.split(),
-              this,
-              this,
-              now);
-      at(now + random.nextLong(100 * MILLI), () -> tick(mine));
-      at(now + random.nextLong(SECOND), () -> gossip(mine));
-      present();
+              new FakeSignatures(peer.name()));
+      dissemination = new RevisionDissemination(self, random.split(), this, this, now);
+      schedule(now + random.nextLong(TICK_NANOS), () -> tick(started));
+      schedule(now + random.nextLong(GOSSIP_PERIOD_NANOS), () -> gossip(started));
+      updatePresence();
     }
 
-    private void tick(int mine) {
-      if (mine == life && up) {
-        if (now >= stalledUntil) {
-          it.tick(now);
+    private void tick(int started) {
+      if (started == incarnation && up) {
+        if (now >= pausedUntilNanos) {
+          dissemination.tick(now);
         }
-        at(Math.max(stalledUntil, now + 100 * MILLI), () -> tick(mine));
+        schedule(Math.max(pausedUntilNanos, now + TICK_NANOS), () -> tick(started));
       }
     }
 
-    private void gossip(int mine) {
-      if (mine == life && up) {
+    private void gossip(int started) {
+      if (started == incarnation && up) {
         Node to = nodes.get(random.nextInt(nodes.size()));
-        if (to != this && now >= stalledUntil) {
-          send(to, List.of(it.have()));
-          at(
-              now + 100 * MILLI,
+        if (to != this && now >= pausedUntilNanos) {
+          transmit(to, List.of(dissemination.have()));
+          schedule(
+              now + 100 * MILLISECOND,
               () -> {
                 if (to.up) {
-                  to.send(this, List.of(to.it.have()));
+                  to.transmit(this, List.of(to.dissemination.have()));
                 }
               });
         }
-        at(now + SECOND, () -> gossip(mine));
+        schedule(now + GOSSIP_PERIOD_NANOS, () -> gossip(started));
       }
     }
 
-    private void send(Node to, List<RevisionMessage> words) {
-      List<RevisionMessage> told = lie.apply(words);
+    private void transmit(Node to, List<RevisionMessage> messages) {
+      List<RevisionMessage> sent = tamper.apply(messages);
       trace = trace * 31 + now + to.peer.address();
-      told.forEach(
-          w -> trace = trace * 31 + w.getClass().getSimpleName().hashCode() + encodedBytes(w));
+      sent.forEach(
+          m -> trace = trace * 31 + m.getClass().getSimpleName().hashCode() + encodedBytes(m));
       if (!up || random.nextDouble() < loss || cut.test(this, to)) {
         return;
       }
-      long far = (peer.place() ^ to.peer.place()) >> 8 != 0 ? 30 : 1;
-      long when = now + far * MILLI + random.nextLong(2 * MILLI);
-      at(when, () -> to.arrive(peer, told));
+      long latency = region(this) != region(to) ? 30 : 1;
+      long arrival = now + latency * MILLISECOND + random.nextLong(2 * MILLISECOND);
+      schedule(arrival, () -> to.receive(peer, sent));
     }
 
-    private void arrive(Peer from, List<RevisionMessage> words) {
-      if (up && now < stalledUntil) {
-        at(stalledUntil, () -> arrive(from, words));
+    private void receive(Peer from, List<RevisionMessage> messages) {
+      if (up && now < pausedUntilNanos) {
+        schedule(pausedUntilNanos, () -> receive(from, messages));
       } else if (up) {
-        it.hear(now, from, words);
+        dissemination.hear(now, from, messages);
       }
     }
 
     @Override
-    public boolean send(long at, String to, long address, List<RevisionMessage> words) {
-      while (!sent.isEmpty() && sent.firstKey() <= now - SECOND) {
-        before -= sent.pollFirstEntry().getValue();
+    public boolean send(long at, String to, long address, List<RevisionMessage> messages) {
+      while (!sentBytes.isEmpty() && sentBytes.firstKey() <= now - SECOND) {
+        sentInLastSecond -= sentBytes.pollFirstEntry().getValue();
       }
-      int bytes = HEAD + words.stream().mapToInt(this::encodedBytes).sum();
-      if (before + bytes > (issuer ? ISSUER_BUDGET : BUDGET)) {
+      int bytes = PACKET_HEADER_BYTES + messages.stream().mapToInt(this::encodedBytes).sum();
+      int limit = issuer ? ISSUER_BYTES_PER_SECOND : MEMBER_BYTES_PER_SECOND;
+      if (sentInLastSecond + bytes > limit) {
         return false;
       }
-      sent.merge(now, bytes, Integer::sum);
-      before += bytes;
-      mostBytes = Math.max(mostBytes, before + GOSSIP);
-      List<RevisionMessage> all = new ArrayList<>(words);
-      all.add(0, it.have());
-      send(nodes.get((int) address), all);
+      sentBytes.merge(now, bytes, Integer::sum);
+      sentInLastSecond += bytes;
+      peakBytesPerSecond = Math.max(peakBytesPerSecond, sentInLastSecond + GOSSIP_BYTES_PER_SECOND);
+      List<RevisionMessage> packet = new ArrayList<>(messages);
+      packet.add(0, dissemination.have());
+      transmit(nodes.get((int) address), packet);
       return true;
     }
 
     @Override
-    public int encodedBytes(RevisionMessage word) {
-      if (word instanceof RevisionMessage.Notice n) {
-        return 100 + n.votes().size() * 76;
+    public int encodedBytes(RevisionMessage message) {
+      if (message instanceof RevisionMessage.Notice notice) {
+        return 100 + notice.votes().size() * 76;
       }
       return 30
-          + (word instanceof RevisionMessage.Piece p ? p.bytes().length : 0)
-          + (word instanceof RevisionMessage.Census c ? 10 * c.lacking().size() : 0);
+          + (message instanceof RevisionMessage.Piece chunk ? chunk.bytes().length : 0)
+          + (message instanceof RevisionMessage.Census sum ? 10 * sum.lacking().size() : 0);
     }
 
     @Override
     public int maxPacketBytes() {
-      return MAX_PACKET;
+      return MAX_PACKET_BYTES;
     }
 
     @Override
     public void apply(long at, Revision revision, byte[] document) {
-      int mine = life;
+      int started = incarnation;
       if (!revision.describes(document)) {
         throw new AssertionError("not its document");
       }
       applied++;
-      at(
-          now + 50 * MILLI,
+      schedule(
+          now + 50 * MILLISECOND,
           () -> {
-            if (mine == life && up && refuses) {
-              it.refused(now, revision.number(), "key x: not known");
-            } else if (mine == life && up) {
-              inForceAt.putIfAbsent(revision.number(), now);
-              it.inForce(now, revision.number());
+            if (started == incarnation && up) {
+              finishApplying(revision.number());
             }
           });
     }
 
+    private void finishApplying(long number) {
+      if (rejecting) {
+        dissemination.refused(now, number, "key x: not known");
+      } else {
+        inForceAtNanos.putIfAbsent(number, now);
+        dissemination.inForce(now, number);
+      }
+    }
+
     @Override
-    public void alarm(long at, String what) {
-      alarms.add(what);
+    public void alarm(long at, String message) {
+      alarms.add(message);
     }
 
+    /** The revision that it has in force; 0 for none. */
     long inForce() {
-      return it.have().inForce();
+      return dissemination.have().inForce();
     }
   }
 
-  private record Event(long at, long seq, Runnable what) {}
+  private record Event(long atNanos, long sequence, Runnable action) {}
 
   final List<Node> nodes = new ArrayList<>();
   final List<Peer> issuers = new ArrayList<>();
+
+  /** Whether nothing gets from the first to the second. */
   BiPredicate<Node, Node> cut = (from, to) -> false;
 
-  /** Whether one holds the other for present. */
+  /** Whether the first holds the second for present. */
   BiPredicate<Node, Node> sees = (one, other) -> true;
 
   double loss;
   long now = 1_700_000_000L * SECOND;
+
+  /** A hash over all packets: when, to whom, with which messages. */
   long trace;
+
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
+          Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::sequence));
   private final SplittableRandom random;
-  private long seq;
-  private boolean presentDue;
+  private long sequence;
+  private boolean presenceUpdateScheduled;
 
   /** Five issuers over three regions, and so many members over ten zones of these. */
   Net(long seed, int members, double loss) {
     random = new SplittableRandom(seed);
     this.loss = loss;
-    for (int i = 0; i < 5; i++) {
-      Node n = new Node("i" + i, place(i), true);
-      nodes.add(n);
-      issuers.add(n.peer);
+    for (int i = 0; i < ISSUERS; i++) {
+      Node issuer = new Node("i" + i, place(i), true);
+      nodes.add(issuer);
+      issuers.add(issuer.peer);
     }
     for (int i = 0; i < members; i++) {
       nodes.add(new Node("g" + i, place(i), false));
@@ -234,122 +269,123 @@
     nodes.forEach(Node::start);
   }
 
-  private static int place(int i) {
-    return (i % 10 % 3 + 1) << 8 | i % 10 / 3;
+  private static int place(int index) {
+    int zone = index % ZONES;
+    return (zone % REGIONS + 1) << 8 | zone / REGIONS;
   }
 
-  int region(Node n) {
-    return n.peer.place() >> 8;
+  int region(Node node) {
+    return node.peer.place() >> 8;
   }
 
-  void at(long when, Runnable what) {
-    events.add(new Event(Math.max(now, when), seq++, what));
+  private void schedule(long atNanos, Runnable action) {
+    events.add(new Event(Math.max(now, atNanos), sequence++, action));
   }
 
-  /** Lets all know who is present; once for all changes of one moment. */
-  void present() {
-    if (!presentDue) {
-      presentDue = true;
-      at(
+  /** Lets all know which members are present; once for all changes of one moment. */
+  void updatePresence() {
+    if (!presenceUpdateScheduled) {
+      presenceUpdateScheduled = true;
+      schedule(
           now,
           () -> {
-            presentDue = false;
-            nodes.stream()
-                .filter(n -> n.up)
-                .forEach(
-                    n ->
-                        n.it.peers(
-                            nodes.stream()
-                                .filter(o -> o != n && o.up && sees.test(n, o))
-                                .map(o -> o.peer)
-                                .toList()));
+            presenceUpdateScheduled = false;
+            nodes.stream().filter(n -> n.up).forEach(n -> n.dissemination.peers(presentPeers(n)));
           });
     }
   }
 
+  private List<Peer> presentPeers(Node of) {
+    return nodes.stream()
+        .filter(other -> other != of && other.up && sees.test(of, other))
+        .map(other -> other.peer)
+        .toList();
+  }
+
+  /** Lets time pass. */
   void run(double seconds) {
     long until = now + (long) (seconds * SECOND);
-    while (!events.isEmpty() && events.peek().at <= until) {
-      Event e = events.poll();
-      now = e.at;
-      e.what.run();
+    while (!events.isEmpty() && events.peek().atNanos <= until) {
+      Event event = events.poll();
+      now = event.atNanos;
+      event.action.run();
     }
     now = until;
   }
 
+  /** All but the issuers. */
   List<Node> members() {
     return nodes.stream().filter(n -> !n.issuer).toList();
   }
 
-  /** A revision after another, with the votes of a majority. */
-  RevisionMessage.Notice sign(Revision before, byte[] document) {
-    Revision r = Revision.after(before, document, now / MILLI, "i0");
+  /** A revision after another one (null for none), with the votes of a majority. */
+  RevisionMessage.Notice certify(Revision before, byte[] document) {
+    Revision revision = Revision.after(before, document, now / MILLISECOND, "i0");
     return new RevisionMessage.Notice(
-        r,
+        revision,
         issuers.stream()
-            .limit(3)
-            .map(i -> new Vote(i.name(), new Stamp(i.name()).sign(r.chain())))
+            .limit(ISSUERS / 2 + 1)
+            .map(i -> new Vote(i.name(), new FakeSignatures(i.name()).sign(revision.chain())))
             .toList());
   }
 
-  /** The council has decided; the issuer of that number hears of it. */
+  /** The issuers have decided a revision; the issuer with that index hears of it. */
   RevisionMessage.Notice issue(int by, byte[] document) {
-    RevisionMessage.Notice before = nodes.get(by).it.newest();
-    RevisionMessage.Notice n = sign(before == null ? null : before.revision(), document);
+    Node proposer = nodes.get(by);
+    RevisionMessage.Notice before = proposer.dissemination.newest();
+    RevisionMessage.Notice notice = certify(before == null ? null : before.revision(), document);
     for (int i = 0; i < issuers.size(); i++) {
-      if (i == by
-          || nodes.get(i).up && !cut.test(nodes.get(by), nodes.get(i))) { // who accepts holds it
-        nodes.get(i).it.draft(n.revision(), document);
+      Node acceptor = nodes.get(i);
+      if (i == by || acceptor.up && !cut.test(proposer, acceptor)) { // who accepts holds it
+        acceptor.dissemination.draft(notice.revision(), document);
       }
     }
-    nodes.get(by).it.proved(now, n.revision(), n.votes(), document);
-    return n;
+    proposer.dissemination.proved(now, notice.revision(), notice.votes(), document);
+    return notice;
   }
 
   /** A document of that size that differs from others a little. */
   static byte[] document(int size, int variant) {
-    byte[] d = new byte[size];
-    new SplittableRandom(7).nextBytes(d);
-    d[size / 2] = (byte) variant;
-    d[size / 3] = (byte) (variant >> 8);
-    return d;
+    byte[] document = new byte[size];
+    new SplittableRandom(7).nextBytes(document);
+    document[size / 2] = (byte) variant;
+    document[size / 3] = (byte) (variant >> 8);
+    return document;
   }
 
   /**
-   * Each member's time from then until that revision, or a newer one, was in force; sorted; -1 for
-   * never.
+   * For each member the seconds from then until that revision, or a newer one, was in force;
+   * sorted; -1 for never.
    */
-  double[] times(long since, long number) {
-    double[] times =
-        members().stream()
-            .mapToDouble(
-                n ->
-                    n.inForceAt.entrySet().stream()
-                        .filter(e -> e.getKey() >= number)
-                        .mapToLong(Map.Entry::getValue)
-                        .min()
-                        .orElse(since - SECOND))
-            .map(t -> (t - since) / SECOND)
-            .toArray();
-    Arrays.sort(times);
-    return times;
+  double[] secondsUntilInForce(long sinceNanos, long number) {
+    return members().stream()
+        .mapToLong(n -> firstInForceNanos(n, number, sinceNanos - SECOND))
+        .mapToDouble(at -> (double) (at - sinceNanos) / SECOND)
+        .sorted()
+        .toArray();
   }
 
-  int inForce(long number) {
+  private static long firstInForceNanos(Node node, long number, long otherwise) {
+    return node.inForceAtNanos.entrySet().stream()
+        .filter(e -> e.getKey() >= number)
+        .mapToLong(Map.Entry::getValue)
+        .min()
+        .orElse(otherwise);
+  }
+
+  /** How many members have that revision in force. */
+  int countInForce(long number) {
     return (int) members().stream().filter(n -> n.inForce() == number).count();
   }
 
-  int mostBytes(boolean ofIssuers) {
-    return nodes.stream()
-        .filter(n -> n.issuer == ofIssuers)
-        .mapToInt(n -> n.mostBytes)
-        .max()
-        .orElse(0);
+  /** The most bytes that a member sent in a second. */
+  int peakMemberBytesPerSecond() {
+    return members().stream().mapToInt(n -> n.peakBytesPerSecond).max().orElse(0);
   }
 
-  /** What the best informed issuer knows to be in force. */
-  int told(Node issuer, long number) {
-    return issuer.it.censuses().stream()
+  /** How many members that issuer knows to have a revision in force. */
+  int knownInForce(Node issuer, long number) {
+    return issuer.dissemination.censuses().stream()
         .filter(c -> c.number() == number)
         .mapToInt(RevisionMessage.Census::inForce)
         .sum();
--- a/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
@@ -1,59 +1,67 @@
 package reachloom.revision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import reachloom.revision.RevisionLog.Standing;
+import reachloom.revision.RevisionLog.Classification;
 
+/** What the log keeps, and how it classifies revisions that are proved. */
 class RevisionLogTest {
-  private static final int LARGE = Revision.MAX_DOCUMENT_BYTES;
+  private static final int DOCUMENT_BYTES = Revision.MAX_DOCUMENT_BYTES;
+  private static final long NOW_NANOS = 1_000;
+
+  private static byte[] document(int variant) {
+    return Net.document(DOCUMENT_BYTES, variant);
+  }
 
   private static Revision next(Revision before, int variant) {
-    return Revision.after(before, Net.document(LARGE, variant), variant, "i0");
+    return Revision.after(before, document(variant), variant, "i0");
   }
 
   @Test
-  void itsBoundsHoldAndWhatIsInForceStays() {
+  void dropsOldRevisionsButKeepsTheOneInForce() {
     RevisionLog log = new RevisionLog();
-    Revision r = null;
+    Revision revision = null;
     for (int k = 1; k <= 100; k++) {
-      r = next(r, k);
-      assertEquals(Standing.NEWER, log.judge(r));
-      log.add(r, List.of(), Net.document(LARGE, k));
+      revision = next(revision, k);
+      assertEquals(Classification.NEWER, log.classify(revision));
+      log.add(NOW_NANOS, revision, List.of(), document(k));
       if (k == 3) {
-        log.inForce(log.get(3));
+        log.setInForce(log.get(3).orElseThrow());
       }
     }
     assertEquals(100, log.newestNumber());
-    assertNotNull(log.held(3, 0), "in force");
+    assertTrue(log.withDocument(3, 0).isPresent(), "in force");
     assertEquals(
         4,
-        LongStream.rangeClosed(1, 100).filter(n -> log.held(n, 0) != null).count(),
+        LongStream.rangeClosed(1, 100).filter(n -> log.withDocument(n, 0).isPresent()).count(),
         "64 KiB of documents");
-    assertEquals(99, log.heldBelow(100).revision().number());
-    assertNull(log.held(100, log.get(100).mark() + 1), "another with that number");
+    assertEquals(99, log.newestWithDocumentBelow(100).orElseThrow().number());
+    long otherMark = log.get(100).orElseThrow().mark() + 1;
+    assertEquals(Optional.empty(), log.withDocument(100, otherMark), "another with that number");
   }
 
   @Test
-  void tellsWhatContradictsIt() {
+  void classifiesWhatContradictsTheLogAsAFork() {
     RevisionLog log = new RevisionLog();
     Revision one = next(null, 1);
     Revision two = next(one, 2);
     Revision other = next(null, 9);
     Revision afterOther = next(other, 8);
-    log.add(two, List.of(), null);
-    assertEquals(Standing.HELD, log.judge(two));
-    assertEquals(Standing.OLDER, log.judge(one));
-    assertEquals(Standing.FORK, log.judge(other), "the one held is not after it");
-    assertEquals(Standing.FORK, log.judge(afterOther), "the same number");
-    assertEquals(Standing.FORK, log.judge(next(afterOther, 7)), "not after the one held");
-    assertEquals(Standing.NEWER, log.judge(next(next(two, 3), 4)), "one between is not known");
+    log.add(NOW_NANOS, two, List.of(), null);
+    assertEquals(Classification.KNOWN, log.classify(two));
+    assertEquals(Classification.OLDER, log.classify(one));
+    assertEquals(Classification.FORK, log.classify(other), "the one held is not after it");
+    assertEquals(Classification.FORK, log.classify(afterOther), "the same number");
+    assertEquals(Classification.FORK, log.classify(next(afterOther, 7)), "not after the one held");
+    assertEquals(
+        Classification.NEWER, log.classify(next(next(two, 3), 4)), "one between is not known");
     Revision farOther = next(afterOther, 7);
-    log.fork(farOther);
-    assertEquals(Standing.FORK, log.judge(next(farOther, 6)), "after one that is not taken");
+    log.addFork(farOther);
+    assertEquals(Classification.FORK, log.classify(next(farOther, 6)), "after a fork");
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -12,6 +12,7 @@
 import reachloom.gateway.EventLoop;
 import reachloom.gossip.PiggybackPayload;
 import reachloom.revision.ConsensusNode;
+import reachloom.revision.LocalMember;
 import reachloom.revision.Peer;
 import reachloom.revision.Revision;
 import reachloom.revision.RevisionDissemination;
@@ -22,15 +23,21 @@
 
 /**
  * Revisions of the installation's configuration at this instance: ties {@link
- * RevisionDissemination} to gossip and to whoever puts a document in force. All of it runs on the
- * loop, but for putting in force, which has a thread of its own, one document at a time.
+ * RevisionDissemination} to gossip, and to whoever puts a document in force. Confined to the event
+ * loop's thread, but for {@link Installer#put}, which runs on a thread of its own, one document at
+ * a time.
  */
 public final class RevisionService implements PiggybackPayload, RevisionDissemination.Host {
   private static final Logger LOG = System.getLogger(RevisionService.class.getName());
 
-  /** Puts a document in force, off the loop. */
+  /** Puts documents in force, off the event loop. */
   public interface Installer {
-    /** Gives "", or why it can't be put in force; then the one before stays. */
+    /**
+     * Puts a document in force; may block.
+     *
+     * @param number the number of its revision
+     * @return an empty string, or why it can't be put in force; then the one before stays
+     */
     String put(long number, byte[] document);
   }
 
@@ -38,66 +45,69 @@
   private final Installer installer;
   private final RevisionDissemination dissemination;
   private final List<Peer> issuers;
-  private volatile SignatureScheme seal;
 
-  /** Null where this instance is no issuer. */
-  private ConsensusNode council;
+  /** Replaced as a whole when certificates are read again. */
+  private volatile SignatureScheme signatures;
 
+  /** Null where this instance is no issuer. */
+  private ConsensusNode consensusNode;
+
+  /**
+   * Starts with no revision.
+   *
+   * @param settings with {@code configuration}
+   * @throws ConfigException where the issuers' certificates can't be used
+   */
   RevisionService(
       EventLoop loop,
       String name,
       GossipSettings settings,
       NodeIdentity identity,
       long seed,
-      RevisionMessageSender outlet,
+      RevisionMessageSender sender,
       Installer installer)
       throws ConfigException {
     this.loop = loop;
     this.installer = installer;
-    ConfigurationSettings c = settings.configuration().orElseThrow();
+    ConfigurationSettings configuration = settings.configuration().orElseThrow();
     reload(settings, identity);
     issuers =
-        c.issuers().stream()
-            .map(i -> new Peer(i.name(), DatagramTransport.number(i.address()), 0))
+        configuration.issuers().stream()
+            .map(issuer -> new Peer(issuer.name(), DatagramTransport.number(issuer.address()), 0))
             .toList();
-    boolean issuer = issuers.stream().anyMatch(i -> i.name().equals(name));
+    LocalMember self =
+        new LocalMember(name, configuration.place(), issuers, configuration.quorum(), seal());
     dissemination =
-        new RevisionDissemination(
-            name,
-            c.place(),
-            issuer,
-            issuers,
-            c.quorum(),
-            seal(),
-            new SplittableRandom(seed),
-            outlet,
-            this,
-            loop.now());
-  }
-
-  /** Reads the issuers' certificates anew. */
+        new RevisionDissemination(self, new SplittableRandom(seed), sender, this, loop.now());
+  }
+
+  /**
+   * Reads the issuers' certificates again.
+   *
+   * @throws ConfigException where they can't be used; then those before stay
+   */
   void reload(GossipSettings settings, NodeIdentity identity) throws ConfigException {
-    seal =
+    signatures =
         IssuerSignatures.read(
             settings.configuration().orElseThrow(), identity, WallClock.unixMillis());
   }
 
-  /** The member's part; for the loop's thread. */
+  /** This member's part in spreading revisions; for the event loop's thread. */
   public RevisionDissemination dissemination() {
     return dissemination;
   }
 
-  /** What signs and proves votes, whatever certificates are read anew. */
+  /** Signs and proves votes by the certificates that were read last. */
   public SignatureScheme seal() {
     return new SignatureScheme() {
       @Override
       public byte[] sign(byte[] chain) {
-        return seal.sign(chain);
+        return signatures.sign(chain);
       }
 
       @Override
-      public boolean proves(String of, byte[] chain, byte[] signature) {
-        return seal.proves(of, chain, signature);
+      public boolean proves(String issuer, byte[] chain, byte[] signature) {
+        return signatures.proves(issuer, chain, signature);
       }
     };
   }
@@ -107,21 +117,21 @@
     return issuers;
   }
 
-  /** This instance is an issuer; before it starts. */
-  public void join(ConsensusNode of) {
-    council = of;
+  /** This instance is an issuer, with that consensus node; to be called before it starts. */
+  public void join(ConsensusNode node) {
+    consensusNode = node;
   }
 
-  /** What there is to tell, in lines of ASCII. */
+  /** The status of this instance, in lines of printable ASCII. */
   List<String> lines(long now) {
     List<String> lines = new ArrayList<>(dissemination.lines(now));
-    if (council != null) {
-      lines.addAll(council.lines());
+    if (consensusNode != null) {
+      lines.addAll(consensusNode.lines());
     }
     return lines;
   }
 
-  // ---- What rides on gossip ----
+  // ---- The payload of gossip ----
 
   @Override
   public List<RevisionMessage> always() {
@@ -131,8 +141,8 @@
   @Override
   public void hear(long now, Peer sender, List<RevisionMessage> words) {
     dissemination.hear(now, sender, words);
-    if (council != null) {
-      council.hear(now, sender, words);
+    if (consensusNode != null) {
+      consensusNode.hear(now, sender, words);
     }
   }
 
@@ -146,31 +156,31 @@
     dissemination.tick(now);
   }
 
-  // ---- What comes of it ----
+  // ---- The host of the dissemination ----
 
   @Override
-  public void apply(long now, Revision revision, byte[] document) {
-    Thread t =
-        new Thread(
-            () -> {
-              String refusal = installer.put(revision.number(), document);
-              loop.post(
-                  0,
-                  () -> {
-                    if (refusal.isEmpty()) {
-                      dissemination.inForce(loop.now(), revision.number());
-                    } else {
-                      dissemination.refused(loop.now(), revision.number(), refusal);
-                    }
-                  });
-            },
-            "revision");
-    t.setDaemon(true);
-    t.start();
+  public void apply(long nowNanos, Revision revision, byte[] document) {
+    Thread thread = new Thread(() -> install(revision.number(), document), "revision");
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  /** Runs on a thread of its own; the result goes back to the event loop. */
+  private void install(long number, byte[] document) {
+    String rejection = installer.put(number, document);
+    loop.post(0, () -> installed(number, rejection));
+  }
+
+  private void installed(long number, String rejection) {
+    if (rejection.isEmpty()) {
+      dissemination.inForce(loop.now(), number);
+    } else {
+      dissemination.refused(loop.now(), number, rejection);
+    }
   }
 
   @Override
-  public void alarm(long now, String what) {
-    LOG.log(Level.ERROR, "revisions: {0}", what);
+  public void alarm(long nowNanos, String message) {
+    LOG.log(Level.ERROR, "revisions: {0}", message);
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -16,6 +16,7 @@
 import reachloom.lab.gossip.VirtualCluster.Node;
 import reachloom.revision.ConsensusNode;
 import reachloom.revision.ConsensusStore;
+import reachloom.revision.LocalMember;
 import reachloom.revision.Peer;
 import reachloom.revision.ProposalResult;
 import reachloom.revision.Revision;
@@ -116,12 +117,8 @@
       SignatureScheme seal = new Stamp(node.name);
       dissemination =
           new RevisionDissemination(
-              node.name,
-              place(node),
-              issuer,
-              issuers,
-              ConsensusNode.quorum(plan.control),
-              seal,
+              new LocalMember(
+                  node.name, place(node), issuers, ConsensusNode.quorum(plan.control), seal),
               random.split(),
               node.gossip,
               this,
