--- a/decisions/src/main/java/reachloom/revision/Acceptor.java
+++ b/decisions/src/main/java/reachloom/revision/Acceptor.java
@@ -1,179 +1,163 @@
 package reachloom.revision;
 
 import java.util.Arrays;
+import java.util.Optional;
+import reachloom.revision.ConsensusState.AcceptedProposal;
+import reachloom.revision.ConsensusState.ChosenRevision;
 
 /**
- * An issuer's voting part (the acceptor of Paxos, one instance a number). It answers only from what
- * is saved: where the store fails, it is silent, as one that is down.
+ * The acceptor of Paxos, with one instance a revision number. It answers only from what is saved:
+ * while the store cannot be written, it is silent, as an issuer that is down.
  *
- * <p>One that has lost its store may have promised and accepted what it no longer knows. With its
- * newest proved revision at k, a voter takes part in number k + 1 at most, and k was accepted by a
- * majority that knew k - 1 to be proved. A majority of the others thus tells of k - 1 at least, and
- * what was forgotten is of that number + 2 at most. From the third on it takes part again. (What
- * others tell to know is what they hold the document of; therefore a voter holds that of k - 1
+ * <p>An issuer that has lost its store may have promised and accepted what it no longer knows. With
+ * its newest chosen revision at k, an acceptor votes on number k + 1 at most, and k was accepted by
+ * a majority that knew k - 1 to be chosen. A majority of the others thus tells of k - 1 at least,
+ * and what was forgotten is of that number + 2 at most. From the third on it votes again. (What
+ * others tell to know is what they hold the document of; therefore an acceptor holds that of k - 1
  * before it accepts k.) This counts on one lost store at a time: of two that were lost together
  * each might ask the other.
+ *
+ * <p>Confined to the thread of its {@link ConsensusNode}.
  */
 final class Acceptor {
   /**
-   * Numbers after the newest known to a majority of the others in which one that forgot may have
-   * voted.
+   * After a lost store: how many numbers after the newest known to a majority of the others this
+   * issuer may have voted on.
    */
-  private static final long FORGOTTEN = 2;
+  private static final long MAX_FORGOTTEN_NUMBERS = 2;
 
-  /** A round that is so far ahead of all others is a lie, which would leave none to go on with. */
-  private static final long MAX_LEAP = 1L << 32;
+  /** A round that is further ahead is not honest: it would leave none to go on with. */
+  private static final long MAX_ROUND_LEAP = 1L << 32;
 
-  private final String name;
-  private final SignatureScheme seal;
+  private final String issuer;
+  private final SignatureScheme signatures;
   private final ConsensusStore store;
-  private ConsensusStore.State state;
+  private ConsensusState state;
 
-  Acceptor(String name, SignatureScheme seal, ConsensusStore store) {
-    this.name = name;
-    this.seal = seal;
+  Acceptor(String issuer, SignatureScheme signatures, ConsensusStore store) {
+    this.issuer = issuer;
+    this.signatures = signatures;
     this.store = store;
-    ConsensusStore.State loaded = store.load();
-    state = loaded == null ? ConsensusStore.State.lost() : loaded;
+    state = store.load().orElseGet(ConsensusState::lost);
   }
 
-  ConsensusStore.State state() {
+  /** What was saved last. */
+  ConsensusState state() {
     return state;
   }
 
-  /**
-   * Whether it takes part in finding that number: the next one, and not one that it may have
-   * forgotten.
-   */
-  boolean takesPart(long number) {
-    return number == state.number() + 1 && state.takesPart();
-  }
-
-  /** Whether it holds the document of the newest proved revision: only then it accepts the next. */
-  boolean holdsNewest() {
-    return state.newest() == null || state.document() != null;
+  /** Whether this issuer may vote on that number, which is the next one alone. */
+  private boolean mayVoteOn(long number) {
+    return number == state.newestNumber() + 1 && state.mayVote();
   }
 
   /**
-   * Whether a ballot may be answered at all: its owner's, and of a round that can be gone beyond.
+   * Whether a ballot may be answered at all: it is its sender's own, and of a round that can be
+   * exceeded.
    */
-  boolean plausible(Ballot ballot, String sender) {
+  boolean isPlausible(Ballot ballot, String sender) {
     return ballot.issuer().equals(sender)
         && ballot.round() > 0
-        && ballot.round() - state.promised().round() <= MAX_LEAP;
+        && ballot.round() - state.promised().round() <= MAX_ROUND_LEAP;
   }
 
-  /** The answer to phase one; null where there is none. */
-  RevisionMessage prepare(RevisionMessage.Prepare p, String sender) {
-    if (!plausible(p.ballot(), sender) || !takesPart(p.number())) {
-      return null;
+  /**
+   * Answers phase one: a {@link RevisionMessage.Promise}, which is saved, or a {@link
+   * RevisionMessage.Rejected}; empty where the request may not be answered or the store fails.
+   */
+  Optional<RevisionMessage> prepare(RevisionMessage.Prepare request, String sender) {
+    Ballot ballot = request.ballot();
+    if (!isPlausible(ballot, sender) || !mayVoteOn(request.number())) {
+      return Optional.empty();
     }
-    if (p.ballot().compareTo(state.promised()) < 0) {
-      return new RevisionMessage.Rejected(p.ballot(), state.promised());
+    if (ballot.compareTo(state.promised()) < 0) {
+      return Optional.of(new RevisionMessage.Rejected(ballot, state.promised()));
     }
-    ConsensusStore.State next =
-        new ConsensusStore.State(
-            p.ballot(),
-            state.acceptedUnder(),
-            state.accepted(),
-            state.draft(),
-            state.newest(),
-            state.document(),
-            state.from());
-    if (!p.ballot().equals(state.promised()) && !save(next)) {
-      return null;
+    boolean repeated = ballot.equals(state.promised());
+    if (!repeated && !save(state.withPromised(ballot))) {
+      return Optional.empty();
     }
-    return new RevisionMessage.Promise(
-        p.ballot(), p.number(), state.acceptedUnder(), state.accepted());
+    Ballot acceptedUnder = state.accepted().map(AcceptedProposal::ballot).orElse(Ballot.NONE);
+    return Optional.of(
+        new RevisionMessage.Promise(
+            ballot, request.number(), acceptedUnder, state.acceptedRevision()));
   }
 
   /**
-   * Whether that may be accepted with its document: it follows what is proved, and is not too
-   * large.
+   * Whether a revision may be accepted once its document is held: it follows the newest chosen one,
+   * whose document is held, and is not too large.
    */
-  boolean follows(Revision r) {
-    Revision newest = state.newest() == null ? null : state.newest().revision();
-    return holdsNewest()
-        && takesPart(r.number())
-        && r.size() >= 0
-        && r.size() <= Revision.MAX_DOCUMENT_BYTES
-        && Arrays.equals(r.previous(), Revision.chain(newest));
+  boolean mayFollow(Revision revision) {
+    return state.holdsNewestDocument()
+        && mayVoteOn(revision.number())
+        && revision.size() >= 0
+        && revision.size() <= Revision.MAX_DOCUMENT_BYTES
+        && Arrays.equals(revision.previous(), Revision.chain(state.newestRevision().orElse(null)));
   }
 
-  /** The answer to phase two with the document at hand; null where there is none. */
-  RevisionMessage propose(RevisionMessage.Propose p, String sender, byte[] document) {
-    Revision r = p.revision();
-    if (!plausible(p.ballot(), sender) || !follows(r)) {
-      return null;
+  /**
+   * Answers phase two: a {@link RevisionMessage.Accepted} with this issuer's vote, which rests on
+   * what is saved, or a {@link RevisionMessage.Rejected}; empty where the request may not be
+   * answered or the store fails.
+   *
+   * @param document the proposed document; empty where it is not held, which gives no vote
+   */
+  Optional<RevisionMessage> propose(
+      RevisionMessage.Propose request, String sender, Optional<byte[]> document) {
+    Ballot ballot = request.ballot();
+    Revision revision = request.revision();
+    if (!isPlausible(ballot, sender) || !mayFollow(revision)) {
+      return Optional.empty();
     }
-    if (p.ballot().compareTo(state.promised()) < 0) {
-      return new RevisionMessage.Rejected(p.ballot(), state.promised());
+    if (ballot.compareTo(state.promised()) < 0) {
+      return Optional.of(new RevisionMessage.Rejected(ballot, state.promised()));
     }
-    boolean again = p.ballot().equals(state.acceptedUnder());
-    if (again && !r.equals(state.accepted()) || document == null || !r.describes(document)) {
-      return null; // two under one ballot, or not the document that was announced: a lie
+    Optional<AcceptedProposal> underThisBallot =
+        state.accepted().filter(accepted -> accepted.ballot().equals(ballot));
+    boolean twoUnderOneBallot =
+        underThisBallot.isPresent() && !underThisBallot.get().revision().equals(revision);
+    if (twoUnderOneBallot || document.filter(revision::describes).isEmpty()) {
+      return Optional.empty(); // nor is a document accepted that is not the announced one
     }
-    if (!again
-        && !save(
-            new ConsensusStore.State(
-                p.ballot(),
-                p.ballot(),
-                r,
-                document,
-                state.newest(),
-                state.document(),
-                state.from()))) {
-      return null;
+    AcceptedProposal proposal = new AcceptedProposal(ballot, revision, document.get());
+    if (underThisBallot.isEmpty() && !save(state.withAccepted(proposal))) {
+      return Optional.empty();
     }
-    return new RevisionMessage.Accepted(
-        p.ballot(), r.number(), new Vote(name, seal.sign(r.chain())));
+    Vote vote = new Vote(issuer, signatures.sign(revision.chain()));
+    return Optional.of(new RevisionMessage.Accepted(ballot, revision.number(), vote));
   }
 
   /**
-   * A newer revision is known to be proved; false where it could not be saved and is still unknown
-   * here.
+   * Takes over that a revision was chosen, where it is newer than the newest known one, or brings
+   * the document of that one. Where it cannot be saved it stays unknown.
+   *
+   * @param document the document, where it is held
    */
-  boolean learn(RevisionMessage.Notice notice, byte[] document) {
-    Revision r = notice.revision();
-    boolean newer = r.number() > state.number();
-    boolean same = !newer && r.number() == state.number() && r.equals(state.newest().revision());
-    if (!newer && !(same && state.document() == null && document != null)) {
-      return true;
+  void learn(RevisionMessage.Notice notice, Optional<byte[]> document) {
+    Revision revision = notice.revision();
+    boolean newer = revision.number() > state.newestNumber();
+    boolean bringsDocument =
+        document.isPresent()
+            && !state.holdsNewestDocument()
+            && state.newestRevision().filter(revision::equals).isPresent();
+    if (newer || bringsDocument) {
+      Optional<byte[]> held = document.or(() -> state.acceptedDocument(revision));
+      save(state.withNewest(new ChosenRevision(notice, held)));
     }
-    byte[] held = document == null && r.equals(state.accepted()) ? state.draft() : document;
-    boolean open = state.accepted() != null && state.accepted().number() > r.number();
-    return save(
-        new ConsensusStore.State(
-            state.promised(),
-            open ? state.acceptedUnder() : Ballot.NONE,
-            open ? state.accepted() : null,
-            open ? state.draft() : null,
-            notice,
-            held,
-            state.from()));
   }
 
   /**
-   * A majority of the others know nothing newer than that number: what was forgotten ends soon
-   * after it.
+   * After a lost store: a majority of the others knows nothing newer than that number, which bounds
+   * what this issuer may have forgotten.
    */
   void rejoin(long number) {
-    if (state.from() == ConsensusStore.NEVER
-        && number >= 0
-        && number < Long.MAX_VALUE - FORGOTTEN) {
-      save(
-          new ConsensusStore.State(
-              state.promised(),
-              state.acceptedUnder(),
-              state.accepted(),
-              state.draft(),
-              state.newest(),
-              state.document(),
-              number + FORGOTTEN + 1));
+    boolean valid = number >= 0 && number < Long.MAX_VALUE - MAX_FORGOTTEN_NUMBERS;
+    if (state.firstVotingNumber() == ConsensusState.UNKNOWN_NUMBER && valid) {
+      save(state.withFirstVotingNumber(number + MAX_FORGOTTEN_NUMBERS + 1));
     }
   }
 
-  private boolean save(ConsensusStore.State next) {
+  private boolean save(ConsensusState next) {
     boolean saved = store.save(next);
     state = saved ? next : state;
     return saved;
--- a/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -3,6 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
@@ -31,7 +32,7 @@
   final long mark;
 
   /** Who waits for a draft; null for a revision that is proved. */
-  final Consumer<byte[]> then;
+  final Consumer<Optional<byte[]>> then;
 
   final long startedAt;
   Peer from;
@@ -51,7 +52,7 @@
   private boolean onePeerOnly;
   private boolean deltaFailed;
 
-  ChunkedFetch(Revision revision, Consumer<byte[]> then, long now) {
+  ChunkedFetch(Revision revision, Consumer<Optional<byte[]>> then, long now) {
     this.revision = revision;
     this.mark = revision.mark();
     this.then = then;
--- a/decisions/src/main/java/reachloom/revision/ConsensusNode.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -1,313 +1,303 @@
 package reachloom.revision;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /**
- * One issuer among the issuers: together they find the next revision, one number after another, and
- * each signs what it has accepted and saved. The votes of a majority are the proof that members ask
- * for. Any of them may propose; a higher ballot fences an older one off.
+ * One issuer among the issuers: together they choose the next revision, one number after another,
+ * by Paxos with one instance a number. Each signs what it has accepted and saved; the votes of a
+ * majority are the proof that members ask for. Any issuer may propose; a higher ballot fences an
+ * older one off.
  *
- * <p>Issuers may crash, stand still, and lose words in any way; one that lies can hold the others
- * up, and, since voters rest on its word for what others have accepted, bring about two proved
- * revisions of one number, which members do not take. Times are nanoseconds of the clock handed in;
- * all calls come from one thread.
+ * <p>Issuers may crash, pause, and lose messages in any way. One that lies can hold the others up,
+ * and, since acceptors rest on its word for what others have accepted, bring about two proved
+ * revisions of one number, which members do not take.
+ *
+ * <p>Times are nanoseconds of the clock that is handed in. All calls come from one thread, that of
+ * the issuer's event loop, and results are reported on it.
  */
 public final class ConsensusNode {
   private static final long SECOND = 1_000_000_000; // nanoseconds
 
-  /** Most issuers that settings may name. */
+  /** How many issuers settings may name at most. */
   public static final int MAX_ISSUERS = 9;
 
-  /** Between two looks at the clock: more is a standstill, after which nothing older is issued. */
-  private static final long STANDSTILL = 3 * SECOND;
-
-  /** Words older than that do not come any more (gossip refuses them after 30 s). */
-  private static final long STALE = 60 * SECOND;
-
-  /** Pause between two questions of one that lost its store. */
-  private static final long ASK = 5 * SECOND;
+  /** A longer time between two events is a pause, after which nothing older is issued. */
+  private static final long STANDSTILL_NANOS = 3 * SECOND;
 
-  /** A document that is being fetched is not asked for again within that time. */
-  private static final long FETCH = 3 * SECOND;
-
-  private final String name;
-  private final Map<String, Peer> others = new TreeMap<>();
-  private final int quorum;
-  private final RevisionRepository library;
-  private final RevisionMessageSender outlet;
+  private final IssuerGroup group;
+  private final RevisionRepository repository;
   private final Acceptor acceptor;
+  private final ProposalResponder responder;
   private final Proposer proposer;
-  private final Deque<Runnable> reports = new ArrayDeque<>();
-  private final Map<String, Long> known = new TreeMap<>();
-  private final long startedAt;
-  private long lastSeen;
-  private long settled;
-  private long nextAsk;
-  private RevisionMessage.Propose fetching;
-  private long fetchUntil;
+  private final LostStoreRecovery lostStore;
+  private final Deque<Runnable> pendingReports = new ArrayDeque<>();
+  private long lastEventNanos;
+
+  /** The newest number that proposer and responder have been told of. */
+  private long settledNumber;
 
   /**
-   * One that starts, from what its store holds.
+   * An issuer that starts from what its store holds.
    *
+   * @param name this issuer's name
    * @param issuers all issuers that the settings name, this one among them
+   * @param random draws the random parts of waits
+   * @param nowNanos the time of the start
+   * @throws IllegalArgumentException if this issuer is not named, or more than {@link #MAX_ISSUERS}
+   *     are
    */
   public ConsensusNode(
       String name,
       List<Peer> issuers,
-      SignatureScheme seal,
-      ConsensusStore store,
-      RevisionRepository library,
-      RevisionMessageSender outlet,
+      ConsensusEnvironment environment,
       SplittableRandom random,
-      long now) {
-    this.name = name;
-    this.library = library;
-    this.outlet = outlet;
-    issuers.forEach(p -> others.put(p.name(), p));
-    quorum = quorum(others.size());
-    if (others.remove(name) == null || others.size() >= MAX_ISSUERS) {
-      throw new IllegalArgumentException(name + " is not one of 1 to " + MAX_ISSUERS + " issuers");
-    }
-    acceptor = new Acceptor(name, seal, store);
-    proposer = new Proposer(name, quorum, seal, acceptor, library, random, new Floor());
-    startedAt = now;
-    lastSeen = now;
-    ConsensusStore.State s = acceptor.state();
-    settled = s.number();
-    if (s.document() != null) {
-      library.proved(now, s.newest().revision(), s.newest().votes(), s.document());
-    }
-    if (s.accepted() != null) {
-      library.draft(s.accepted(), s.draft());
-    }
+      long nowNanos) {
+    group = new IssuerGroup(name, issuers, environment.sender());
+    repository = environment.repository();
+    acceptor = new Acceptor(name, environment.signatures(), environment.store());
+    responder = new ProposalResponder(group, acceptor, repository, () -> lastEventNanos);
+    proposer = new Proposer(group, environment, acceptor, random, new ProposerEvents());
+    lostStore = new LostStoreRecovery(group.quorum(), nowNanos);
+    lastEventNanos = nowNanos;
+    settledNumber = acceptor.state().newestNumber();
+    restore(nowNanos);
+  }
+
+  /** Hands what the store held to the member. */
+  private void restore(long nowNanos) {
+    ConsensusState state = acceptor.state();
+    state
+        .newest()
+        .ifPresent(
+            chosen ->
+                chosen
+                    .document()
+                    .ifPresent(document -> markChosen(nowNanos, chosen.notice(), document)));
+    state
+        .accepted()
+        .ifPresent(accepted -> repository.draft(accepted.revision(), accepted.document()));
+  }
+
+  private void markChosen(long nowNanos, RevisionMessage.Notice notice, byte[] document) {
+    repository.proved(nowNanos, notice.revision(), notice.votes(), document);
   }
 
-  /** How many votes of so many issuers prove a revision. */
+  /** How many votes of so many issuers prove a revision: a majority. */
   public static int quorum(int issuers) {
     return issuers / 2 + 1;
   }
 
-  /** Words have come from a member whose sender is proved; only those of issuers are looked at. */
-  public void hear(long now, Peer sender, List<RevisionMessage> words) {
-    look(now);
-    if (others.containsKey(sender.name())) {
-      words.forEach(w -> hear(now, sender.name(), w));
-    }
-    report();
-  }
+  // ---- Events ----
 
-  private void hear(long now, String sender, RevisionMessage word) {
-    if (word instanceof RevisionMessage.Prepare p) {
-      answer(now, sender, p.number(), acceptor.prepare(p, sender));
-    } else if (word instanceof RevisionMessage.Propose p) {
-      proposed(now, sender, p);
-    } else if (word instanceof RevisionMessage.Promise p) {
-      proposer.promised(now, p, sender);
-    } else if (word instanceof RevisionMessage.Accepted a) {
-      proposer.accepted(now, a, sender);
-    } else if (word instanceof RevisionMessage.Rejected r) {
-      proposer.rejected(now, r);
-    } else if (word instanceof RevisionMessage.Have h && now - startedAt >= STALE) {
-      known.put(sender, h.known());
+  /**
+   * Messages have come in one packet.
+   *
+   * @param sender the member that sent them, which has been authenticated; those of members that
+   *     are no issuers are ignored
+   */
+  public void receive(long nowNanos, Peer sender, List<RevisionMessage> messages) {
+    beginEvent(nowNanos);
+    if (group.other(sender.name()).isPresent()) {
+      Receiver receiver = new Receiver(nowNanos, sender.name());
+      messages.forEach(message -> message.dispatch(receiver));
     }
+    endEvent();
   }
 
-  /** Looks at the clock; to be called each 50 to 100 ms. */
-  public void tick(long now) {
-    look(now);
-    rejoin(now);
-    proposer.tick(now);
-    report();
+  /** Does what is due; to be called each 50 to 100 ms. */
+  public void tick(long nowNanos) {
+    beginEvent(nowNanos);
+    recoverLostStore(nowNanos);
+    proposer.tick(nowNanos);
+    endEvent();
   }
 
   /**
-   * Takes a document that is to be issued. {@code result} is told what has become of it, twice
-   * where the first result is not the last ({@link ProposalResult#last}); also from within this
-   * call. A document that waits when the next one is given is skipped.
+   * Takes a document that is to be issued. One that waits when the next one is given is skipped.
+   *
+   * @param document is copied
+   * @param client is told what has become of it, twice where the first result is not the last
+   *     ({@link ProposalResult#isFinal}); also from within this call
    */
-  public void propose(long now, byte[] document, Consumer<ProposalResult> result) {
-    look(now);
-    proposer.give(now, document, result);
-    report();
+  public void propose(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
+    beginEvent(nowNanos);
+    proposer.submit(nowNanos, document, client);
+    endEvent();
+  }
+
+  private void beginEvent(long nowNanos) {
+    long gapNanos = nowNanos - lastEventNanos;
+    lastEventNanos = nowNanos;
+    if (gapNanos > STANDSTILL_NANOS) {
+      proposer.onStandstill(nowNanos, gapNanos);
+    }
+    proposer.expire(nowNanos);
+    learn(nowNanos);
+  }
+
+  private void endEvent() {
+    for (Runnable report = pendingReports.poll(); report != null; report = pendingReports.poll()) {
+      report.run();
+    }
+  }
+
+  /** Takes over what the member has come to know, and what could not be saved before. */
+  private void learn(long nowNanos) {
+    repository.newest().ifPresent(newest -> learn(nowNanos, newest));
+  }
+
+  private void learn(long nowNanos, RevisionMessage.Notice newest) {
+    Revision revision = newest.revision();
+    ConsensusState before = acceptor.state();
+    boolean newer = revision.number() > before.newestNumber();
+    boolean documentMissing =
+        revision.number() == before.newestNumber() && !before.holdsNewestDocument();
+    if (newer || documentMissing) {
+      Optional<byte[]> held = repository.document(revision);
+      // It may be held for a proposal alone: others may count on it from now on.
+      held.ifPresent(document -> markChosen(nowNanos, newest, document));
+      acceptor.learn(newest, held);
+    }
+    if (revision.number() > settledNumber) {
+      settledNumber = revision.number();
+      responder.onNewest();
+      proposer.onNewest(nowNanos, revision);
+    }
+  }
+
+  private void recoverLostStore(long nowNanos) {
+    if (acceptor.state().firstVotingNumber() != ConsensusState.UNKNOWN_NUMBER) {
+      return;
+    }
+    OptionalLong known = lostStore.knownToMajority();
+    if (known.isPresent()) {
+      acceptor.rejoin(known.getAsLong());
+    } else if (lostStore.isQueryDue(nowNanos)) {
+      // What they know travels in each packet, whatever is asked.
+      group.sendToOthers(nowNanos, new RevisionMessage.Want(0, 0, 0, 0));
+    }
   }
 
-  /** The newest number that is known to be proved, and saved. */
+  // ---- What operators see ----
+
+  /** The newest number that is known to be chosen, and saved; 0 for none. */
   public long number() {
-    return acceptor.state().number();
+    return acceptor.state().newestNumber();
   }
 
   /** What there is to tell, in lines of ASCII. */
-  public List<String> lines() {
-    ConsensusStore.State s = acceptor.state();
-    String part =
-        s.takesPart()
-            ? "takes part"
-            : "store was lost, takes part from revision "
-                + (s.from() == ConsensusStore.NEVER ? "?" : s.from())
-                + " on";
+  public List<String> statusLines() {
+    ConsensusState state = acceptor.state();
     return List.of(
         "issuer "
-            + name
+            + group.self()
             + " of "
-            + (others.size() + 1)
+            + group.size()
             + " revision "
-            + s.number()
+            + state.newestNumber()
             + " promised "
-            + s.promised().round()
+            + state.promised().round()
             + " of "
-            + s.promised().issuer()
+            + state.promised().issuer()
             + " accepted "
-            + (s.accepted() == null ? "nothing" : s.accepted().number())
+            + state.acceptedRevision().map(r -> Long.toString(r.number())).orElse("nothing")
             + ", "
-            + part);
+            + participation(state));
   }
 
-  // ---- What each event begins with ----
-
-  private void look(long now) {
-    long gap = now - lastSeen;
-    lastSeen = now;
-    if (gap > STANDSTILL) {
-      proposer.stoodStill(now, gap);
+  private static String participation(ConsensusState state) {
+    if (state.mayVote()) {
+      return "takes part";
     }
-    proposer.expire(now);
-    learn(now);
+    long first = state.firstVotingNumber();
+    String from = first == ConsensusState.UNKNOWN_NUMBER ? "?" : Long.toString(first);
+    return "store was lost, takes part from revision " + from + " on";
   }
 
-  /** Takes over what the member has come to know, and what could not be saved before. */
-  private void learn(long now) {
-    RevisionMessage.Notice newest = library.newest();
-    if (newest == null) {
-      return;
-    }
-    ConsensusStore.State before = acceptor.state();
-    boolean newer = newest.revision().number() > before.number();
-    if (newer || newest.revision().number() == before.number() && before.document() == null) {
-      byte[] held = library.document(newest.revision());
-      if (held != null) { // if only as a draft: others may count on it from now on
-        library.proved(now, newest.revision(), newest.votes(), held);
-      }
-      acceptor.learn(newest, held);
-    }
-    if (newest.revision().number() > settled) {
-      settled = newest.revision().number();
-      fetching = null;
-      proposer.moved(now, newest.revision());
+  /** Takes the messages of one packet; those between members alone are no matter of consensus. */
+  private final class Receiver implements RevisionMessage.Handler {
+    private final long nowNanos;
+    private final String sender;
+
+    Receiver(long nowNanos, String sender) {
+      this.nowNanos = nowNanos;
+      this.sender = sender;
     }
-  }
 
-  private void report() {
-    for (Runnable r = reports.poll(); r != null; r = reports.poll()) {
-      r.run();
+    @Override
+    public void onPrepare(RevisionMessage.Prepare message) {
+      responder.onPrepare(nowNanos, message, sender);
     }
-  }
 
-  /**
-   * The majority of others that knows least tells how much may have been forgotten; liars tell
-   * more.
-   */
-  private void rejoin(long now) {
-    if (acceptor.state().from() != ConsensusStore.NEVER) {
-      return;
+    @Override
+    public void onPropose(RevisionMessage.Propose message) {
+      responder.onPropose(nowNanos, message, sender);
     }
-    if (known.size() >= quorum) {
-      acceptor.rejoin(known.values().stream().sorted().skip(quorum - 1L).findFirst().orElseThrow());
-    } else if (now >= nextAsk) {
-      nextAsk = now + ASK;
-      others
-          .keySet()
-          .forEach(
-              to ->
-                  say(now, to, new RevisionMessage.Want(0, 0, 0, 0))); // what they know rides on it
+
+    @Override
+    public void onPromise(RevisionMessage.Promise message) {
+      proposer.onPromise(nowNanos, message, sender);
     }
-  }
 
-  // ---- The voting part ----
+    @Override
+    public void onAccepted(RevisionMessage.Accepted message) {
+      proposer.onAccepted(nowNanos, message, sender);
+    }
 
-  private void answer(long now, String sender, long number, RevisionMessage word) {
-    ConsensusStore.State s = acceptor.state();
-    if (word != null) {
-      say(now, sender, word);
-    } else if (number <= s.number()) {
-      say(now, sender, s.newest()); // the asker is behind
-    } else if (number > s.number() + 1) {
-      say(now, sender, new RevisionMessage.Want(0, 0, 0, 0)); // this one is
+    @Override
+    public void onRejected(RevisionMessage.Rejected message) {
+      proposer.onRejected(nowNanos, message);
     }
-  }
 
-  private void proposed(long now, String sender, RevisionMessage.Propose p) {
-    Revision r = p.revision();
-    boolean open =
-        acceptor.plausible(p.ballot(), sender)
-            && acceptor.follows(r)
-            && p.ballot().compareTo(acceptor.state().promised()) >= 0;
-    byte[] held =
-        !open
-            ? null
-            : r.equals(acceptor.state().accepted())
-                ? acceptor.state().draft()
-                : library.document(r);
-    if (!open || held != null) {
-      answer(now, sender, r.number(), acceptor.propose(p, sender, held));
-    } else if (fetching == null || !fetching.revision().equals(r) || now >= fetchUntil) {
-      fetching = p;
-      fetchUntil = now + FETCH;
-      library.fetchDraft(now, r, others.get(sender), got -> fetched(p, sender, got));
-    } else {
-      fetching = p; // the same document under a newer ballot
+    @Override
+    public void onHave(RevisionMessage.Have message) {
+      lostStore.onKnownNumber(nowNanos, sender, message.known());
     }
-  }
 
-  private void fetched(RevisionMessage.Propose asked, String sender, byte[] got) {
-    RevisionMessage.Propose p = fetching;
-    if (p == null || !p.revision().equals(asked.revision())) {
-      return;
+    @Override
+    public void onNotice(RevisionMessage.Notice message) {
+      // the member checks and takes it
     }
-    fetching = null;
-    if (got != null) {
-      library.draft(p.revision(), got);
-      answer(
-          lastSeen,
-          p.ballot().issuer(),
-          p.revision().number(),
-          acceptor.propose(p, p.ballot().issuer(), got));
+
+    @Override
+    public void onWant(RevisionMessage.Want message) {
+      // the member answers it
     }
-  }
 
-  private boolean say(long now, String to, RevisionMessage word) {
-    Peer p = others.get(to);
-    return p != null && outlet.send(now, to, p.address(), List.of(word));
-  }
+    @Override
+    public void onPiece(RevisionMessage.Piece message) {
+      // the member takes it
+    }
 
-  /** What the proposing part sees of this. */
-  private final class Floor implements Proposer.Floor {
     @Override
-    public boolean say(long now, String to, RevisionMessage word) {
-      return ConsensusNode.this.say(now, to, word);
+    public void onAcknowledgement(RevisionMessage.Acknowledgement message) {
+      // the member counts it
     }
 
     @Override
-    public List<Peer> others() {
-      return new ArrayList<>(others.values());
+    public void onCensus(RevisionMessage.Census message) {
+      // the member counts it
     }
+  }
 
+  /** What the proposer tells this node. */
+  private final class ProposerEvents implements ProposerListener {
     @Override
-    public void decided(long now, RevisionMessage.Notice notice, byte[] document) {
-      library.proved(now, notice.revision(), notice.votes(), document);
-      others.keySet().forEach(to -> say(now, to, notice));
-      learn(now);
+    public void onChosen(long nowNanos, RevisionMessage.Notice notice, byte[] document) {
+      markChosen(nowNanos, notice, document);
+      group.sendToOthers(nowNanos, notice);
+      learn(nowNanos);
     }
 
     @Override
-    public void report(Consumer<ProposalResult> to, ProposalResult result) {
-      reports.add(() -> to.accept(result));
+    public void report(Consumer<ProposalResult> client, ProposalResult result) {
+      pendingReports.add(() -> client.accept(result));
     }
   }
 }
--- a/decisions/src/main/java/reachloom/revision/ProposalCache.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -4,70 +4,91 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * Documents of revisions that issuers have proposed or accepted, and those that are being fetched.
+ * The documents of revisions that issuers have proposed or accepted, for the other issuers to
+ * fetch, and the fetches of such documents that are under way. Bounded; the oldest document goes
+ * first. Confined to the thread of its member.
  */
 final class ProposalCache {
-  private record Draft(Revision revision, byte[] document) {}
+  /** One of each issuer, about. */
+  private static final int MAX_DOCUMENTS = 8;
 
-  private static final int MOST = 8; // of each issuer one, about
   private static final int MAX_FETCHES = 4;
-  private static final int TRIES = 6;
 
-  private final Map<Long, Draft> drafts = new LinkedHashMap<>(); // by mark
+  /** How often a holder is asked before a fetch is given up. */
+  private static final int MAX_ATTEMPTS = 6;
+
+  private record Proposal(Revision revision, byte[] document) {}
+
+  private final Map<Long, Proposal> proposals = new LinkedHashMap<>(); // by mark
   private final List<ChunkedFetch> fetches = new ArrayList<>();
 
+  /** Holds the document of a proposed revision; it is not copied. */
   void hold(Revision revision, byte[] document) {
-    drafts.put(revision.mark(), new Draft(revision, document));
-    if (drafts.size() > MOST) {
-      drafts.remove(drafts.keySet().iterator().next());
+    proposals.put(revision.mark(), new Proposal(revision, document));
+    if (proposals.size() > MAX_DOCUMENTS) {
+      proposals.remove(proposals.keySet().iterator().next());
     }
   }
 
-  /** The document of the draft with that number and mark, or null. */
-  byte[] document(long number, long mark) {
-    Draft d = drafts.get(mark);
-    return d != null && d.revision.number() == number ? d.document : null;
+  /** The document of the proposed revision with that number and mark. */
+  Optional<byte[]> document(long number, long mark) {
+    return Optional.ofNullable(proposals.get(mark))
+        .filter(proposal -> proposal.revision().number() == number)
+        .map(Proposal::document);
   }
 
-  /** Fetches one; {@code then} is given null where it can't be had. */
-  void fetch(long now, Revision revision, Peer from, Consumer<byte[]> then) {
+  /**
+   * Begins to fetch a document.
+   *
+   * @param onCompleted is given the document, or nothing where it cannot be had; from within this
+   *     call where too many fetches are under way
+   */
+  void fetch(long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted) {
     if (fetches.size() >= MAX_FETCHES) {
-      then.accept(null);
+      onCompleted.accept(Optional.empty());
       return;
     }
-    ChunkedFetch f = new ChunkedFetch(revision, then, now);
-    f.ask(now, from);
-    fetches.add(f);
+    ChunkedFetch fetch = new ChunkedFetch(revision, onCompleted, nowNanos);
+    fetch.ask(nowNanos, from);
+    fetches.add(fetch);
   }
 
+  /** A piece has come, which may complete fetches. */
   void piece(
-      long now, Peer sender, RevisionMessage.Piece p, RevisionLog log, PeerTable neighbours) {
-    for (ChunkedFetch f : List.copyOf(fetches)) {
-      byte[] document = f.take(now, sender, p, log, neighbours);
+      long nowNanos, Peer sender, RevisionMessage.Piece piece, RevisionLog log, PeerTable peers) {
+    for (ChunkedFetch fetch : List.copyOf(fetches)) {
+      byte[] document = fetch.take(nowNanos, sender, piece, log, peers);
       if (document != null) {
-        fetches.remove(f);
-        hold(f.revision, document);
-        f.then.accept(document);
+        fetches.remove(fetch);
+        hold(fetch.revision, document);
+        fetch.then.accept(Optional.of(document));
       }
     }
   }
 
-  /** Asks, or gives up, where it is time. */
-  void step(long now, RevisionMessageSender outlet) {
-    for (ChunkedFetch f : List.copyOf(fetches)) {
-      if (f.tries > 0 && f.late(now) && f.peersTried++ >= TRIES || now >= f.leaveAt) {
-        fetches.remove(f);
-        f.then.accept(null);
+  /** Asks again, or gives up, where it is time. */
+  void step(long nowNanos, RevisionMessageSender sender) {
+    for (ChunkedFetch fetch : List.copyOf(fetches)) {
+      if (isSpent(fetch, nowNanos) || nowNanos >= fetch.leaveAt) {
+        fetches.remove(fetch);
+        fetch.then.accept(Optional.empty());
       } else {
-        f.question(now, outlet, null);
+        fetch.question(nowNanos, sender, null);
       }
     }
   }
 
-  void shift(long by) {
-    fetches.forEach(f -> f.shift(by));
+  /** Whether its holder has not answered in time, so often that it is given up. */
+  private static boolean isSpent(ChunkedFetch fetch, long nowNanos) {
+    return fetch.tries > 0 && fetch.late(nowNanos) && fetch.peersTried++ >= MAX_ATTEMPTS;
+  }
+
+  /** The process was paused for so long: all deadlines move. */
+  void shift(long byNanos) {
+    fetches.forEach(fetch -> fetch.shift(byNanos));
   }
 }
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -1,546 +1,399 @@
 package reachloom.revision;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Deque;
-import java.util.Iterator;
-import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.function.Consumer;
+import reachloom.revision.ProposalResult.Kind;
 
 /**
- * An issuer's proposing part (the proposer of Paxos). Of the documents given to it only the newest
- * waits. What others have accepted and nobody has finished is finished first, under its own number.
+ * The proposer of Paxos at one issuer: proposes one revision number after another, each under
+ * ballots of its own. A ballot begins with a {@link PromiseRound}; its outcome tells whether
+ * something that others have accepted has to be finished first, under its own number, or a document
+ * of the {@link ProposalQueue} may be proposed; an {@link AcceptRound} then asks for the votes.
  *
- * <p>Only votes of the own ballot are counted: signatures say nothing of ballots, and votes of
- * several ballots do not make a majority.
+ * <p>Confined to the thread of its {@link ConsensusNode}; times are nanoseconds of the clock that
+ * is handed in.
  */
 final class Proposer {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  /** Silence after which a question is put again: longer than a way round the earth and back. */
-  private static final long RETRY = 300 * MILLISECOND;
+  /** Silence after which a request is repeated: longer than a way round the earth and back. */
+  private static final long RETRY_INTERVAL_NANOS = 300 * MILLISECOND;
 
-  private static final long MAX_RETRY = 1_000 * MILLISECOND;
+  private static final long MAX_RETRY_INTERVAL_NANOS = 1_000 * MILLISECOND;
 
-  /**
-   * Rest after a higher ballot was met, on average and at first: two ways to another region and
-   * back.
-   */
-  private static final long REST = 150 * MILLISECOND;
-
-  private static final int MAX_DOUBLINGS = 4;
-
-  /**
-   * A document not issued by then is not proposed any more; members need a part of the 10 s, too.
-   */
-  static final long GIVE_UP = 8_000 * MILLISECOND;
-
-  private static final long FETCH = 3_000 * MILLISECOND;
-
-  /**
-   * What was accepted and is not proved after that time, and a part drawn by chance, is taken up
-   * again.
-   */
-  private static final long FINISH = 2_000 * MILLISECOND;
-
-  private static final int MAX_UNSURE = 4;
-  private static final String UNWRITABLE = "this issuer's store can't be written";
-
-  /** What the proposer needs of its council. */
-  interface Floor {
-    /** Says something to another issuer; false where there was no room. */
-    boolean say(long now, String to, RevisionMessage word);
-
-    /** All issuers but this one, as they can be reached. */
-    List<Peer> others();
+  /** How long a document that others have accepted is fetched for. */
+  private static final long FETCH_TIMEOUT_NANOS = 3_000 * MILLISECOND;
 
-    /** A revision has its majority of votes. */
-    void decided(long now, RevisionMessage.Notice notice, byte[] document);
-
-    /** Tells whoever gave a document, once the present event has been dealt with. */
-    void report(Consumer<ProposalResult> to, ProposalResult result);
-  }
+  private static final String UNWRITABLE_STORE = "this issuer's store can't be written";
 
   private enum Phase {
+    /** No ballot is under way. */
     IDLE,
+    /** {@link #promiseRound} is under way. */
     PREPARING,
+    /** {@link #retrieval} is under way. */
     FETCHING,
+    /** {@link #acceptRound} is under way. */
     PROPOSING,
-    RESTING
+    /** A higher ballot was met. */
+    BACKING_OFF
   }
 
-  /** A document that was given; {@code revision} is what it was proposed as, or null. */
-  private record Order(
-      byte[] document, Consumer<ProposalResult> giver, long since, Revision revision) {}
-
-  private final String name;
-  private final int quorum;
-  private final SignatureScheme seal;
+  private final IssuerGroup group;
+  private final SignatureScheme signatures;
+  private final RevisionRepository repository;
   private final Acceptor acceptor;
-  private final RevisionRepository library;
-  private final SplittableRandom random;
-  private final Floor floor;
-
-  private Order wanted;
-  private Order own;
-
-  /**
-   * Whether others may have been asked to accept the own one, so that it may be issued whatever is
-   * done.
-   */
-  private boolean sent;
-
-  private final Deque<Order> unsure = new ArrayDeque<>();
+  private final ProposerListener listener;
+  private final ProposalQueue queue;
+  private final BallotBackoff backoff;
+  private final RecoverySchedule recovery;
 
   private Phase phase = Phase.IDLE;
+
+  /** The ballot under way, or the last one. */
   private Ballot ballot = Ballot.NONE;
-  private long seenRound;
+
+  /** The revision number that the ballot is for. */
   private long number;
-  private Revision revision;
-  private byte[] document;
-  private final Map<String, RevisionMessage.Promise> promises = new TreeMap<>();
-  private final Map<String, Vote> votes = new TreeMap<>();
-  private final Deque<String> holders = new ArrayDeque<>();
-  private long until;
-  private long pause = RETRY;
-  private int doublings;
-  private Revision lying;
-  private long finishAt;
 
+  /** The highest round that this proposer has used or met. */
+  private long highestRound;
+
+  /** Null but while preparing. */
+  private PromiseRound promiseRound;
+
+  /** Null but while proposing. */
+  private AcceptRound acceptRound;
+
+  /** Null but while fetching. */
+  private DocumentRetrieval retrieval;
+
+  /** When the present phase repeats its request, or ends. */
+  private long deadlineNanos;
+
+  private long retryIntervalNanos = RETRY_INTERVAL_NANOS;
+
+  /**
+   * An idle proposer.
+   *
+   * @param acceptor the same issuer's acceptor, which answers each request first
+   */
   Proposer(
-      String name,
-      int quorum,
-      SignatureScheme seal,
+      IssuerGroup group,
+      ConsensusEnvironment environment,
       Acceptor acceptor,
-      RevisionRepository library,
       SplittableRandom random,
-      Floor floor) {
-    this.name = name;
-    this.quorum = quorum;
-    this.seal = seal;
+      ProposerListener listener) {
+    this.group = group;
+    this.signatures = environment.signatures();
+    this.repository = environment.repository();
     this.acceptor = acceptor;
-    this.library = library;
-    this.random = random;
-    this.floor = floor;
+    this.listener = listener;
+    queue = new ProposalQueue(listener::report);
+    backoff = new BallotBackoff(random);
+    recovery = new RecoverySchedule(random);
   }
 
-  // ---- Documents ----
-
-  void give(long now, byte[] given, Consumer<ProposalResult> giver) {
-    if (given.length == 0 || given.length > Revision.MAX_DOCUMENT_BYTES) {
-      floor.report(
-          giver,
-          new ProposalResult(
-              ProposalResult.Kind.BAD_SIZE,
-              0,
-              "the document has "
-                  + given.length
-                  + " bytes; 1 to "
-                  + Revision.MAX_DOCUMENT_BYTES
-                  + " are allowed"));
-      return;
-    }
-    if (!acceptor.state().takesPart()) {
-      floor.report(giver, abstains());
-      return;
-    }
-    if (wanted != null) {
-      report(
-          wanted,
-          ProposalResult.Kind.SUPERSEDED,
-          0,
-          "a newer document was given before this one was proposed");
-    }
-    wanted = new Order(given.clone(), giver, now, null);
-    if (phase == Phase.IDLE) {
-      prepare(now);
+  // ---- Documents of clients ----
+
+  /** Takes a document that is to be issued; its client is told what becomes of it. */
+  void submit(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
+    if (document.length == 0 || document.length > Revision.MAX_DOCUMENT_BYTES) {
+      listener.report(client, ProposalResult.badSize(document.length));
+    } else if (!acceptor.state().mayVote()) {
+      listener.report(client, abstains());
+    } else {
+      queue.add(nowNanos, document, client);
+      if (phase == Phase.IDLE) {
+        prepare(nowNanos);
+      }
     }
   }
 
   private ProposalResult abstains() {
-    long from = acceptor.state().from();
-    return new ProposalResult(
-        ProposalResult.Kind.ABSTAINS,
-        0,
-        "this issuer has lost its store and takes no part "
-            + (from == ConsensusStore.NEVER ? "yet" : "before revision " + from)
-            + ": give the document to another one");
+    return ProposalResult.abstains(acceptor.state().firstVotingNumber());
   }
 
-  /**
-   * Documents that are too old are not proposed any more; those that were are for others to finish.
-   */
-  void expire(long now) {
-    if (wanted != null && now - wanted.since >= GIVE_UP) {
-      withdrawWanted(ProposalResult.Kind.NO_MAJORITY, none(now - wanted.since));
+  /** Gives up documents that are too old; those that were proposed are for others to finish. */
+  void expire(long nowNanos) {
+    if (queue.isWaitingExpired(nowNanos)) {
+      queue.expireWaiting(nowNanos);
     }
-    if (own != null && now - own.since >= GIVE_UP) {
-      withdrawOwn(now, ProposalResult.Kind.NO_MAJORITY, none(now - own.since));
+    if (queue.isCurrentExpired(nowNanos)) {
+      afterWithdrawal(nowNanos, queue.expireCurrent(nowNanos));
     }
   }
 
-  private String none(long after) {
-    return "no majority of the issuers answered within " + after / MILLISECOND + " ms";
+  /** This process was paused for so long: what was to be issued may have been overtaken. */
+  void onStandstill(long nowNanos, long gapNanos) {
+    String text = "this issuer stood still for " + gapNanos / MILLISECOND + " ms";
+    if (queue.hasWaiting()) {
+      queue.withdrawWaiting(Kind.STOOD_STILL, text);
+    }
+    if (queue.hasCurrent()) {
+      afterWithdrawal(nowNanos, queue.withdrawCurrent(Kind.STOOD_STILL, text));
+    }
   }
 
-  /**
-   * This process has stood still for so long: whatever was to be issued then may have been
-   * overtaken.
-   */
-  void stoodStill(long now, long gap) {
-    String text = "this issuer stood still for " + gap / MILLISECOND + " ms";
-    if (wanted != null) {
-      withdrawWanted(ProposalResult.Kind.STOOD_STILL, text);
-    }
-    if (own != null) {
-      withdrawOwn(now, ProposalResult.Kind.STOOD_STILL, text);
+  private void afterWithdrawal(long nowNanos, boolean mayBeChosen) {
+    endBallot(Phase.IDLE);
+    if (mayBeChosen) {
+      recovery.restart(nowNanos);
     }
   }
 
-  private void withdrawWanted(ProposalResult.Kind why, String text) {
-    Order old = wanted;
-    wanted = null;
-    report(old, why, 0, text + "; it is withdrawn");
+  // ---- Time ----
+
+  /** Does what is due; to be called each 50 to 100 ms. */
+  void tick(long nowNanos) {
+    recovery.observe(nowNanos, acceptor.state().acceptedRevision());
+    if (phase == Phase.BACKING_OFF && nowNanos >= deadlineNanos) {
+      phase = Phase.IDLE;
+    }
+    switch (phase) {
+      case IDLE -> startIfDue(nowNanos);
+      case PREPARING -> repeatIfDue(nowNanos, promiseRound);
+      case PROPOSING -> repeatIfDue(nowNanos, acceptRound);
+      case FETCHING -> {
+        if (nowNanos >= deadlineNanos) {
+          backOff(nowNanos);
+        }
+      }
+      case BACKING_OFF -> {
+        // until its deadline
+      }
+    }
   }
 
-  private void withdrawOwn(long now, ProposalResult.Kind why, String text) {
-    Order old = own;
-    own = null;
-    leave();
-    if (!sent) {
-      report(old, why, 0, text + "; it is withdrawn");
-      return;
+  private void startIfDue(long nowNanos) {
+    if (!queue.isIdle()) {
+      prepare(nowNanos);
+    } else if (recovery.isDue(nowNanos)) {
+      recovery.restart(nowNanos);
+      prepare(nowNanos);
     }
-    finishAt = now + FINISH + random.nextLong(FINISH);
-    if (unsure.size() >= MAX_UNSURE) {
-      unsure.poll();
+  }
+
+  private void repeatIfDue(long nowNanos, BallotRound round) {
+    if (queue.isIdle() && !recovery.hasUnfinished()) {
+      endBallot(Phase.IDLE);
+    } else if (nowNanos >= deadlineNanos) {
+      retryIntervalNanos = Math.min(MAX_RETRY_INTERVAL_NANOS, 2 * retryIntervalNanos);
+      request(nowNanos, round);
     }
-    unsure.add(old);
-    long as = old.revision.number();
-    report(old, why, as, text + "; it was proposed and may yet be issued as revision " + as);
   }
 
-  /** Leaves the present ballot. */
-  private void leave() {
-    phase = Phase.IDLE;
-    promises.clear();
-    votes.clear();
-    holders.clear();
+  private void backOff(long nowNanos) {
+    endBallot(Phase.BACKING_OFF);
+    deadlineNanos = nowNanos + backoff.nextDelayNanos();
   }
 
-  private void report(Order o, ProposalResult.Kind kind, long as, String text) {
-    floor.report(o.giver, new ProposalResult(kind, as, text));
+  /** Leaves the ballot under way. */
+  private void endBallot(Phase next) {
+    phase = next;
+    promiseRound = null;
+    acceptRound = null;
+    retrieval = null;
   }
 
-  // ---- Time ----
+  // ---- Both rounds ----
 
-  void tick(long now) {
-    noteUnfinished(now);
-    switch (phase) {
-      case IDLE -> {
-        if (wanted != null || own != null) {
-          prepare(now);
-        } else if (lying != null && now >= finishAt) {
-          finishAt = now + FINISH + random.nextLong(FINISH);
-          prepare(now);
-        }
-      }
-      case RESTING -> {
-        if (now >= until) {
-          phase = Phase.IDLE;
-          tick(now);
-        }
-      }
-      case FETCHING -> {
-        if (now >= until) {
-          rest(now);
-        }
-      }
-      default -> {
-        if (wanted == null && own == null && lying == null) {
-          leave();
-        } else if (now >= until) {
-          pause = Math.min(MAX_RETRY, 2 * pause);
-          ask(now);
-        }
+  private void startRound(long nowNanos, Phase next, BallotRound round) {
+    phase = next;
+    retryIntervalNanos = RETRY_INTERVAL_NANOS;
+    request(nowNanos, round);
+  }
+
+  /** Sends the request of a round to all that have not answered it. */
+  private void request(long nowNanos, BallotRound round) {
+    boolean allSent = true;
+    for (Peer peer : group.others()) {
+      if (!round.hasAnswered(peer.name())) {
+        allSent &= group.send(nowNanos, peer.name(), round.request());
       }
     }
+    deadlineNanos = allSent ? nowNanos + retryIntervalNanos : nowNanos;
   }
 
-  /** Whether something lies here that was accepted and that nobody finishes. */
-  private void noteUnfinished(long now) {
-    Revision accepted = acceptor.state().accepted();
-    if (accepted == null) {
-      lying = null;
-    } else if (!accepted.equals(lying)) {
-      lying = accepted;
-      finishAt = now + FINISH + random.nextLong(FINISH);
+  /** Another issuer has promised a higher ballot. */
+  void onRejected(long nowNanos, RevisionMessage.Rejected answer) {
+    boolean underWay = phase != Phase.IDLE && phase != Phase.BACKING_OFF;
+    Ballot higher = answer.promised();
+    if (underWay
+        && answer.ballot().equals(ballot)
+        && higher.compareTo(ballot) > 0
+        && acceptor.isPlausible(higher, higher.issuer())) {
+      highestRound = Math.max(highestRound, higher.round());
+      backOff(nowNanos);
     }
   }
 
-  private void rest(long now) {
-    leave();
-    phase = Phase.RESTING;
-    long mean = REST << doublings;
-    doublings = Math.min(MAX_DOUBLINGS, doublings + 1);
-    until = now + mean / 2 + random.nextLong(mean);
+  /** A newer revision is chosen: what was proposed up to its number is decided. */
+  void onNewest(long nowNanos, Revision newest) {
+    if (number <= newest.number() && phase != Phase.IDLE) {
+      endBallot(Phase.IDLE);
+      backoff.reset();
+    }
+    queue.settle(newest);
+    if (phase == Phase.IDLE && queue.hasWaiting()) {
+      prepare(nowNanos);
+    }
   }
 
   // ---- Phase one ----
 
-  private void prepare(long now) {
-    leave();
-    if (!acceptor.state().takesPart()) {
-      if (wanted != null) {
-        Order old = wanted;
-        wanted = null;
-        floor.report(old.giver, abstains());
+  private void prepare(long nowNanos) {
+    endBallot(Phase.IDLE);
+    if (!acceptor.state().mayVote()) {
+      if (queue.hasWaiting()) {
+        queue.rejectWaiting(abstains());
       }
       return;
     }
-    if (!acceptor.holdsNewest()) {
+    if (!acceptor.state().holdsNewestDocument()) {
       return; // it is being fetched
     }
-    number = acceptor.state().number() + 1;
-    long round = Math.max(seenRound, acceptor.state().promised().round()) + 1;
-    ballot = new Ballot(round, name);
-    RevisionMessage.Prepare question = new RevisionMessage.Prepare(ballot, number);
-    if (!(acceptor.prepare(question, name) instanceof RevisionMessage.Promise mine)) {
-      notSaved(now);
+    number = acceptor.state().newestNumber() + 1;
+    long round = Math.max(highestRound, acceptor.state().promised().round()) + 1;
+    ballot = new Ballot(round, group.self());
+    PromiseRound next = new PromiseRound(ballot, number, group.quorum());
+    Optional<RevisionMessage> own = acceptor.prepare(next.request(), group.self());
+    if (own.isEmpty() || !(own.get() instanceof RevisionMessage.Promise promise)) {
+      onUnwritableStore(nowNanos);
       return;
     }
-    seenRound = round;
-    phase = Phase.PREPARING;
-    pause = RETRY;
-    promises.put(name, mine);
-    ask(now);
-    choose(now);
+    highestRound = round;
+    promiseRound = next;
+    promiseRound.add(group.self(), promise);
+    startRound(nowNanos, Phase.PREPARING, promiseRound);
+    choose(nowNanos);
   }
 
   /** Without its own store it may not even ask: a ballot of that round may be used again. */
-  private void notSaved(long now) {
-    if (wanted != null) {
-      withdrawWanted(ProposalResult.Kind.NOT_SAVED, UNWRITABLE);
+  private void onUnwritableStore(long nowNanos) {
+    if (queue.hasWaiting()) {
+      queue.withdrawWaiting(Kind.NOT_SAVED, UNWRITABLE_STORE);
     }
-    rest(now);
+    backOff(nowNanos);
   }
 
-  /** Puts the question of the present phase to all that have not answered it. */
-  private void ask(long now) {
-    boolean all = true;
-    for (Peer p : floor.others()) {
-      if (phase == Phase.PREPARING && !promises.containsKey(p.name())) {
-        all &= floor.say(now, p.name(), new RevisionMessage.Prepare(ballot, number));
-      } else if (phase == Phase.PROPOSING && !votes.containsKey(p.name())) {
-        all &= floor.say(now, p.name(), new RevisionMessage.Propose(ballot, revision));
-      }
+  /** Another issuer answers phase one. */
+  void onPromise(long nowNanos, RevisionMessage.Promise answer, String sender) {
+    if (phase == Phase.PREPARING && promiseRound.isAnsweredBy(answer) && isSound(answer)) {
+      promiseRound.add(sender, answer);
+      choose(nowNanos);
     }
-    until = all ? now + pause : now;
   }
 
-  void promised(long now, RevisionMessage.Promise p, String sender) {
-    boolean sound =
-        p.accepted() == null
-            || p.acceptedUnder().compareTo(ballot) < 0 && acceptor.follows(p.accepted());
-    if (phase == Phase.PREPARING && p.ballot().equals(ballot) && p.number() == number && sound) {
-      promises.put(sender, p);
-      choose(now);
-    }
+  /** What was accepted was so under a lower ballot, and may follow what is chosen. */
+  private boolean isSound(RevisionMessage.Promise answer) {
+    Optional<Revision> accepted = answer.accepted();
+    boolean underLowerBallot = answer.acceptedUnder().compareTo(ballot) < 0;
+    return accepted.isEmpty() || underLowerBallot && acceptor.mayFollow(accepted.get());
   }
 
   /**
-   * With a majority of promises: what was accepted under the highest ballot, else what is wanted
-   * here.
+   * With a majority of promises: what was accepted under the highest ballot is finished, else a
+   * document of this issuer is proposed.
    */
-  private void choose(long now) {
-    if (phase != Phase.PREPARING || promises.size() < quorum) {
+  private void choose(long nowNanos) {
+    if (!promiseRound.hasQuorum()) {
       return;
     }
-    RevisionMessage.Promise highest = null;
-    for (RevisionMessage.Promise p : promises.values()) {
-      boolean higher =
-          p.accepted() != null
-              && (highest == null || p.acceptedUnder().compareTo(highest.acceptedUnder()) > 0);
-      highest = higher ? p : highest;
-    }
-    if (highest != null) {
-      adopt(now, highest.accepted());
+    Optional<Revision> accepted = promiseRound.highestAccepted();
+    if (accepted.isPresent()) {
+      finish(nowNanos, accepted.get());
       return;
     }
-    if (own == null && wanted != null) {
-      RevisionMessage.Notice newest = acceptor.state().newest();
-      Revision next =
-          Revision.after(
-              newest == null ? null : newest.revision(), wanted.document, now / MILLISECOND, name);
-      own = new Order(wanted.document, wanted.giver, wanted.since, next);
-      sent = false;
-      wanted = null;
+    if (!queue.hasCurrent() && queue.hasWaiting()) {
+      Revision newest = acceptor.state().newestRevision().orElse(null);
+      queue.startWaiting(newest, nowNanos / MILLISECOND, group.self());
     }
-    if (own == null) {
-      leave();
+    if (queue.hasCurrent()) {
+      propose(nowNanos, queue.currentRevision(), queue.currentDocument());
     } else {
-      propose(now, own.revision, own.document);
+      endBallot(Phase.IDLE);
     }
   }
 
-  private void adopt(long now, Revision accepted) {
-    byte[] held =
-        accepted.equals(acceptor.state().accepted())
-            ? acceptor.state().draft()
-            : library.document(accepted);
-    if (held != null) {
-      propose(now, accepted, held);
+  // ---- What others have accepted ----
+
+  private void finish(long nowNanos, Revision accepted) {
+    Optional<byte[]> held =
+        acceptor.state().acceptedDocument(accepted).or(() -> repository.document(accepted));
+    if (held.isPresent()) {
+      propose(nowNanos, accepted, held.get());
       return;
     }
-    phase = Phase.FETCHING;
-    revision = accepted;
-    until = now + FETCH;
-    holders.clear();
-    promises.forEach(
-        (who, p) -> {
-          if (accepted.equals(p.accepted())) {
-            holders.add(who);
-          }
-        });
-    fetch(now, ballot);
+    DocumentRetrieval next = new DocumentRetrieval(accepted, promiseRound.holdersOf(accepted));
+    endBallot(Phase.FETCHING);
+    retrieval = next;
+    deadlineNanos = nowNanos + FETCH_TIMEOUT_NANOS;
+    fetchFromNextHolder(nowNanos);
   }
 
-  private void fetch(long now, Ballot under) {
-    Peer from = null;
-    while (from == null && !holders.isEmpty()) {
-      String who = holders.poll();
-      from = floor.others().stream().filter(p -> p.name().equals(who)).findFirst().orElse(null);
-    }
-    if (from == null) {
-      rest(now);
-      return;
+  private void fetchFromNextHolder(long nowNanos) {
+    DocumentRetrieval asked = retrieval;
+    Optional<Peer> holder = asked.nextHolder(group.others());
+    if (holder.isPresent()) {
+      repository.fetchDraft(
+          nowNanos, asked.revision(), holder.get(), got -> onFetched(nowNanos, asked, got));
+    } else {
+      backOff(nowNanos);
     }
-    library.fetchDraft(now, revision, from, got -> fetched(now, under, got));
   }
 
-  private void fetched(long asked, Ballot under, byte[] got) {
-    if (phase != Phase.FETCHING || !under.equals(ballot)) {
-      return;
+  private void onFetched(long askedAtNanos, DocumentRetrieval asked, Optional<byte[]> document) {
+    if (retrieval != asked) {
+      return; // its ballot has ended
     }
-    if (got != null && revision.describes(got)) {
-      propose(asked, revision, got);
+    if (document.filter(asked.revision()::describes).isPresent()) {
+      propose(askedAtNanos, asked.revision(), document.get());
     } else {
-      fetch(asked, under);
+      fetchFromNextHolder(askedAtNanos);
     }
   }
 
   // ---- Phase two ----
 
-  private void propose(long now, Revision next, byte[] held) {
-    revision = next;
-    document = held;
-    library.draft(next, held);
-    RevisionMessage mine = acceptor.propose(new RevisionMessage.Propose(ballot, next), name, held);
-    if (!(mine instanceof RevisionMessage.Accepted a)) {
-      if (mine == null && own != null && own.revision.equals(next)) {
-        withdrawOwn(now, ProposalResult.Kind.NOT_SAVED, UNWRITABLE);
+  private void propose(long nowNanos, Revision revision, byte[] document) {
+    repository.draft(revision, document);
+    AcceptRound next = new AcceptRound(ballot, number, revision, document, group.quorum());
+    Optional<RevisionMessage> own =
+        acceptor.propose(next.request(), group.self(), Optional.of(document));
+    if (own.isEmpty() || !(own.get() instanceof RevisionMessage.Accepted accepted)) {
+      if (own.isEmpty() && queue.isCurrent(revision)) {
+        afterWithdrawal(nowNanos, queue.withdrawCurrent(Kind.NOT_SAVED, UNWRITABLE_STORE));
       }
-      rest(now); // the store fails, or another one's ballot has come in between
+      backOff(nowNanos); // the store fails, or another one's ballot has come in between
       return;
     }
-    sent |= own != null && own.revision.equals(next);
-    phase = Phase.PROPOSING;
-    pause = RETRY;
-    votes.clear();
-    votes.put(name, a.vote());
-    ask(now);
-    count(now);
-  }
-
-  void accepted(long now, RevisionMessage.Accepted a, String sender) {
-    if (phase == Phase.PROPOSING
-        && a.ballot().equals(ballot)
-        && a.number() == number
-        && a.vote().issuer().equals(sender)
-        && !votes.containsKey(sender)
-        && seal.proves(sender, revision.chain(), a.vote().signature())) {
-      votes.put(sender, a.vote());
-      count(now);
-    }
-  }
-
-  private void count(long now) {
-    if (phase == Phase.PROPOSING && votes.size() >= quorum) {
-      RevisionMessage.Notice notice =
-          new RevisionMessage.Notice(
-              revision, new ArrayList<>(votes.values()).subList(0, quorum).stream().toList());
-      leave();
-      doublings = 0;
-      floor.decided(now, notice, document);
-    }
-  }
-
-  // ---- What both phases meet ----
-
-  void rejected(long now, RevisionMessage.Rejected r) {
-    boolean asking =
-        phase == Phase.PREPARING || phase == Phase.PROPOSING || phase == Phase.FETCHING;
-    if (asking
-        && r.ballot().equals(ballot)
-        && r.promised().compareTo(ballot) > 0
-        && acceptor.plausible(r.promised(), r.promised().issuer())) {
-      seenRound = Math.max(seenRound, r.promised().round());
-      rest(now);
+    if (queue.isCurrent(revision)) {
+      queue.markCurrentSent();
     }
+    endBallot(Phase.PROPOSING);
+    acceptRound = next;
+    acceptRound.add(accepted.vote());
+    startRound(nowNanos, Phase.PROPOSING, acceptRound);
+    count(nowNanos);
   }
 
-  /**
-   * A newer revision is proved: what was proposed under its number or an earlier one is decided.
-   */
-  void moved(long now, Revision newest) {
-    if (number <= newest.number() && phase != Phase.IDLE) {
-      leave();
-      doublings = 0;
-    }
-    for (Iterator<Order> i = unsure.iterator(); i.hasNext(); ) {
-      Order o = i.next();
-      if (o.revision.number() <= newest.number()) {
-        i.remove();
-        settle(o, newest, false);
-      }
-    }
-    if (own != null && own.revision.number() <= newest.number()) {
-      Order o = own;
-      own = null;
-      settle(o, newest, true);
-    }
-    if (phase == Phase.IDLE && wanted != null) {
-      prepare(now);
+  /** Another issuer answers phase two. */
+  void onAccepted(long nowNanos, RevisionMessage.Accepted answer, String sender) {
+    if (phase == Phase.PROPOSING && acceptRound.isNewVote(answer, sender, signatures)) {
+      acceptRound.add(answer.vote());
+      count(nowNanos);
     }
   }
 
-  private void settle(Order o, Revision newest, boolean again) {
-    Revision as = o.revision;
-    boolean next = newest.number() == as.number() + 1;
-    if (newest.equals(as) || next && Arrays.equals(newest.previous(), as.chain())) {
-      report(o, ProposalResult.Kind.ISSUED, as.number(), "issued as revision " + as.number());
-    } else if (newest.number() > as.number() + 1) {
-      report(
-          o,
-          ProposalResult.Kind.OVERTAKEN,
-          as.number(),
-          "it was proposed as revision "
-              + as.number()
-              + "; revision "
-              + newest.number()
-              + " is proved, and whether it was issued before is not known");
-    } else if (again && wanted == null) {
-      wanted = new Order(o.document, o.giver, o.since, null);
-    } else {
-      report(
-          o,
-          ProposalResult.Kind.SUPERSEDED,
-          as.number(),
-          "another document was issued as revision " + as.number());
+  private void count(long nowNanos) {
+    if (acceptRound.hasQuorum()) {
+      RevisionMessage.Notice notice = acceptRound.notice();
+      byte[] document = acceptRound.document();
+      endBallot(Phase.IDLE);
+      backoff.reset();
+      listener.onChosen(nowNanos, notice, document);
     }
   }
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -333,7 +334,7 @@
       if (who.size() < quorum
           && neighbours.isIssuer(v.issuer())
           && !who.contains(v.issuer())
-          && seal.proves(v.issuer(), chain, v.signature())) {
+          && seal.verify(v.issuer(), chain, v.signature())) {
         who.add(v.issuer());
       }
     }
@@ -374,7 +375,7 @@
   }
 
   private void learn(long now, Revision r, List<Vote> votes, byte[] document) {
-    byte[] held = document == null ? drafts.document(r.number(), r.mark()) : document;
+    byte[] held = document == null ? drafts.document(r.number(), r.mark()).orElse(null) : document;
     log.add(r, votes, held);
     learntAt = now;
     seeksLeft = 0;
@@ -404,7 +405,7 @@
     RevisionLog.Entry e = log.held(w.number(), w.base() == 0 ? w.baseMark() : 0);
     byte[] document = e == null ? null : e.document();
     if (document == null && w.base() == 0 && neighbours.isIssuer(asker.name())) {
-      document = drafts.document(w.number(), w.baseMark());
+      document = drafts.document(w.number(), w.baseMark()).orElse(null);
     }
     if (document == null) {
       if (log.newestNumber() > w.number()) {
@@ -785,16 +786,18 @@
 
   /** The newest revision that is proved, with its proof; null for none. */
   @Override
-  public RevisionMessage.Notice newest() {
-    RevisionLog.Entry e = log.newest();
-    return e == null ? null : new RevisionMessage.Notice(e.revision(), e.votes());
+  public Optional<RevisionMessage.Notice> newest() {
+    return Optional.ofNullable(log.newest())
+        .map(e -> new RevisionMessage.Notice(e.revision(), e.votes()));
   }
 
   /** The document of a revision, proved or a draft, if it is held; else null. */
   @Override
-  public byte[] document(Revision revision) {
+  public Optional<byte[]> document(Revision revision) {
     RevisionLog.Entry e = log.held(revision.number(), revision.mark());
-    return e != null ? e.document() : drafts.document(revision.number(), revision.mark());
+    return e != null
+        ? Optional.ofNullable(e.document())
+        : drafts.document(revision.number(), revision.mark());
   }
 
   /** Holds a document that this issuer has proposed or accepted, for the other issuers to fetch. */
@@ -809,9 +812,9 @@
    * if it is held.
    */
   @Override
-  public void fetchDraft(long now, Revision revision, Peer from, Consumer<byte[]> then) {
-    byte[] held = document(revision);
-    if (held != null || !sane(revision, List.of())) {
+  public void fetchDraft(long now, Revision revision, Peer from, Consumer<Optional<byte[]>> then) {
+    Optional<byte[]> held = document(revision);
+    if (held.isPresent() || !sane(revision, List.of())) {
       then.accept(held);
       return;
     }
--- a/decisions/src/main/java/reachloom/revision/RevisionMessage.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessage.java
@@ -1,43 +1,132 @@
 package reachloom.revision;
 
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What members say to each other about revisions; it rides on the packets of gossip, whose sender
- * is proved.
+ * What members say to each other about revisions. Messages travel in packets of gossip, whose
+ * sender is authenticated. {@link Prepare}, {@link Promise}, {@link Propose}, {@link Accepted} and
+ * {@link Rejected} are those of Paxos and pass between issuers alone.
  */
 public sealed interface RevisionMessage {
+  /** Calls the handler's method for the type of this message. */
+  void dispatch(Handler handler);
+
+  /** One method for each type of message, so that none is forgotten where they are told apart. */
+  interface Handler {
+    /** What the sender has in force and knows. */
+    void onHave(Have message);
+
+    /** A chosen revision. */
+    void onNotice(Notice message);
+
+    /** A request for a revision. */
+    void onWant(Want message);
+
+    /** A part of a document. */
+    void onPiece(Piece message);
+
+    /** A member tells what it has in force. */
+    void onAcknowledgement(Acknowledgement message);
+
+    /** The acknowledgements of one place, summed up. */
+    void onCensus(Census message);
+
+    /** Phase one of Paxos: the request. */
+    void onPrepare(Prepare message);
+
+    /** Phase one of Paxos: the answer. */
+    void onPromise(Promise message);
+
+    /** Phase two of Paxos: the request. */
+    void onPropose(Propose message);
+
+    /** Phase two of Paxos: the answer. */
+    void onAccepted(Accepted message);
+
+    /** Either phase: a higher ballot was promised. */
+    void onRejected(Rejected message);
+  }
+
   /**
-   * What the sender has in force, by number and mark, and the newest number that it holds with its
-   * document; 0 for none. Rides on each packet.
+   * What the sender has in force and knows; travels in each packet.
+   *
+   * @param inForce the number of the revision in force at the sender; 0 for none
+   * @param mark the {@link Revision#mark()} of that revision
+   * @param known the newest number that the sender holds with its document; 0 for none
    */
-  record Have(long inForce, long mark, long known) implements RevisionMessage {}
+  record Have(long inForce, long mark, long known) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onHave(this);
+    }
+  }
 
-  /** A revision with the votes of a majority of the issuers: the proof that it was issued. */
-  record Notice(Revision revision, List<Vote> votes) implements RevisionMessage {}
+  /** A revision with the votes of a majority of the issuers: the proof that it was chosen. */
+  record Notice(Revision revision, List<Vote> votes) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onNotice(this);
+    }
+  }
 
   /**
-   * Send me that revision ({@code number} 0: only the newest notice). {@code base} is the revision
-   * in force at the sender, whose document a delta may start from; pieces from {@code from} on are
-   * wanted. Where it is 0, the whole is wanted, and {@code baseMark} is the mark of the wanted
-   * revision itself: two issuers may have drafts with one number.
+   * A request for a revision's document.
+   *
+   * @param number the wanted revision; 0 where only the newest {@link Notice} is wanted
+   * @param base the revision in force at the sender, whose document a delta may start from; 0 where
+   *     the whole document is wanted
+   * @param baseMark the mark of the base; with base 0 that of the wanted revision itself, since two
+   *     issuers may have proposals with one number
+   * @param from the index of the first piece that is wanted
    */
-  record Want(long number, long base, long baseMark, int from) implements RevisionMessage {}
+  record Want(long number, long base, long baseMark, int from) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onWant(this);
+    }
+  }
 
-  /** A part of a document ({@code base} 0), or of the delta from the document of {@code base}. */
-  record Piece(long number, long base, int index, int of, byte[] bytes)
-      implements RevisionMessage {}
+  /**
+   * A part of a document, or of the delta from the document of a base.
+   *
+   * @param number the revision
+   * @param base the revision that the delta starts from; 0 where the bytes are the document's own
+   * @param index the index of this piece, from 0
+   * @param of how many pieces there are
+   * @param bytes the piece's content; not copied
+   */
+  record Piece(long number, long base, int index, int of, byte[] bytes) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onPiece(this);
+    }
+  }
 
   /**
-   * I have this in force; sent to those that count for my zone. {@code refusal} is empty, or says
-   * why it can't be put in force.
+   * A member tells those that count for its zone what it has in force.
+   *
+   * @param number the revision in force
+   * @param mark its {@link Revision#mark()}
+   * @param refusal why a newer revision cannot be put in force; empty where nothing is wrong
    */
-  record Acknowledgement(long number, long mark, String refusal) implements RevisionMessage {}
+  record Acknowledgement(long number, long mark, String refusal) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onAcknowledgement(this);
+    }
+  }
 
   /**
-   * The sum for one place, on its way to the issuers: of so many members so many have it in force;
-   * {@code lacking} names some that do not, {@code longest} is how long the first of these has
-   * lacked it, in milliseconds.
+   * The acknowledgements of one place, on their way to the issuers.
+   *
+   * @param place the region in the upper byte, the zone in the lower
+   * @param number the revision that is counted
+   * @param members how many members are present there
+   * @param inForce how many of them have it in force
+   * @param refused how many of them have refused it
+   * @param lacking the names of some that lack it
+   * @param longest how long the first of these has lacked it, in milliseconds
    */
   record Census(
       int place,
@@ -47,21 +136,63 @@
       int refused,
       List<String> lacking,
       long longest)
-      implements RevisionMessage {}
+      implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onCensus(this);
+    }
+  }
 
-  /** Phase one among issuers: I will propose under this ballot; what have you accepted? */
-  record Prepare(Ballot ballot, long number) implements RevisionMessage {}
+  /** Phase one of Paxos: asks for a promise, and for what was accepted for that number. */
+  record Prepare(Ballot ballot, long number) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onPrepare(this);
+    }
+  }
 
-  /** I take nothing below that ballot any more; this I had accepted for that number, or null. */
-  record Promise(Ballot ballot, long number, Ballot acceptedUnder, Revision accepted)
-      implements RevisionMessage {}
+  /**
+   * Phase one of Paxos: the sender votes for nothing below that ballot any more.
+   *
+   * @param ballot the ballot that is promised
+   * @param number the number that was asked for
+   * @param acceptedUnder the ballot of what the sender has accepted; {@link Ballot#NONE} for none
+   * @param accepted the revision that the sender has accepted for that number
+   */
+  record Promise(Ballot ballot, long number, Ballot acceptedUnder, Optional<Revision> accepted)
+      implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onPromise(this);
+    }
+  }
 
-  /** Phase two: accept this revision; its document is to be had from the sender ({@link Want}). */
-  record Propose(Ballot ballot, Revision revision) implements RevisionMessage {}
+  /** Phase two of Paxos: asks for a vote; the document is to be had from the sender. */
+  record Propose(Ballot ballot, Revision revision) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onPropose(this);
+    }
+  }
 
-  /** I have accepted it, hold its document, and sign for it. */
-  record Accepted(Ballot ballot, long number, Vote vote) implements RevisionMessage {}
+  /** Phase two of Paxos: the sender has accepted the revision, holds its document, and signs it. */
+  record Accepted(Ballot ballot, long number, Vote vote) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onAccepted(this);
+    }
+  }
 
-  /** A higher ballot has been promised. */
-  record Rejected(Ballot ballot, Ballot promised) implements RevisionMessage {}
+  /**
+   * Either phase: the request is refused.
+   *
+   * @param ballot the ballot of the request
+   * @param promised the higher ballot that the sender has promised
+   */
+  record Rejected(Ballot ballot, Ballot promised) implements RevisionMessage {
+    @Override
+    public void dispatch(Handler handler) {
+      handler.onRejected(this);
+    }
+  }
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionMessageSender.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessageSender.java
@@ -2,17 +2,22 @@
 
 import java.util.List;
 
-/** Where words go, and what they weigh on the wire. */
+/** Sends revision messages to other members, and tells how large they are on the wire. */
 public interface RevisionMessageSender {
-  /** The bytes of one word. */
-  int encodedBytes(RevisionMessage word);
+  /** The size of one message on the wire, in bytes. */
+  int encodedBytes(RevisionMessage message);
 
-  /** How many bytes of words one packet holds at most. */
+  /** The largest size of all messages that one packet holds, in bytes. */
   int maxPacketBytes();
 
   /**
-   * Sends words to a member at once; false where the budget of the second has no room: try again
-   * later.
+   * Sends messages to a member at once, in one packet.
+   *
+   * @param nowNanos the clock that decisions are handed
+   * @param to the member's name
+   * @param address the member's address, as {@link Peer#address()} has it
+   * @return false where this second's byte budget has no room for them: nothing was sent, and the
+   *     caller may try again later
    */
-  boolean send(long now, String to, long address, List<RevisionMessage> words);
+  boolean send(long nowNanos, String to, long address, List<RevisionMessage> messages);
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionRepository.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionRepository.java
@@ -1,26 +1,38 @@
 package reachloom.revision;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * What an issuer's council needs of the member that it belongs to: what is proved, and documents.
+ * What an issuer's consensus needs of the member that it belongs to: the revisions that are chosen,
+ * and documents. Called from the thread of the {@link ConsensusNode} alone.
  */
 public interface RevisionRepository {
-  /** The newest revision that is proved, with its proof; null for none. */
-  RevisionMessage.Notice newest();
+  /** The newest revision that is known to be chosen, with its proof. */
+  Optional<RevisionMessage.Notice> newest();
 
-  /** A revision is decided, or was found in the store at a start. */
-  void proved(long now, Revision revision, List<Vote> votes, byte[] document);
+  /**
+   * A revision was chosen, or was found in the store at a start.
+   *
+   * @param votes those of a majority
+   * @param document the revision's document
+   */
+  void proved(long nowNanos, Revision revision, List<Vote> votes, byte[] document);
 
-  /** The document of a revision, proved or a draft, if it is held; else null. */
-  byte[] document(Revision revision);
+  /** The document of a revision, chosen or only proposed, if it is held. */
+  Optional<byte[]> document(Revision revision);
 
-  /** Holds the document of a draft, for the other issuers to fetch. */
+  /** Holds the document of a proposed revision, for the other issuers to fetch. */
   void draft(Revision revision, byte[] document);
 
   /**
-   * Fetches the document of a draft; {@code then} is given it, or null, also from within this call.
+   * Fetches the document of a proposed revision.
+   *
+   * @param from an issuer that holds it
+   * @param onCompleted is given the document, or nothing where it cannot be had; also from within
+   *     this call
    */
-  void fetchDraft(long now, Revision revision, Peer from, Consumer<byte[]> then);
+  void fetchDraft(
+      long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted);
 }
--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import reachloom.revision.ProposalResult.Kind;
@@ -25,7 +25,7 @@
   }
 
   private static boolean over(List<ProposalResult> results) {
-    return !results.isEmpty() && results.get(results.size() - 1).last();
+    return !results.isEmpty() && results.get(results.size() - 1).isFinal();
   }
 
   /**
@@ -37,7 +37,7 @@
       if (r.kind() == Kind.ISSUED) {
         assertEquals(1, in, document + " was told to be issued");
         assertTrue(net.log.get(r.number()).describes(document.getBytes()));
-      } else if (r.last() && r.kind() != Kind.OVERTAKEN) {
+      } else if (r.isFinal() && r.kind() != Kind.OVERTAKEN) {
         assertEquals(0, in, document + ": " + r);
       }
     }
@@ -56,7 +56,7 @@
     assertEquals(2, second.get(0).number());
     assertTrue(net.await(2 * SECOND, net::agree));
     assertEquals("{\"a\":2}", net.node(5).document());
-    assertEquals(2, net.node(5).council.number());
+    assertEquals(2, net.node(5).consensus.number());
   }
 
   @Test
@@ -164,7 +164,7 @@
         w -> w instanceof RevisionMessage.Accepted || w instanceof RevisionMessage.Promise;
     net.node(2).gagged = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("half");
-    assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted() != null));
+    assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted().isPresent()));
     net.node(1).crash();
     net.node(3).gagged = w -> false;
     net.node(2).gagged = w -> false;
@@ -187,7 +187,9 @@
           net.await(
               SECOND,
               () ->
-                  net.nodes.values().stream().filter(n -> n.disk.state.accepted() != null).count()
+                  net.nodes.values().stream()
+                          .filter(n -> n.disk.state.accepted().isPresent())
+                          .count()
                       >= 3));
       net.node(1).crash();
       net.nodes.values().forEach(n -> n.gagged = w -> false);
@@ -250,7 +252,7 @@
     net.node(4).start();
     net.node(5).start();
     assertTrue(net.await(3 * SECOND, net::agree));
-    assertEquals(2, net.node(5).council.number());
+    assertEquals(2, net.node(5).consensus.number());
     List<ProposalResult> three = net.node(5).propose("three");
     assertTrue(net.await(SECOND, () -> over(three)));
     assertEquals(3, three.get(0).number());
@@ -306,14 +308,14 @@
     List<ProposalResult> one = net.node(1).propose("one");
     assertTrue(net.await(2 * SECOND, () -> over(one)));
     assertEquals(Kind.ISSUED, last(one));
-    assertNull(net.node(2).disk.state.newest());
-    assertEquals(0, net.node(2).council.number(), "what is not saved counts as unknown");
+    assertEquals(Optional.empty(), net.node(2).disk.state.newest());
+    assertEquals(0, net.node(2).consensus.number(), "what is not saved counts as unknown");
     List<ProposalResult> refused = net.node(2).propose("refused");
     assertEquals(Kind.NOT_SAVED, last(refused));
     assertTrue(over(refused));
     net.node(2).disk.broken = false;
     assertTrue(net.await(2 * SECOND, net::agree));
-    assertEquals(1, net.node(2).council.number());
+    assertEquals(1, net.node(2).consensus.number());
   }
 
   @Test
@@ -327,7 +329,8 @@
     assertTrue(net.await(SECOND, () -> over(most)));
     assertEquals(Kind.ISSUED, last(most));
     assertTrue(net.await(2 * SECOND, net::agree));
-    assertEquals(Revision.MAX_DOCUMENT_BYTES, net.node(5).document(net.log.get(1L)).length);
+    assertEquals(
+        Revision.MAX_DOCUMENT_BYTES, net.node(5).document(net.log.get(1L)).orElseThrow().length);
   }
 
   @Test
@@ -339,8 +342,8 @@
     net.node(3).start();
     assertEquals(Kind.ABSTAINS, last(net.node(3).propose("no")));
     net.pass(70 * SECOND);
-    assertEquals(4, net.node(3).disk.state.from());
-    assertEquals(1, net.node(3).council.number(), "it learns all the same");
+    assertEquals(4, net.node(3).disk.state.firstVotingNumber());
+    assertEquals(1, net.node(3).consensus.number(), "it learns all the same");
     net.node(2).crash(); // two of three are up, and one of them abstains
     List<ProposalResult> none = net.node(1).propose("none");
     net.pass(9 * SECOND);
@@ -377,14 +380,14 @@
     Issuers net = new Issuers(3, 1);
     Peer c2 = net.node(2).peer();
     net.node(1)
-        .council
-        .hear(net.now, c2, List.of(new RevisionMessage.Prepare(new Ballot(1L << 62, "c2"), 1)));
+        .consensus
+        .receive(net.now, c2, List.of(new RevisionMessage.Prepare(new Ballot(1L << 62, "c2"), 1)));
     net.node(1)
-        .council
-        .hear(net.now, c2, List.of(new RevisionMessage.Prepare(new Ballot(9, "c3"), 1)));
+        .consensus
+        .receive(net.now, c2, List.of(new RevisionMessage.Prepare(new Ballot(9, "c3"), 1)));
     net.node(1)
-        .council
-        .hear(
+        .consensus
+        .receive(
             net.now,
             new Peer("stranger", 9, 0),
             List.of(new RevisionMessage.Prepare(new Ballot(9, "stranger"), 1)));
@@ -398,22 +401,35 @@
     net.node(2).gagged = w -> w instanceof RevisionMessage.Accepted;
     net.node(3).gagged = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("one");
-    assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted() != null));
-    ConsensusStore.State s = net.node(2).disk.state;
+    assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted().isPresent()));
+    ConsensusState s = net.node(2).disk.state;
     Vote forged = new Vote("c2", new byte[32]);
     Peer c2 = net.node(2).peer();
     net.node(1)
-        .council
-        .hear(net.now, c2, List.of(new RevisionMessage.Accepted(s.acceptedUnder(), 1, forged)));
+        .consensus
+        .receive(
+            net.now,
+            c2,
+            List.of(new RevisionMessage.Accepted(s.accepted().orElseThrow().ballot(), 1, forged)));
     assertEquals(0, net.log.size());
-    byte[] good = new Acceptor("c2", signer(), net.node(2).disk).state().accepted().chain();
+    byte[] good =
+        new Acceptor("c2", signer(), net.node(2).disk)
+            .state()
+            .acceptedRevision()
+            .orElseThrow()
+            .chain();
     Vote vote = new Vote("c2", signer().sign(good));
-    Ballot other = new Ballot(s.acceptedUnder().round() + 1, "c1");
-    net.node(1).council.hear(net.now, c2, List.of(new RevisionMessage.Accepted(other, 1, vote)));
+    Ballot other = new Ballot(s.accepted().orElseThrow().ballot().round() + 1, "c1");
+    net.node(1)
+        .consensus
+        .receive(net.now, c2, List.of(new RevisionMessage.Accepted(other, 1, vote)));
     assertEquals(0, net.log.size());
     net.node(1)
-        .council
-        .hear(net.now, c2, List.of(new RevisionMessage.Accepted(s.acceptedUnder(), 1, vote)));
+        .consensus
+        .receive(
+            net.now,
+            c2,
+            List.of(new RevisionMessage.Accepted(s.accepted().orElseThrow().ballot(), 1, vote)));
     assertEquals(1, net.log.size());
   }
 
@@ -471,13 +487,15 @@
       Revision older = draft(n, "older");
       Revision newer = draft(n, "newer");
       RevisionMessage.Promise low =
-          new RevisionMessage.Promise(mine, 1, new Ballot(mine.round() - 1, "c2"), older);
+          new RevisionMessage.Promise(
+              mine, 1, new Ballot(mine.round() - 1, "c2"), Optional.of(older));
       RevisionMessage.Promise high =
-          new RevisionMessage.Promise(mine, 1, new Ballot(mine.round() - 1, "c5"), newer);
-      n.council.hear(net.now, net.node(2).peer(), List.of(turned ? high : low));
-      assertNull(n.disk.state.accepted());
-      n.council.hear(net.now, net.node(3).peer(), List.of(turned ? low : high));
-      assertEquals(newer, n.disk.state.accepted());
+          new RevisionMessage.Promise(
+              mine, 1, new Ballot(mine.round() - 1, "c5"), Optional.of(newer));
+      n.consensus.receive(net.now, net.node(2).peer(), List.of(turned ? high : low));
+      assertEquals(Optional.empty(), n.disk.state.accepted());
+      n.consensus.receive(net.now, net.node(3).peer(), List.of(turned ? low : high));
+      assertEquals(Optional.of(newer), n.disk.state.acceptedRevision());
     }
   }
 
@@ -490,38 +508,45 @@
   @Test
   void aLowerBallotIsRefusedInBothPhases() {
     Issuers net = new Issuers(3, 1);
-    ConsensusStore.State high =
-        new ConsensusStore.State(new Ballot(9, "c2"), Ballot.NONE, null, null, null, null, 1);
+    ConsensusState high = ConsensusState.initial().withPromised(new Ballot(9, "c2"));
     net.node(1).disk.state = high;
     Acceptor a = new Acceptor("c1", Issuers.seal("c1"), net.node(1).disk);
     Ballot low = new Ballot(8, "c3");
     Revision r = draft(net.node(1), "low");
     assertEquals(
-        new RevisionMessage.Rejected(low, high.promised()),
+        Optional.of(new RevisionMessage.Rejected(low, high.promised())),
         a.prepare(new RevisionMessage.Prepare(low, 1), "c3"));
     assertEquals(
-        new RevisionMessage.Rejected(low, high.promised()),
-        a.propose(new RevisionMessage.Propose(low, r), "c3", "low".getBytes()));
+        Optional.of(new RevisionMessage.Rejected(low, high.promised())),
+        a.propose(new RevisionMessage.Propose(low, r), "c3", document("low")));
     assertEquals(high, a.state());
     Ballot same = new Ballot(9, "c2");
-    assertNull(
-        a.propose(new RevisionMessage.Propose(same, r), "c2", null),
+    assertEquals(
+        Optional.empty(),
+        a.propose(new RevisionMessage.Propose(same, r), "c2", Optional.empty()),
         "no vote without the document");
-    assertNull(
-        a.propose(new RevisionMessage.Propose(same, r), "c2", "lox".getBytes()),
+    assertEquals(
+        Optional.empty(),
+        a.propose(new RevisionMessage.Propose(same, r), "c2", document("lox")),
         "nor for another one");
     RevisionMessage answer =
-        a.propose(new RevisionMessage.Propose(same, r), "c2", "low".getBytes());
+        a.propose(new RevisionMessage.Propose(same, r), "c2", document("low")).orElseThrow();
     assertEquals(same, ((RevisionMessage.Accepted) answer).ballot());
-    assertNull(
+    assertEquals(
+        Optional.empty(),
         a.propose(
-            new RevisionMessage.Propose(same, draft(net.node(1), "two")), "c2", "two".getBytes()),
+            new RevisionMessage.Propose(same, draft(net.node(1), "two")), "c2", document("two")),
         "nor for two under one ballot");
     Revision third = new Revision(3, r.chain(), r.digest(), r.size(), 1, "c2");
-    assertNull(
-        a.propose(new RevisionMessage.Propose(same, third), "c2", "low".getBytes()),
+    assertEquals(
+        Optional.empty(),
+        a.propose(new RevisionMessage.Propose(same, third), "c2", document("low")),
         "nor out of turn");
-    assertEquals(r, a.state().accepted());
+    assertEquals(Optional.of(r), a.state().acceptedRevision());
+  }
+
+  private static Optional<byte[]> document(String text) {
+    return Optional.of(text.getBytes());
   }
 
   @Test
@@ -565,7 +590,7 @@
         switch (chance.nextInt(8)) {
           case 0 -> n.crash();
           case 1 -> {
-            if (n.council != null) {
+            if (n.consensus != null) {
               net.stand(Integer.parseInt(n.name.substring(1)));
             }
           }
@@ -573,7 +598,7 @@
           case 3 -> net.heal();
           case 4 -> n.disk.broken = chance.nextBoolean();
           default -> {
-            if (n.council != null && !n.standing) {
+            if (n.consensus != null && !n.standing) {
               all.add(n.propose("document " + all.size()));
             }
           }
@@ -581,7 +606,7 @@
         net.pass(chance.nextInt(800) * MILLISECOND);
         for (int i = 1; i <= count; i++) {
           if (chance.nextInt(3) == 0) {
-            if (net.node(i).council == null) {
+            if (net.node(i).consensus == null) {
               net.node(i).standing = false;
               net.node(i).start();
             }
@@ -593,7 +618,7 @@
       net.loss = 0;
       for (int i = 1; i <= count; i++) {
         net.node(i).disk.broken = false;
-        if (net.node(i).council == null) {
+        if (net.node(i).consensus == null) {
           net.node(i).start();
         }
         net.goOn(i);
--- a/decisions/src/test/java/reachloom/revision/Issuers.java
+++ b/decisions/src/test/java/reachloom/revision/Issuers.java
@@ -10,6 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -17,8 +18,8 @@
 import java.util.function.Predicate;
 
 /**
- * Issuers on a network in simulated time that loses, delays, copies and cuts. Each has a council, a
- * store that a test may break or take away, and a library that asks and answers over the same
+ * Issuers on a network in simulated time that loses, delays, copies and cuts. Each has a consensus,
+ * a store that a test may break or take away, and a library that asks and answers over the same
  * network.
  */
 final class Issuers {
@@ -43,7 +44,7 @@
     }
 
     @Override
-    public boolean proves(String issuer, byte[] chain, byte[] signature) {
+    public boolean verify(String issuer, byte[] chain, byte[] signature) {
       return Arrays.equals(new Hashes(issuer).sign(chain), signature);
     }
   }
@@ -55,35 +56,37 @@
 
   /** A disk: it outlives its issuer. */
   static final class Disk implements ConsensusStore {
-    State state = State.first();
+    /** What was saved last; null once it is lost. */
+    ConsensusState state = ConsensusState.initial();
+
     boolean broken;
 
     boolean takesPart() {
-      return state != null && state.takesPart();
+      return state != null && state.mayVote();
     }
 
     @Override
-    public State load() {
-      return state;
+    public Optional<ConsensusState> load() {
+      return Optional.ofNullable(state);
     }
 
     @Override
-    public boolean save(State next) {
+    public boolean save(ConsensusState next) {
       state = broken ? state : next;
       return !broken;
     }
   }
 
-  /** One issuer's machine; its council is null while it is down. */
+  /** One issuer's machine; its consensus is null while it is down. */
   final class Node
       implements RevisionRepository, RevisionMessageSender, RevisionDissemination.Host {
     final String name;
     final Disk disk = new Disk();
     final Map<Long, byte[]> documents = new TreeMap<>();
-    ConsensusNode council;
+    ConsensusNode consensus;
 
-    /** Where it is the library, and not this one; else null. */
-    RevisionDissemination it;
+    /** The repository where the members' own part is played; else null, and this is it. */
+    RevisionDissemination dissemination;
 
     RevisionMessage.Notice newest;
     boolean standing;
@@ -108,7 +111,7 @@
       newest = null;
       told = 0;
       if (real) {
-        it =
+        dissemination =
             new RevisionDissemination(
                 name,
                 1,
@@ -120,16 +123,20 @@
                 this,
                 this,
                 now);
-        it.peers(peers().stream().filter(p -> !p.name().equals(name)).toList());
+        dissemination.peers(peers().stream().filter(p -> !p.name().equals(name)).toList());
       }
-      RevisionRepository library = real ? it : this;
-      council =
+      RevisionRepository repository = real ? dissemination : this;
+      consensus =
           new ConsensusNode(
-              name, peers(), new Hashes(name), disk, library, this, random.split(), now);
+              name,
+              peers(),
+              new ConsensusEnvironment(new Hashes(name), disk, repository, this),
+              random.split(),
+              now);
     }
 
     void crash() {
-      council = null;
+      consensus = null;
       life++;
     }
 
@@ -139,7 +146,7 @@
 
     List<ProposalResult> propose(byte[] document) {
       List<ProposalResult> results = new ArrayList<>();
-      council.propose(now, document, results::add);
+      consensus.propose(now, document, results::add);
       return results;
     }
 
@@ -149,22 +156,25 @@
 
     /** The newest number whose document is held: what a member tells that it knows. */
     private long held() {
-      if (newest != null && document(newest.revision()) != null) {
+      if (newest != null && document(newest.revision()).isPresent()) {
         told = Math.max(told, number());
       }
       return told;
     }
 
+    /** The text of the newest revision's document; null where it is not held. */
     String document() {
-      byte[] held = newest == null ? null : document(newest.revision());
-      return held == null ? null : new String(held, StandardCharsets.UTF_8);
+      return newest()
+          .flatMap(n -> document(n.revision()))
+          .map(held -> new String(held, StandardCharsets.UTF_8))
+          .orElse(null);
     }
 
     private void tick() {
       if (real) {
-        it.tick(now);
+        dissemination.tick(now);
       }
-      council.tick(now);
+      consensus.tick(now);
       look();
       if (now >= haveAt) {
         haveAt = now + HAVE;
@@ -178,8 +188,8 @@
 
     private void hear(Peer sender, List<RevisionMessage> words) {
       if (real) {
-        it.hear(now, sender, words);
-        council.hear(now, sender, words);
+        dissemination.hear(now, sender, words);
+        consensus.receive(now, sender, words);
         look();
         return;
       }
@@ -192,19 +202,19 @@
           take(n);
         }
       }
-      council.hear(now, sender, words);
+      consensus.receive(now, sender, words);
     }
 
     private void look() {
-      if (real && it.newest() != null) {
-        take(it.newest());
+      if (real) {
+        dissemination.newest().ifPresent(this::take);
       }
     }
 
     private void take(RevisionMessage.Notice n) {
       long good =
           n.votes().stream()
-              .filter(v -> new Hashes("").proves(v.issuer(), n.revision().chain(), v.signature()))
+              .filter(v -> new Hashes("").verify(v.issuer(), n.revision().chain(), v.signature()))
               .map(Vote::issuer)
               .distinct()
               .filter(nodes::containsKey)
@@ -218,18 +228,18 @@
     }
 
     private void fetchNewest() {
-      if (!real && newest != null && document(newest.revision()) == null) {
+      if (!real && newest != null && document(newest.revision()).isEmpty()) {
         nodes.values().stream()
             .filter(o -> o != this)
             .forEach(o -> fetchDraft(now, newest.revision(), o.peer(), got -> {}));
       }
     }
 
-    // ---- Library ----
+    // ---- RevisionRepository ----
 
     @Override
-    public RevisionMessage.Notice newest() {
-      return newest;
+    public Optional<RevisionMessage.Notice> newest() {
+      return Optional.ofNullable(newest);
     }
 
     @Override
@@ -241,8 +251,10 @@
     }
 
     @Override
-    public byte[] document(Revision revision) {
-      return real ? it.document(revision) : documents.get(revision.mark());
+    public Optional<byte[]> document(Revision revision) {
+      return real
+          ? dissemination.document(revision)
+          : Optional.ofNullable(documents.get(revision.mark()));
     }
 
     @Override
@@ -252,17 +264,15 @@
     }
 
     @Override
-    public void fetchDraft(long at, Revision revision, Peer from, Consumer<byte[]> then) {
+    public void fetchDraft(long at, Revision revision, Peer from, Consumer<Optional<byte[]>> then) {
       Node holder = nodes.get(from.name());
       int asked = life;
       boolean[] done = new boolean[1];
-      Consumer<byte[]> once =
+      Consumer<Optional<byte[]>> once =
           got -> {
             if (!done[0] && life == asked) {
               done[0] = true;
-              if (got != null) {
-                draft(revision, got);
-              }
+              got.ifPresent(document -> draft(revision, document));
               then.accept(got);
             }
           };
@@ -275,21 +285,21 @@
                     this,
                     holder,
                     () -> {
-                      byte[] held = holder.document(revision);
-                      if (held != null) {
+                      Optional<byte[]> held = holder.document(revision);
+                      if (held.isPresent()) {
                         carry(holder, this, () -> once.accept(held));
                       }
                     });
               }
             });
       }
-      later(FETCH, () -> once.accept(null));
+      later(FETCH, () -> once.accept(Optional.empty()));
     }
 
-    // ---- Outlet ----
+    // ---- RevisionMessageSender ----
 
     @Override
-    public int encodedBytes(RevisionMessage word) {
+    public int encodedBytes(RevisionMessage message) {
       return 100;
     }
 
@@ -298,11 +308,11 @@
       return 1_200;
     }
 
-    // ---- Dissemination's host ----
+    // ---- RevisionDissemination's host ----
 
     @Override
     public void apply(long at, Revision revision, byte[] document) {
-      it.inForce(at, revision.number());
+      dissemination.inForce(at, revision.number());
     }
 
     @Override
@@ -318,7 +328,7 @@
       List<RevisionMessage> out =
           new ArrayList<>(words.stream().filter(w -> !gagged.test(w)).toList());
       if (real) {
-        out.add(it.have());
+        out.add(dissemination.have());
       }
       Peer me = peer();
       carry(this, nodes.get(to), () -> nodes.get(to).hear(me, out));
@@ -402,7 +412,7 @@
   }
 
   private void arrive(Node to, int life, Runnable what) {
-    if (to.life != life || to.council == null) {
+    if (to.life != life || to.consensus == null) {
       return;
     }
     if (to.standing) {
@@ -413,7 +423,7 @@
   }
 
   private void tick() {
-    nodes.values().stream().filter(n -> n.council != null && !n.standing).forEach(Node::tick);
+    nodes.values().stream().filter(n -> n.consensus != null && !n.standing).forEach(Node::tick);
     later(TICK, this::tick);
   }
 
@@ -448,12 +458,13 @@
 
   /** All that are up hold the same newest revision and its document. */
   boolean agree() {
-    List<Node> up = nodes.values().stream().filter(n -> n.council != null && !n.standing).toList();
+    List<Node> up =
+        nodes.values().stream().filter(n -> n.consensus != null && !n.standing).toList();
     return up.stream()
         .allMatch(
             n ->
                 n.number() == up.get(0).number()
                     && n.document() != null
-                    && n.council.number() == n.number());
+                    && n.consensus.number() == n.number());
   }
 }
--- a/decisions/src/test/java/reachloom/revision/Net.java
+++ b/decisions/src/test/java/reachloom/revision/Net.java
@@ -4,6 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -24,7 +25,7 @@
   private static final int ISSUER_BUDGET = 400_000;
   private static final int GOSSIP = 4_096;
   private static final int HEAD = 180; // bytes of a packet without words: names, signature, UDP
-  private static final int MAX_PACKET = 700;
+  private static final int MOST_PACKET = 700;
 
   /**
    * Any signature that names the issuer and the chain is good; who lies in these tests makes up
@@ -43,7 +44,7 @@
     }
 
     @Override
-    public boolean proves(String issuer, byte[] chain, byte[] signature) {
+    public boolean verify(String issuer, byte[] chain, byte[] signature) {
       return Arrays.equals(signature, new Stamp(issuer).sign(chain));
     }
   }
@@ -168,7 +169,7 @@
 
     @Override
     public int maxPacketBytes() {
-      return MAX_PACKET;
+      return MOST_PACKET;
     }
 
     @Override
@@ -294,8 +295,9 @@
 
   /** The council has decided; the issuer of that number hears of it. */
   RevisionMessage.Notice issue(int by, byte[] document) {
-    RevisionMessage.Notice before = nodes.get(by).it.newest();
-    RevisionMessage.Notice n = sign(before == null ? null : before.revision(), document);
+    Optional<RevisionMessage.Notice> before = nodes.get(by).it.newest();
+    RevisionMessage.Notice n =
+        sign(before.map(RevisionMessage.Notice::revision).orElse(null), document);
     for (int i = 0; i < issuers.size(); i++) {
       if (i == by
           || nodes.get(i).up && !cut.test(nodes.get(by), nodes.get(i))) { // who accepts holds it
--- a/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -93,7 +93,7 @@
   @Test
   void aForkIsNeverTakenAndIsTold() {
     Net net = settled(6, 30, 0);
-    Revision first = net.nodes.get(0).it.newest().revision();
+    Revision first = net.nodes.get(0).it.newest().orElseThrow().revision();
     RevisionMessage.Notice sameNumber = net.sign(null, Net.document(SIZE, 66));
     RevisionMessage.Notice nextOfOther = net.sign(sameNumber.revision(), Net.document(SIZE, 67));
     RevisionMessage.Notice afterThat = net.sign(nextOfOther.revision(), Net.document(SIZE, 68));
@@ -108,7 +108,7 @@
         .skip(1)
         .forEach(
             n -> {
-              assertEquals(first, n.it.newest().revision());
+              assertEquals(first, n.it.newest().orElseThrow().revision());
               assertEquals(3, n.alarms.size(), "each of the three once");
               assertTrue(
                   n.it.lines(net.now).stream()
@@ -285,7 +285,10 @@
     long at = net.now;
     net.run(AIM);
     assertEverywhere(net, at - 100 * Net.SECOND, 4, 100 + AIM);
-    assertEquals(4, net.nodes.get(2).it.newest().revision().number(), "the issuer that was apart");
+    assertEquals(
+        4,
+        net.nodes.get(2).it.newest().orElseThrow().revision().number(),
+        "the issuer that was apart");
     assertEquals(90, net.told(net.nodes.get(0), 4));
   }
 
@@ -311,15 +314,16 @@
   void draftsAreFetchedFromWhoProposesThemAndNobodyElseTakesThem() {
     Net net = settled(15, 20, 0.02);
     byte[] document = Net.document(SIZE, 2);
-    Revision draft = Revision.after(net.nodes.get(0).it.newest().revision(), document, 1, "i0");
+    Revision draft =
+        Revision.after(net.nodes.get(0).it.newest().orElseThrow().revision(), document, 1, "i0");
     net.nodes.get(0).it.draft(draft, document);
-    List<byte[]> got = new ArrayList<>();
+    List<Optional<byte[]>> got = new ArrayList<>();
     net.nodes.get(1).it.fetchDraft(net.now, draft, net.nodes.get(0).peer, got::add);
     net.nodes.get(2).it.fetchDraft(net.now, draft, net.nodes.get(3).peer, got::add);
     net.run(8);
     assertEquals(2, got.size());
-    assertTrue(draft.describes(got.get(0)));
-    assertNull(got.get(1), "who was asked does not have it");
+    assertTrue(draft.describes(got.get(0).orElseThrow()));
+    assertEquals(Optional.empty(), got.get(1), "who was asked does not have it");
     assertEquals(20, net.inForce(1));
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -71,7 +71,7 @@
   }
 
   @Override
-  public boolean proves(String issuer, byte[] chain, byte[] signature) {
+  public boolean verify(String issuer, byte[] chain, byte[] signature) {
     PublicKey key = keys.get(issuer);
     byte[] content = content(chain);
     return key != null && NodeIdentity.verify(key, content, content.length, signature);
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -96,8 +96,8 @@
       }
 
       @Override
-      public boolean proves(String of, byte[] chain, byte[] signature) {
-        return seal.proves(of, chain, signature);
+      public boolean verify(String of, byte[] chain, byte[] signature) {
+        return seal.verify(of, chain, signature);
       }
     };
   }
@@ -116,7 +116,7 @@
   List<String> lines(long now) {
     List<String> lines = new ArrayList<>(dissemination.lines(now));
     if (council != null) {
-      lines.addAll(council.lines());
+      lines.addAll(council.statusLines());
     }
     return lines;
   }
@@ -132,7 +132,7 @@
   public void hear(long now, Peer sender, List<RevisionMessage> words) {
     dissemination.hear(now, sender, words);
     if (council != null) {
-      council.hear(now, sender, words);
+      council.receive(now, sender, words);
     }
   }
 
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
@@ -4,6 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import reachloom.revision.Ballot;
 import reachloom.revision.Revision;
 import reachloom.revision.RevisionMessage;
@@ -58,7 +59,7 @@
           + Long.BYTES
           + size(p.acceptedUnder())
           + 1
-          + (p.accepted() == null ? 0 : size(p.accepted()));
+          + p.accepted().map(RevisionMessageCodec::size).orElse(0);
     } else if (w instanceof RevisionMessage.Propose p) {
       return size(p.ballot()) + size(p.revision());
     } else if (w instanceof RevisionMessage.Accepted a) {
@@ -123,10 +124,8 @@
     } else if (w instanceof RevisionMessage.Promise p) {
       put(out.put((byte) 8), p.ballot());
       put(out.putLong(p.number()), p.acceptedUnder());
-      out.put((byte) (p.accepted() == null ? 0 : 1));
-      if (p.accepted() != null) {
-        put(out, p.accepted());
-      }
+      out.put((byte) (p.accepted().isPresent() ? 1 : 0));
+      p.accepted().ifPresent(accepted -> put(out, accepted));
     } else if (w instanceof RevisionMessage.Propose p) {
       put(out.put((byte) 9), p.ballot());
       put(out, p.revision());
@@ -190,7 +189,10 @@
       case 7 -> new RevisionMessage.Prepare(ballot(in), number(in));
       case 8 ->
           new RevisionMessage.Promise(
-              ballot(in), number(in), ballot(in), in.get() == 0 ? null : revision(in));
+              ballot(in),
+              number(in),
+              ballot(in),
+              in.get() == 0 ? Optional.empty() : Optional.of(revision(in)));
       case 9 -> new RevisionMessage.Propose(ballot(in), revision(in));
       case 10 -> new RevisionMessage.Accepted(ballot(in), number(in), vote(in));
       case 11 -> new RevisionMessage.Rejected(ballot(in), ballot(in));
--- /dev/null
+++ b/gateway/src/main/java/reachloom/revision/net/ConsensusStateCodec.java
@@ -0,0 +1,242 @@
+package reachloom.revision.net;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import reachloom.revision.Ballot;
+import reachloom.revision.ConsensusNode;
+import reachloom.revision.ConsensusState;
+import reachloom.revision.ConsensusState.AcceptedProposal;
+import reachloom.revision.ConsensusState.ChosenRevision;
+import reachloom.revision.Revision;
+import reachloom.revision.RevisionMessage;
+import reachloom.revision.Vote;
+
+/**
+ * The stored form of an issuer's {@link ConsensusState}: a line that names the format, the issuer
+ * and its cluster, the fields, and a SHA-256 over all of it. Numbers are big endian, texts have a
+ * length of two bytes before them ({@link DataOutputStream#writeUTF}), blocks of bytes one of four
+ * (-1 for none). Immutable.
+ */
+final class ConsensusStateCodec {
+  /** The largest stored state: two documents, two revisions and all votes, with room to spare. */
+  static final int MAX_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
+
+  private static final byte[] FORMAT = "reachloom issuer 1\n".getBytes(StandardCharsets.US_ASCII);
+
+  private static final int CHECKSUM_BYTES = 32; // SHA-256
+  private static final int MAX_SIGNATURE_BYTES = 256;
+  private static final int NO_BLOCK = -1;
+
+  private final String issuer;
+  private final String cluster;
+
+  /** The codec of one issuer's states. */
+  ConsensusStateCodec(String issuer, String cluster) {
+    this.issuer = issuer;
+    this.cluster = cluster;
+  }
+
+  // ---- Writing ----
+
+  /**
+   * The stored form.
+   *
+   * @throws IOException if a name is too long to be stored
+   */
+  byte[] encode(ConsensusState state) throws IOException {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(bytes);
+    out.write(FORMAT);
+    out.writeUTF(issuer);
+    out.writeUTF(cluster);
+    write(out, state);
+    bytes.writeBytes(checksum(bytes.toByteArray(), bytes.size()));
+    return bytes.toByteArray();
+  }
+
+  private static void write(DataOutputStream out, ConsensusState state) throws IOException {
+    write(out, state.promised());
+    write(out, state.accepted().map(AcceptedProposal::ballot).orElse(Ballot.NONE));
+    writeRevision(out, state.acceptedRevision());
+    writeBlock(out, state.accepted().map(AcceptedProposal::document));
+    writeRevision(out, state.newestRevision());
+    if (state.newest().isPresent()) {
+      List<Vote> votes = state.newest().get().notice().votes();
+      out.writeByte(votes.size());
+      for (Vote vote : votes) {
+        out.writeUTF(vote.issuer());
+        writeBlock(out, Optional.of(vote.signature()));
+      }
+    }
+    writeBlock(out, state.newest().flatMap(ChosenRevision::document));
+    out.writeLong(state.firstVotingNumber());
+  }
+
+  private static void write(DataOutputStream out, Ballot ballot) throws IOException {
+    out.writeLong(ballot.round());
+    out.writeUTF(ballot.issuer());
+  }
+
+  private static void writeRevision(DataOutputStream out, Optional<Revision> revision)
+      throws IOException {
+    out.writeBoolean(revision.isPresent());
+    if (revision.isPresent()) {
+      Revision r = revision.get();
+      out.writeLong(r.number());
+      out.write(r.previous());
+      out.write(r.digest());
+      out.writeInt(r.size());
+      out.writeLong(r.issuedAt());
+      out.writeUTF(r.issuer());
+    }
+  }
+
+  private static void writeBlock(DataOutputStream out, Optional<byte[]> block) throws IOException {
+    if (block.isPresent()) {
+      out.writeInt(block.get().length);
+      out.write(block.get());
+    } else {
+      out.writeInt(NO_BLOCK);
+    }
+  }
+
+  private static byte[] checksum(byte[] bytes, int length) {
+    try {
+      MessageDigest sha = MessageDigest.getInstance("SHA-256");
+      sha.update(bytes, 0, length);
+      return sha.digest();
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException("each Java platform has SHA-256", e);
+    }
+  }
+
+  // ---- Reading ----
+
+  /**
+   * Reads a stored form.
+   *
+   * @throws StateFormatException if it is damaged, of another version, or another issuer's
+   */
+  ConsensusState decode(byte[] stored) throws StateFormatException {
+    int length = stored.length - CHECKSUM_BYTES;
+    if (length < FORMAT.length || !Arrays.equals(FORMAT, Arrays.copyOf(stored, FORMAT.length))) {
+      throw new StateFormatException("format", "is not an issuer's state of this version");
+    }
+    byte[] checksum = Arrays.copyOfRange(stored, length, stored.length);
+    if (!Arrays.equals(checksum(stored, length), checksum)) {
+      throw new StateFormatException("checksum", "is damaged: its checksum does not hold");
+    }
+    try {
+      int bodyLength = length - FORMAT.length;
+      DataInputStream in =
+          new DataInputStream(new ByteArrayInputStream(stored, FORMAT.length, bodyLength));
+      checkOwner(in.readUTF(), in.readUTF());
+      return read(in);
+    } catch (IOException e) {
+      throw new StateFormatException("state", "cannot be read: " + e.getMessage());
+    }
+  }
+
+  private void checkOwner(String storedIssuer, String storedCluster) throws StateFormatException {
+    if (!storedIssuer.equals(issuer) || !storedCluster.equals(cluster)) {
+      throw new StateFormatException(
+          "issuer",
+          "belongs to issuer '"
+              + storedIssuer
+              + "' of '"
+              + storedCluster
+              + "', not to '"
+              + issuer
+              + "' of '"
+              + cluster
+              + "'");
+    }
+  }
+
+  private static ConsensusState read(DataInputStream in) throws IOException, StateFormatException {
+    Ballot promised = readBallot(in);
+    Ballot acceptedUnder = readBallot(in);
+    Optional<Revision> acceptedRevision = readRevision(in);
+    Optional<byte[]> acceptedDocument = readBlock(in, Revision.MAX_DOCUMENT_BYTES);
+    Optional<Revision> newestRevision = readRevision(in);
+    List<Vote> votes = newestRevision.isPresent() ? readVotes(in) : List.of();
+    Optional<byte[]> newestDocument = readBlock(in, Revision.MAX_DOCUMENT_BYTES);
+    long firstVotingNumber = in.readLong();
+    checkDocument("accepted", acceptedRevision.isPresent() == acceptedDocument.isPresent());
+    checkDocument("accepted", areOfEachOther(acceptedRevision, acceptedDocument));
+    checkDocument("newest", areOfEachOther(newestRevision, newestDocument));
+    checkDocument("end", in.read() < 0);
+    return new ConsensusState(
+        promised,
+        acceptedRevision.map(r -> new AcceptedProposal(acceptedUnder, r, acceptedDocument.get())),
+        newestRevision.map(
+            r -> new ChosenRevision(new RevisionMessage.Notice(r, votes), newestDocument)),
+        firstVotingNumber);
+  }
+
+  private static boolean areOfEachOther(Optional<Revision> revision, Optional<byte[]> document) {
+    return document.isEmpty() || revision.filter(r -> r.describes(document.get())).isPresent();
+  }
+
+  private static void checkDocument(String field, boolean fits) throws StateFormatException {
+    if (!fits) {
+      throw new StateFormatException(field, "holds a document that is not the one it names");
+    }
+  }
+
+  private static Ballot readBallot(DataInputStream in) throws IOException {
+    return new Ballot(in.readLong(), in.readUTF());
+  }
+
+  private static Optional<Revision> readRevision(DataInputStream in) throws IOException {
+    if (!in.readBoolean()) {
+      return Optional.empty();
+    }
+    long number = in.readLong();
+    byte[] previous = new byte[Revision.HASH_BYTES];
+    in.readFully(previous);
+    byte[] digest = new byte[Revision.HASH_BYTES];
+    in.readFully(digest);
+    return Optional.of(
+        new Revision(number, previous, digest, in.readInt(), in.readLong(), in.readUTF()));
+  }
+
+  private static List<Vote> readVotes(DataInputStream in) throws IOException, StateFormatException {
+    int count = in.readByte();
+    if (count < 0 || count > ConsensusNode.MAX_ISSUERS) {
+      throw new StateFormatException("votes", "names " + count + " votes");
+    }
+    List<Vote> votes = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      String voter = in.readUTF();
+      Optional<byte[]> signature = readBlock(in, MAX_SIGNATURE_BYTES);
+      votes.add(
+          new Vote(
+              voter, signature.orElseThrow(() -> new IOException("a vote without signature"))));
+    }
+    return List.copyOf(votes);
+  }
+
+  private static Optional<byte[]> readBlock(DataInputStream in, int maxBytes) throws IOException {
+    int length = in.readInt();
+    if (length < 0) {
+      return Optional.empty();
+    }
+    if (length > maxBytes) {
+      throw new IOException("a block of " + length + " bytes");
+    }
+    byte[] block = new byte[length];
+    in.readFully(block);
+    return Optional.of(block);
+  }
+}
--- a/gateway/src/main/java/reachloom/revision/net/FileStore.java
+++ b/gateway/src/main/java/reachloom/revision/net/FileStore.java
@@ -1,9 +1,5 @@
 package reachloom.revision.net;
 
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -11,323 +7,194 @@
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
 import java.nio.channels.OverlappingFileLockException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-import reachloom.config.ConfigException;
-import reachloom.revision.Ballot;
-import reachloom.revision.ConsensusNode;
+import java.util.Optional;
+import reachloom.revision.ConsensusState;
 import reachloom.revision.ConsensusStore;
-import reachloom.revision.Revision;
-import reachloom.revision.RevisionMessage;
-import reachloom.revision.Vote;
 
 /**
- * An issuer's store in a directory of its own, which one process at a time may use. The file is
- * replaced as a whole and forced to the disk before anything rests on it. One that is broken, or
- * another issuer's, is told of and neither used nor replaced: an issuer that forgets must not vote
- * as if it had not.
+ * An issuer's store in a directory of its own, which one process at a time may use: a lock file
+ * says which. The state's file is replaced as a whole and forced to the disk before anything rests
+ * on it. One that is damaged, or another issuer's, is reported and neither used nor replaced: an
+ * issuer that forgets must not vote as if it had not.
+ *
+ * <p>Confined to the thread of the issuer's event loop once it is open.
  */
 public final class FileStore implements ConsensusStore, AutoCloseable {
   private static final Logger LOG = System.getLogger(FileStore.class.getName());
-  private static final byte[] MAGIC = "reachloom issuer 1\n".getBytes(StandardCharsets.US_ASCII);
-  private static final String STATE = "issuer.state";
-  private static final String NEXT = "issuer.state.next";
-  private static final String LOCK = "issuer.lock";
-  private static final int SUM = 32; // bytes of a SHA-256
-  private static final int MAX_SIGNATURE = 256; // bytes
+  private static final String STATE_FILE = "issuer.state";
+  private static final String NEXT_STATE_FILE = "issuer.state.next";
+  private static final String LOCK_FILE = "issuer.lock";
 
-  /** Two documents, two revisions and all votes, with room to spare. */
-  private static final int MAX_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
-
-  private final Path folder;
-  private final Path file;
-  private final String name;
-  private final String cluster;
+  private final Path directory;
+  private final Path stateFile;
+  private final ConsensusStateCodec codec;
   private final FileChannel lock;
-  private final State loaded;
+  private final Optional<ConsensusState> loaded;
   private boolean failing;
 
-  private FileStore(Path folder, String name, String cluster, boolean first)
-      throws ConfigException {
-    this.folder = folder;
-    this.name = name;
-    this.cluster = cluster;
-    file = folder.resolve(STATE);
-    lock = locked(folder.resolve(LOCK));
+  private FileStore(Path directory, String issuer, String cluster, boolean create)
+      throws StoreException {
+    this.directory = directory;
+    stateFile = directory.resolve(STATE_FILE);
+    codec = new ConsensusStateCodec(issuer, cluster);
+    lock = lock(directory.resolve(LOCK_FILE));
     try {
-      loaded = first ? created() : Files.exists(file) ? read() : null;
-    } catch (ConfigException e) {
+      loaded = create ? Optional.of(createState()) : readState();
+    } catch (StoreException e) {
       close();
       throw e;
     }
   }
 
-  /** Makes the store of an issuer that has never taken part; refused where there is one. */
-  public static FileStore create(Path folder, String name, String cluster) throws ConfigException {
-    return new FileStore(folder, name, cluster, true);
+  /**
+   * Makes the store of an issuer that has never voted.
+   *
+   * @throws StoreException if there is one, another process uses the directory, or it cannot be
+   *     written
+   */
+  public static FileStore create(Path directory, String issuer, String cluster)
+      throws StoreException {
+    return new FileStore(directory, issuer, cluster, true);
   }
 
-  /** Opens a store; one without a state was lost, and loads as null. */
-  public static FileStore open(Path folder, String name, String cluster) throws ConfigException {
-    return new FileStore(folder, name, cluster, false);
+  /**
+   * Opens a store; one without a state was lost, and loads as empty.
+   *
+   * @throws StoreException if another process uses it, or its state cannot be read or is not this
+   *     issuer's
+   */
+  public static FileStore open(Path directory, String issuer, String cluster)
+      throws StoreException {
+    return new FileStore(directory, issuer, cluster, false);
   }
 
   /** The directory. */
-  public Path folder() {
-    return folder;
+  public Path directory() {
+    return directory;
   }
 
-  private static FileChannel locked(Path file) throws ConfigException {
-    FileChannel channel = null;
+  private static FileChannel lock(Path file) throws StoreException {
     try {
       Files.createDirectories(file.getParent());
-      channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-      FileLock held = channel.tryLock();
-      if (held != null) {
+      FileChannel channel =
+          FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+      if (isLocked(channel)) {
         return channel;
       }
-    } catch (OverlappingFileLockException e) {
-      // told below
-    } catch (IOException e) {
-      throw new ConfigException(file + ": cannot be locked: " + e.getMessage());
-    }
-    try {
-      channel.close();
+      closeQuietly(channel);
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "closing: {0}", e.toString());
-    }
-    throw new ConfigException(file + ": another process uses this store");
-  }
-
-  private State created() throws ConfigException {
-    if (Files.exists(file)) {
-      throw new ConfigException(file + ": is there already; an issuer's store is made once");
+      throw new StoreException(file, "cannot be locked: " + e.getMessage());
     }
-    if (!save(State.first())) {
-      throw new ConfigException(file + ": cannot be written");
-    }
-    return State.first();
-  }
-
-  @Override
-  public State load() {
-    return loaded;
+    throw new StoreException(file, "another process uses this store");
   }
 
-  // ---- Writing ----
-
-  @Override
-  public boolean save(State state) {
+  private static boolean isLocked(FileChannel channel) throws IOException {
     try {
-      Path next = folder.resolve(NEXT);
-      try (FileChannel out =
-          FileChannel.open(
-              next,
-              StandardOpenOption.CREATE,
-              StandardOpenOption.WRITE,
-              StandardOpenOption.TRUNCATE_EXISTING)) {
-        ByteBuffer bytes = ByteBuffer.wrap(bytes(state));
-        while (bytes.hasRemaining()) {
-          out.write(bytes);
-        }
-        out.force(true);
-      }
-      Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-      try (FileChannel all = FileChannel.open(folder, StandardOpenOption.READ)) {
-        all.force(true);
-      }
-      if (failing) {
-        LOG.log(Level.INFO, "{0}: can be written again", file);
-      }
-      failing = false;
-      return true;
-    } catch (IOException e) {
-      if (!failing) {
-        LOG.log(
-            Level.ERROR,
-            "{0}: cannot be written, this issuer is silent until it can: {1}",
-            file,
-            e.toString());
-      }
-      failing = true;
-      return false;
-    }
-  }
-
-  private byte[] bytes(State s) throws IOException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    DataOutputStream out = new DataOutputStream(bytes);
-    out.write(MAGIC);
-    out.writeUTF(name);
-    out.writeUTF(cluster);
-    put(out, s.promised());
-    put(out, s.acceptedUnder());
-    put(out, s.accepted());
-    put(out, s.draft());
-    put(out, s.newest() == null ? null : s.newest().revision());
-    if (s.newest() != null) {
-      out.writeByte(s.newest().votes().size());
-      for (Vote v : s.newest().votes()) {
-        out.writeUTF(v.issuer());
-        put(out, v.signature());
-      }
+      FileLock held = channel.tryLock();
+      return held != null;
+    } catch (OverlappingFileLockException e) {
+      return false; // this very process has it open already
     }
-    put(out, s.document());
-    out.writeLong(s.from());
-    out.write(sum(bytes.toByteArray(), bytes.size()));
-    return bytes.toByteArray();
-  }
-
-  private static void put(DataOutputStream out, Ballot b) throws IOException {
-    out.writeLong(b.round());
-    out.writeUTF(b.issuer());
   }
 
-  private static void put(DataOutputStream out, Revision r) throws IOException {
-    out.writeBoolean(r != null);
-    if (r != null) {
-      out.writeLong(r.number());
-      out.write(r.previous());
-      out.write(r.digest());
-      out.writeInt(r.size());
-      out.writeLong(r.issuedAt());
-      out.writeUTF(r.issuer());
+  private ConsensusState createState() throws StoreException {
+    if (Files.exists(stateFile)) {
+      throw new StoreException(stateFile, "is there already; an issuer's store is made once");
     }
-  }
-
-  private static void put(DataOutputStream out, byte[] bytes) throws IOException {
-    out.writeInt(bytes == null ? -1 : bytes.length);
-    if (bytes != null) {
-      out.write(bytes);
+    ConsensusState initial = ConsensusState.initial();
+    if (!save(initial)) {
+      throw new StoreException(stateFile, "cannot be written");
     }
+    return initial;
   }
 
-  private static byte[] sum(byte[] bytes, int length) {
-    try {
-      MessageDigest sha = MessageDigest.getInstance("SHA-256");
-      sha.update(bytes, 0, length);
-      return sha.digest();
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("each Java platform has SHA-256", e);
+  private Optional<ConsensusState> readState() throws StoreException {
+    if (!Files.exists(stateFile)) {
+      return Optional.empty();
     }
-  }
-
-  // ---- Reading ----
-
-  private State read() throws ConfigException {
     try {
-      if (Files.size(file) > MAX_BYTES) {
-        throw broken("is larger than " + MAX_BYTES + " bytes");
-      }
-      byte[] all = Files.readAllBytes(file);
-      int length = all.length - SUM;
-      if (length < MAGIC.length || !Arrays.equals(MAGIC, Arrays.copyOf(all, MAGIC.length))) {
-        throw broken("is not an issuer's state of this version");
+      if (Files.size(stateFile) > ConsensusStateCodec.MAX_BYTES) {
+        throw unusable("size", "is larger than " + ConsensusStateCodec.MAX_BYTES + " bytes");
       }
-      if (!Arrays.equals(sum(all, length), Arrays.copyOfRange(all, length, all.length))) {
-        throw broken("is damaged: its checksum does not hold");
-      }
-      return state(
-          new DataInputStream(new ByteArrayInputStream(all, MAGIC.length, length - MAGIC.length)));
+      return Optional.of(codec.decode(Files.readAllBytes(stateFile)));
+    } catch (StateFormatException e) {
+      throw unusable(e.field(), e.getMessage());
     } catch (IOException e) {
-      throw broken("cannot be read: " + e.getMessage());
+      throw unusable("state", "cannot be read: " + e.getMessage());
     }
   }
 
-  private State state(DataInputStream in) throws IOException, ConfigException {
-    String itsName = in.readUTF();
-    String itsCluster = in.readUTF();
-    if (!itsName.equals(name) || !itsCluster.equals(cluster)) {
-      throw broken(
-          "belongs to issuer '"
-              + itsName
-              + "' of '"
-              + itsCluster
-              + "', not to '"
-              + name
-              + "' of '"
-              + cluster
-              + "'");
-    }
-    Ballot promised = ballot(in);
-    Ballot under = ballot(in);
-    Revision accepted = revision(in);
-    byte[] draft = block(in, Revision.MAX_DOCUMENT_BYTES);
-    Revision newest = revision(in);
-    List<Vote> votes = new ArrayList<>();
-    int count = newest == null ? 0 : in.readByte();
-    if (count < 0 || count > ConsensusNode.MAX_ISSUERS) {
-      throw broken("names " + count + " votes");
-    }
-    for (int i = 0; i < count; i++) {
-      votes.add(new Vote(in.readUTF(), block(in, MAX_SIGNATURE)));
-    }
-    byte[] document = block(in, Revision.MAX_DOCUMENT_BYTES);
-    long from = in.readLong();
-    boolean fits =
-        (accepted == null) == (draft == null)
-            && (draft == null || accepted.describes(draft))
-            && (document == null || newest != null && newest.describes(document))
-            && in.read() < 0;
-    if (!fits) {
-      throw broken("holds a document that is not the one it names");
-    }
-    return new State(
-        promised,
-        under,
-        accepted,
-        draft,
-        newest == null ? null : new RevisionMessage.Notice(newest, List.copyOf(votes)),
-        document,
-        from);
+  private StoreException unusable(String field, String problem) {
+    return new StoreException(
+        stateFile, field, problem + "; it is not used, and nothing is begun in its place");
   }
 
-  private static Ballot ballot(DataInputStream in) throws IOException {
-    return new Ballot(in.readLong(), in.readUTF());
+  /** What the store held when it was opened. */
+  @Override
+  public Optional<ConsensusState> load() {
+    return loaded;
   }
 
-  private static Revision revision(DataInputStream in) throws IOException {
-    if (!in.readBoolean()) {
-      return null;
+  @Override
+  public boolean save(ConsensusState state) {
+    try {
+      replaceState(codec.encode(state));
+    } catch (IOException e) {
+      logFailure(e);
+      return false;
+    }
+    if (failing) {
+      LOG.log(Level.INFO, "{0}: can be written again", stateFile);
     }
-    long number = in.readLong();
-    byte[] previous = new byte[Revision.HASH_BYTES];
-    in.readFully(previous);
-    byte[] digest = new byte[Revision.HASH_BYTES];
-    in.readFully(digest);
-    return new Revision(number, previous, digest, in.readInt(), in.readLong(), in.readUTF());
+    failing = false;
+    return true;
   }
 
-  private static byte[] block(DataInputStream in, int most) throws IOException {
-    int length = in.readInt();
-    if (length < 0) {
-      return null;
+  private void replaceState(byte[] stored) throws IOException {
+    Path next = directory.resolve(NEXT_STATE_FILE);
+    try (FileChannel out =
+        FileChannel.open(
+            next,
+            StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE,
+            StandardOpenOption.TRUNCATE_EXISTING)) {
+      ByteBuffer bytes = ByteBuffer.wrap(stored);
+      while (bytes.hasRemaining()) {
+        out.write(bytes);
+      }
+      out.force(true);
     }
-    if (length > most) {
-      throw new IOException("a block of " + length + " bytes");
+    Files.move(
+        next, stateFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    try (FileChannel entries = FileChannel.open(directory, StandardOpenOption.READ)) {
+      entries.force(true);
     }
-    byte[] bytes = new byte[length];
-    in.readFully(bytes);
-    return bytes;
   }
 
-  private ConfigException broken(String what) {
-    return new ConfigException(
-        file + ": " + what + "; it is not used, and nothing is begun in its place");
+  private void logFailure(IOException e) {
+    if (!failing) {
+      LOG.log(
+          Level.ERROR,
+          "{0}: cannot be written, this issuer is silent until it can: {1}",
+          stateFile,
+          e.toString());
+    }
+    failing = true;
   }
 
+  /** Lets another process use the directory. */
   @Override
   public void close() {
+    closeQuietly(lock);
+  }
+
+  private static void closeQuietly(FileChannel channel) {
     try {
-      lock.close();
+      channel.close();
     } catch (IOException e) {
       LOG.log(Level.DEBUG, "closing: {0}", e.toString());
     }
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -17,125 +17,143 @@
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.membership.Member;
+import reachloom.revision.ConsensusEnvironment;
 import reachloom.revision.ConsensusNode;
 
 /**
- * An issuer as a process: a member of gossip without a gateway, with its council, its store and its
- * spool. All but the port's own threads runs on its loop.
+ * An issuer as a process: a member of gossip without a gateway, with its consensus node, its store
+ * and its spool.
+ *
+ * <p>All of these are confined to the thread that calls {@link #run}, which runs the event loop;
+ * only the gossip transport has threads of its own. {@link #reload} and {@link #stop} may be called
+ * from any thread.
  */
 public final class IssuerServer {
   private static final Logger LOG = System.getLogger(IssuerServer.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long TICK = 50 * MILLISECOND;
-  private static final long LOOK = 100 * MILLISECOND;
-  private static final long CLOSE_MS = 1_000; // for the last datagrams
-  private static final long STATUS = 250 * MILLISECOND;
+  private static final long TICK_INTERVAL_NANOS = 50 * MILLISECOND;
+  private static final long POLL_INTERVAL_NANOS = 100 * MILLISECOND;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // for the last datagrams
+  private static final long STATUS_INTERVAL_NANOS = 250 * MILLISECOND;
 
   private final String settingsFile;
   private final FileStore store;
   private final SpoolDirectory spool;
   private final EventLoop loop = new EventLoop();
   private final GossipNode node;
-  private final ConsensusNode council;
+  private final ConsensusNode consensus;
   private final CountDownLatch stopped = new CountDownLatch(1);
   private GossipSettings settings;
   private boolean stopping;
 
-  /** Opens store, spool and port; nothing is said before {@link #run}. */
-  public IssuerServer(String settingsFile, Path folder) throws ConfigException, IOException {
+  /**
+   * Opens store, spool and socket; nothing is sent before {@link #run}.
+   *
+   * @param settingsFile the installation's settings (XML)
+   * @param directory the issuer's own, with its store and its spool
+   * @throws ConfigException if settings, keys or certificates cannot be used
+   * @throws StoreException if the store cannot be used
+   * @throws IOException if the spool or the socket cannot be opened
+   */
+  public IssuerServer(String settingsFile, Path directory)
+      throws ConfigException, StoreException, IOException {
     this.settingsFile = settingsFile;
-    settings = settings(settingsFile);
+    settings = readSettings(settingsFile);
     NodeIdentity identity = NodeIdentity.read(settings);
-    issuer(settings, identity.name());
-    store = FileStore.open(folder, identity.name(), settings.cluster());
+    checkIssuer(settings, identity.name());
+    store = FileStore.open(directory, identity.name(), settings.cluster());
     try {
-      spool = new SpoolDirectory(folder);
+      spool = new SpoolDirectory(directory);
       long seed = loop.now() ^ identity.name().hashCode();
       node = new GossipNode(loop, settings, identity, seed, (engine, level) -> {});
-      council =
+      consensus =
           new ConsensusNode(
               identity.name(),
               node.revisions().issuers(),
-              node.revisions().seal(),
-              store,
-              node.revisions().dissemination(),
-              node.gossip(),
+              new ConsensusEnvironment(
+                  node.revisions().seal(), store, node.revisions().dissemination(), node.gossip()),
               new SplittableRandom(seed),
               loop.now());
-      node.revisions().join(council);
+      node.revisions().join(consensus);
     } catch (ConfigException | IOException e) {
       store.close();
       throw e;
     }
-    if (store.load() == null) {
+    logStart(directory, identity.name());
+  }
+
+  private void logStart(Path directory, String name) {
+    if (store.load().isEmpty()) {
       LOG.log(
           Level.WARNING,
           "{0} holds no state: it was lost, or never made (reachloom revision init); "
               + "{1} learns, and gives no vote before it may",
-          folder,
-          identity.name());
+          directory,
+          name);
     }
     LOG.log(
         Level.INFO,
         "issuer {0} of {1} at {2}, revision {3}, store {4}",
-        identity.name(),
+        name,
         Integer.toString(settings.configuration().orElseThrow().issuers().size()),
         settings.listen(),
-        Long.toString(council.number()),
-        folder);
+        Long.toString(consensus.number()),
+        directory);
   }
 
-  /** The gossip settings of an installation in which revisions are on. */
-  public static GossipSettings settings(String file) throws ConfigException {
-    GossipSettings s =
+  /**
+   * The gossip settings of an installation in which revisions are on.
+   *
+   * @throws ConfigException if the file cannot be used, or has gossip or revisions off
+   */
+  public static GossipSettings readSettings(String file) throws ConfigException {
+    GossipSettings settings =
         LocalSettings.read(file, Map.of())
             .gossip()
             .orElseThrow(() -> new ConfigException(file + ": gossip is off"));
-    if (s.configuration().isEmpty()) {
+    if (settings.configuration().isEmpty()) {
       throw new ConfigException(file + ": gossip names no issuers (configuration)");
     }
-    return s;
+    return settings;
   }
 
-  /** The issuer of that name, which has to listen where the settings say. */
-  static void issuer(GossipSettings s, String name) throws ConfigException {
-    List<ConfigurationSettings.Issuer> all = s.configuration().orElseThrow().issuers();
-    ConfigurationSettings.Issuer mine =
-        all.stream()
-            .filter(i -> i.name().equals(name))
+  /** Checks that the settings name this issuer, at the address where it listens. */
+  private static void checkIssuer(GossipSettings settings, String name) throws ConfigException {
+    ConfigurationSettings.Issuer issuer =
+        settings.configuration().orElseThrow().issuers().stream()
+            .filter(candidate -> candidate.name().equals(name))
             .findFirst()
-            .orElseThrow(
-                () ->
-                    new ConfigException(
-                        s.certificateFile()
-                            + ": '"
-                            + name
-                            + "' is not among the issuers of the settings"));
-    if (mine.address().getPort() != s.listen().getPort()) {
+            .orElseThrow(() -> notNamed(settings, name));
+    if (issuer.address().getPort() != settings.listen().getPort()) {
       throw new ConfigException(
           "gossip listen: "
-              + s.listen()
+              + settings.listen()
               + " is not where the settings have issuer '"
               + name
               + "' ("
-              + mine.address()
+              + issuer.address()
               + ")");
     }
   }
 
-  /** Runs until it is stopped. */
+  private static ConfigException notNamed(GossipSettings settings, String name) {
+    return new ConfigException(
+        settings.certificateFile() + ": '" + name + "' is not among the issuers of the settings");
+  }
+
+  /** Runs the event loop on the calling thread until {@link #stop} is called. */
   public void run() {
     loop.post(
         0,
         () -> {
           node.start();
           tick();
-          look();
-          status();
+          pollSpool();
+          writeStatus();
         });
     loop.run();
     try {
-      node.awaitClosed(CLOSE_MS);
+      node.awaitClosed(CLOSE_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -145,28 +163,28 @@
 
   private void tick() {
     if (!stopping) {
-      council.tick(loop.now());
-      loop.deadlines().add(loop.now() + TICK, this::tick);
+      consensus.tick(loop.now());
+      loop.deadlines().add(loop.now() + TICK_INTERVAL_NANOS, this::tick);
     }
   }
 
-  private void look() {
+  private void pollSpool() {
     if (!stopping) {
-      spool.look(
+      spool.poll(
           loop.now() / MILLISECOND,
-          (document, result) -> council.propose(loop.now(), document, result));
-      loop.deadlines().add(loop.now() + LOOK, this::look);
+          (document, result) -> consensus.propose(loop.now(), document, result));
+      loop.deadlines().add(loop.now() + POLL_INTERVAL_NANOS, this::pollSpool);
     }
   }
 
-  private void status() {
+  private void writeStatus() {
     if (!stopping) {
-      spool.status(progress());
-      loop.deadlines().add(loop.now() + STATUS, this::status);
+      spool.writeStatus(rolloutStatus());
+      loop.deadlines().add(loop.now() + STATUS_INTERVAL_NANOS, this::writeStatus);
     }
   }
 
-  private RolloutStatus progress() {
+  private RolloutStatus rolloutStatus() {
     Map<Integer, Integer> present = new TreeMap<>();
     List<String> issuers = node.revisions().issuers().stream().map(p -> p.name()).toList();
     for (Member m : node.gossip().membership().members()) {
@@ -174,14 +192,18 @@
         present.merge(m.place(), 1, Integer::sum);
       }
     }
-    return RolloutStatus.of(council.number(), node.revisions().dissemination().censuses(), present);
+    return RolloutStatus.of(
+        consensus.number(), node.revisions().dissemination().censuses(), present);
   }
 
-  /** Reads keys, authorities, revocations, seeds and the issuers' certificates again. */
+  /**
+   * Reads keys, authorities, revocations, seeds and the issuers' certificates again. Settings that
+   * cannot be used are logged, and change nothing.
+   */
   public void reload() {
     GossipSettings next;
     try {
-      next = settings(settingsFile);
+      next = readSettings(settingsFile);
     } catch (ConfigException e) {
       LOG.log(Level.WARNING, "the settings stay as they are: {0}", e.getMessage());
       return;
@@ -189,8 +211,8 @@
     loop.post(
         0,
         () -> {
-          List<String> before = names(settings);
-          if (!names(next).equals(before)) {
+          List<String> before = issuerAddresses(settings);
+          if (!issuerAddresses(next).equals(before)) {
             LOG.log(
                 Level.WARNING, "issuers: have changed, which takes effect at the next start only");
           }
@@ -199,13 +221,17 @@
         });
   }
 
-  private static List<String> names(GossipSettings s) {
+  private static List<String> issuerAddresses(GossipSettings s) {
     return s.configuration().orElseThrow().issuers().stream()
         .map(i -> i.name() + i.address())
         .toList();
   }
 
-  /** Says good-bye and ends {@link #run}; gives once it has ended. */
+  /**
+   * Leaves gossip and ends {@link #run}; returns once that has ended.
+   *
+   * @throws InterruptedException if the calling thread is interrupted meanwhile
+   */
   public void stop() throws InterruptedException {
     loop.post(
         0,
--- a/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
+++ b/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
@@ -10,92 +10,103 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * How far a revision is, as an issuer knows it: of so many members so many have it in force. A
- * place of which nothing was told lacks it altogether.
+ * How far a revision is rolled out, as an issuer knows it. A place of which nothing was reported
+ * lacks it altogether.
  *
- * @param longest how long the first that lacks it has done so, in milliseconds, where it is told
+ * @param number the revision; 0 for none
+ * @param members how many members there are
+ * @param inForce how many of them have it in force
+ * @param refused how many of them have refused it
+ * @param lacking the names of some members and places that lack it
+ * @param longestMillis how long the first that lacks it has done so, where it is known; else 0
  */
 public record RolloutStatus(
-    long number, int members, int inForce, int refused, List<String> lacking, long longest) {
+    long number, int members, int inForce, int refused, List<String> lacking, long longestMillis) {
   private static final int MAX_NAMED = 50;
 
-  /** The sum over all places; {@code present} is how many members are seen at each. */
+  /** Of no revision and no member. */
+  public static final RolloutStatus NONE = new RolloutStatus(0, 0, 0, 0, List.of(), 0);
+
+  /**
+   * The sum over all places.
+   *
+   * @param censuses what was reported last of each place
+   * @param present how many members are seen at each place
+   */
   static RolloutStatus of(
       long number, List<RevisionMessage.Census> censuses, Map<Integer, Integer> present) {
-    TreeMap<Integer, Integer> silent = new TreeMap<>(present);
+    TreeMap<Integer, Integer> unreported = new TreeMap<>(present);
     int members = 0;
     int inForce = 0;
     int refused = 0;
-    long longest = 0;
+    long longestMillis = 0;
     List<String> lacking = new ArrayList<>();
-    for (RevisionMessage.Census c : censuses) {
-      silent.remove(c.place());
-      int seen = Math.max(c.members(), present.getOrDefault(c.place(), 0));
+    for (RevisionMessage.Census census : censuses) {
+      unreported.remove(census.place());
+      int seen = Math.max(census.members(), present.getOrDefault(census.place(), 0));
       members += seen;
-      if (c.number() >= number) {
-        inForce += c.inForce();
-        refused += c.refused();
-        lacking.addAll(c.lacking());
-        longest = Math.max(longest, c.longest());
+      if (census.number() >= number) {
+        inForce += census.inForce();
+        refused += census.refused();
+        lacking.addAll(census.lacking());
+        longestMillis = Math.max(longestMillis, census.longest());
       } else if (seen > 0) {
-        lacking.add("place " + place(c.place()));
+        lacking.add(placeName(census.place()));
       }
     }
-    for (Map.Entry<Integer, Integer> e : silent.entrySet()) {
-      members += e.getValue();
-      lacking.add("place " + place(e.getKey()));
+    for (Map.Entry<Integer, Integer> entry : unreported.entrySet()) {
+      members += entry.getValue();
+      lacking.add(placeName(entry.getKey()));
     }
-    return new RolloutStatus(
-        number,
-        members,
-        inForce,
-        refused,
-        lacking.stream().sorted().limit(MAX_NAMED).toList(),
-        longest);
+    List<String> named = lacking.stream().sorted().limit(MAX_NAMED).toList();
+    return new RolloutStatus(number, members, inForce, refused, named, longestMillis);
   }
 
-  private static String place(int place) {
-    return (place >> Byte.SIZE) + "." + (place & 0xff);
+  private static String placeName(int place) {
+    return "place " + (place >> Byte.SIZE) + "." + (place & 0xff);
   }
 
   /** Whether each member has it in force. */
-  public boolean everywhere() {
+  public boolean isInForceEverywhere() {
     return members > 0 && inForce >= members;
   }
 
-  /** Whether each member has it in force or has refused it, which it does for good. */
-  public boolean settled() {
+  /** Whether each member has it in force or has refused it, which is final. */
+  public boolean isSettled() {
     return members > 0 && inForce + refused >= members;
   }
 
-  ObjectNode json() {
-    ObjectNode o =
+  /** The content of {@code status.json}. */
+  String toJson() {
+    ObjectNode json =
         new ObjectMapper()
             .createObjectNode()
             .put("number", number)
             .put("members", members)
             .put("inForce", inForce)
             .put("refused", refused)
-            .put("longestMs", longest);
-    lacking.forEach(o.putArray("lacking")::add);
-    return o;
+            .put("longestMs", longestMillis);
+    lacking.forEach(json.putArray("lacking")::add);
+    return json.toString();
   }
 
-  /** Reads what {@link SpoolDirectory#status} wrote. */
-  public static RolloutStatus read(JsonNode o) {
+  /** Reads the content of {@code status.json}; fields that it lacks are 0 or empty. */
+  public static RolloutStatus fromJson(JsonNode json) {
     List<String> lacking = new ArrayList<>();
-    o.path("lacking").forEach(l -> lacking.add(l.asText()));
+    json.path("lacking").forEach(name -> lacking.add(name.asText()));
     return new RolloutStatus(
-        o.path("number").asLong(),
-        o.path("members").asInt(),
-        o.path("inForce").asInt(),
-        o.path("refused").asInt(),
+        json.path("number").asLong(),
+        json.path("members").asInt(),
+        json.path("inForce").asInt(),
+        json.path("refused").asInt(),
         List.copyOf(lacking),
-        o.path("longestMs").asLong());
+        json.path("longestMs").asLong());
   }
 
+  /** One line for an operator. */
   @Override
   public String toString() {
+    String refusals = refused == 0 ? "" : ", refused by " + refused;
     return "revision "
         + number
         + " is in force at "
@@ -103,11 +114,15 @@
         + " of "
         + members
         + " members"
-        + (refused == 0 ? "" : ", refused by " + refused)
-        + (lacking.isEmpty()
-            ? ""
-            : ", lacking at "
-                + String.join(", ", lacking)
-                + (longest == 0 ? "" : " for " + longest + " ms"));
+        + refusals
+        + lackingText();
+  }
+
+  private String lackingText() {
+    if (lacking.isEmpty()) {
+      return "";
+    }
+    String since = longestMillis == 0 ? "" : " for " + longestMillis + " ms";
+    return ", lacking at " + String.join(", ", lacking) + since;
   }
 }
--- a/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
@@ -1,7 +1,5 @@
 package reachloom.revision.net;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.lang.System.Logger;
@@ -11,6 +9,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import reachloom.config.ConfigException;
@@ -20,9 +19,13 @@
 import reachloom.time.WallClock;
 
 /**
- * How operators of an issuer's machine hand documents in: {@code inbox/NAME.json} is taken, {@code
- * outbox/NAME.result} tells what became of it, {@code status.json} who has it in force. Who may
- * write to the inbox may issue: the directory's permissions say who.
+ * How operators on an issuer's machine hand documents in: {@code inbox/NAME.json} is taken, {@code
+ * outbox/NAME.result} tells what became of it, {@code status.json} who has it in force. While the
+ * issuer deals with a document it lies in {@code taken}. Who may write to the inbox may issue: the
+ * directory's permissions say who.
+ *
+ * <p>Files appear whole or not at all; those that are being written have names that begin with a
+ * dot. Confined to the thread of the issuer's event loop.
  */
 final class SpoolDirectory {
   private static final Logger LOG = System.getLogger(SpoolDirectory.class.getName());
@@ -31,176 +34,194 @@
    * A document that has lain there for longer was given to an issuer that was down; nobody waits
    * for it.
    */
-  private static final long STALE_MS = 30_000;
+  private static final long MAX_AGE_MILLIS = 30_000;
 
-  private static final long NEVER = Long.MIN_VALUE;
-  private static final int AT_ONCE = 16; // files of one look
+  private static final int MAX_FILES_PER_POLL = 16;
   private static final int MAX_RESULTS = 256;
-  private static final String DOCUMENT = ".json";
-  private static final String RESULT = ".result";
-  private static final ObjectMapper JSON = new ObjectMapper();
-
-  /** Takes a document that may be issued. */
-  interface Taker {
-    void take(byte[] document, Consumer<ProposalResult> result);
+  private static final String DOCUMENT_SUFFIX = ".json";
+  private static final String RESULT_SUFFIX = ".result";
+
+  /** Takes documents that may be issued. */
+  interface DocumentHandler {
+    /**
+     * A document has come.
+     *
+     * @param results is to be given each result of it
+     */
+    void onDocument(byte[] document, Consumer<ProposalResult> results);
   }
 
   private final Path inbox;
   private final Path taken;
   private final Path outbox;
-  private final Path status;
-  private String last = "";
-  private long lookedAtMs = NEVER;
-
-  SpoolDirectory(Path folder) throws IOException {
-    inbox = Files.createDirectories(folder.resolve("inbox"));
-    taken = Files.createDirectories(folder.resolve("taken"));
-    outbox = Files.createDirectories(folder.resolve("outbox"));
-    status = folder.resolve("status.json");
-    for (Path f : list(taken, DOCUMENT, MAX_RESULTS)) {
-      result(
-          name(f),
-          "RESTARTED",
-          0,
-          "the issuer was started anew while it dealt with this document; "
-              + "its status tells whether it was issued",
-          true);
-      Files.deleteIfExists(f);
+  private final Path statusFile;
+  private String writtenStatus = "";
+
+  /** When the inbox was seen whole; empty before the first time. */
+  private OptionalLong polledAtMillis = OptionalLong.empty();
+
+  /**
+   * Opens the spool, and reports those documents that a process before this one did not finish.
+   *
+   * @throws IOException if the directories cannot be made or read
+   */
+  SpoolDirectory(Path directory) throws IOException {
+    inbox = Files.createDirectories(directory.resolve("inbox"));
+    taken = Files.createDirectories(directory.resolve("taken"));
+    outbox = Files.createDirectories(directory.resolve("outbox"));
+    statusFile = directory.resolve("status.json");
+    for (Path file : list(taken, DOCUMENT_SUFFIX, MAX_RESULTS)) {
+      writeResult(
+          name(file),
+          SpoolResult.rejected(
+              SpoolRejection.RESTARTED,
+              "the issuer was started anew while it dealt with this document; "
+                  + "its status tells whether it was issued"));
+      Files.deleteIfExists(file);
     }
   }
 
+  // ---- The inbox ----
+
   /**
-   * Looks for documents, oldest name first. What was not there at the last look has lain there for
-   * no longer than the time since; only for what lay there before the first one the file's own
-   * time, by the wall clock, has to do.
+   * Takes the documents in the inbox, oldest name first. What was not there at the last poll has
+   * lain there for no longer than the time since; only for what lay there before the first one the
+   * file's own time, by the wall clock, has to do.
    *
-   * @param nowMs the process's own time in milliseconds
+   * @param nowMillis the process's own time, which is never stepped
    */
-  void look(long nowMs, Taker taker) {
-    long mostAge = lookedAtMs == NEVER ? Long.MAX_VALUE : nowMs - lookedAtMs;
+  void poll(long nowMillis, DocumentHandler handler) {
+    long maxAgeMillis =
+        polledAtMillis.isPresent() ? nowMillis - polledAtMillis.getAsLong() : Long.MAX_VALUE;
     try {
-      List<Path> found = list(inbox, DOCUMENT, AT_ONCE);
-      for (Path f : found) {
-        take(mostAge, f, taker);
+      List<Path> found = list(inbox, DOCUMENT_SUFFIX, MAX_FILES_PER_POLL);
+      for (Path file : found) {
+        take(maxAgeMillis, file, handler);
+      }
+      if (found.size() < MAX_FILES_PER_POLL) { // else some have not been looked at
+        polledAtMillis = OptionalLong.of(nowMillis);
       }
-      lookedAtMs = found.size() < AT_ONCE ? nowMs : lookedAtMs; // else some have not been looked at
     } catch (IOException e) {
       LOG.log(Level.WARNING, "{0}: cannot be looked at: {1}", inbox, e.toString());
     }
   }
 
-  private void take(long mostAgeMs, Path f, Taker taker) throws IOException {
-    String name = name(f);
-    Path mine = taken.resolve(f.getFileName());
+  private void take(long maxAgeMillis, Path file, DocumentHandler handler) throws IOException {
+    String name = name(file);
+    Path takenFile = taken.resolve(file.getFileName());
     byte[] document;
     try {
-      long age =
-          Math.min(mostAgeMs, WallClock.unixMillis() - Files.getLastModifiedTime(f).toMillis());
-      long size = Files.size(f);
-      Files.move(f, mine, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-      if (age > STALE_MS) {
-        done(name, mine, "STALE", "it lay in the inbox for " + age / 1_000 + " s; give it again");
-        return;
-      }
-      if (size == 0 || size > Revision.MAX_DOCUMENT_BYTES) {
-        done(
-            name,
-            mine,
-            ProposalResult.Kind.BAD_SIZE.name(),
-            "the document has "
-                + size
-                + " bytes; 1 to "
-                + Revision.MAX_DOCUMENT_BYTES
-                + " are allowed");
-        return;
-      }
-      document = Files.readAllBytes(mine);
-      MergePatch.read(document);
+      document = read(maxAgeMillis, file, takenFile);
     } catch (NoSuchFileException e) {
-      return; // taken back
-    } catch (ConfigException e) {
-      done(name, mine, "REFUSED", e.getMessage());
+      return; // its owner has taken it back
+    } catch (RejectedDocumentException e) {
+      LOG.log(Level.WARNING, "document {0} is not issued: {1}", name, e.getMessage());
+      writeResult(name, SpoolResult.rejected(e.rejection(), e.getMessage()));
+      delete(e.file());
       return;
     }
-    taker.take(
-        document,
-        r -> {
-          LOG.log(Level.INFO, "document {0}: {1}, {2}", name, r.kind(), r.text());
-          result(name, r.kind().name(), r.number(), r.text(), r.last());
-          if (r.last()) {
-            forget(mine);
-          }
-        });
+    handler.onDocument(document, result -> report(name, takenFile, result));
   }
 
-  private void done(String name, Path mine, String kind, String text) {
-    LOG.log(Level.WARNING, "document {0} is not issued: {1}", name, text);
-    result(name, kind, 0, text, true);
-    forget(mine);
+  /** Moves a document out of the inbox, and reads it if it may be issued. */
+  private static byte[] read(long maxAgeMillis, Path file, Path takenFile)
+      throws IOException, RejectedDocumentException {
+    long fileAgeMillis = WallClock.unixMillis() - Files.getLastModifiedTime(file).toMillis();
+    long ageMillis = Math.min(maxAgeMillis, fileAgeMillis);
+    long bytes = Files.size(file);
+    Files.move(
+        file, takenFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    if (ageMillis > MAX_AGE_MILLIS) {
+      throw new RejectedDocumentException(
+          takenFile,
+          SpoolRejection.STALE,
+          "it lay in the inbox for " + ageMillis / 1_000 + " s; give it again");
+    }
+    if (bytes == 0 || bytes > Revision.MAX_DOCUMENT_BYTES) {
+      throw new RejectedDocumentException(
+          takenFile,
+          SpoolRejection.BAD_SIZE,
+          "the document has "
+              + bytes
+              + " bytes; 1 to "
+              + Revision.MAX_DOCUMENT_BYTES
+              + " are allowed");
+    }
+    byte[] document = Files.readAllBytes(takenFile);
+    try {
+      MergePatch.read(document);
+    } catch (ConfigException e) {
+      throw new RejectedDocumentException(takenFile, SpoolRejection.REFUSED, e.getMessage());
+    }
+    return document;
   }
 
-  private static void forget(Path f) {
-    try {
-      Files.deleteIfExists(f);
-    } catch (IOException e) {
-      LOG.log(Level.WARNING, "{0}: cannot be deleted: {1}", f, e.toString());
+  // ---- Results and status ----
+
+  private void report(String name, Path takenFile, ProposalResult result) {
+    LOG.log(Level.INFO, "document {0}: {1}, {2}", name, result.kind(), result.text());
+    writeResult(name, SpoolResult.of(result));
+    if (result.isFinal()) {
+      delete(takenFile);
     }
   }
 
-  private void result(String name, String kind, long number, String text, boolean last) {
-    ObjectNode o =
-        JSON.createObjectNode()
-            .put("kind", kind)
-            .put("number", number)
-            .put("text", text)
-            .put("last", last);
+  private void writeResult(String name, SpoolResult result) {
     try {
-      List<Path> old = list(outbox, RESULT, Integer.MAX_VALUE);
-      for (int i = 0; i <= old.size() - MAX_RESULTS; i++) {
-        Files.deleteIfExists(old.get(i));
+      List<Path> results = list(outbox, RESULT_SUFFIX, Integer.MAX_VALUE);
+      for (int i = 0; i <= results.size() - MAX_RESULTS; i++) {
+        Files.deleteIfExists(results.get(i));
       }
-      replace(outbox.resolve(name + RESULT), o.toString());
+      replace(outbox.resolve(name + RESULT_SUFFIX), result.toJson());
     } catch (IOException e) {
       LOG.log(Level.ERROR, "document {0}: its result can''t be told: {1}", name, e.toString());
     }
   }
 
-  /** Tells how far the newest revision is. */
-  void status(RolloutStatus p) {
-    String text = p.json().toString();
-    if (text.equals(last)) {
+  /** Writes who has the newest revision in force, where that has changed. */
+  void writeStatus(RolloutStatus status) {
+    String text = status.toJson();
+    if (text.equals(writtenStatus)) {
       return;
     }
     try {
-      replace(status, text);
-      last = text;
+      replace(statusFile, text);
+      writtenStatus = text;
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "{0}: cannot be written: {1}", status, e.toString());
+      LOG.log(Level.WARNING, "{0}: cannot be written: {1}", statusFile, e.toString());
     }
   }
 
-  /** Files of that ending by their names; those that are being written begin with a dot. */
-  private static List<Path> list(Path folder, String ending, int most) throws IOException {
-    try (Stream<Path> files = Files.list(folder)) {
-      return files
-          .filter(
-              f ->
-                  f.getFileName().toString().endsWith(ending)
-                      && !f.getFileName().toString().startsWith("."))
-          .sorted()
-          .limit(most)
-          .toList();
+  // ---- Files ----
+
+  /** Files with that suffix in the order of their names, but those that are being written. */
+  private static List<Path> list(Path directory, String suffix, int maxFiles) throws IOException {
+    try (Stream<Path> files = Files.list(directory)) {
+      return files.filter(file -> isComplete(file, suffix)).sorted().limit(maxFiles).toList();
     } catch (UncheckedIOException e) {
       throw e.getCause();
     }
   }
 
-  private static String name(Path f) {
-    return f.getFileName().toString().replaceFirst("\\.[a-z]+$", "");
+  private static boolean isComplete(Path file, String suffix) {
+    String name = file.getFileName().toString();
+    return name.endsWith(suffix) && !name.startsWith(".");
+  }
+
+  private static String name(Path file) {
+    return file.getFileName().toString().replaceFirst("\\.[a-z]+$", "");
+  }
+
+  private static void delete(Path file) {
+    try {
+      Files.deleteIfExists(file);
+    } catch (IOException e) {
+      LOG.log(Level.WARNING, "{0}: cannot be deleted: {1}", file, e.toString());
+    }
   }
 
   /** Writes a file that readers see whole or not at all. */
-  static void replace(Path file, String text) throws IOException {
+  private static void replace(Path file, String text) throws IOException {
     Path next = file.resolveSibling("." + file.getFileName() + ".next");
     Files.writeString(next, text);
     Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -11,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import reachloom.gossip.Packet;
@@ -63,8 +64,8 @@
           new RevisionMessage.Acknowledgement(7, -5, "settings: no"),
           new RevisionMessage.Census(0x0203, 7, 58, 57, 1, List.of("g9"), 4_000),
           new RevisionMessage.Prepare(BALLOT, 8),
-          new RevisionMessage.Promise(BALLOT, 8, Ballot.NONE, null),
-          new RevisionMessage.Promise(BALLOT, 8, BALLOT, REVISION),
+          new RevisionMessage.Promise(BALLOT, 8, Ballot.NONE, Optional.empty()),
+          new RevisionMessage.Promise(BALLOT, 8, BALLOT, Optional.of(REVISION)),
           new RevisionMessage.Propose(BALLOT, REVISION),
           new RevisionMessage.Accepted(BALLOT, 8, VOTE),
           new RevisionMessage.Rejected(BALLOT, new Ballot(4, "c1")));
--- a/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.io.IOException;
@@ -14,6 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -151,7 +151,7 @@
     assertBallot(3, "issuer-2", promise.ballot());
     assertEquals(8, promise.number());
     assertEquals(Ballot.NONE, promise.acceptedUnder());
-    assertNull(promise.accepted());
+    assertEquals(Optional.empty(), promise.accepted());
   }
 
   @Test
@@ -160,7 +160,7 @@
     assertBallot(4, "issuer-3", promise.ballot());
     assertEquals(8, promise.number());
     assertBallot(3, "issuer-2", promise.acceptedUnder());
-    assertRevision(promise.accepted());
+    assertRevision(promise.accepted().orElseThrow());
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
+++ b/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
@@ -29,6 +29,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
@@ -36,12 +37,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.gossip.net.Pem;
 import reachloom.revision.Ballot;
-import reachloom.revision.ConsensusStore;
+import reachloom.revision.ConsensusState;
+import reachloom.revision.ConsensusState.AcceptedProposal;
+import reachloom.revision.ConsensusState.ChosenRevision;
 import reachloom.revision.ProposalResult;
 import reachloom.revision.Revision;
 import reachloom.revision.RevisionMessage;
@@ -86,29 +88,32 @@
   // ---- The issuer's store ----
 
   /** The contents of the stores, by the names of their directories. */
-  static Map<String, ConsensusStore.State> states() throws Exception {
+  static Map<String, ConsensusState> states() throws Exception {
     RevisionMessage.Notice second =
         new RevisionMessage.Notice(SECOND, List.of(vote("c1", SECOND), vote("c2", SECOND)));
-    Map<String, ConsensusStore.State> states = new LinkedHashMap<>();
-    states.put("first", ConsensusStore.State.first());
+    Map<String, ConsensusState> states = new LinkedHashMap<>();
+    states.put("first", ConsensusState.initial());
     states.put(
         "accepted",
-        new ConsensusStore.State(
+        new ConsensusState(
             new Ballot(12, "c3"),
-            new Ballot(11, "c2"),
-            THIRD,
-            THIRD_DOCUMENT,
-            second,
-            SECOND_DOCUMENT,
+            Optional.of(new AcceptedProposal(new Ballot(11, "c2"), THIRD, THIRD_DOCUMENT)),
+            Optional.of(new ChosenRevision(second, Optional.of(SECOND_DOCUMENT))),
             1));
     states.put(
         "learning",
-        new ConsensusStore.State(
-            Ballot.NONE, Ballot.NONE, null, null, second, null, ConsensusStore.NEVER));
+        new ConsensusState(
+            Ballot.NONE,
+            Optional.empty(),
+            Optional.of(new ChosenRevision(second, Optional.empty())),
+            ConsensusState.UNKNOWN_NUMBER));
     states.put(
         "rejoined",
-        new ConsensusStore.State(
-            new Ballot(1L << 40, "c1"), Ballot.NONE, null, null, second, SECOND_DOCUMENT, 5));
+        new ConsensusState(
+            new Ballot(1L << 40, "c1"),
+            Optional.empty(),
+            Optional.of(new ChosenRevision(second, Optional.of(SECOND_DOCUMENT))),
+            5));
     return states;
   }
 
@@ -141,20 +146,27 @@
   @ParameterizedTest
   @ValueSource(strings = {"first", "accepted", "learning", "rejoined"})
   void aStoreIsReadWithEachField(String store) throws Exception {
-    ConsensusStore.State expected = states().get(store);
+    ConsensusState expected = states().get(store);
     try (FileStore opened = FileStore.open(copyOfStore(store), ISSUER, CLUSTER)) {
-      ConsensusStore.State read = opened.load();
+      ConsensusState read = opened.load().orElseThrow();
       assertEquals(expected.promised(), read.promised());
-      assertEquals(expected.acceptedUnder(), read.acceptedUnder());
-      assertSameRevision(expected.accepted(), read.accepted());
-      assertArrayEquals(expected.draft(), read.draft());
-      assertEquals(expected.newest() == null, read.newest() == null);
-      if (expected.newest() != null) {
-        assertSameRevision(expected.newest().revision(), read.newest().revision());
-        assertSameVotes(expected.newest(), read.newest());
+      assertEquals(
+          expected.accepted().map(AcceptedProposal::ballot),
+          read.accepted().map(AcceptedProposal::ballot));
+      assertSameRevision(
+          expected.acceptedRevision().orElse(null), read.acceptedRevision().orElse(null));
+      assertArrayEquals(
+          expected.accepted().map(AcceptedProposal::document).orElse(null),
+          read.accepted().map(AcceptedProposal::document).orElse(null));
+      assertEquals(expected.newest().isPresent(), read.newest().isPresent());
+      if (expected.newest().isPresent()) {
+        assertSameRevision(expected.newest().get().revision(), read.newest().get().revision());
+        assertSameVotes(expected.newest().get().notice(), read.newest().get().notice());
       }
-      assertArrayEquals(expected.document(), read.document());
-      assertEquals(expected.from(), read.from());
+      assertArrayEquals(
+          expected.newest().flatMap(ChosenRevision::document).orElse(null),
+          read.newest().flatMap(ChosenRevision::document).orElse(null));
+      assertEquals(expected.firstVotingNumber(), read.firstVotingNumber());
     }
   }
 
@@ -217,7 +229,7 @@
   void aStoreThatIsReadAndSavedKeepsItsBytes(String store) throws Exception {
     Path copy = copyOfStore(store);
     try (FileStore opened = FileStore.open(copy, ISSUER, CLUSTER)) {
-      assertTrue(opened.save(opened.load()));
+      assertTrue(opened.save(opened.load().orElseThrow()));
     }
     assertArrayEquals(
         Files.readAllBytes(STORES.resolve(store).resolve(STATE_FILE)),
@@ -236,7 +248,7 @@
   @Test
   void aStoreWithoutAStateWasLost() throws Exception {
     try (FileStore opened = FileStore.open(folder.resolve("lost"), ISSUER, CLUSTER)) {
-      assertNull(opened.load());
+      assertEquals(Optional.empty(), opened.load());
     }
     assertEquals(List.of("issuer.lock"), names(folder.resolve("lost")));
   }
@@ -261,12 +273,12 @@
     Path store = copyOfStore("first");
     assertEquals(
         store.resolve(STATE_FILE) + ": is there already; an issuer's store is made once",
-        assertThrows(ConfigException.class, () -> FileStore.create(store, ISSUER, CLUSTER))
+        assertThrows(StoreException.class, () -> FileStore.create(store, ISSUER, CLUSTER))
             .getMessage());
     try (FileStore used = FileStore.open(store, ISSUER, CLUSTER)) {
       assertEquals(
-          used.folder().resolve("issuer.lock") + ": another process uses this store",
-          assertThrows(ConfigException.class, () -> FileStore.open(store, ISSUER, CLUSTER))
+          used.directory().resolve("issuer.lock") + ": another process uses this store",
+          assertThrows(StoreException.class, () -> FileStore.open(store, ISSUER, CLUSTER))
               .getMessage());
     }
   }
@@ -278,9 +290,11 @@
   private String broken(byte[] bytes, String issuer, String cluster) throws IOException {
     Path store = Files.createTempDirectory(folder, "broken");
     Path file = Files.write(store.resolve(STATE_FILE), bytes);
-    String message =
-        assertThrows(ConfigException.class, () -> FileStore.open(store, issuer, cluster))
-            .getMessage();
+    StoreException thrown =
+        assertThrows(StoreException.class, () -> FileStore.open(store, issuer, cluster));
+    String message = thrown.getMessage();
+    assertEquals(file, thrown.file());
+    assertTrue(thrown.field().isPresent(), message);
     assertTrue(message.startsWith(file + ": "), message);
     assertArrayEquals(bytes, Files.readAllBytes(file));
     return message.substring((file + ": ").length());
@@ -288,7 +302,7 @@
 
   // ---- The operators' spool ----
 
-  private static final RolloutStatus PROGRESS =
+  private static final RolloutStatus STATUS =
       new RolloutStatus(3, 7, 4, 1, List.of("g-05", "place 2.17"), 12_345);
 
   /** A document that the spool has handed over, and where its results go. */
@@ -330,7 +344,7 @@
     assertGolden(copy, "after", "00-cut-off.result");
 
     List<Taken> taken = new ArrayList<>();
-    spool.look(1_000, (document, results) -> taken.add(new Taken(text(document), results)));
+    spool.poll(1_000, (document, results) -> taken.add(new Taken(text(document), results)));
     assertEquals(
         List.of("{\"changelog\": \"127.0.0.1:7001\"}", "{\"changelog\": null}\n"),
         taken.stream().map(Taken::document).toList());
@@ -371,6 +385,9 @@
   @Test
   void aResultHasTheseFieldsAndNoOthers() throws Exception {
     JsonNode result = json(SPOOL.resolve("between/01-issued.result"));
+    assertEquals(
+        new SpoolResult("NO_MAJORITY", 3, "it was proposed and may yet be issued", false),
+        SpoolResult.fromJson(result));
     assertEquals(4, result.size());
     assertEquals("NO_MAJORITY", result.path("kind").asText());
     assertEquals(3, result.path("number").asLong());
@@ -388,14 +405,14 @@
 
   @Test
   void theStatusIsReadWithEachFieldAndWrittenWithTheSameBytes() throws Exception {
-    RolloutStatus read = RolloutStatus.read(json(SPOOL.resolve("status.json")));
-    assertEquals(PROGRESS.number(), read.number());
-    assertEquals(PROGRESS.members(), read.members());
-    assertEquals(PROGRESS.inForce(), read.inForce());
-    assertEquals(PROGRESS.refused(), read.refused());
-    assertEquals(PROGRESS.lacking(), read.lacking());
-    assertEquals(PROGRESS.longest(), read.longest());
-    new SpoolDirectory(folder).status(PROGRESS);
+    RolloutStatus read = RolloutStatus.fromJson(json(SPOOL.resolve("status.json")));
+    assertEquals(STATUS.number(), read.number());
+    assertEquals(STATUS.members(), read.members());
+    assertEquals(STATUS.inForce(), read.inForce());
+    assertEquals(STATUS.refused(), read.refused());
+    assertEquals(STATUS.lacking(), read.lacking());
+    assertEquals(STATUS.longestMillis(), read.longestMillis());
+    new SpoolDirectory(folder).writeStatus(STATUS);
     assertEquals(
         Files.readString(SPOOL.resolve("status.json")),
         Files.readString(folder.resolve("status.json")));
@@ -465,7 +482,7 @@
 
   @Test
   void anIssuersSettingsKeyCertificatesAndRevocationsBelongTogether() throws Exception {
-    GossipSettings settings = IssuerServer.settings(copyOfKeys().resolve("c1.xml").toString());
+    GossipSettings settings = IssuerServer.readSettings(copyOfKeys().resolve("c1.xml").toString());
     assertEquals(CLUSTER, settings.cluster());
     NodeIdentity identity = NodeIdentity.read(settings);
     assertEquals("c1", identity.name());
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -9,12 +9,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import reachloom.gossip.PiggybackPayload;
 import reachloom.lab.gossip.VirtualCluster;
 import reachloom.lab.gossip.VirtualCluster.Node;
+import reachloom.revision.ConsensusEnvironment;
 import reachloom.revision.ConsensusNode;
+import reachloom.revision.ConsensusState;
 import reachloom.revision.ConsensusStore;
 import reachloom.revision.Peer;
 import reachloom.revision.ProposalResult;
@@ -129,7 +132,11 @@
       council =
           issuer
               ? new ConsensusNode(
-                  node.name, issuers, seal, disk, dissemination, node.gossip, random.split(), now)
+                  node.name,
+                  issuers,
+                  new ConsensusEnvironment(seal, disk, dissemination, node.gossip),
+                  random.split(),
+                  now)
               : null;
       node.gossip.carry(place(node), this);
     }
@@ -143,7 +150,7 @@
     public void hear(long now, Peer sender, List<RevisionMessage> words) {
       dissemination.hear(now, sender, words);
       if (council != null) {
-        council.hear(now, sender, words);
+        council.receive(now, sender, words);
       }
     }
 
@@ -181,16 +188,16 @@
 
   /** A store that outlives its process. */
   private static final class Disk implements ConsensusStore {
-    private State state = State.first();
+    private ConsensusState state = ConsensusState.initial();
 
     @Override
-    public State load() {
-      return state;
+    public Optional<ConsensusState> load() {
+      return Optional.of(state);
     }
 
     @Override
-    public boolean save(State s) {
-      state = s;
+    public boolean save(ConsensusState next) {
+      state = next;
       return true;
     }
   }
@@ -209,7 +216,7 @@
     }
 
     @Override
-    public boolean proves(String issuer, byte[] chain, byte[] signature) {
+    public boolean verify(String issuer, byte[] chain, byte[] signature) {
       return Arrays.equals(new Stamp(issuer).sign(chain), signature);
     }
   }
@@ -358,7 +365,7 @@
   private void decided(long at, ProposalResult r) {
     if (r.kind() == ProposalResult.Kind.ISSUED) {
       changes.putIfAbsent(r.number(), new Change(at));
-    } else if (r.last()) {
+    } else if (r.isFinal()) {
       notIssued++;
     }
   }
