--- a/tools/src/main/java/reachloom/tools/RevisionTool.java
+++ b/tools/src/main/java/reachloom/tools/RevisionTool.java
@@ -1,18 +1,16 @@
 package reachloom.tools;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
+import java.time.Duration;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.UUID;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -28,23 +26,27 @@
 import reachloom.revision.net.FileStore;
 import reachloom.revision.net.IssuerServer;
 import reachloom.revision.net.RolloutStatus;
-import reachloom.time.WallClock;
+import reachloom.revision.net.SpoolClient;
+import reachloom.revision.net.SpoolResult;
+import reachloom.revision.net.StoreException;
 import sun.misc.Signal;
 
-/** {@code reachloom revision}: runs an issuer of the configuration, and hands documents to it. */
+/**
+ * {@code reachloom revision}: makes an issuer's store, runs an issuer of the configuration, checks
+ * documents and hands them to it.
+ */
 public final class RevisionTool {
   private static final int OK = 0;
   private static final int FAILED = 1;
-  private static final int BAD_USE = 2;
+  private static final int BAD_USAGE = 2;
   private static final int NOT_EVERYWHERE = 3;
-  private static final int COLUMNS = 100;
-  private static final long LOOK_MS = 50;
+  private static final int USAGE_COLUMNS = 100;
 
-  /** An issuer tells within 8 s and a part of one, or it is not there. */
-  private static final long RESULT_MS = 15_000;
+  /** An issuer reports a result within 8 s and a part of one, or it is not there. */
+  private static final Duration RESULT_TIMEOUT = Duration.ofSeconds(15);
 
-  private static final long STOP_S = 10;
-  private static final int MAX_WAIT_S = 86_400;
+  private static final Duration STOP_TIMEOUT = Duration.ofSeconds(10);
+  private static final int MAX_WAIT_SECONDS = 86_400;
 
   private final PrintStream out;
   private final PrintStream err;
@@ -54,7 +56,13 @@
     this.err = err;
   }
 
-  /** Runs one of its commands; gives the exit status. */
+  /**
+   * Runs one command.
+   *
+   * @param args the command and its options
+   * @return the exit status: 0 for done, 1 for failed, 2 for wrong options or files, 3 where a
+   *     revision is issued and not in force everywhere in time
+   */
   public static int run(String[] args, PrintStream out, PrintStream err) {
     return new RevisionTool(out, err).run(args);
   }
@@ -100,9 +108,9 @@
       commands.forEach(
           (name, o) ->
               new HelpFormatter()
-                  .printHelp(to, COLUMNS, "reachloom revision " + name, "", o, 1, 2, ""));
+                  .printHelp(to, USAGE_COLUMNS, "reachloom revision " + name, "", o, 1, 2, ""));
       to.flush();
-      return help ? OK : BAD_USE;
+      return help ? OK : BAD_USAGE;
     }
     try {
       CommandLine line =
@@ -116,9 +124,9 @@
         case "check" -> check(line);
         default -> issue(line);
       };
-    } catch (ParseException | ConfigException e) {
+    } catch (ParseException | ConfigException | StoreException e) {
       err.println("reachloom revision " + args[0] + ": " + e.getMessage());
-      return BAD_USE;
+      return BAD_USAGE;
     } catch (IOException e) {
       err.println("reachloom revision " + args[0] + ": " + e);
       return FAILED;
@@ -128,7 +136,7 @@
     }
   }
 
-  private static String needed(CommandLine line, String option) throws ParseException {
+  private static String required(CommandLine line, String option) throws ParseException {
     String value = line.getOptionValue(option, "");
     if (value.isBlank()) {
       throw new ParseException("--" + option + ": is missing");
@@ -138,9 +146,9 @@
 
   // ---- The issuer ----
 
-  private int init(CommandLine line) throws ParseException, ConfigException {
-    Path store = Path.of(needed(line, "store"));
-    GossipSettings s = IssuerServer.settings(needed(line, "settings"));
+  private int init(CommandLine line) throws ParseException, ConfigException, StoreException {
+    Path store = Path.of(required(line, "store"));
+    GossipSettings s = IssuerServer.readSettings(required(line, "settings"));
     String name = NodeIdentity.read(s).name();
     FileStore.create(store, name, s.cluster()).close();
     out.println(
@@ -149,9 +157,9 @@
   }
 
   private int serve(CommandLine line)
-      throws ParseException, ConfigException, IOException, InterruptedException {
+      throws ParseException, ConfigException, StoreException, IOException {
     IssuerServer server =
-        new IssuerServer(needed(line, "settings"), Path.of(needed(line, "store")));
+        new IssuerServer(required(line, "settings"), Path.of(required(line, "store")));
     Signal.handle(new Signal("HUP"), s -> server.reload());
     Thread stop =
         new Thread(
@@ -169,7 +177,7 @@
               stopping.setDaemon(true);
               stopping.start();
               try {
-                stopping.join(TimeUnit.SECONDS.toMillis(STOP_S));
+                stopping.join(STOP_TIMEOUT.toMillis());
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -185,7 +193,7 @@
 
   /** The document's bytes once it could be put in force, as far as can be told here. */
   private byte[] checked(CommandLine line) throws ParseException, ConfigException, IOException {
-    Path file = Path.of(needed(line, "document"));
+    Path file = Path.of(required(line, "document"));
     long size = Files.size(file);
     if (size == 0 || size > Revision.MAX_DOCUMENT_BYTES) {
       throw new ConfigException(
@@ -195,7 +203,7 @@
     try {
       MergePatch patch = MergePatch.read(document);
       if (line.hasOption("like")) {
-        Map<String, String> like = Map.of("LB_CONFIG", needed(line, "like"));
+        Map<String, String> like = Map.of("LB_CONFIG", required(line, "like"));
         List<String> later =
             GatewayConfig.fromEnvironment(like)
                 .changesNeedingRestart(GatewayConfig.fromEnvironment(like, patch::applyTo));
@@ -215,82 +223,55 @@
 
   private int issue(CommandLine line)
       throws ParseException, ConfigException, IOException, InterruptedException {
-    Path store = Path.of(needed(line, "store"));
+    Path store = Path.of(required(line, "store"));
     long wait = seconds(line.getOptionValue("wait", "0"));
     byte[] document = checked(line);
-    Path inbox = store.resolve("inbox");
-    if (!Files.isDirectory(inbox)) {
+    SpoolClient spool = new SpoolClient(store);
+    if (!Files.isDirectory(spool.inbox())) {
       throw new ConfigException(
-          inbox + ": is not there; has an issuer been started with this store?");
+          spool.inbox() + ": is not there; has an issuer been started with this store?");
     }
-    String name = WallClock.unixMillis() + "-" + UUID.randomUUID();
-    Path given = inbox.resolve(name + ".json");
-    Path unseen = inbox.resolve("." + name + ".next"); // seen whole or not at all
-    Files.write(unseen, document);
-    Files.move(unseen, given, StandardCopyOption.ATOMIC_MOVE);
-    JsonNode result = result(store.resolve("outbox").resolve(name + ".result"));
-    if (result == null) {
+    String name = spool.submit(document);
+    Optional<SpoolResult> result = spool.awaitResult(name, RESULT_TIMEOUT);
+    if (result.isEmpty()) {
       err.println(
           "reachloom revision issue: no result after "
-              + RESULT_MS / 1_000
+              + RESULT_TIMEOUT.toSeconds()
               + " s: "
-              + (Files.deleteIfExists(given)
+              + (spool.withdraw(name)
                   ? "no issuer runs with " + store + "; the document is taken back"
                   : "the issuer has taken the document; its log, and its status, tell what becomes of it"));
       return FAILED;
     }
-    String kind = result.path("kind").asText();
-    if (!kind.equals("ISSUED")) {
-      err.println("reachloom revision issue: " + kind + ": " + result.path("text").asText());
+    SpoolResult issued = result.get();
+    if (!issued.isIssued()) {
+      err.println("reachloom revision issue: " + issued.kind() + ": " + issued.text());
       return FAILED;
     }
-    out.println(result.path("text").asText());
-    return wait == 0
-        ? OK
-        : everywhere(store.resolve("status.json"), result.path("number").asLong(), wait);
+    out.println(issued.text());
+    return wait == 0 ? OK : awaitRollout(spool, issued.number(), wait);
   }
 
   private static long seconds(String text) throws ParseException {
-    if (!text.matches("\\d{1,5}") || Integer.parseInt(text) > MAX_WAIT_S) {
+    if (!text.matches("\\d{1,5}") || Integer.parseInt(text) > MAX_WAIT_SECONDS) {
       throw new ParseException(
-          "--wait: '" + text + "' is not a whole number from 0 to " + MAX_WAIT_S);
+          "--wait: '" + text + "' is not a whole number from 0 to " + MAX_WAIT_SECONDS);
     }
     return Long.parseLong(text);
   }
 
-  /** The first result of a document, or null where none comes. */
-  private static JsonNode result(Path file) throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESULT_MS);
-    while (!Files.exists(file)) {
-      if (System.nanoTime() > until) {
-        return null;
-      }
-      Thread.sleep(LOOK_MS);
-    }
-    return new ObjectMapper().readTree(Files.readAllBytes(file));
-  }
-
-  private int everywhere(Path status, long number, long wait)
+  private int awaitRollout(SpoolClient spool, long number, long seconds)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(wait);
-    while (true) {
-      RolloutStatus p =
-          Files.exists(status)
-              ? RolloutStatus.read(new ObjectMapper().readTree(Files.readAllBytes(status)))
-              : new RolloutStatus(0, 0, 0, 0, List.of(), 0);
-      if (p.number() >= number && p.everywhere()) {
-        out.println(p);
-        return OK;
-      }
-      boolean over = System.nanoTime() > until;
-      if (over || p.number() == number && p.settled()) {
-        err.println(
-            (over ? "after " + wait + " s: " : "")
-                + p
-                + (p.members() == 0 ? "; no member is known" : ""));
-        return NOT_EVERYWHERE;
-      }
-      Thread.sleep(LOOK_MS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+    RolloutStatus status = spool.awaitRollout(number, Duration.ofSeconds(seconds));
+    if (status.number() >= number && status.isInForceEverywhere()) {
+      out.println(status);
+      return OK;
     }
+    err.println(
+        (System.nanoTime() > deadlineNanos ? "after " + seconds + " s: " : "")
+            + status
+            + (status.members() == 0 ? "; no member is known" : ""));
+    return NOT_EVERYWHERE;
   }
 }
--- a/tools/src/test/java/reachloom/tools/Installation.java
+++ b/tools/src/test/java/reachloom/tools/Installation.java
@@ -190,7 +190,7 @@
   void startMembers() throws Exception {
     for (String name : MEMBERS) {
       Gateway g = new Gateway();
-      var s = IssuerServer.settings(path(name + ".xml"));
+      var s = IssuerServer.readSettings(path(name + ".xml"));
       g.node =
           new GossipNode(
               g.loop, s, NodeIdentity.read(s), name.hashCode(), (engine, level) -> {}, g::put);
