--- a/decisions/src/main/java/reachloom/revision/ChunkServer.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkServer.java
@@ -50,7 +50,7 @@
     if (proved.isPresent() || !whole || !peers.isIssuer(from.name())) {
       return proved;
     }
-    return Optional.ofNullable(proposals.document(request.number(), request.baseMark()));
+    return proposals.document(request.number(), request.baseMark());
   }
 
   private void queue(long nowNanos, Peer from, RevisionMessage.Want request, byte[] document) {
--- a/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -25,7 +25,7 @@
   final Revision revision;
 
   /** Who waits for the document of a proposal; null for a revision that is proved. */
-  final Consumer<byte[]> onCompleted;
+  final Consumer<Optional<byte[]>> onCompleted;
 
   /** The peer that is being asked, or null. */
   Peer peer;
@@ -43,7 +43,7 @@
   private long answerDueAtNanos; // 0 where no answer is expected
   private int lastOfWindow;
 
-  ChunkedFetch(Revision revision, Consumer<byte[]> onCompleted) {
+  ChunkedFetch(Revision revision, Consumer<Optional<byte[]>> onCompleted) {
     this.revision = revision;
     this.onCompleted = onCompleted;
     assembly = new ChunkAssembly(revision, onCompleted == null);
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -2,6 +2,7 @@
 
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
@@ -237,7 +238,9 @@
   private void learn(
       long nowNanos, Revision revision, List<Vote> votes, byte[] document, int issuerRounds) {
     byte[] held =
-        document == null ? proposals.document(revision.number(), revision.mark()) : document;
+        document != null
+            ? document
+            : proposals.document(revision.number(), revision.mark()).orElse(null);
     log.add(nowNanos, revision, votes, held);
     query.onNewRevision();
     push.stop();
@@ -347,15 +350,15 @@
   }
 
   @Override
-  public RevisionMessage.Notice newest() {
-    return log.newest().map(RevisionLog.Entry::notice).orElse(null);
+  public Optional<RevisionMessage.Notice> newest() {
+    return log.newest().map(RevisionLog.Entry::notice);
   }
 
   @Override
-  public byte[] document(Revision revision) {
+  public Optional<byte[]> document(Revision revision) {
     return log.withDocument(revision.number(), revision.mark())
         .map(RevisionLog.Entry::document)
-        .orElseGet(() -> proposals.document(revision.number(), revision.mark()));
+        .or(() -> proposals.document(revision.number(), revision.mark()));
   }
 
   @Override
@@ -365,9 +368,9 @@
 
   @Override
   public void fetchDraft(
-      long nowNanos, Revision revision, Peer from, Consumer<byte[]> onCompleted) {
-    byte[] held = document(revision);
-    if (held != null || !RevisionVerifier.isWellFormed(revision, List.of())) {
+      long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted) {
+    Optional<byte[]> held = document(revision);
+    if (held.isPresent() || !RevisionVerifier.isWellFormed(revision, List.of())) {
       onCompleted.accept(held);
       return;
     }
--- a/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
@@ -69,10 +69,10 @@
   /**
    * Fetches the document of a proposal from the issuer that proposes it.
    *
-   * @param onCompleted is given the document, or null where it could not be had
+   * @param onCompleted is given the document, or nothing where it can't be had
    */
   void fetchProposal(
-      long nowNanos, Revision proposal, Peer proposer, Consumer<byte[]> onCompleted) {
+      long nowNanos, Revision proposal, Peer proposer, Consumer<Optional<byte[]>> onCompleted) {
     proposals.fetch(nowNanos, proposal, proposer, onCompleted);
     proposals.step(nowNanos, sender);
   }
--- a/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
@@ -48,7 +48,7 @@
       if (voters.size() < self.quorum()
           && self.trusts(issuer)
           && !voters.contains(issuer)
-          && self.signatures().proves(issuer, chain, vote.signature())) {
+          && self.signatures().verify(issuer, chain, vote.signature())) {
         voters.add(issuer);
       }
     }
--- a/decisions/src/test/java/reachloom/revision/Net.java
+++ b/decisions/src/test/java/reachloom/revision/Net.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public boolean proves(String issuer, byte[] chain, byte[] signature) {
+    public boolean verify(String issuer, byte[] chain, byte[] signature) {
       return Arrays.equals(signature, new FakeSignatures(issuer).sign(chain));
     }
   }
@@ -332,8 +332,9 @@
   /** The issuers have decided a revision; the issuer with that index hears of it. */
   RevisionMessage.Notice issue(int by, byte[] document) {
     Node proposer = nodes.get(by);
-    RevisionMessage.Notice before = proposer.dissemination.newest();
-    RevisionMessage.Notice notice = certify(before == null ? null : before.revision(), document);
+    Revision before =
+        proposer.dissemination.newest().map(RevisionMessage.Notice::revision).orElse(null);
+    RevisionMessage.Notice notice = certify(before, document);
     for (int i = 0; i < issuers.size(); i++) {
       Node acceptor = nodes.get(i);
       if (i == by || acceptor.up && !cut.test(proposer, acceptor)) { // who accepts holds it
--- a/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -98,7 +98,7 @@
   @Test
   void forkIsRejectedAndRaisesOneAlarm() {
     Net net = converged(6, 30, 0);
-    Revision first = net.nodes.get(0).dissemination.newest().revision();
+    Revision first = net.nodes.get(0).dissemination.newest().orElseThrow().revision();
     RevisionMessage.Notice sameNumber = net.certify(null, Net.document(DOCUMENT_BYTES, 66));
     RevisionMessage.Notice nextOfOther =
         net.certify(sameNumber.revision(), Net.document(DOCUMENT_BYTES, 67));
@@ -118,7 +118,7 @@
         .skip(1)
         .forEach(
             n -> {
-              assertEquals(first, n.dissemination.newest().revision());
+              assertEquals(first, n.dissemination.newest().orElseThrow().revision());
               assertEquals(3, n.alarms.size(), "one alarm for each of the three");
               assertTrue(
                   n.dissemination.lines(net.now).stream()
@@ -298,7 +298,7 @@
     assertInForceEverywhere(net, at - 100 * Net.SECOND, 4, 100 + OBJECTIVE_SECONDS);
     assertEquals(
         4,
-        net.nodes.get(2).dissemination.newest().revision().number(),
+        net.nodes.get(2).dissemination.newest().orElseThrow().revision().number(),
         "the issuer that was cut off");
     assertEquals(90, net.knownInForce(net.nodes.get(0), 4));
   }
@@ -326,15 +326,16 @@
     Net net = converged(15, 20, 0.02);
     byte[] document = Net.document(DOCUMENT_BYTES, 2);
     Revision draft =
-        Revision.after(net.nodes.get(0).dissemination.newest().revision(), document, 1, "i0");
+        Revision.after(
+            net.nodes.get(0).dissemination.newest().orElseThrow().revision(), document, 1, "i0");
     net.nodes.get(0).dissemination.draft(draft, document);
-    List<byte[]> got = new ArrayList<>();
+    List<Optional<byte[]>> got = new ArrayList<>();
     net.nodes.get(1).dissemination.fetchDraft(net.now, draft, net.nodes.get(0).peer, got::add);
     net.nodes.get(2).dissemination.fetchDraft(net.now, draft, net.nodes.get(3).peer, got::add);
     net.run(8);
     assertEquals(2, got.size());
-    assertTrue(draft.describes(got.get(0)));
-    assertNull(got.get(1), "who was asked does not have it");
+    assertTrue(draft.describes(got.get(0).orElseThrow()));
+    assertEquals(Optional.empty(), got.get(1), "who was asked does not have it");
     assertEquals(20, net.countInForce(1));
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -106,8 +106,8 @@
       }
 
       @Override
-      public boolean proves(String issuer, byte[] chain, byte[] signature) {
-        return signatures.proves(issuer, chain, signature);
+      public boolean verify(String issuer, byte[] chain, byte[] signature) {
+        return signatures.verify(issuer, chain, signature);
       }
     };
   }
@@ -126,7 +126,7 @@
   List<String> lines(long now) {
     List<String> lines = new ArrayList<>(dissemination.lines(now));
     if (consensusNode != null) {
-      lines.addAll(consensusNode.lines());
+      lines.addAll(consensusNode.statusLines());
     }
     return lines;
   }
@@ -142,7 +142,7 @@
   public void hear(long now, Peer sender, List<RevisionMessage> words) {
     dissemination.hear(now, sender, words);
     if (consensusNode != null) {
-      consensusNode.hear(now, sender, words);
+      consensusNode.receive(now, sender, words);
     }
   }
 
