--- a/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -5,6 +5,7 @@
 import java.security.GeneralSecurityException;
 import java.security.PublicKey;
 import java.security.cert.X509Certificate;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import reachloom.config.ConfigException;
@@ -12,13 +13,14 @@
 import reachloom.revision.SignatureScheme;
 
 /**
- * Proves issuers' votes by the certificates that the settings name, each of which an authority has
- * to have signed for that very name; read as a whole, so that it is replaced as a whole.
+ * The votes of issuers as Ed25519 signatures (RFC 8032): proved by the certificates that the
+ * settings name, each of which an authority has to have signed for that very name. Immutable, so
+ * that it is replaced as a whole when certificates are read again; may be used from any thread.
  */
 final class IssuerSignatures implements SignatureScheme {
   /**
-   * Stands before what is signed: no datagram and no other signature of the same key passes for a
-   * vote.
+   * Precedes the chain in what is signed (domain separation): no datagram and no other signature of
+   * the same key passes for a vote.
    */
   private static final byte[] PURPOSE =
       "reachloom revision 1\n".getBytes(StandardCharsets.US_ASCII);
@@ -31,31 +33,38 @@
     this.keys = keys;
   }
 
-  /** Reads and checks the certificates; {@code time} is in Unix milliseconds. */
-  static IssuerSignatures read(ConfigurationSettings settings, NodeIdentity self, long time)
+  /**
+   * Reads and checks the certificates of all issuers that the settings name.
+   *
+   * @param atMillis the time at which they have to be valid, Unix milliseconds
+   * @throws ConfigException where a file can't be read, or its certificate is not to be trusted;
+   *     the message names the file or the issuer
+   */
+  static IssuerSignatures read(ConfigurationSettings settings, NodeIdentity self, long atMillis)
       throws ConfigException {
     Map<String, PublicKey> keys = new LinkedHashMap<>();
-    for (ConfigurationSettings.Issuer i : settings.issuers()) {
+    for (ConfigurationSettings.Issuer issuer : settings.issuers()) {
       try {
-        X509Certificate c = NodeIdentity.certificate(Pem.read(i.certificateFile(), "CERTIFICATE"));
-        if (!NodeIdentity.commonName(c).equals(i.name())) {
+        X509Certificate certificate =
+            NodeIdentity.certificate(Pem.read(issuer.certificateFile(), "CERTIFICATE"));
+        if (!NodeIdentity.commonName(certificate).equals(issuer.name())) {
           throw new ConfigException(
-              i.certificateFile()
+              issuer.certificateFile()
                   + ": is the certificate of '"
-                  + NodeIdentity.commonName(c)
+                  + NodeIdentity.commonName(certificate)
                   + "', not of issuer '"
-                  + i.name()
+                  + issuer.name()
                   + "'");
         }
-        if (!self.trusts(c, time) || self.revoked(c)) {
+        if (!self.trusts(certificate, atMillis) || self.revoked(certificate)) {
           throw new ConfigException(
-              i.certificateFile() + ": no authority vouches for it, or it is revoked");
+              issuer.certificateFile() + ": no authority vouches for it, or it is revoked");
         }
-        keys.put(i.name(), c.getPublicKey());
+        keys.put(issuer.name(), certificate.getPublicKey());
       } catch (IOException e) {
-        throw new ConfigException("issuer '" + i.name() + "': " + e.getMessage());
+        throw new ConfigException("issuer '" + issuer.name() + "': " + e.getMessage());
       } catch (GeneralSecurityException e) {
-        throw new ConfigException(i.certificateFile() + ": can't be used: " + e.getMessage());
+        throw new ConfigException(issuer.certificateFile() + ": can't be used: " + e.getMessage());
       }
     }
     return new IssuerSignatures(self, keys);
@@ -78,8 +87,8 @@
   }
 
   private static byte[] content(byte[] chain) {
-    byte[] all = java.util.Arrays.copyOf(PURPOSE, PURPOSE.length + chain.length);
-    System.arraycopy(chain, 0, all, PURPOSE.length, chain.length);
-    return all;
+    byte[] content = Arrays.copyOf(PURPOSE, PURPOSE.length + chain.length);
+    System.arraycopy(chain, 0, content, PURPOSE.length, chain.length);
+    return content;
   }
 }
