--- a/decisions/src/main/java/reachloom/revision/Revision.java
+++ b/decisions/src/main/java/reachloom/revision/Revision.java
@@ -7,9 +7,16 @@
 import java.util.Arrays;
 
 /**
- * What identifies one revision of the configuration: its number in the log, the chain of the one
- * before, the SHA-256 of its document and the document's bytes, when it was issued (Unix
- * milliseconds) and by whom. Two revisions with one number and another {@link #chain} are a fork.
+ * Identifies one revision of the configuration, without its document; a link of a hash chain. Two
+ * revisions with one number and another {@link #chain} are a fork. Immutable; equal by number and
+ * chain.
+ *
+ * @param number its number in the log, from 1
+ * @param previous the {@link #chain} of the revision before; not copied
+ * @param digest the SHA-256 of its document; not copied
+ * @param size the bytes of its document
+ * @param issuedAt when it was issued, Unix milliseconds
+ * @param issuer the name of the issuer that proposed it first
  */
 public record Revision(
     long number, byte[] previous, byte[] digest, int size, long issuedAt, String issuer) {
@@ -25,7 +32,12 @@
   /** What the first revision of a log is chained to. */
   private static final byte[] ROOT = new byte[HASH_BYTES];
 
-  /** The revision that follows {@code before} (null for the first of a log) with that document. */
+  /**
+   * The next revision.
+   *
+   * @param before the revision before; null for the first of a log
+   * @param issuedAt Unix milliseconds
+   */
   public static Revision after(Revision before, byte[] document, long issuedAt, String issuer) {
     return new Revision(
         before == null ? 1 : before.number + 1,
@@ -36,14 +48,14 @@
         issuer);
   }
 
-  /** What the revision after that one names as the one before; null stands for none. */
+  /** What the revision after that one names as the one before; null stands for no revision. */
   public static byte[] chain(Revision of) {
     return of == null ? ROOT.clone() : of.chain();
   }
 
   /**
-   * What is signed, and what the next revision names: SHA-256 over all fields, the one before
-   * included.
+   * SHA-256 over all fields, the chain of the revision before included: what issuers sign, and what
+   * the next revision names. A new array at each call.
    */
   public byte[] chain() {
     byte[] name = issuer.getBytes(StandardCharsets.UTF_8);
@@ -53,12 +65,12 @@
     return hash(all.array());
   }
 
-  /** The first eight bytes of the chain, to compare by. */
+  /** The first eight bytes of the {@link #chain}, as a short form to compare by. */
   public long mark() {
     return ByteBuffer.wrap(chain()).getLong();
   }
 
-  /** Whether that is this revision's document, to the byte. */
+  /** Whether that is this revision's document: of its size, and with its digest. */
   public boolean describes(byte[] document) {
     return document.length == size && Arrays.equals(hash(document), digest);
   }
