--- a/decisions/src/main/java/reachloom/scheduler/api/OvercommitPolicy.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/OvercommitPolicy.java
@@ -1,8 +1,11 @@
 package reachloom.scheduler.api;
 
-/** What engines do with grants beyond their memory. */
+/** What engines do with memory grants beyond their memory. */
 public enum OvercommitPolicy {
+  /** The query waits until memory is free. */
   WAIT,
+  /** The query runs with a smaller grant. */
   SHRINK,
+  /** All queries run, and the engine pages. */
   PAGE
 }
--- a/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
@@ -2,7 +2,25 @@
 
 import java.util.List;
 
-/** A class of queries; an empty list of kinds or zones binds it to none. */
+/**
+ * A class of queries.
+ *
+ * @param latencyObjectiveNanos the time within which an answer earns its whole weight
+ * @param latencyObjectiveStretch seconds added to the objective for each second of work a thread
+ * @param deadlineNanos the time after which an answer earns nothing
+ * @param priorityWeight what an answer within the objective earns
+ * @param latePriorityWeight what a later one earns
+ * @param idempotency whether an attempt may be repeated
+ * @param deduplicationScope which engines recognize the idempotency key
+ * @param idempotencyWindowNanos how long after the first attempt they do
+ * @param ordered whether queries of one key run one after another, in order of arrival
+ * @param streams whether answers are streamed
+ * @param engineKinds kinds of engines that may run it; empty for all
+ * @param zones zones in which it may run; empty for all
+ * @param threads threads that a query takes on an engine, at least 1
+ * @param loadsTables whether a query loads the table group that it names
+ * @param waitsForTableLoads whether a query waits while its table group is loaded
+ */
 public record QueryClass(
     long latencyObjectiveNanos,
     double latencyObjectiveStretch,
