--- a/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
@@ -28,10 +28,7 @@
   /** Until when a load of somebody else is taken to hold a table group. */
   public final Map<Integer, Long> heldGroups = new LinkedHashMap<>();
 
-  /** Its answers' time against what was predicted; of no meaning before the first one. */
-  public double latencyRatio;
-
-  public boolean hasAnswered;
+  final LatencyRatios.EngineLatency latency = new LatencyRatios.EngineLatency();
 
   public double bound;
   public double strain;
@@ -78,6 +75,23 @@
     this.name = name;
   }
 
+  private boolean current = true;
+
+  /** Whether this incarnation is listed as up and has not been replaced. */
+  boolean isUp() {
+    return state == EngineState.UP && current;
+  }
+
+  /** Whether the scheduler still has this incarnation. */
+  boolean isCurrent() {
+    return current;
+  }
+
+  /** Marks the incarnation as replaced or removed. */
+  void retire() {
+    current = false;
+  }
+
   /** Books an attempt that is out here. */
   public void add(AttemptRecord a) {
     out.add(a);
--- a/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
+++ b/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
@@ -1,75 +1,92 @@
 package reachloom.scheduler;
 
-import java.util.Collection;
+import java.util.List;
 
 /**
- * How long each engine takes for its queries against what was predicted, as a moving average of its
- * answers. Ratios only compare: all of them may lie below 1 or above it, since the predictions
- * follow the answers. So an engine that has answered nothing yet counts as an average one. If it
- * counted as 1 instead, it would stay the worse of two, and unused, for as long as the others lie
- * below that.
+ * The ratio of actual to predicted latency of each engine, as a moving average over its answers.
+ * Ratios are relative: all of them may be below 1 or above it, since predictions follow the
+ * answers. Therefore an engine without answers counts as an average one; with a fixed ratio of 1 it
+ * would stay unused as long as the ratios of all others are below that.
  */
-final class LatencyRatios {
-  private static final double WEIGHT = 0.2; // of the newest answer, given by the design
-  private static final double LEAST = 0.25; // one odd answer must not make an engine look free
-  private static final double MOST = 20; // ... nor close it for good
-  private static final double MIN_PREDICTED = 1e-3; // seconds
-
-  /** Of the engines that are up and have answered: the sum of their ratios, and their number. */
-  private double sum;
-
-  private int count;
-
-  /** How many engines are up. */
-  private int up;
-
-  /** The engines that are up from now on. */
-  public void up(Collection<EngineRecord> engines) {
-    sum = 0;
-    count = 0;
-    up = engines.size();
-    for (EngineRecord engine : engines) {
-      if (engine.hasAnswered) {
-        sum += engine.latencyRatio;
-        count++;
+final class LatencyRatios implements EngineListener {
+  /** Weight of the newest answer. */
+  private static final double NEWEST_WEIGHT = 0.2;
+
+  /** Limits the effect of a single fast answer. */
+  private static final double MIN_RATIO = 0.25;
+
+  /** Limits the effect of a single slow answer. */
+  private static final double MAX_RATIO = 20;
+
+  private static final double MIN_PREDICTED_SECONDS = 1e-3;
+
+  /** The latency ratio of one engine; private to {@link LatencyRatios}. */
+  static final class EngineLatency {
+    private boolean hasAnswered;
+
+    /** Undefined before the first answer. */
+    private double ratio;
+  }
+
+  /** Sum over the engines that are up and have answered. */
+  private double ratioSum;
+
+  private int answeredCount;
+
+  private int upCount;
+
+  @Override
+  public void onListUpdated(List<EngineRecord> up) {
+    ratioSum = 0;
+    answeredCount = 0;
+    upCount = up.size();
+    for (EngineRecord engine : up) {
+      if (engine.latency.hasAnswered) {
+        ratioSum += engine.latency.ratio;
+        answeredCount++;
       }
     }
   }
 
-  /** The mean over the engines that are up; 1 where there is none. */
-  public double mean() {
-    return up == 0 ? 1 : (sum + (up - count) * unknown()) / up;
+  /** The mean over the engines that are up; 1 if there is none. */
+  double mean() {
+    return upCount == 0 ? 1 : (ratioSum + (upCount - answeredCount) * unknown()) / upCount;
+  }
+
+  /** The ratio of an engine; an estimate if it has not answered yet. */
+  double of(EngineRecord engine) {
+    return engine.latency.hasAnswered ? engine.latency.ratio : unknown();
   }
 
-  /** The ratio of an engine. */
-  public double of(EngineRecord engine) {
-    return engine.hasAnswered ? engine.latencyRatio : unknown();
+  /** Whether an engine has answered. */
+  boolean hasAnswered(EngineRecord engine) {
+    return engine.latency.hasAnswered;
   }
 
   /**
-   * The ratio of one that has answered nothing: the mean of those that have, and 1 at most, since
-   * an engine that has just come back need not be as slow as those that bore its load meanwhile.
+   * The ratio of an engine without answers: the mean of the others, but at most 1, since an engine
+   * that has just come back need not be as slow as those that carried its load meanwhile.
    */
   private double unknown() {
-    return count == 0 ? 1 : Math.min(1, sum / count);
+    return answeredCount == 0 ? 1 : Math.min(1, ratioSum / answeredCount);
   }
 
   /**
-   * An engine has answered.
+   * Records an answer of an engine.
    *
-   * @param isUp whether it is among those that {@link #up} was told of
-   * @param taken seconds that the query took
-   * @param predicted seconds that it was predicted to take on an engine of ratio 1
+   * @param takenSeconds the actual latency
+   * @param predictedSeconds the latency that was predicted for an engine of ratio 1
    */
-  public void answered(EngineRecord engine, boolean isUp, double taken, double predicted) {
+  void onAnswer(EngineRecord engine, double takenSeconds, double predictedSeconds) {
     double before = of(engine);
-    double newest = taken / Math.max(predicted, MIN_PREDICTED);
-    double after = Math.max(LEAST, Math.min(MOST, before + WEIGHT * (newest - before)));
-    if (isUp) {
-      sum += engine.hasAnswered ? after - before : after;
-      count += engine.hasAnswered ? 0 : 1;
+    double newest = takenSeconds / Math.max(predictedSeconds, MIN_PREDICTED_SECONDS);
+    double after =
+        Math.max(MIN_RATIO, Math.min(MAX_RATIO, before + NEWEST_WEIGHT * (newest - before)));
+    if (engine.isUp()) {
+      ratioSum += engine.latency.hasAnswered ? after - before : after;
+      answeredCount += engine.latency.hasAnswered ? 0 : 1;
     }
-    engine.hasAnswered = true;
-    engine.latencyRatio = after;
+    engine.latency.hasAnswered = true;
+    engine.latency.ratio = after;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/QueryClassStatistics.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryClassStatistics.java
@@ -3,29 +3,32 @@
 import reachloom.scheduler.api.QueryClass;
 import reachloom.scheduler.state.MovingAverage;
 
-/** What a gateway has learned of one class. */
+/** Observations of one class of queries; owned by {@link CostEstimator}. */
 final class QueryClassStatistics {
-  public final QueryClass queryClass;
+  final QueryClass queryClass;
 
-  /** Seconds of time for a second of cost; 0 before the first cost is known. */
-  public double factor;
+  /** Service time in seconds; the latency objective until a query was served. */
+  final MovingAverage serviceSeconds;
 
-  /** Seconds that a query takes; stands at the aim until one was served. */
-  public final MovingAverage time;
+  /** Work in seconds of all queries whose cost is known. */
+  final MovingAverage workSeconds = new MovingAverage(0);
 
-  /** Seconds of work: of all queries whose cost is known, and of those served. */
-  public final MovingAverage cost = new MovingAverage(0);
+  /** Work in seconds of the queries that were served. */
+  final MovingAverage servedWorkSeconds = new MovingAverage(0);
 
-  public final MovingAverage served = new MovingAverage(0);
+  /** Memory of a query, in MB. */
+  final MovingAverage memoryMb = new MovingAverage(0);
 
-  /** Memory needed, in MB, and for each MB estimated. */
-  public final MovingAverage memory = new MovingAverage(0);
+  /** Actual over estimated memory of a query. */
+  final MovingAverage memoryFactor = new MovingAverage(1);
 
-  public final MovingAverage memoryFactor = new MovingAverage(1);
+  /** Service time per second of work; 0 before the first cost is known. */
+  double secondsPerWorkSecond;
 
-  /** Nothing learned yet. */
-  public QueryClassStatistics(QueryClass queryClass) {
+  /** Creates statistics without observations. */
+  QueryClassStatistics(QueryClass queryClass) {
     this.queryClass = queryClass;
-    this.time = new MovingAverage(queryClass.latencyObjectiveNanos() / 1e9);
+    this.serviceSeconds =
+        new MovingAverage(Nanoseconds.toSeconds(queryClass.latencyObjectiveNanos()));
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -62,8 +62,6 @@
   private static final double CALM = 0.4; // ... and calm up to here
   private static final double BUSY =
       0.9; // share of cores, memory or disks in use that a report calls busy
-  private static final double DENSE =
-      1.5; // worth for work, against the usual, that goes ahead of others
   private static final double DENSE_ROOM =
       1.5; // bound of such classes: little work, so little harm
   private static final long PRESSURE_HOLD = 2_000 * MILLISECOND; // the bound binds on after a sign
@@ -81,11 +79,6 @@
   // The estimate.
   private static final double STRAIN_WEIGHT =
       0.2; // of the newest answer in what share of aims is taken
-  private static final double LEARN_WEIGHT = 0.02; // of a class's newest query, after the first few
-  private static final double UNKNOWN_COST =
-      0.25; // share of the deadline; high, for cold engines' sake
-  private static final double GRANT_MARGIN =
-      1.2; // grant over the need expected: a spill costs more
 
   // Holding.
   private static final double HOLD_SHARE = 0.1; // of the query's time; "a small part" in the design
@@ -159,10 +152,10 @@
   private long taken;
   private int widest;
   private double probeCredit;
-  private double meanWorth;
   private PoolShareEstimator share;
   private final IncarnationTimes startTimes = new IncarnationTimes();
   private final LatencyRatios ratios = new LatencyRatios();
+  private CostEstimator estimator;
 
   /** Engines that are up, in this gateway's own order; it changes with the list alone. */
   private EngineOrder order;
@@ -189,7 +182,6 @@
   private final Map<String, QueryRecord> queries = new LinkedHashMap<>();
   private final TreeMap<Long, QueryRecord> held = new TreeMap<>();
   private final Map<String, KeyQueue> keyQueues = new LinkedHashMap<>();
-  private final List<QueryClassStatistics> classes = new ArrayList<>();
   private final List<TokenBucket> tenants = new ArrayList<>();
   private final SlidingWindowSum takenLately = new SlidingWindowSum(REPORT_AGE);
   private SlidingWindowSum takenInSpan;
@@ -214,12 +206,11 @@
             : random.nextInt(s.gateways()); // where it is not told, by chance
     order = new EngineOrder(new EngineSubset(self));
     fleet = s.gateways();
-    s.classes().forEach(c -> classes.add(new QueryClassStatistics(c)));
+    estimator = new CostEstimator(s, ratios);
     s.tenants()
         .forEach(
             t -> tenants.add(new TokenBucket(t.quotaPerSecond() / s.gateways(), TENANT_LEAST)));
     widest = s.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
-    meanWorth = s.classes().stream().mapToDouble(QueryClass::priorityWeight).average().orElse(0);
     takenInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() - 2 * s.tickNanos());
     extrasInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() + 2 * s.tickNanos());
     if (s.subscribe()) {
@@ -240,6 +231,7 @@
         started.listPosition = old == null ? listed++ : old.listPosition;
         engines.put(entry.name(), started); // nothing known of the old process holds
         if (old != null) {
+          old.retire();
           forget(old);
           List.copyOf(old.out).forEach(a -> lose(now, a, false));
         }
@@ -254,7 +246,7 @@
           .forEach(e -> tell(now, e, EngineState.REMOVED));
     }
     List<EngineRecord> up = order.all();
-    ratios.up(up);
+    ratios.onListUpdated(up);
     pool.cores = up.stream().mapToDouble(e -> e.cores).sum();
     pool.memoryMb = up.stream().mapToDouble(e -> e.memoryMb).sum();
     pool.bound = pool.bound > 0 ? Math.min(pool.bound, mostThreads(pool)) : mostThreads(pool);
@@ -325,21 +317,21 @@
     takenLately.add(now, 1);
     probeCredit = Math.min(probeCredit + probeShare(), 2 * engines.size());
     q.beyondShare = query.tenant() < tenants.size() && !tenants.get(query.tenant()).take(now);
-    learnCost(q);
+    estimator.onQuery(q);
     if (kind.ordered() && query.key() != null) {
       q.keyQueue = keyQueues.computeIfAbsent(query.key(), KeyQueue::new);
       q.keyQueue.queries.addLast(q);
     }
     q.heldUntil = holdUntil(now, q);
     boolean itsTurn = itsTurn(now, q);
-    if (itsTurn && seconds(time - 2 * TICK) > estimate(q, ratios.mean()) && ask(now, q)) {
+    if (itsTurn && seconds(time - 2 * TICK) > estimator.averageSeconds(q) && ask(now, q)) {
       held.put(q.sequence, q); // until the reports are in
       return;
     }
     EngineRecord engine = itsTurn ? pick(now, q) : null;
-    if (engine != null && seconds(time) >= estimate(q, ratios.of(engine))) {
+    if (engine != null && seconds(time) >= estimator.secondsOn(q, engine)) {
       send(now, q, engine);
-    } else if (waitsLonger(now, q, seconds(time) - estimate(q, ratios.mean()))
+    } else if (waitsLonger(now, q, seconds(time) - estimator.averageSeconds(q))
         || itsTurn && q.beyondShare) {
       giveUp(now, q);
     } else {
@@ -349,9 +341,8 @@
 
   /** Whether a query that does not fit would wait for longer than that, in seconds. */
   private boolean waitsLonger(long now, QueryRecord q, double seconds) {
-    double ratio = ratios.mean();
-    double left = seconds - keyWait(q, ratio);
-    double work = heldWork(now, ratio);
+    double left = seconds - keyWait(q);
+    double work = heldWork(now);
     if (left < 0 || work <= 0) {
       return left < 0;
     }
@@ -364,15 +355,14 @@
    * seconds.
    */
   private double predictedWait(long now, QueryRecord q) {
-    double ratio = ratios.mean();
-    double work = heldWork(now, ratio);
-    return (work <= 0 ? 0 : work / boundUpTo(now, q, Double.MAX_VALUE)) + keyWait(q, ratio);
+    double work = heldWork(now);
+    return (work <= 0 ? 0 : work / boundUpTo(now, q, Double.MAX_VALUE)) + keyWait(q);
   }
 
-  private double heldWork(long now, double ratio) {
+  private double heldWork(long now) {
     return held.values().stream()
         .filter(h -> itsTurn(now, h))
-        .mapToDouble(h -> estimate(h, ratio) * h.queryClass.threads())
+        .mapToDouble(h -> estimator.averageSeconds(h) * h.queryClass.threads())
         .sum();
   }
 
@@ -390,92 +380,28 @@
   }
 
   /** The time that the earlier queries of its key still need. */
-  private double keyWait(QueryRecord q, double ratio) {
+  private double keyWait(QueryRecord q) {
     return q.keyQueue == null
         ? 0
         : q.keyQueue.queries.stream()
             .filter(h -> h != q)
-            .mapToDouble(h -> estimate(h, ratio) * (1 - h.done()))
+            .mapToDouble(h -> estimator.averageSeconds(h) * (1 - h.done()))
             .sum();
   }
 
-  // ---- The estimate ----
-
-  /** Seconds that the query takes on an engine of that ratio. */
-  private double estimate(QueryRecord q, double ratio) {
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    return (q.query.estimatedCostNanos() > 0
-            ? seconds(q.query.estimatedCostNanos()) * c.factor
-            : c.time.value)
-        * ratio;
-  }
-
-  /** Seconds of work of all its threads, as far as it is known. */
-  private double cost(QueryRecord q) {
-    return q.query.estimatedCostNanos() > 0 ? seconds(q.query.estimatedCostNanos()) : usualCost(q);
-  }
-
-  private double usualCost(QueryRecord q) {
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    return c.cost.count > 0 ? c.cost.value : seconds(c.queryClass.deadlineNanos()) * UNKNOWN_COST;
-  }
-
-  private double memory(QueryRecord q) {
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    double need =
-        q.query.estimatedMemoryMb() > 0
-            ? q.query.estimatedMemoryMb() * c.memoryFactor.value
-            : c.memory.value;
-    return settings.traits().memoryGrants() ? need * GRANT_MARGIN : need;
-  }
-
-  /** Whether it is the process of that name that the list tells of now, and in use. */
-  private boolean isUp(EngineRecord e) {
-    return e.state == EngineState.UP && engines.get(e.name) == e;
-  }
-
-  private void learnCost(QueryRecord q) {
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    if (q.query.estimatedCostNanos() > 0) {
-      c.cost.add(seconds(q.query.estimatedCostNanos()), LEARN_WEIGHT);
-      c.factor =
-          c.served.count > 0
-              ? c.factor
-              : c.queryClass.latencyObjectiveNanos() / SECOND / c.cost.value; // the design's start
-    }
-  }
-
-  /** Learns from an answer what its class takes and how its engine compares. */
-  private void learn(long now, AttemptRecord a, AttemptResult end) {
-    QueryRecord q = a.query;
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    EngineRecord e = a.engine;
-    double time = seconds(end.elapsedNanos());
-    if (end.costMs() > 0 && q.query.estimatedCostNanos() <= 0) {
-      c.cost.add(end.costMs() / 1e3, LEARN_WEIGHT);
-    }
-    if (end.memoryMb() > 0) {
-      c.memory.add(end.memoryMb(), LEARN_WEIGHT);
-      c.memoryFactor.add(
-          q.query.estimatedMemoryMb() > 0 ? end.memoryMb() / q.query.estimatedMemoryMb() : 1,
-          LEARN_WEIGHT);
-    }
-    c.time.add(time / ratios.of(e), LEARN_WEIGHT);
-    c.served.add(cost(q), LEARN_WEIGHT);
-    c.factor = c.time.value / c.served.value;
-    ratios.answered(e, isUp(e), time, a.predictedSeconds);
-    double work = end.costMs() > 0 ? end.costMs() / 1e3 : cost(q);
-    double aim =
-        seconds(c.queryClass.latencyObjectiveNanos())
-            + c.queryClass.latencyObjectiveStretch() * work / c.queryClass.threads();
-    noteStrain(e, time / aim, work);
+  /** Takes a served attempt into account, for its class, its engine and the pool. */
+  private void learn(AttemptRecord a, AttemptResult end) {
+    estimator.onServed(a, end);
+    double work = estimator.workSeconds(a.query, end);
+    double objective = estimator.objectiveSeconds(a.query, work);
+    noteStrain(a.engine, seconds(end.elapsedNanos()) / objective, work);
   }
 
   // ---- The bound, and whether it binds ----
 
   /** Averages what share of its aim a query took; long queries tell more than short ones. */
   private void noteStrain(EngineRecord e, double strain, double work) {
-    double usual = classes.stream().mapToDouble(c -> c.cost.value).average().orElse(0);
+    double usual = estimator.meanWorkSeconds();
     double weight = STRAIN_WEIGHT * Math.min(1, work / Math.max(usual, 1e-3));
     e.strain += weight * (strain - e.strain);
     pool.strain += weight * (strain - pool.strain);
@@ -549,8 +475,10 @@
     boolean memory =
         e.memoryMb <= 0
             || e.out.isEmpty()
-            || e.memory + memory(q) <= e.memoryMb * MEMORY_ROOM / fleet;
-    return memory && (!pressed || e.threads + 1 <= e.bound * (dense(q) ? DENSE_ROOM : 1));
+            || e.memory + estimator.memoryMb(q) <= e.memoryMb * MEMORY_ROOM / fleet;
+    return memory
+        && (!pressed
+            || e.threads + 1 <= e.bound * (estimator.hasHighValueDensity(q) ? DENSE_ROOM : 1));
   }
 
   // ---- The choice of engine ----
@@ -620,7 +548,7 @@
    * higher.
    */
   private double coldCost(QueryRecord q) {
-    return Math.max(usualCost(q), cost(q));
+    return Math.max(estimator.averageWorkSeconds(q), estimator.workSeconds(q));
   }
 
   /** Whether a further attempt there keeps the rule on effects; a first one always does. */
@@ -677,7 +605,7 @@
 
   /** Where a query can't pay for both its reports, those worth more than most go first. */
   private boolean spared(QueryRecord q) {
-    return (calm() || probeShare() < PROBE_SHARE / 2) && q.queryClass.priorityWeight() < meanWorth;
+    return (calm() || probeShare() < PROBE_SHARE / 2) && estimator.isBelowMeanWeight(q);
   }
 
   /** The less loaded of two drawn engines with room; null where none has. */
@@ -691,7 +619,7 @@
     return drawn.stream()
         .min(
             Comparator.<EngineRecord>comparingDouble(e -> load(now, q, e))
-                .thenComparing(e -> e.hasAnswered))
+                .thenComparing(ratios::hasAnswered))
         .orElse(null); // of two alike, the one not known yet
   }
 
@@ -731,7 +659,7 @@
     List<EngineRecord> draw =
         Stream.concat(q.attempts.stream().map(a -> a.engine), accused.stream())
             .distinct()
-            .filter(e -> isUp(e) && hasRoom(now, q, e))
+            .filter(e -> e.isUp() && hasRoom(now, q, e))
             .sorted(Comparator.comparingLong(e -> e.listPosition))
             .toList();
     draw = preferred(preferred(draw, e -> !q.triedOn(e)), e -> e.hearsay < HEARSAY_TEST);
@@ -791,8 +719,8 @@
     held.remove(q.sequence);
     AttemptRecord a = new AttemptRecord(q, q.attempts.size(), e, now);
     a.threads = q.queryClass.threads();
-    a.memoryMb = memory(q);
-    a.predictedSeconds = estimate(q, 1);
+    a.memoryMb = estimator.memoryMb(q);
+    a.predictedSeconds = estimator.nominalSeconds(q);
     if (a.number > 0) {
       extrasInSpan.add(now, 1);
     }
@@ -815,22 +743,13 @@
   /** Grant and priority, where the engines heed them. */
   private void setTerms(QueryRecord q) {
     EngineCapabilities traits = settings.traits();
-    int priority = dense(q) ? 3 : 1;
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    double grant = traits.memoryGrants() && c.memory.count > 0 ? memory(q) : 0;
+    int priority = estimator.hasHighValueDensity(q) ? 3 : 1;
+    double grant = estimator.reservationMb(q);
     if (traits.priorities() && priority != 1 || grant > 0) {
       actions.setResources(q.query.id(), grant, priority);
     }
   }
 
-  /** True for the classes that earn clearly more for their work than the usual query. */
-  private boolean dense(QueryRecord q) {
-    double cost = classes.stream().mapToDouble(c -> c.cost.value).average().orElse(0);
-    QueryClassStatistics c = classes.get(q.query.queryClass());
-    return c.cost.value > 0
-        && c.queryClass.priorityWeight() / c.cost.value > DENSE * meanWorth / Math.max(cost, 1e-9);
-  }
-
   /** What may have changed while the attempt waited for its connection. */
   @Override
   public boolean mayStart(long now, String query, int attempt) {
@@ -844,7 +763,7 @@
     return !a.ended
         && !a.abandoned
         && e.state == EngineState.UP
-        && engines.get(e.name) == e
+        && e.isCurrent()
         && (!cold || coldSlot(a.forwardedAtNanos, e) == coldSlot(now, e))
         && repeatAllowed(now, q, e);
   }
@@ -893,7 +812,7 @@
     }
     double spent = seconds(now - a.forwardedAtNanos);
     double whole = spent / a.share;
-    double usual = estimate(a.query, Math.max(ratios.of(a.engine), ratios.mean()));
+    double usual = estimator.secondsOnSlower(a.query, a.engine);
     return a.query.query.estimatedCostNanos() > 0
         && whole > BAD_PLAN * usual
         && whole - spent > RESEND_GAIN * usual
@@ -978,14 +897,14 @@
       e.lastSign = now;
       e.troubles = e.errors <= ERRORS_BAD ? 0 : e.troubles;
       notePool(false);
-      learn(now, a, end);
+      learn(a, end);
     } else if (end.outcome() == AttemptOutcome.FULL) {
       e.fullUntil = now + FULL_REST;
       e.restUntil = Math.max(e.restUntil, e.fullUntil); // also one that hangs is full after a while
       e.bound = Math.max(widest, Math.min(e.bound, e.threads) * BOUND_CUT);
       notePool(true);
     } else if (end.outcome() == AttemptOutcome.TIMEOUT) {
-      noteStrain(e, 1, cost(a.query));
+      noteStrain(e, 1, estimator.workSeconds(a.query));
     }
   }
 
@@ -1012,7 +931,7 @@
 
   /** After a failed attempt: elsewhere at once, else held as at arrival, else the final answer. */
   private void goOn(long now, QueryRecord q) {
-    boolean late = now + (long) (estimate(q, ratios.mean()) * SECOND) > q.deadlineNanos;
+    boolean late = now + (long) (estimator.averageSeconds(q) * SECOND) > q.deadlineNanos;
     boolean nowhere =
         engines.values().stream()
             .noneMatch(e -> e.state == EngineState.UP && repeatAllowed(now, q, e));
@@ -1030,7 +949,6 @@
   private void release(long now, boolean all) {
     noteStall(now);
     boolean blocked = false;
-    double ratio = ratios.mean();
     for (QueryRecord q : held.values().stream().limit(all ? held.size() : FRONT).toList()) {
       boolean itsTurn = itsTurn(now, q);
       if (!itsTurn) { // the wait for its key is no wait for room
@@ -1042,7 +960,7 @@
           !q.asked.isEmpty()
               || !q.queryClass.engineKinds().isEmpty()
               || !q.queryClass.zones().isEmpty();
-      double left = estimate(q, ratio) + (itsTurn ? 0 : keyWait(q, ratio));
+      double left = estimator.averageSeconds(q) + (itsTurn ? 0 : keyWait(q));
       boolean late =
           now + (long) (left * SECOND) + 2 * TICK
               > q.deadlineNanos; // the next look may come after it
@@ -1148,7 +1066,7 @@
 
   /** Whether ticks would change nothing of an engine on which nothing is out. */
   private boolean restsAsItIs(long now, EngineRecord e) {
-    boolean forgotten = engines.get(e.name) != e;
+    boolean forgotten = !e.isCurrent();
     return forgotten || !pressed(now, e) && (e.strain >= CALM || e.bound >= mostThreads(e));
   }
 
@@ -1208,6 +1126,7 @@
     for (EngineRecord e : List.copyOf(gone)) {
       if (e.out.isEmpty()) {
         gone.remove(e);
+        e.retire();
         engines.remove(e.name, e);
       }
     }
@@ -1251,7 +1170,7 @@
     EngineRecord e = engines.get(engine);
     if (e != null) {
       e.hearsay = level;
-      if (level >= HEARSAY_TEST && isUp(e)) {
+      if (level >= HEARSAY_TEST && e.isUp()) {
         accused.add(e);
       } else {
         accused.remove(e);
