--- a/decisions/src/main/java/reachloom/scheduler/AttemptRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptRecord.java
@@ -1,31 +1,79 @@
 package reachloom.scheduler;
 
-/** One attempt of a query. */
+/** One attempt to run a query on one engine. */
 final class AttemptRecord {
-  public final QueryRecord query;
-  public final int number;
-  public final EngineRecord engine;
-  public final long forwardedAtNanos;
-  public int threads;
-  public double memoryMb;
-
-  /** Predicted time, in seconds, before the engine's ratio. */
-  public double predictedSeconds;
-
-  public double share;
-  public long lastNote;
-  public boolean inLine;
-  public boolean ended;
-  public boolean abandoned;
-
-  /** Ended in an error that is nobody's fault yet. */
-  public boolean erred;
-
-  /** An attempt just sent. */
-  public AttemptRecord(QueryRecord query, int number, EngineRecord engine, long forwardedAtNanos) {
+  final QueryRecord query;
+
+  /** The attempt's place among those of its query, from 0. */
+  final int number;
+
+  final EngineRecord engine;
+  final long forwardedAtNanos;
+
+  /** Threads that the attempt occupies at its engine. */
+  final int threads;
+
+  /** Memory that the attempt is taken to occupy at its engine, in MB. */
+  final double memoryMb;
+
+  /** Seconds that the attempt is predicted to take on an engine of latency ratio 1. */
+  final double predictedSeconds;
+
+  /** The completed share, from 0 to 1. */
+  double share;
+
+  long lastNote;
+
+  /** Whether the attempt waits for memory of its engine. */
+  boolean inLine;
+
+  private boolean ended;
+  private boolean cancelled;
+  private boolean unattributedError;
+
+  /** Creates the next attempt of the query, which is not yet among {@link QueryRecord#attempts}. */
+  AttemptRecord(
+      QueryRecord query,
+      EngineRecord engine,
+      long forwardedAtNanos,
+      double memoryMb,
+      double predictedSeconds) {
     this.query = query;
-    this.number = number;
+    this.number = query.attempts().size();
     this.engine = engine;
     this.forwardedAtNanos = forwardedAtNanos;
+    this.threads = query.queryClass.threads();
+    this.memoryMb = memoryMb;
+    this.predictedSeconds = predictedSeconds;
+  }
+
+  /** Whether the event of the attempt's end has arrived. */
+  boolean isEnded() {
+    return ended;
+  }
+
+  /** Marks the attempt as ended. */
+  void end() {
+    ended = true;
+  }
+
+  /** Whether the attempt was cancelled; the event of its end may still be outstanding. */
+  boolean isCancelled() {
+    return cancelled;
+  }
+
+  /** Marks the attempt as cancelled. */
+  void cancel() {
+    cancelled = true;
+  }
+
+  /** Whether the attempt ended in an error that may be the query's fault or the engine's. */
+  boolean hasUnattributedError() {
+    return unattributedError;
+  }
+
+  /** Sets whether the attempt ended in an error that may be the query's fault or the engine's. */
+  void unattributedError(boolean value) {
+    unattributedError = value;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/KeyQueue.java
+++ b/decisions/src/main/java/reachloom/scheduler/KeyQueue.java
@@ -2,14 +2,16 @@
 
 import java.util.ArrayDeque;
 
-/** The queries of one key, in the order in which they were taken. */
+/** The unfinished queries of one key, in order of arrival. */
 final class KeyQueue {
-  public final String key;
-  public final ArrayDeque<QueryRecord> queries = new ArrayDeque<>();
-  public long restUntil;
+  final String key;
+  final ArrayDeque<QueryRecord> queries = new ArrayDeque<>();
 
-  /** The line of that key. */
-  public KeyQueue(String key) {
+  /** Until when no query of the key may start, since an earlier attempt may still be running. */
+  long blockedUntilNanos;
+
+  /** Creates the empty queue of the given key. */
+  KeyQueue(String key) {
     this.key = key;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/QueryRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryRecord.java
@@ -1,60 +1,140 @@
 package reachloom.scheduler;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.QueryClass;
 
-/** A query that the gateway has taken, until it is answered and nothing of it is out. */
+/** A query that has arrived, until it is finished and none of its attempts is in flight. */
 final class QueryRecord {
-  public final Query query;
-  public final QueryClass queryClass;
-  public final long sequence;
-  public final long arrivedAt;
-  public final long deadlineNanos;
-  public final List<AttemptRecord> attempts = new ArrayList<>();
-  public int out;
-  public boolean over;
-  public boolean streaming;
-  public boolean beyondShare;
-  public long heldUntil;
-
-  /** Engines asked for a report before it is sent, and until when their answers are waited for. */
-  public final List<EngineRecord> asked = new ArrayList<>();
-
-  public long askedUntil;
-
-  /** When the first attempt that may have run was sent, and where; -1 while none may have. */
-  public long firstRunAt = -1;
-
-  public EngineRecord firstRunOn;
-  public KeyQueue keyQueue;
-
-  /** A query just taken. */
-  public QueryRecord(
-      Query query, QueryClass queryClass, long sequence, long arrivedAt, long deadlineNanos) {
+  final Query query;
+  final QueryClass queryClass;
+
+  /** Position in the order of arrival. */
+  final long sequence;
+
+  final long deadlineNanos;
+
+  /** Engines checked before the query is forwarded, and until when it waits for their reports. */
+  final List<EngineRecord> asked = new ArrayList<>();
+
+  long askedUntil;
+
+  /** When the first attempt that may have run was forwarded, and where; -1 if none may have. */
+  long firstRunAt = -1;
+
+  EngineRecord firstRunOn;
+
+  private final List<AttemptRecord> attempts = new ArrayList<>();
+  private final List<AttemptRecord> attemptsView = Collections.unmodifiableList(attempts);
+  private int inFlight;
+  private boolean finished;
+  private boolean streaming;
+  private boolean overQuota;
+  private long queuedUntilNanos;
+  private KeyQueue keyQueue;
+
+  /** Creates the record of a query that has just arrived. */
+  QueryRecord(Query query, QueryClass queryClass, long sequence, long deadlineNanos) {
     this.query = query;
     this.queryClass = queryClass;
     this.sequence = sequence;
-    this.arrivedAt = arrivedAt;
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** Notes an attempt that may have run; the first one counts. */
-  public void mayHaveRun(AttemptRecord a) {
+  /** All attempts so far, in order. */
+  List<AttemptRecord> attempts() {
+    return attemptsView;
+  }
+
+  /** Adds an attempt that was forwarded. */
+  void add(AttemptRecord attempt) {
+    attempts.add(attempt);
+    inFlight++;
+  }
+
+  /** Marks an attempt as ended. */
+  void end(AttemptRecord attempt) {
+    attempt.end();
+    inFlight--;
+  }
+
+  /** Records an attempt that may have run; the first one counts. */
+  void mayHaveRun(AttemptRecord attempt) {
     if (firstRunAt < 0) {
-      firstRunAt = a.forwardedAtNanos;
-      firstRunOn = a.engine;
+      firstRunAt = attempt.forwardedAtNanos;
+      firstRunOn = attempt.engine;
+    }
+  }
+
+  /** Whether an attempt has not ended yet. */
+  boolean isInFlight() {
+    return inFlight > 0;
+  }
+
+  /** Whether an attempt was forwarded to the given engine. */
+  boolean hasTried(EngineRecord engine) {
+    for (AttemptRecord attempt : attempts) {
+      if (attempt.engine == engine) {
+        return true;
+      }
     }
+    return false;
+  }
+
+  /** The largest completed share of an attempt in flight, from 0 to 1. */
+  double completedShare() {
+    return attempts.stream().filter(a -> !a.isEnded()).mapToDouble(a -> a.share).max().orElse(0);
+  }
+
+  /** Whether the query has its final answer, or needs none since its client is gone. */
+  boolean isFinished() {
+    return finished;
+  }
+
+  /** Marks the query as finished. */
+  void finish() {
+    finished = true;
+  }
+
+  /** Whether an answer has begun to stream to the client. */
+  boolean isStreaming() {
+    return streaming;
+  }
+
+  /** Marks the query as streaming. */
+  void startStreaming() {
+    streaming = true;
+  }
+
+  /** Whether the query's tenant was over its quota at arrival; set by {@link TenantQuotas}. */
+  boolean isOverQuota() {
+    return overQuota;
+  }
+
+  /** Sets whether the query's tenant was over its quota at arrival. */
+  void overQuota(boolean value) {
+    overQuota = value;
+  }
+
+  /** Until when the query may wait for capacity; set by {@link PendingQueue}. */
+  long queuedUntilNanos() {
+    return queuedUntilNanos;
+  }
+
+  /** Sets until when the query may wait for capacity. */
+  void queueUntil(long nanos) {
+    queuedUntilNanos = nanos;
   }
 
-  /** Whether an attempt went to that engine. */
-  public boolean triedOn(EngineRecord engine) {
-    return attempts.stream().anyMatch(a -> a.engine == engine);
+  /** The queue of the query's key, or null if its order does not matter. */
+  KeyQueue keyQueue() {
+    return keyQueue;
   }
 
-  /** The largest share done of the attempts that are out. */
-  public double done() {
-    return attempts.stream().filter(a -> !a.ended).mapToDouble(a -> a.share).max().orElse(0);
+  /** Sets the queue of the query's key; called by {@link KeyOrdering}. */
+  void keyQueue(KeyQueue queue) {
+    keyQueue = queue;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -10,9 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.function.Predicate;
-import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import reachloom.balancing.EngineSubset;
 import reachloom.balancing.PoolShareEstimator;
@@ -36,7 +34,6 @@
 import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.scheduler.api.SchedulingRules;
 import reachloom.scheduler.state.SlidingWindowSum;
-import reachloom.scheduler.state.TokenBucket;
 
 /**
  * Decides for one gateway: admits a query at arrival on a prediction, holds it for a short while,
@@ -81,7 +78,6 @@
       0.2; // of the newest answer in what share of aims is taken
 
   // Holding.
-  private static final double HOLD_SHARE = 0.1; // of the query's time; "a small part" in the design
   private static final int FRONT =
       8; // held queries looked at on each event; all of them on each tick
   private static final long TICK =
@@ -138,7 +134,6 @@
       15; // load share for each unit of the price of crossing
   private static final long LOAD_MARK =
       5_000 * MILLISECOND; // a group counts as held so long: a usual load
-  private static final double TENANT_LEAST = 5; // queries of a tenant at once, or those of a second
   private static final long TICK_TOKEN = 0;
   private static final long WATCH_TOKEN = 1;
 
@@ -147,9 +142,7 @@
   private SplittableRandom random;
   private long startedAt;
   private int self;
-  private long lastTick;
-  private long stalledUntil;
-  private long taken;
+  private TickClock clock;
   private int widest;
   private double probeCredit;
   private PoolShareEstimator share;
@@ -179,13 +172,12 @@
       new EngineRecord(""); // the pool as one engine: all that is out, our share, its bound
   private double poolSigns = POOL_SIGNS; // nothing known: neither pressed nor calm
   private final Map<String, EngineRecord> engines = new LinkedHashMap<>();
-  private final Map<String, QueryRecord> queries = new LinkedHashMap<>();
-  private final TreeMap<Long, QueryRecord> held = new TreeMap<>();
-  private final Map<String, KeyQueue> keyQueues = new LinkedHashMap<>();
-  private final List<TokenBucket> tenants = new ArrayList<>();
+  private QueryTable queries;
+  private PendingQueue pending;
+  private KeyOrdering keyOrdering;
+  private TenantQuotas quotas;
   private final SlidingWindowSum takenLately = new SlidingWindowSum(REPORT_AGE);
-  private SlidingWindowSum takenInSpan;
-  private SlidingWindowSum extrasInSpan;
+  private RetryBudget retryBudget;
 
   /** A module that acts through the given front. */
   public QueryScheduler(SchedulerActions actions) {
@@ -207,16 +199,16 @@
     order = new EngineOrder(new EngineSubset(self));
     fleet = s.gateways();
     estimator = new CostEstimator(s, ratios);
-    s.tenants()
-        .forEach(
-            t -> tenants.add(new TokenBucket(t.quotaPerSecond() / s.gateways(), TENANT_LEAST)));
     widest = s.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
-    takenInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() - 2 * s.tickNanos());
-    extrasInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() + 2 * s.tickNanos());
+    clock = new TickClock(now);
+    quotas = new TenantQuotas(s);
+    keyOrdering = new KeyOrdering(s, estimator);
+    pending = new PendingQueue(keyOrdering, estimator);
+    queries = new QueryTable(s.classes(), keyOrdering);
+    retryBudget = new RetryBudget(s);
     if (s.subscribe()) {
       actions.watchEndpoints();
     }
-    lastTick = now;
     actions.setTimer(TICK, TICK_TOKEN);
   }
 
@@ -309,40 +301,35 @@
 
   @Override
   public void onQuery(long now, Query query) {
-    QueryClass kind = settings.classes().get(query.queryClass());
-    long time = Math.min(kind.deadlineNanos(), query.remainingNanos());
-    QueryRecord q = new QueryRecord(query, kind, taken++, now, now + time);
-    queries.put(query.id(), q);
-    takenInSpan.add(now, 1);
+    QueryRecord q = queries.add(now, query);
+    long time = q.deadlineNanos - now;
+    retryBudget.onQuery(now);
     takenLately.add(now, 1);
     probeCredit = Math.min(probeCredit + probeShare(), 2 * engines.size());
-    q.beyondShare = query.tenant() < tenants.size() && !tenants.get(query.tenant()).take(now);
+    quotas.onQuery(now, q);
     estimator.onQuery(q);
-    if (kind.ordered() && query.key() != null) {
-      q.keyQueue = keyQueues.computeIfAbsent(query.key(), KeyQueue::new);
-      q.keyQueue.queries.addLast(q);
-    }
-    q.heldUntil = holdUntil(now, q);
-    boolean itsTurn = itsTurn(now, q);
+    keyOrdering.onQuery(q);
+    pending.restartQueueTime(now, q);
+    boolean itsTurn = keyOrdering.mayRun(now, q);
     if (itsTurn && seconds(time - 2 * TICK) > estimator.averageSeconds(q) && ask(now, q)) {
-      held.put(q.sequence, q); // until the reports are in
+      pending.add(q); // until the reports are in
       return;
     }
     EngineRecord engine = itsTurn ? pick(now, q) : null;
     if (engine != null && seconds(time) >= estimator.secondsOn(q, engine)) {
       send(now, q, engine);
     } else if (waitsLonger(now, q, seconds(time) - estimator.averageSeconds(q))
-        || itsTurn && q.beyondShare) {
+        || itsTurn && q.isOverQuota()) {
       giveUp(now, q);
     } else {
-      held.put(q.sequence, q);
+      pending.add(q);
     }
   }
 
   /** Whether a query that does not fit would wait for longer than that, in seconds. */
   private boolean waitsLonger(long now, QueryRecord q, double seconds) {
-    double left = seconds - keyWait(q);
-    double work = heldWork(now);
+    double left = seconds - keyOrdering.waitSeconds(q);
+    double work = pending.workSeconds(now);
     if (left < 0 || work <= 0) {
       return left < 0;
     }
@@ -355,15 +342,9 @@
    * seconds.
    */
   private double predictedWait(long now, QueryRecord q) {
-    double work = heldWork(now);
-    return (work <= 0 ? 0 : work / boundUpTo(now, q, Double.MAX_VALUE)) + keyWait(q);
-  }
-
-  private double heldWork(long now) {
-    return held.values().stream()
-        .filter(h -> itsTurn(now, h))
-        .mapToDouble(h -> estimator.averageSeconds(h) * h.queryClass.threads())
-        .sum();
+    double work = pending.workSeconds(now);
+    return (work <= 0 ? 0 : work / boundUpTo(now, q, Double.MAX_VALUE))
+        + keyOrdering.waitSeconds(q);
   }
 
   /** The bound of all engines that are open to the query, counted until it is enough. */
@@ -379,16 +360,6 @@
     return Math.max(bound, q.queryClass.threads());
   }
 
-  /** The time that the earlier queries of its key still need. */
-  private double keyWait(QueryRecord q) {
-    return q.keyQueue == null
-        ? 0
-        : q.keyQueue.queries.stream()
-            .filter(h -> h != q)
-            .mapToDouble(h -> estimator.averageSeconds(h) * (1 - h.done()))
-            .sum();
-  }
-
   /** Takes a served attempt into account, for its class, its engine and the pool. */
   private void learn(AttemptRecord a, AttemptResult end) {
     estimator.onServed(a, end);
@@ -629,7 +600,7 @@
     // Where another one has room, it goes neither where it was nor where others speak against the
     // engine.
     Predicate<EngineRecord> best =
-        e -> e.hearsay < HEARSAY_TEST && !q.triedOn(e) && hasRoom(now, q, e);
+        e -> e.hearsay < HEARSAY_TEST && !q.hasTried(e) && hasRoom(now, q, e);
     List<EngineRecord> draw = first(now, wanted + 1, best);
     if (draw.size() <= wanted) {
       Set<EngineRecord> few = new LinkedHashSet<>(draw);
@@ -657,12 +628,12 @@
    */
   private List<EngineRecord> second(long now, QueryRecord q, int wanted) {
     List<EngineRecord> draw =
-        Stream.concat(q.attempts.stream().map(a -> a.engine), accused.stream())
+        Stream.concat(q.attempts().stream().map(a -> a.engine), accused.stream())
             .distinct()
             .filter(e -> e.isUp() && hasRoom(now, q, e))
             .sorted(Comparator.comparingLong(e -> e.listPosition))
             .toList();
-    draw = preferred(preferred(draw, e -> !q.triedOn(e)), e -> e.hearsay < HEARSAY_TEST);
+    draw = preferred(preferred(draw, e -> !q.hasTried(e)), e -> e.hearsay < HEARSAY_TEST);
     return draw.size() <= wanted ? draw : first(now, wanted, new LinkedHashSet<>(draw)::contains);
   }
 
@@ -716,18 +687,13 @@
   // ---- Sending ----
 
   private void send(long now, QueryRecord q, EngineRecord e) {
-    held.remove(q.sequence);
-    AttemptRecord a = new AttemptRecord(q, q.attempts.size(), e, now);
-    a.threads = q.queryClass.threads();
-    a.memoryMb = estimator.memoryMb(q);
-    a.predictedSeconds = estimator.nominalSeconds(q);
-    if (a.number > 0) {
-      extrasInSpan.add(now, 1);
-    }
+    pending.remove(q);
+    AttemptRecord a =
+        new AttemptRecord(q, e, now, estimator.memoryMb(q), estimator.nominalSeconds(q));
     setTerms(q);
     actions.forward(q.query.id(), e.name, 0);
-    q.attempts.add(a);
-    q.out++;
+    q.add(a);
+    retryBudget.onForwarded(now, a);
     q.asked.clear();
     e.add(a);
     pool.add(a);
@@ -753,15 +719,15 @@
   /** What may have changed while the attempt waited for its connection. */
   @Override
   public boolean mayStart(long now, String query, int attempt) {
-    QueryRecord q = queries.get(query);
-    if (q == null || q.over || attempt >= q.attempts.size()) {
+    QueryRecord q = queries == null ? null : queries.find(query);
+    if (q == null || q.isFinished() || attempt >= q.attempts().size()) {
       return false;
     }
-    AttemptRecord a = q.attempts.get(attempt);
+    AttemptRecord a = q.attempts().get(attempt);
     EngineRecord e = a.engine;
     boolean cold = now < e.coldUntil;
-    return !a.ended
-        && !a.abandoned
+    return !a.isEnded()
+        && !a.isCancelled()
         && e.state == EngineState.UP
         && e.isCurrent()
         && (!cold || coldSlot(a.forwardedAtNanos, e) == coldSlot(now, e))
@@ -772,19 +738,19 @@
 
   @Override
   public void onStreaming(long now, String query, int attempt) {
-    QueryRecord q = queries.get(query);
+    QueryRecord q = queries == null ? null : queries.find(query);
     if (q != null) {
-      q.streaming = true;
+      q.startStreaming();
     }
   }
 
   @Override
   public void onProgress(long now, ProgressReport note) {
-    QueryRecord q = queries.get(note.queryId());
-    if (q == null || note.attempt() >= q.attempts.size()) {
+    QueryRecord q = queries == null ? null : queries.find(note.queryId());
+    if (q == null || note.attempt() >= q.attempts().size()) {
       return;
     }
-    AttemptRecord a = q.attempts.get(note.attempt());
+    AttemptRecord a = q.attempts().get(note.attempt());
     a.engine.lastSign = now;
     a.lastNote = now;
     a.inLine = note.kind() == ProgressKind.MEMORY_WAIT;
@@ -823,9 +789,10 @@
   private void cancel(AttemptRecord a) {
     QueryRecord q = a.query;
     boolean free =
-        q.over || !q.streaming && q.queryClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
-    if (free && !a.ended && !a.abandoned && settings.limits().cancel()) {
-      a.abandoned = true;
+        q.isFinished()
+            || !q.isStreaming() && q.queryClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+    if (free && !a.isEnded() && !a.isCancelled() && settings.limits().cancel()) {
+      a.cancel();
       actions.cancelAttempt(q.query.id(), a.number);
     }
   }
@@ -837,47 +804,41 @@
         && candidates(now, q).stream().anyMatch(e -> e != a.engine && loadsThere(now, q, e) == 0);
   }
 
-  /** The rule on further attempts, and the most attempts of one query. */
+  /** Whether the limit of attempts per query and the retry budget allow one more attempt. */
   private boolean furtherAllowed(long now, QueryRecord q) {
-    SchedulingRules r = settings.rules();
-    return q.attempts.size() < settings.limits().maxAttempts()
-        && (r.retryBudgetWindowNanos() <= 0
-            || extrasInSpan.sum(now) + 1
-                <= r.retryBudgetBase() + r.retryBudgetPerQuery() * takenInSpan.sum(now));
+    return q.attempts().size() < settings.limits().maxAttempts() && retryBudget.allowsRetry(now);
   }
 
   // ---- The end of an attempt ----
 
   @Override
   public void onAttemptEnded(long now, AttemptResult end) {
-    QueryRecord q = queries.get(end.queryId());
-    if (q == null || end.attempt() >= q.attempts.size()) {
+    QueryRecord q = queries == null ? null : queries.find(end.queryId());
+    if (q == null || end.attempt() >= q.attempts().size()) {
       return;
     }
-    AttemptRecord a = q.attempts.get(end.attempt());
+    AttemptRecord a = q.attempts().get(end.attempt());
     watch(now, a.engine);
     settle(now, q, a, end);
     judge(now, a, end);
-    q.over |= end.queryFinished();
-    if (!q.over && q.out == 0) {
+    if (end.queryFinished()) {
+      q.finish();
+    }
+    if (!q.isFinished() && !q.isInFlight()) {
       goOn(now, q);
     }
-    forget(now, q);
+    queries.removeIfDone(now, q);
     release(now, false);
   }
 
   private void settle(long now, QueryRecord q, AttemptRecord a, AttemptResult end) {
-    a.ended = true;
-    q.out--;
+    q.end(a);
     a.engine.remove(a);
     pool.remove(a);
     if (end.outcome().mayHaveRun) {
       q.mayHaveRun(a);
     }
-    if (q.keyQueue != null && end.outcome().mayRunOn) {
-      q.keyQueue.restUntil =
-          Math.max(q.keyQueue.restUntil, now + settings.rules().orderSettleNanos());
-    }
+    keyOrdering.onEnded(now, q, end.outcome());
     noteReport(now, a.engine, end.loadReport());
   }
 
@@ -886,8 +847,8 @@
     EngineRecord e = a.engine;
     boolean reset = end.outcome() == AttemptOutcome.RESET && now - e.resetAt >= ONE_BREAK;
     e.resetAt = reset ? now : e.resetAt;
-    a.erred = end.outcome() == AttemptOutcome.ERROR && !end.queryFinished();
-    if (end.outcome() == AttemptOutcome.ERROR && !a.erred
+    a.unattributedError(end.outcome() == AttemptOutcome.ERROR && !end.queryFinished());
+    if (end.outcome() == AttemptOutcome.ERROR && !a.hasUnattributedError()
         || reset
         || end.outcome() == AttemptOutcome.UNREACHED) {
       noteTrouble(now, e, ERRORS_BAD);
@@ -914,7 +875,11 @@
    */
   private void noteErrors(long now, QueryRecord q, boolean served) {
     List<EngineRecord> erred =
-        q.attempts.stream().filter(a -> a.erred).map(a -> a.engine).distinct().toList();
+        q.attempts().stream()
+            .filter(AttemptRecord::hasUnattributedError)
+            .map(a -> a.engine)
+            .distinct()
+            .toList();
     erred.stream()
         .filter(e -> served || erred.size() == 1)
         .forEach(e -> noteTrouble(now, e, ERRORS_BAD));
@@ -939,8 +904,8 @@
       giveUp(now, q);
       return;
     }
-    q.heldUntil = holdUntil(now, q);
-    held.put(q.sequence, q); // the release that follows sends it at once where it can
+    pending.restartQueueTime(now, q);
+    pending.add(q); // the release that follows sends it at once where it can
   }
 
   // ---- The held line ----
@@ -949,10 +914,10 @@
   private void release(long now, boolean all) {
     noteStall(now);
     boolean blocked = false;
-    for (QueryRecord q : held.values().stream().limit(all ? held.size() : FRONT).toList()) {
-      boolean itsTurn = itsTurn(now, q);
+    for (QueryRecord q : pending.oldest(all ? Integer.MAX_VALUE : FRONT)) {
+      boolean itsTurn = keyOrdering.mayRun(now, q);
       if (!itsTurn) { // the wait for its key is no wait for room
-        q.heldUntil = holdUntil(now, q);
+        pending.restartQueueTime(now, q);
       }
       // Bound queries wait for other engines than the front, those that have asked waited only for
       // reports.
@@ -960,18 +925,20 @@
           !q.asked.isEmpty()
               || !q.queryClass.engineKinds().isEmpty()
               || !q.queryClass.zones().isEmpty();
-      double left = estimator.averageSeconds(q) + (itsTurn ? 0 : keyWait(q));
+      double left = estimator.averageSeconds(q) + (itsTurn ? 0 : keyOrdering.waitSeconds(q));
       boolean late =
           now + (long) (left * SECOND) + 2 * TICK
               > q.deadlineNanos; // the next look may come after it
       boolean asking = now < q.askedUntil && q.asked.stream().anyMatch(e -> e.probing);
-      if (!late && (asking || itsTurn && now < q.heldUntil && !q.asked.isEmpty() && ask(now, q))) {
+      if (!late
+          && (asking
+              || itsTurn && now < q.queuedUntilNanos() && !q.asked.isEmpty() && ask(now, q))) {
         continue;
       }
       EngineRecord e = !late && itsTurn && (!blocked || own) ? pick(now, q) : null;
-      if (e != null && (q.attempts.isEmpty() || furtherAllowed(now, q))) {
+      if (e != null && (q.attempts().isEmpty() || furtherAllowed(now, q))) {
         send(now, q, e);
-      } else if (late || itsTurn && now >= q.heldUntil) {
+      } else if (late || itsTurn && now >= q.queuedUntilNanos()) {
         giveUp(now, q);
       } else {
         blocked |= itsTurn && !own;
@@ -979,23 +946,15 @@
     }
   }
 
-  private long holdUntil(long now, QueryRecord q) {
-    return now + (long) ((q.deadlineNanos - now) * HOLD_SHARE);
-  }
-
-  private boolean itsTurn(long now, QueryRecord q) {
-    return q.keyQueue == null || q.keyQueue.queries.peekFirst() == q && now >= q.keyQueue.restUntil;
-  }
-
   // ---- The final answer ----
 
   /** Refuses where the rules let us promise that trying again is harmless, else fails. */
   private void giveUp(long now, QueryRecord q) {
-    held.remove(q.sequence);
-    q.over = true;
+    pending.remove(q);
+    q.finish();
     noteErrors(now, q, false);
     boolean harmless =
-        q.firstRunAt < 0 && q.out == 0
+        q.firstRunAt < 0 && !q.isInFlight()
             || q.queryClass.idempotency() == Idempotency.IDEMPOTENT
             || q.queryClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                 && q.queryClass.deduplicationScope() == DeduplicationScope.ALL;
@@ -1008,35 +967,22 @@
     } else {
       actions.fail(q.query.id());
     }
-    forget(now, q);
+    queries.removeIfDone(now, q);
   }
 
   @Override
   public void onClientGone(long now, String query) {
-    QueryRecord q = queries.get(query);
+    QueryRecord q = queries == null ? null : queries.find(query);
     if (q == null) {
       return;
     }
-    held.remove(q.sequence);
-    q.over = true;
-    q.attempts.forEach(this::cancel);
-    forget(now, q);
+    pending.remove(q);
+    q.finish();
+    q.attempts().forEach(this::cancel);
+    queries.removeIfDone(now, q);
     release(now, false);
   }
 
-  private void forget(long now, QueryRecord q) {
-    if (!q.over || q.out > 0) {
-      return;
-    }
-    queries.remove(q.query.id());
-    if (q.keyQueue != null) {
-      q.keyQueue.queries.remove(q);
-      if (q.keyQueue.queries.isEmpty() && now >= q.keyQueue.restUntil) {
-        keyQueues.remove(q.keyQueue.key);
-      }
-    }
-  }
-
   // ---- Time ----
 
   @Override
@@ -1046,10 +992,10 @@
       return;
     }
     noteStall(now);
-    lastTick = now;
+    clock.tick(now);
     share.running(now, pool.memory);
     fleet = share.fleet(pool.memoryMb);
-    keyQueues.values().removeIf(k -> k.queries.isEmpty() && now >= k.restUntil);
+    keyOrdering.forgetIdle(now);
     removeGone();
     for (EngineRecord e : List.copyOf(watched)) {
       watchOver(now, e);
@@ -1070,16 +1016,11 @@
     return forgotten || !pressed(now, e) && (e.strain >= CALM || e.bound >= mostThreads(e));
   }
 
-  /**
-   * After a stall all has aged unseen: holding and silence count anew, the pile-up's reports are
-   * old.
-   */
+  /** Extends the time that queries may wait by the time for which the gateway has stalled. */
   private void noteStall(long now) {
-    long stall = now - lastTick - 2 * TICK;
+    long stall = clock.takeStall(now);
     if (stall > 0) {
-      held.values().forEach(q -> q.heldUntil += stall);
-      stalledUntil = now;
-      lastTick = now;
+      pending.extendQueueTimes(stall);
     }
   }
 
@@ -1097,11 +1038,12 @@
   /** Finds silent engines. */
   private void watchOver(long now, EngineRecord e) {
     double period = settings.traits().progressPeriodNanos();
-    long lastSign = Math.max(e.lastSign, stalledUntil);
+    long lastSign = Math.max(e.lastSign, clock.stalledUntilNanos());
     boolean silent = now - lastSign > SILENT_NOTES * period;
     boolean talks = now - lastSign < period;
     for (AttemptRecord a : period > 0 ? new ArrayList<>(e.out) : List.<AttemptRecord>of()) {
-      long quiet = now - Math.max(stalledUntil, Math.max(a.forwardedAtNanos, a.lastNote));
+      long quiet =
+          now - Math.max(clock.stalledUntilNanos(), Math.max(a.forwardedAtNanos, a.lastNote));
       // An engine may lose single queries while it answers the rest: each attempt is judged by its
       // own notes.
       // One that waits for memory tells so once and is then quiet until it runs.
@@ -1182,7 +1124,7 @@
   }
 
   private void noteReport(long now, EngineRecord e, LoadReport report) {
-    if (report != null && now > stalledUntil) {
+    if (report != null && now > clock.stalledUntilNanos()) {
       watch(now, e);
       e.report = report;
       e.reportAt = now;
@@ -1204,11 +1146,11 @@
 
   /** The ids of the queries that are not finished or have attempts in flight, for diagnostics. */
   public Set<String> queryIds() {
-    return Set.copyOf(queries.keySet());
+    return queries == null ? Set.of() : queries.ids();
   }
 
   /** The ids of the queries that are queued, for diagnostics. */
   public Set<String> pendingQueryIds() {
-    return held.values().stream().map(q -> q.query.id()).collect(Collectors.toSet());
+    return pending == null ? Set.of() : pending.ids();
   }
 }
