--- a/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
@@ -1,115 +1,104 @@
 package reachloom.scheduler;
 
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.Map;
-import java.util.Set;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
-import reachloom.scheduler.api.LoadReport;
 
-/** What a gateway knows of one engine. */
+/**
+ * The state of one incarnation of an engine. State that belongs to one part only is in a record of
+ * that part, whose fields are private to it; this class has references to these records so that no
+ * part needs a lookup by engine.
+ */
 final class EngineRecord {
-  public final String name;
-  public EngineEndpoint info;
-  public EngineState state = EngineState.UP;
-  public double cores;
-  public double memoryMb;
+  final String name;
 
-  /** Threads, memory and attempts of this gateway that are out there. */
-  public int threads;
-
-  public double memory;
-  public final Set<AttemptRecord> out = new LinkedHashSet<>();
-
-  /** Loads of this gateway that are out there, by table group. */
-  public final Map<Integer, Integer> loads = new LinkedHashMap<>();
-
-  /** Until when a load of somebody else is taken to hold a table group. */
-  public final Map<Integer, Long> heldGroups = new LinkedHashMap<>();
+  /** Position in the order in which engines were first listed; the same for all incarnations. */
+  final long listPosition;
 
+  final double cores;
+  final InFlightWork inFlight = new InFlightWork();
+  final ConcurrencyLimiter.Limit limit;
   final LatencyRatios.EngineLatency latency = new LatencyRatios.EngineLatency();
+  final LoadReports.LatestReport latestReport = new LoadReports.LatestReport();
 
-  public double bound;
-  public double strain;
-  public long boundChangedAt;
-  public long pressedUntil;
-  public long fullUntil;
+  /** Until when a load of another gateway is assumed to lock a table group. */
+  final Map<Integer, Long> heldGroups = new LinkedHashMap<>();
 
-  public double errors;
-  public int troubles;
-  public long restUntil;
+  double errors;
+  int troubles;
+  long restUntil;
 
-  /** When a connection to it was last seen to break. */
-  public long resetAt;
+  /** When the latest connection reset was counted. */
+  long resetAt;
 
-  public long lastSign;
+  long lastSign;
 
   /** When its process started, on this gateway's clock; 0 for long ago. */
-  public long startedAt;
+  long startedAt;
 
-  public long coldUntil;
+  long coldUntil;
 
-  /**
-   * The cold engine's slot that was last looked at, this gateway's part of it, and the work sent in
-   * it.
-   */
-  public long coldSlot = Long.MIN_VALUE;
+  /** The latest slot, this gateway's part of it, and the work sent in it. */
+  long coldSlot = Long.MIN_VALUE;
 
-  public double coldPart;
-  public double coldSpent;
+  double coldPart;
+  double coldSpent;
 
-  /** What other instances say against it, from 0 to 1. */
-  public double hearsay;
+  /** What other instances report against it, from 0 to 1. */
+  double hearsay;
 
-  /** Its place in the list as it was told; a new process keeps that of the one before. */
-  public long listPosition;
+  boolean probing;
+  long probedAt;
 
-  public LoadReport report;
-  public long reportAt;
-  public boolean probing;
-  public long probedAt;
+  private EngineEndpoint endpoint;
+  private EngineState state = EngineState.UP;
+  private boolean current = true;
 
-  /** An engine of that name. */
-  public EngineRecord(String name) {
-    this.name = name;
+  /** Creates the record of an engine that was just listed; {@code memoryMb} is 0 if unknown. */
+  EngineRecord(EngineEndpoint endpoint, long listPosition, double cores, double memoryMb) {
+    this.name = endpoint.name();
+    this.listPosition = listPosition;
+    this.cores = cores;
+    this.limit = new ConcurrencyLimiter.Limit(cores, memoryMb, inFlight);
+    this.endpoint = endpoint;
   }
 
-  private boolean current = true;
+  /** The latest list entry of the engine. */
+  EngineEndpoint endpoint() {
+    return endpoint;
+  }
+
+  /**
+   * Whether the latest list entry of this incarnation says that it is up; also true for one that
+   * was replaced since.
+   */
+  boolean isListedUp() {
+    return state == EngineState.UP;
+  }
 
   /** Whether this incarnation is listed as up and has not been replaced. */
   boolean isUp() {
     return state == EngineState.UP && current;
   }
 
-  /** Whether the scheduler still has this incarnation. */
+  /** Whether the registry still has this incarnation. */
   boolean isCurrent() {
     return current;
   }
 
-  /** Marks the incarnation as replaced or removed. */
-  void retire() {
-    current = false;
+  /** Sets the latest list entry; called by {@link EngineRegistry}. */
+  void update(EngineEndpoint newEndpoint) {
+    endpoint = newEndpoint;
   }
 
-  /** Books an attempt that is out here. */
-  public void add(AttemptRecord a) {
-    out.add(a);
-    threads += a.threads;
-    memory += a.memoryMb;
-    if (a.query.queryClass.loadsTables()) {
-      loads.merge(a.query.query.tableGroup(), 1, Integer::sum);
-    }
+  /** Sets the state; called by {@link EngineRegistry}. */
+  void state(EngineState newState) {
+    state = newState;
   }
 
-  /** Takes an attempt out of the books, once. */
-  public void remove(AttemptRecord a) {
-    if (out.remove(a)) {
-      threads -= a.threads;
-      memory -= a.memoryMb;
-      if (a.query.queryClass.loadsTables()) {
-        loads.merge(a.query.query.tableGroup(), -1, (x, y) -> x + y == 0 ? null : x + y);
-      }
-    }
+  /** Marks the incarnation as replaced or removed; called by {@link EngineRegistry}. */
+  void retire() {
+    current = false;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -2,7 +2,6 @@
 
 // Events, actions and settings: decisions/src/main/java/reachloom/scheduler/api.
 
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -13,7 +12,6 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import reachloom.balancing.EngineSubset;
-import reachloom.balancing.PoolShareEstimator;
 import reachloom.balancing.SlotRotation;
 import reachloom.discovery.IncarnationTimes;
 import reachloom.scheduler.api.AttemptOutcome;
@@ -28,7 +26,6 @@
 import reachloom.scheduler.api.ProgressKind;
 import reachloom.scheduler.api.ProgressReport;
 import reachloom.scheduler.api.Query;
-import reachloom.scheduler.api.QueryClass;
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
@@ -45,38 +42,6 @@
   private static final double SECOND = 1e9; // nanoseconds
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  // The bound.
-  private static final double BOUND_THREADS = 8; // threads a core at the start, given by the design
-  private static final double BUSY_FLOOR =
-      2; // threads a core; an engine does its most at one to two
-  private static final double SLOW_FLOOR =
-      1.5; // ... and where its answers are slow, no more than that
-  private static final double BOUND_CUT = 0.85; // a cut under pressure: halved in about four steps
-  private static final double BOUND_GROWTH = 1.05; // regained more slowly than lost
-  private static final long BOUND_PAUSE =
-      250 * MILLISECOND; // between changes, so that each can show
-  private static final double SLOW = 0.6; // share of its aim that a query takes: slow from here on
-  private static final double CALM = 0.4; // ... and calm up to here
-  private static final double BUSY =
-      0.9; // share of cores, memory or disks in use that a report calls busy
-  private static final double DENSE_ROOM =
-      1.5; // bound of such classes: little work, so little harm
-  private static final long PRESSURE_HOLD = 2_000 * MILLISECOND; // the bound binds on after a sign
-  private static final double MEMORY_ROOM = 0.95; // share of an engine's memory that is planned for
-  private static final long REPORT_AGE =
-      2_000 * MILLISECOND; // an older report tells nothing of now
-  private static final double POOL_SIGNS =
-      0.5; // share of the latest signs that tell of a pressed pool
-  private static final double CALM_SIGNS = 0.1; // ... and of a calm one
-  private static final double SIGN_WEIGHT =
-      0.1; // of the newest sign: a gateway sees a few a second
-  private static final long FULL_REST =
-      500 * MILLISECOND; // a full refusal counts as pressure for so long
-
-  // The estimate.
-  private static final double STRAIN_WEIGHT =
-      0.2; // of the newest answer in what share of aims is taken
-
   // Holding.
   private static final int FRONT =
       8; // held queries looked at on each event; all of them on each tick
@@ -143,9 +108,7 @@
   private long startedAt;
   private int self;
   private TickClock clock;
-  private int widest;
   private double probeCredit;
-  private PoolShareEstimator share;
   private final IncarnationTimes startTimes = new IncarnationTimes();
   private final LatencyRatios ratios = new LatencyRatios();
   private CostEstimator estimator;
@@ -153,13 +116,9 @@
   /** Engines that are up, in this gateway's own order; it changes with the list alone. */
   private EngineOrder order;
 
-  /**
-   * Of these, those that may still be cold; the others on which a tick has something to look at.
-   */
+  /** Of these, those that may still be cold. */
   private final Set<EngineRecord> cold = new LinkedHashSet<>();
 
-  private final Set<EngineRecord> watched = new LinkedHashSet<>();
-
   /**
    * Engines that the list has dropped, until nothing is out there; those that others speak against.
    */
@@ -167,16 +126,14 @@
 
   private final Set<EngineRecord> accused = new LinkedHashSet<>();
   private long listed;
-  private double fleet; // gateways like this one that make up the fleet
-  private final EngineRecord pool =
-      new EngineRecord(""); // the pool as one engine: all that is out, our share, its bound
-  private double poolSigns = POOL_SIGNS; // nothing known: neither pressed nor calm
+  private LoadReports reports;
+  private ConcurrencyLimiter limiter;
   private final Map<String, EngineRecord> engines = new LinkedHashMap<>();
   private QueryTable queries;
   private PendingQueue pending;
   private KeyOrdering keyOrdering;
   private TenantQuotas quotas;
-  private final SlidingWindowSum takenLately = new SlidingWindowSum(REPORT_AGE);
+  private final SlidingWindowSum takenLately = new SlidingWindowSum(LoadReports.MAX_AGE_NANOS);
   private RetryBudget retryBudget;
 
   /** A module that acts through the given front. */
@@ -189,7 +146,6 @@
   @Override
   public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
-    share = new PoolShareEstimator(s.gateways());
     startedAt = now;
     random = new SplittableRandom(seed);
     self =
@@ -197,10 +153,10 @@
             ? s.selfIndex()
             : random.nextInt(s.gateways()); // where it is not told, by chance
     order = new EngineOrder(new EngineSubset(self));
-    fleet = s.gateways();
     estimator = new CostEstimator(s, ratios);
-    widest = s.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
     clock = new TickClock(now);
+    reports = new LoadReports(clock);
+    limiter = new ConcurrencyLimiter(s, estimator, reports);
     quotas = new TenantQuotas(s);
     keyOrdering = new KeyOrdering(s, estimator);
     pending = new PendingQueue(keyOrdering, estimator);
@@ -218,18 +174,18 @@
     for (EngineEndpoint entry : entries) {
       named.add(entry.name());
       EngineRecord old = engines.get(entry.name());
-      if (old == null || entry.incarnation() > old.info.incarnation()) {
-        EngineRecord started = started(now, entry, !complete);
-        started.listPosition = old == null ? listed++ : old.listPosition;
+      if (old == null || entry.incarnation() > old.endpoint().incarnation()) {
+        EngineRecord started =
+            started(now, entry, !complete, old == null ? listed++ : old.listPosition);
         engines.put(entry.name(), started); // nothing known of the old process holds
         if (old != null) {
           old.retire();
           forget(old);
-          List.copyOf(old.out).forEach(a -> lose(now, a, false));
+          old.inFlight.attempts().forEach(a -> lose(now, a, false));
         }
       }
       EngineRecord e = engines.get(entry.name());
-      e.info = entry;
+      e.update(entry);
       tell(now, e, entry.state());
     }
     if (complete) {
@@ -239,15 +195,13 @@
     }
     List<EngineRecord> up = order.all();
     ratios.onListUpdated(up);
-    pool.cores = up.stream().mapToDouble(e -> e.cores).sum();
-    pool.memoryMb = up.stream().mapToDouble(e -> e.memoryMb).sum();
-    pool.bound = pool.bound > 0 ? Math.min(pool.bound, mostThreads(pool)) : mostThreads(pool);
+    limiter.onListUpdated(up);
     release(now, true);
   }
 
   /** The list tells in what state an engine is. */
   private void tell(long now, EngineRecord e, EngineState state) {
-    e.state = state;
+    e.state(state);
     if (state != EngineState.UP) {
       forget(e);
     } else {
@@ -269,16 +223,14 @@
     accused.remove(e);
   }
 
-  private EngineRecord started(long now, EngineEndpoint entry, boolean asChange) {
-    EngineRecord e = new EngineRecord(entry.name());
+  private EngineRecord started(long now, EngineEndpoint entry, boolean asChange, long position) {
     EngineKind kind =
         entry.kind() < settings.kinds().size()
             ? settings.kinds().get(entry.kind())
             : new EngineKind(0, 0);
-    e.cores = kind.cores() > 0 ? kind.cores() : Math.max(1, entry.weight());
-    e.memoryMb = kind.memoryMb();
-    e.bound = mostThreads(e);
-    e.boundChangedAt = now;
+    double cores = kind.cores() > 0 ? kind.cores() : Math.max(1, entry.weight());
+    EngineRecord e = new EngineRecord(entry, position, cores, kind.memoryMb());
+    limiter.onEngineListed(now, e, asChange);
     e.lastSign = now;
     e.startedAt =
         entry.incarnation() > 0 ? startTimes.ownTime(now, entry.incarnation(), asChange) : 0;
@@ -286,10 +238,6 @@
     return e;
   }
 
-  private double mostThreads(EngineRecord e) {
-    return Math.max(widest, e.cores * BOUND_THREADS / fleet);
-  }
-
   @Override
   public void onEndpointsUnavailable(long now) {
     if (settings.subscribe()) {
@@ -351,118 +299,32 @@
   private double boundUpTo(long now, QueryRecord q, double enough) {
     double bound = 0;
     for (EngineRecord e : engines.values()) {
-      bound += open(now, q, e) ? e.bound : 0;
+      bound += open(now, q, e) ? limiter.limitThreads(e) : 0;
       if (bound >= enough) {
         break;
       }
     }
-    bound = now < pool.pressedUntil ? Math.min(bound, pool.bound) : bound;
-    return Math.max(bound, q.queryClass.threads());
-  }
-
-  /** Takes a served attempt into account, for its class, its engine and the pool. */
-  private void learn(AttemptRecord a, AttemptResult end) {
-    estimator.onServed(a, end);
-    double work = estimator.workSeconds(a.query, end);
-    double objective = estimator.objectiveSeconds(a.query, work);
-    noteStrain(a.engine, seconds(end.elapsedNanos()) / objective, work);
-  }
-
-  // ---- The bound, and whether it binds ----
-
-  /** Averages what share of its aim a query took; long queries tell more than short ones. */
-  private void noteStrain(EngineRecord e, double strain, double work) {
-    double usual = estimator.meanWorkSeconds();
-    double weight = STRAIN_WEIGHT * Math.min(1, work / Math.max(usual, 1e-3));
-    e.strain += weight * (strain - e.strain);
-    pool.strain += weight * (strain - pool.strain);
-  }
-
-  /** Cuts the bound towards what is out there under pressure, lets it grow back when calm. */
-  private void moveBound(long now, EngineRecord e, boolean pressed) {
-    if (pressed) {
-      e.pressedUntil = now + PRESSURE_HOLD;
-    }
-    if (now - e.boundChangedAt < BOUND_PAUSE) {
-      return;
-    }
-    if (pressed) {
-      double floor = e.strain > SLOW ? SLOW_FLOOR : BUSY_FLOOR;
-      double least = Math.max(widest, e.cores * floor / fleet);
-      e.bound = Math.max(least, Math.min(e.bound, e.threads + 1) * BOUND_CUT);
-      e.boundChangedAt = now;
-    } else if (e.strain < CALM && e.bound < mostThreads(e)) {
-      e.boundChangedAt = now;
-      e.bound = Math.min(mostThreads(e), e.bound * BOUND_GROWTH);
-    }
-  }
-
-  /** Hardly a sign of pressure anywhere: looking around costs more than it earns. */
-  private boolean calm() {
-    return poolSigns < CALM_SIGNS && pool.strain < CALM;
-  }
-
-  /**
-   * A sign from any engine tells of the pool: a gateway with few queries learns too little of each
-   * one.
-   */
-  private void notePool(boolean pressed) {
-    poolSigns += SIGN_WEIGHT * ((pressed ? 1 : 0) - poolSigns);
-  }
-
-  /** The three signs of pressure: slow latency, a busy report, a full refusal. */
-  private boolean pressed(long now, EngineRecord e) {
-    return e.strain > SLOW || now < e.fullUntil || busy(now, e);
-  }
-
-  private static boolean busy(long now, EngineRecord e) {
-    LoadReport r = now - e.reportAt < REPORT_AGE ? e.report : null;
-    return r != null
-        && (r.utilization() > BUSY
-            || r.queueLength() >= 1
-            || r.memoryShare() > BUSY
-            || r.diskShare() > BUSY);
+    return Math.max(limiter.withinPool(now, bound), q.queryClass.threads());
   }
 
   /** Open, and with room; none where the query would stand still behind loads, or pile up there. */
   private boolean hasRoom(long now, QueryRecord q, EngineRecord e) {
     return open(now, q, e)
         && loadsThere(now, q, e) < (q.queryClass.loadsTables() ? LOAD_LINE : 1)
-        && fits(now, q, e);
-  }
-
-  /**
-   * The bound, that of the whole pool, too, binds only under pressure; memory counts as room
-   * besides.
-   */
-  private boolean fits(long now, QueryRecord q, EngineRecord e) {
-    boolean pressed = now < e.pressedUntil;
-    if (e == pool && !pressed) {
-      return true;
-    }
-    if (busy(now, e) && e.threads + q.queryClass.threads() > e.cores * BUSY_FLOOR / fleet) {
-      return false; // it says itself that it is full, and our part of it holds no further query
-    }
-    boolean memory =
-        e.memoryMb <= 0
-            || e.out.isEmpty()
-            || e.memory + estimator.memoryMb(q) <= e.memoryMb * MEMORY_ROOM / fleet;
-    return memory
-        && (!pressed
-            || e.threads + 1 <= e.bound * (estimator.hasHighValueDensity(q) ? DENSE_ROOM : 1));
+        && limiter.fits(now, q, e);
   }
 
   // ---- The choice of engine ----
 
   /** Whether the rules and the engine's health leave it open to the query. */
   private boolean open(long now, QueryRecord q, EngineRecord e) {
-    return e.state == EngineState.UP
+    return e.isListedUp()
         && now >= e.restUntil
         && (q.queryClass.engineKinds().isEmpty()
-            || q.queryClass.engineKinds().contains(e.info.kind()))
-        && (q.queryClass.zones().isEmpty() || q.queryClass.zones().contains(e.info.zone()))
+            || q.queryClass.engineKinds().contains(e.endpoint().kind()))
+        && (q.queryClass.zones().isEmpty() || q.queryClass.zones().contains(e.endpoint().zone()))
         && repeatAllowed(now, q, e)
-        && (e.hearsay < HEARSAY_TEST || e.out.isEmpty())
+        && (e.hearsay < HEARSAY_TEST || e.inFlight.isEmpty())
         && (now >= e.coldUntil || coldAllowed(now, q, e));
   }
 
@@ -530,8 +392,8 @@
     boolean inGroup =
         switch (q.queryClass.deduplicationScope()) {
           case ALL -> true;
-          case ZONE -> e.info.zone() == q.firstRunOn.info.zone();
-          case CELL -> e.info.cell() == q.firstRunOn.info.cell();
+          case ZONE -> e.endpoint().zone() == q.firstRunOn.endpoint().zone();
+          case CELL -> e.endpoint().cell() == q.firstRunOn.endpoint().cell();
         };
     return q.queryClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
         && inGroup
@@ -544,7 +406,7 @@
    */
   private boolean ask(long now, QueryRecord q) {
     boolean found = q.asked.stream().anyMatch(e -> hasRoom(now, q, e));
-    if (found || reportsKept(now) || spared(q) || !fits(now, q, pool) || probeCredit < 2) {
+    if (found || reportsKept(now) || spared(q) || !limiter.fitsPool(now, q) || probeCredit < 2) {
       return false;
     }
     q.asked.clear();
@@ -576,15 +438,17 @@
 
   /** Where a query can't pay for both its reports, those worth more than most go first. */
   private boolean spared(QueryRecord q) {
-    return (calm() || probeShare() < PROBE_SHARE / 2) && estimator.isBelowMeanWeight(q);
+    return (limiter.isPoolCalm() || probeShare() < PROBE_SHARE / 2)
+        && estimator.isBelowMeanWeight(q);
   }
 
   /** The less loaded of two drawn engines with room; null where none has. */
   private EngineRecord pick(long now, QueryRecord q) {
-    List<EngineRecord> open = fits(now, q, pool) ? candidates(now, q) : List.of();
+    List<EngineRecord> open = limiter.fitsPool(now, q) ? candidates(now, q) : List.of();
     List<EngineRecord> asked =
         open.stream() // one that has not answered since is busy, or worse
-            .filter(e -> q.asked.contains(e) && e.reportAt >= q.askedUntil - ASK_WAIT)
+            .filter(
+                e -> q.asked.contains(e) && reports.hasReportedSince(q.askedUntil - ASK_WAIT, e))
             .toList();
     List<EngineRecord> drawn = asked.isEmpty() ? drawTwo(now, open) : asked;
     return drawn.stream()
@@ -595,8 +459,8 @@
   }
 
   private List<EngineRecord> candidates(long now, QueryRecord q) {
-    double meanCores = pool.cores / Math.max(1, engines.size());
-    int wanted = (int) Math.max(KEEP, Math.ceil(pool.threads / (meanCores * KEEP_SHARE)));
+    double meanCores = limiter.poolCores() / Math.max(1, engines.size());
+    int wanted = (int) Math.max(KEEP, Math.ceil(limiter.poolThreads() / (meanCores * KEEP_SHARE)));
     // Where another one has room, it goes neither where it was nor where others speak against the
     // engine.
     Predicate<EngineRecord> best =
@@ -661,13 +525,12 @@
   }
 
   private double load(long now, QueryRecord q, EngineRecord e) {
-    double threads = (e.threads + q.queryClass.threads()) * fleet;
+    double threads = (e.inFlight.threads() + q.queryClass.threads()) * limiter.fleetSize();
     double trouble = 1 + ERROR_LOAD * e.errors + HEARSAY_LOAD * e.hearsay;
     double load = trouble * (1 + threads / e.cores) * ratios.of(e);
-    if (e.report != null && now - e.reportAt < REPORT_AGE) {
-      load *= 1 + e.report.utilization() + e.report.queueLength() / e.cores;
-    }
-    if (e.info.zone() != settings.zone()) {
+    LoadReport report = reports.recent(now, e);
+    load *= 1 + report.utilization() + report.queueLength() / e.cores;
+    if (e.endpoint().zone() != settings.zone()) {
       load *= 1 + settings.crossZonePrice() * CROSS_WEIGHT;
     }
     return load;
@@ -681,7 +544,7 @@
     int group = q.query.tableGroup();
     return !q.queryClass.loadsTables() && !q.queryClass.waitsForTableLoads()
         ? 0
-        : e.loads.getOrDefault(group, 0) + (e.heldGroups.getOrDefault(group, 0L) > now ? 1 : 0);
+        : e.inFlight.bulkLoads(group) + (e.heldGroups.getOrDefault(group, 0L) > now ? 1 : 0);
   }
 
   // ---- Sending ----
@@ -695,13 +558,11 @@
     q.add(a);
     retryBudget.onForwarded(now, a);
     q.asked.clear();
-    e.add(a);
-    pool.add(a);
-    watch(now, e);
+    limiter.onForwarded(now, a);
     if (now < e.coldUntil) {
       e.coldSpent += coldCost(q);
     }
-    e.lastSign = e.out.size() == 1 ? now : e.lastSign;
+    e.lastSign = e.inFlight.attemptCount() == 1 ? now : e.lastSign;
     e.restUntil =
         e.troubles > 0 ? now + REST : e.restUntil; // one query at a time until one is served
   }
@@ -728,7 +589,7 @@
     boolean cold = now < e.coldUntil;
     return !a.isEnded()
         && !a.isCancelled()
-        && e.state == EngineState.UP
+        && e.isListedUp()
         && e.isCurrent()
         && (!cold || coldSlot(a.forwardedAtNanos, e) == coldSlot(now, e))
         && repeatAllowed(now, q, e);
@@ -754,8 +615,9 @@
     a.engine.lastSign = now;
     a.lastNote = now;
     a.inLine = note.kind() == ProgressKind.MEMORY_WAIT;
-    a.engine.fullUntil =
-        a.inLine ? now + FULL_REST : a.engine.fullUntil; // as good as a full refusal
+    if (a.inLine) { // as good as a full refusal
+      limiter.markFull(now, a.engine);
+    }
     if (note.kind() == ProgressKind.LOAD_WAIT) {
       a.engine.heldGroups.put(q.query.tableGroup(), now + LOAD_MARK);
       if (canMove(now, a)) {
@@ -818,7 +680,7 @@
       return;
     }
     AttemptRecord a = q.attempts().get(end.attempt());
-    watch(now, a.engine);
+    limiter.activate(now, a.engine);
     settle(now, q, a, end);
     judge(now, a, end);
     if (end.queryFinished()) {
@@ -833,8 +695,7 @@
 
   private void settle(long now, QueryRecord q, AttemptRecord a, AttemptResult end) {
     q.end(a);
-    a.engine.remove(a);
-    pool.remove(a);
+    limiter.release(a);
     if (end.outcome().mayHaveRun) {
       q.mayHaveRun(a);
     }
@@ -857,15 +718,14 @@
       e.errors -= ERROR_WEIGHT * e.errors;
       e.lastSign = now;
       e.troubles = e.errors <= ERRORS_BAD ? 0 : e.troubles;
-      notePool(false);
-      learn(a, end);
+      estimator.onServed(a, end);
+      limiter.onServed(a, end);
     } else if (end.outcome() == AttemptOutcome.FULL) {
-      e.fullUntil = now + FULL_REST;
-      e.restUntil = Math.max(e.restUntil, e.fullUntil); // also one that hangs is full after a while
-      e.bound = Math.max(widest, Math.min(e.bound, e.threads) * BOUND_CUT);
-      notePool(true);
+      limiter.onFull(now, e);
+      // also one that hangs is full after a while
+      e.restUntil = Math.max(e.restUntil, limiter.fullUntilNanos(e));
     } else if (end.outcome() == AttemptOutcome.TIMEOUT) {
-      noteStrain(e, 1, estimator.workSeconds(a.query));
+      limiter.onTimeout(a);
     }
   }
 
@@ -898,8 +758,7 @@
   private void goOn(long now, QueryRecord q) {
     boolean late = now + (long) (estimator.averageSeconds(q) * SECOND) > q.deadlineNanos;
     boolean nowhere =
-        engines.values().stream()
-            .noneMatch(e -> e.state == EngineState.UP && repeatAllowed(now, q, e));
+        engines.values().stream().noneMatch(e -> e.isListedUp() && repeatAllowed(now, q, e));
     if (late || nowhere || !furtherAllowed(now, q)) {
       giveUp(now, q);
       return;
@@ -993,29 +852,17 @@
     }
     noteStall(now);
     clock.tick(now);
-    share.running(now, pool.memory);
-    fleet = share.fleet(pool.memoryMb);
+    limiter.updateFleetSize(now);
     keyOrdering.forgetIdle(now);
     removeGone();
-    for (EngineRecord e : List.copyOf(watched)) {
-      watchOver(now, e);
-      moveBound(now, e, pressed(now, e));
-      if (e.out.isEmpty() && restsAsItIs(now, e)) {
-        watched.remove(e);
-      }
-    }
+    limiter.activeEngines().forEach(e -> watchOver(now, e));
+    limiter.adjustEngines(now);
     probeByClock(now);
-    moveBound(now, pool, pool.strain > SLOW || poolSigns > POOL_SIGNS);
+    limiter.adjustPool(now);
     release(now, true);
     actions.setTimer(TICK, TICK_TOKEN);
   }
 
-  /** Whether ticks would change nothing of an engine on which nothing is out. */
-  private boolean restsAsItIs(long now, EngineRecord e) {
-    boolean forgotten = !e.isCurrent();
-    return forgotten || !pressed(now, e) && (e.strain >= CALM || e.bound >= mostThreads(e));
-  }
-
   /** Extends the time that queries may wait by the time for which the gateway has stalled. */
   private void noteStall(long now) {
     long stall = clock.takeStall(now);
@@ -1026,8 +873,7 @@
 
   /** An attempt without a sign is lost: its room is free again, its query goes elsewhere. */
   private void lose(long now, AttemptRecord a, boolean silent) {
-    a.engine.remove(a);
-    pool.remove(a);
+    limiter.release(a);
     noteTrouble(
         now,
         a.engine,
@@ -1041,7 +887,7 @@
     long lastSign = Math.max(e.lastSign, clock.stalledUntilNanos());
     boolean silent = now - lastSign > SILENT_NOTES * period;
     boolean talks = now - lastSign < period;
-    for (AttemptRecord a : period > 0 ? new ArrayList<>(e.out) : List.<AttemptRecord>of()) {
+    for (AttemptRecord a : period > 0 ? e.inFlight.attempts() : List.<AttemptRecord>of()) {
       long quiet =
           now - Math.max(clock.stalledUntilNanos(), Math.max(a.forwardedAtNanos, a.lastNote));
       // An engine may lose single queries while it answers the rest: each attempt is judged by its
@@ -1056,9 +902,9 @@
   /** Keeps the reports of all engines fresh, where this gateway's traffic pays for it. */
   private void probeByClock(long now) {
     if (reportsTold() && reportsKept(now)) {
-      long gap = calm() ? CALM_GAP : PROBE_GAP;
+      long gap = limiter.isPoolCalm() ? CALM_GAP : PROBE_GAP;
       engines.values().stream()
-          .filter(e -> e.state == EngineState.UP && now - e.probedAt >= gap)
+          .filter(e -> e.isListedUp() && now - e.probedAt >= gap)
           .forEach(e -> probe(now, e));
     }
   }
@@ -1066,7 +912,7 @@
   /** Forgets engines that the list has dropped, once nothing is out there. */
   private void removeGone() {
     for (EngineRecord e : List.copyOf(gone)) {
-      if (e.out.isEmpty()) {
+      if (e.inFlight.isEmpty()) {
         gone.remove(e);
         e.retire();
         engines.remove(e.name, e);
@@ -1074,15 +920,6 @@
     }
   }
 
-  /** Has the ticks look at an engine, whose bound has grown meanwhile where all was calm. */
-  private void watch(long now, EngineRecord e) {
-    if (watched.add(e) && e.strain < CALM) {
-      double steps = Math.max(0, (double) (now - e.boundChangedAt) / BOUND_PAUSE);
-      e.bound =
-          Math.min(Math.max(e.bound, mostThreads(e)), e.bound * Math.pow(BOUND_GROWTH, steps));
-    }
-  }
-
   private void probe(long now, EngineRecord e) {
     if (!e.probing) {
       probeCredit--;
@@ -1117,19 +954,15 @@
       } else {
         accused.remove(e);
       }
-      if (level >= HEARSAY_TEST && e.state == EngineState.UP && reportsTold() && probeCredit >= 1) {
+      if (level >= HEARSAY_TEST && e.isListedUp() && reportsTold() && probeCredit >= 1) {
         probe(now, e);
       }
     }
   }
 
-  private void noteReport(long now, EngineRecord e, LoadReport report) {
-    if (report != null && now > clock.stalledUntilNanos()) {
-      watch(now, e);
-      e.report = report;
-      e.reportAt = now;
-      notePool(busy(now, e));
-      share.reported(report.memoryShare());
+  private void noteReport(long now, EngineRecord engine, LoadReport report) {
+    if (reports.record(now, engine, report)) {
+      limiter.onReport(now, engine, report);
     }
   }
 
