--- a/decisions/src/main/java/reachloom/scheduler/EngineOrder.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineOrder.java
@@ -9,9 +9,9 @@
 import reachloom.balancing.EngineSubset;
 
 /**
- * The engines that are up, in the order in which a gateway prefers them: that of {@link
- * EngineSubset}, kept as engines come and go. A change costs a search and a shift of references,
- * not a sort, since at thousands of engines the list of them changes often.
+ * The engines that are up, in the order of {@link EngineSubset} in which a gateway prefers them. A
+ * change costs a binary search and a shift of references, not a sort, since with thousands of
+ * engines the list changes often.
  */
 final class EngineOrder {
   private static final Comparator<Entry> BY_HASH =
@@ -23,49 +23,49 @@
   private final EngineSubset subset;
   private final List<Entry> ring = new ArrayList<>();
 
-  /** Where this gateway's order begins on the ring. */
+  /** Index on the ring at which this gateway's order begins. */
   private int first = UNKNOWN;
 
-  /** The order of the gateway with that subset. */
-  public EngineOrder(EngineSubset subset) {
+  /** Creates an empty order for the gateway with the given subset. */
+  EngineOrder(EngineSubset subset) {
     this.subset = subset;
   }
 
-  /** An engine is up from now on; one that was already is left alone. */
-  public void add(EngineRecord engine) {
+  /** Adds an engine unless one of its name is present. */
+  void add(EngineRecord engine) {
     Entry entry = new Entry(EngineSubset.mix(engine.name), engine);
-    int at = Collections.binarySearch(ring, entry, BY_HASH);
-    if (at < 0) {
-      ring.add(-at - 1, entry);
+    int position = Collections.binarySearch(ring, entry, BY_HASH);
+    if (position < 0) {
+      ring.add(-position - 1, entry);
       first = UNKNOWN;
     }
   }
 
-  /** An engine is up no more; one that was not is left alone. */
-  public void remove(EngineRecord engine) {
-    int at =
+  /** Removes an engine if it is present. */
+  void remove(EngineRecord engine) {
+    int position =
         Collections.binarySearch(ring, new Entry(EngineSubset.mix(engine.name), engine), BY_HASH);
-    if (at >= 0 && ring.get(at).engine == engine) {
-      ring.remove(at);
+    if (position >= 0 && ring.get(position).engine == engine) {
+      ring.remove(position);
       first = UNKNOWN;
     }
   }
 
-  /** All that are up, the preferred ones first. */
-  public Stream<EngineRecord> stream() {
+  /** All engines, the preferred ones first. */
+  Stream<EngineRecord> stream() {
     int from = first();
     return IntStream.range(0, ring.size()).mapToObj(i -> ring.get((from + i) % ring.size()).engine);
   }
 
-  /** All that are up, in no particular order. */
-  public List<EngineRecord> all() {
+  /** All engines, in the order of the hash of their names. */
+  List<EngineRecord> all() {
     return ring.stream().map(Entry::engine).toList();
   }
 
   private int first() {
     if (first == UNKNOWN) {
-      double whole = ring.stream().mapToDouble(entry -> entry.engine.cores).sum();
-      first = subset.first(whole, ring.size(), i -> ring.get(i).engine.cores);
+      double totalCores = ring.stream().mapToDouble(entry -> entry.engine.cores).sum();
+      first = subset.first(totalCores, ring.size(), i -> ring.get(i).engine.cores);
     }
     return first;
   }
--- a/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
@@ -1,7 +1,5 @@
 package reachloom.scheduler;
 
-import java.util.LinkedHashMap;
-import java.util.Map;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
 
@@ -20,34 +18,13 @@
   final InFlightWork inFlight = new InFlightWork();
   final ConcurrencyLimiter.Limit limit;
   final LatencyRatios.EngineLatency latency = new LatencyRatios.EngineLatency();
+  final OutlierDetector.EngineHealth health = new OutlierDetector.EngineHealth();
+  final PeerReports.Suspicion suspicion = new PeerReports.Suspicion();
+  final SlowStart.WarmUp warmUp = new SlowStart.WarmUp();
   final LoadReports.LatestReport latestReport = new LoadReports.LatestReport();
-
-  /** Until when a load of another gateway is assumed to lock a table group. */
-  final Map<Integer, Long> heldGroups = new LinkedHashMap<>();
-
-  double errors;
-  int troubles;
-  long restUntil;
-
-  /** When the latest connection reset was counted. */
-  long resetAt;
+  final BulkLoadTracker.ForeignLoads foreignLoads = new BulkLoadTracker.ForeignLoads();
 
   long lastSign;
-
-  /** When its process started, on this gateway's clock; 0 for long ago. */
-  long startedAt;
-
-  long coldUntil;
-
-  /** The latest slot, this gateway's part of it, and the work sent in it. */
-  long coldSlot = Long.MIN_VALUE;
-
-  double coldPart;
-  double coldSpent;
-
-  /** What other instances report against it, from 0 to 1. */
-  double hearsay;
-
   boolean probing;
   long probedAt;
 
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -3,24 +3,17 @@
 // Events, actions and settings: decisions/src/main/java/reachloom/scheduler/api.
 
 import java.util.Comparator;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import reachloom.balancing.EngineSubset;
-import reachloom.balancing.SlotRotation;
-import reachloom.discovery.IncarnationTimes;
-import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.DeduplicationScope;
 import reachloom.scheduler.api.EngineCapabilities;
 import reachloom.scheduler.api.EngineEndpoint;
-import reachloom.scheduler.api.EngineKind;
-import reachloom.scheduler.api.EngineState;
 import reachloom.scheduler.api.Idempotency;
 import reachloom.scheduler.api.LoadReport;
 import reachloom.scheduler.api.ProgressKind;
@@ -29,7 +22,6 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.scheduler.api.SchedulingRules;
 import reachloom.scheduler.state.SlidingWindowSum;
 
 /**
@@ -38,7 +30,7 @@
  * methods stand in the order in which a query lives; docs/design.md gives the reasons and the
  * conditions of each exception.
  */
-public final class QueryScheduler implements SchedulerEvents {
+public final class QueryScheduler implements SchedulerEvents, EngineListener {
   private static final double SECOND = 1e9; // nanoseconds
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
@@ -49,16 +41,6 @@
       25 * MILLISECOND; // between looks at the line, engines and attempts
 
   // Health.
-  private static final double ERROR_WEIGHT =
-      0.2; // of the newest outcome in an engine's share of errors
-  private static final double ERRORS_BAD =
-      0.35; // share of errors that rests an engine: three in a row
-  private static final double ERROR_LOAD = 3; // load for each unit of the share of errors
-  private static final long REST =
-      1_000 * MILLISECOND; // first rest, doubled with each further trouble
-  private static final int REST_DOUBLINGS = 3; // so that a healed engine is back within eight rests
-  private static final long ONE_BREAK =
-      20 * MILLISECOND; // resets so close together are one connection's
   private static final double LOST_NOTES =
       1.5; // note periods without a sign of an attempt: it is lost
   private static final double SILENT_NOTES =
@@ -72,63 +54,36 @@
   private static final long PROBE_GAP = 500 * MILLISECOND; // between probes of one engine
   private static final long CALM_GAP =
       2_000 * MILLISECOND; // ... while the pool is calm: each costs
-  private static final double HEARSAY_LOAD =
-      3; // load for each unit of what others say: as for own errors
-  private static final double HEARSAY_TEST =
-      0.5; // accused by several: one query at a time tests it
   private static final double BAD_PLAN =
       4; // times the predicted time that the share done points to
   private static final double RESEND_GAIN =
       2; // a new attempt must be so much faster than what remains
 
   // Guards.
-  private static final int COLD_SLOTS =
-      2; // in the rule's time; a query too large for one goes to none
-  private static final double COLD_MARGIN = 0.65; // of the budget: a window touches one slot more
-  private static final int COLD_SHARERS =
-      5; // of a slot: one gateway alone has few queries, and little room
-  private static final double COLD_FIRST = 0.5; // of a slot is its owner's, for long queries
-  private static final double BUSY_CORES = 0.85; // share of busy cores that the rule calls capacity
-  private static final int LOAD_LINE =
-      2; // loads of one group at one engine; those that stand hold memory
   private static final int KEEP =
       8; // engines that a gateway keeps to: two draws find room, some at rest
   private static final double KEEP_SHARE =
       0.2; // ... and more of them where it has more of one's cores out
   private static final double CROSS_WEIGHT =
       15; // load share for each unit of the price of crossing
-  private static final long LOAD_MARK =
-      5_000 * MILLISECOND; // a group counts as held so long: a usual load
   private static final long TICK_TOKEN = 0;
   private static final long WATCH_TOKEN = 1;
 
   private final SchedulerActions actions;
   private SchedulerSettings settings;
   private SplittableRandom random;
-  private long startedAt;
-  private int self;
   private TickClock clock;
   private double probeCredit;
-  private final IncarnationTimes startTimes = new IncarnationTimes();
   private final LatencyRatios ratios = new LatencyRatios();
   private CostEstimator estimator;
 
-  /** Engines that are up, in this gateway's own order; it changes with the list alone. */
-  private EngineOrder order;
-
-  /** Of these, those that may still be cold. */
-  private final Set<EngineRecord> cold = new LinkedHashSet<>();
-
-  /**
-   * Engines that the list has dropped, until nothing is out there; those that others speak against.
-   */
-  private final Set<EngineRecord> gone = new LinkedHashSet<>();
-
-  private final Set<EngineRecord> accused = new LinkedHashSet<>();
-  private long listed;
   private LoadReports reports;
   private ConcurrencyLimiter limiter;
-  private final Map<String, EngineRecord> engines = new LinkedHashMap<>();
+  private EngineRegistry engines;
+  private SlowStart slowStart;
+  private PeerReports peerReports;
+  private OutlierDetector outliers;
+  private BulkLoadTracker bulkLoads;
   private QueryTable queries;
   private PendingQueue pending;
   private KeyOrdering keyOrdering;
@@ -146,17 +101,24 @@
   @Override
   public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
-    startedAt = now;
     random = new SplittableRandom(seed);
-    self =
+    int self =
         s.selfIndex() >= 0
             ? s.selfIndex()
             : random.nextInt(s.gateways()); // where it is not told, by chance
-    order = new EngineOrder(new EngineSubset(self));
     estimator = new CostEstimator(s, ratios);
     clock = new TickClock(now);
     reports = new LoadReports(clock);
     limiter = new ConcurrencyLimiter(s, estimator, reports);
+    slowStart = new SlowStart(estimator, s, self, now);
+    peerReports = new PeerReports();
+    outliers = new OutlierDetector(peerReports);
+    bulkLoads = new BulkLoadTracker();
+    engines =
+        new EngineRegistry(
+            new EngineOrder(new EngineSubset(self)),
+            s.kinds(),
+            List.of(limiter, slowStart, this, peerReports, ratios));
     quotas = new TenantQuotas(s);
     keyOrdering = new KeyOrdering(s, estimator);
     pending = new PendingQueue(keyOrdering, estimator);
@@ -170,74 +132,11 @@
 
   @Override
   public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
-    Set<String> named = new LinkedHashSet<>();
-    for (EngineEndpoint entry : entries) {
-      named.add(entry.name());
-      EngineRecord old = engines.get(entry.name());
-      if (old == null || entry.incarnation() > old.endpoint().incarnation()) {
-        EngineRecord started =
-            started(now, entry, !complete, old == null ? listed++ : old.listPosition);
-        engines.put(entry.name(), started); // nothing known of the old process holds
-        if (old != null) {
-          old.retire();
-          forget(old);
-          old.inFlight.attempts().forEach(a -> lose(now, a, false));
-        }
-      }
-      EngineRecord e = engines.get(entry.name());
-      e.update(entry);
-      tell(now, e, entry.state());
-    }
-    if (complete) {
-      engines.values().stream()
-          .filter(e -> !named.contains(e.name))
-          .forEach(e -> tell(now, e, EngineState.REMOVED));
-    }
-    List<EngineRecord> up = order.all();
-    ratios.onListUpdated(up);
-    limiter.onListUpdated(up);
+    List<EngineRecord> replaced = engines.update(now, complete, entries);
+    replaced.forEach(old -> old.inFlight.attempts().forEach(a -> lose(now, a, false)));
     release(now, true);
   }
 
-  /** The list tells in what state an engine is. */
-  private void tell(long now, EngineRecord e, EngineState state) {
-    e.state(state);
-    if (state != EngineState.UP) {
-      forget(e);
-    } else {
-      order.add(e);
-      gone.remove(e);
-    }
-    if (state == EngineState.UP && now < e.coldUntil) {
-      cold.add(e);
-    }
-    if (state == EngineState.REMOVED) {
-      gone.add(e);
-    }
-  }
-
-  /** An engine is not in use any more; what is out there goes on. */
-  private void forget(EngineRecord e) {
-    order.remove(e);
-    cold.remove(e);
-    accused.remove(e);
-  }
-
-  private EngineRecord started(long now, EngineEndpoint entry, boolean asChange, long position) {
-    EngineKind kind =
-        entry.kind() < settings.kinds().size()
-            ? settings.kinds().get(entry.kind())
-            : new EngineKind(0, 0);
-    double cores = kind.cores() > 0 ? kind.cores() : Math.max(1, entry.weight());
-    EngineRecord e = new EngineRecord(entry, position, cores, kind.memoryMb());
-    limiter.onEngineListed(now, e, asChange);
-    e.lastSign = now;
-    e.startedAt =
-        entry.incarnation() > 0 ? startTimes.ownTime(now, entry.incarnation(), asChange) : 0;
-    e.coldUntil = entry.incarnation() > 0 ? e.startedAt + settings.rules().slowStartNanos() : 0;
-    return e;
-  }
-
   @Override
   public void onEndpointsUnavailable(long now) {
     if (settings.subscribe()) {
@@ -245,6 +144,11 @@
     }
   }
 
+  @Override
+  public void onEngineListed(long now, EngineRecord engine, boolean asChange) {
+    engine.lastSign = now;
+  }
+
   // ---- Arrival ----
 
   @Override
@@ -298,7 +202,7 @@
   /** The bound of all engines that are open to the query, counted until it is enough. */
   private double boundUpTo(long now, QueryRecord q, double enough) {
     double bound = 0;
-    for (EngineRecord e : engines.values()) {
+    for (EngineRecord e : engines.all()) {
       bound += open(now, q, e) ? limiter.limitThreads(e) : 0;
       if (bound >= enough) {
         break;
@@ -309,9 +213,7 @@
 
   /** Open, and with room; none where the query would stand still behind loads, or pile up there. */
   private boolean hasRoom(long now, QueryRecord q, EngineRecord e) {
-    return open(now, q, e)
-        && loadsThere(now, q, e) < (q.queryClass.loadsTables() ? LOAD_LINE : 1)
-        && limiter.fits(now, q, e);
+    return open(now, q, e) && bulkLoads.allows(now, q, e) && limiter.fits(now, q, e);
   }
 
   // ---- The choice of engine ----
@@ -319,69 +221,12 @@
   /** Whether the rules and the engine's health leave it open to the query. */
   private boolean open(long now, QueryRecord q, EngineRecord e) {
     return e.isListedUp()
-        && now >= e.restUntil
+        && outliers.allows(now, e)
         && (q.queryClass.engineKinds().isEmpty()
             || q.queryClass.engineKinds().contains(e.endpoint().kind()))
         && (q.queryClass.zones().isEmpty() || q.queryClass.zones().contains(e.endpoint().zone()))
         && repeatAllowed(now, q, e)
-        && (e.hearsay < HEARSAY_TEST || e.inFlight.isEmpty())
-        && (now >= e.coldUntil || coldAllowed(now, q, e));
-  }
-
-  /**
-   * The time since an engine's start is cut into slots, each shared by a few gateways, in turn by
-   * number: one has half of its work, so that a long query finds room, others equal parts of the
-   * rest. What is not used lapses. So all gateways together keep the budget, whatever their traffic
-   * and without talking. One that started within a slot may have used its part before.
-   */
-  private boolean coldAllowed(long now, QueryRecord q, EngineRecord e) {
-    long slot = coldSlot(now, e);
-    if (e.coldSlot != slot) {
-      e.coldSlot = slot;
-      e.coldPart = e.startedAt + slot * coldSlotTime() >= startedAt ? coldPart(slot, e) : 0;
-      e.coldSpent = 0;
-    }
-    return e.coldPart > 0 && e.coldSpent + coldCost(q) <= e.coldPart * coldBudget(now, e);
-  }
-
-  /** This gateway's part of a slot's work. */
-  private double coldPart(long slot, EngineRecord e) {
-    int gateways = settings.gateways();
-    int sharers = Math.min(COLD_SHARERS, gateways);
-    int place = SlotRotation.place(e.name, slot, sharers, gateways, self % gateways);
-    double rest = sharers == 1 ? 0 : (1 - COLD_FIRST) / (sharers - 1);
-    return place < 0 ? 0 : place > 0 ? rest : 1 - rest * (sharers - 1);
-  }
-
-  private long coldSlot(long now, EngineRecord e) {
-    return Math.floorDiv(now - e.startedAt, coldSlotTime());
-  }
-
-  private long coldSlotTime() {
-    return Math.max(1, settings.rules().overloadWindowNanos() / COLD_SLOTS);
-  }
-
-  /**
-   * Work that may be sent to a cold engine within one slot; the engine is taken to warm up late.
-   */
-  private double coldBudget(long now, EngineRecord e) {
-    SchedulingRules r = settings.rules();
-    double age = Math.max(0, 1 - (double) (e.coldUntil - now) / r.slowStartNanos());
-    double share = r.slowStartShare() + (1 - r.slowStartShare()) * age * age;
-    return COLD_MARGIN
-        * r.overloadMultiple()
-        * share
-        * BUSY_CORES
-        * e.cores
-        * seconds(coldSlotTime());
-  }
-
-  /**
-   * The rule weighs a query by the usual work of its class; its own estimate counts where it is
-   * higher.
-   */
-  private double coldCost(QueryRecord q) {
-    return Math.max(estimator.averageWorkSeconds(q), estimator.workSeconds(q));
+        && slowStart.allows(now, q, e);
   }
 
   /** Whether a further attempt there keeps the rule on effects; a first one always does. */
@@ -464,7 +309,7 @@
     // Where another one has room, it goes neither where it was nor where others speak against the
     // engine.
     Predicate<EngineRecord> best =
-        e -> e.hearsay < HEARSAY_TEST && !q.hasTried(e) && hasRoom(now, q, e);
+        e -> !peerReports.isSuspected(e) && !q.hasTried(e) && hasRoom(now, q, e);
     List<EngineRecord> draw = first(now, wanted + 1, best);
     if (draw.size() <= wanted) {
       Set<EngineRecord> few = new LinkedHashSet<>(draw);
@@ -474,16 +319,15 @@
               : few.stream().sorted(Comparator.comparingLong(e -> e.listPosition)).toList();
     }
     return preferred(
-        draw.size() > wanted ? draw.subList(0, wanted) : draw, e -> loadsThere(now, q, e) == 0);
+        draw.size() > wanted ? draw.subList(0, wanted) : draw,
+        e -> bulkLoads.loadsAhead(now, q, e) == 0);
   }
 
-  /** So many in this gateway's own order, cold ones first: few others may use a cold one's slot. */
+  /** So many in this gateway's own order, those that warm up first. */
   private List<EngineRecord> first(long now, int count, Predicate<EngineRecord> wanted) {
-    cold.removeIf(e -> now >= e.coldUntil);
-    return Stream.concat(cold.stream(), order.stream().filter(e -> now >= e.coldUntil))
-        .filter(wanted)
-        .limit(count)
-        .toList();
+    Stream<EngineRecord> warm =
+        engines.upByPreference().filter(e -> !slowStart.isWarmingUp(now, e));
+    return Stream.concat(slowStart.warmingUp(now), warm).filter(wanted).limit(count).toList();
   }
 
   /**
@@ -492,12 +336,12 @@
    */
   private List<EngineRecord> second(long now, QueryRecord q, int wanted) {
     List<EngineRecord> draw =
-        Stream.concat(q.attempts().stream().map(a -> a.engine), accused.stream())
+        Stream.concat(q.attempts().stream().map(a -> a.engine), peerReports.suspected())
             .distinct()
             .filter(e -> e.isUp() && hasRoom(now, q, e))
             .sorted(Comparator.comparingLong(e -> e.listPosition))
             .toList();
-    draw = preferred(preferred(draw, e -> !q.hasTried(e)), e -> e.hearsay < HEARSAY_TEST);
+    draw = preferred(preferred(draw, e -> !q.hasTried(e)), e -> !peerReports.isSuspected(e));
     return draw.size() <= wanted ? draw : first(now, wanted, new LinkedHashSet<>(draw)::contains);
   }
 
@@ -509,7 +353,7 @@
     if (draw.size() <= 2) {
       return draw;
     }
-    List<EngineRecord> cold = draw.stream().filter(e -> now < e.coldUntil).toList();
+    List<EngineRecord> cold = slowStart.warmingUp(now, draw);
     int first =
         cold.isEmpty()
             ? random.nextInt(draw.size())
@@ -526,8 +370,7 @@
 
   private double load(long now, QueryRecord q, EngineRecord e) {
     double threads = (e.inFlight.threads() + q.queryClass.threads()) * limiter.fleetSize();
-    double trouble = 1 + ERROR_LOAD * e.errors + HEARSAY_LOAD * e.hearsay;
-    double load = trouble * (1 + threads / e.cores) * ratios.of(e);
+    double load = outliers.loadFactor(e) * (1 + threads / e.cores) * ratios.of(e);
     LoadReport report = reports.recent(now, e);
     load *= 1 + report.utilization() + report.queueLength() / e.cores;
     if (e.endpoint().zone() != settings.zone()) {
@@ -536,17 +379,6 @@
     return load;
   }
 
-  /**
-   * Loads known at the engine that hold the query up: our own, and one of others while a mark
-   * lasts.
-   */
-  private int loadsThere(long now, QueryRecord q, EngineRecord e) {
-    int group = q.query.tableGroup();
-    return !q.queryClass.loadsTables() && !q.queryClass.waitsForTableLoads()
-        ? 0
-        : e.inFlight.bulkLoads(group) + (e.heldGroups.getOrDefault(group, 0L) > now ? 1 : 0);
-  }
-
   // ---- Sending ----
 
   private void send(long now, QueryRecord q, EngineRecord e) {
@@ -559,12 +391,9 @@
     retryBudget.onForwarded(now, a);
     q.asked.clear();
     limiter.onForwarded(now, a);
-    if (now < e.coldUntil) {
-      e.coldSpent += coldCost(q);
-    }
+    slowStart.onForwarded(now, a);
     e.lastSign = e.inFlight.attemptCount() == 1 ? now : e.lastSign;
-    e.restUntil =
-        e.troubles > 0 ? now + REST : e.restUntil; // one query at a time until one is served
+    outliers.onForwarded(now, a);
   }
 
   /** Grant and priority, where the engines heed them. */
@@ -586,12 +415,11 @@
     }
     AttemptRecord a = q.attempts().get(attempt);
     EngineRecord e = a.engine;
-    boolean cold = now < e.coldUntil;
     return !a.isEnded()
         && !a.isCancelled()
         && e.isListedUp()
         && e.isCurrent()
-        && (!cold || coldSlot(a.forwardedAtNanos, e) == coldSlot(now, e))
+        && slowStart.mayStillStart(now, a)
         && repeatAllowed(now, q, e);
   }
 
@@ -619,7 +447,7 @@
       limiter.markFull(now, a.engine);
     }
     if (note.kind() == ProgressKind.LOAD_WAIT) {
-      a.engine.heldGroups.put(q.query.tableGroup(), now + LOAD_MARK);
+      bulkLoads.onProgress(now, a, note);
       if (canMove(now, a)) {
         cancel(a); // it has done nothing yet, and a load takes long
       }
@@ -663,7 +491,8 @@
   private boolean canMove(long now, AttemptRecord a) {
     QueryRecord q = a.query;
     return furtherAllowed(now, q)
-        && candidates(now, q).stream().anyMatch(e -> e != a.engine && loadsThere(now, q, e) == 0);
+        && candidates(now, q).stream()
+            .anyMatch(e -> e != a.engine && bulkLoads.loadsAhead(now, q, e) == 0);
   }
 
   /** Whether the limit of attempts per query and the retry budget allow one more attempt. */
@@ -703,54 +532,25 @@
     noteReport(now, a.engine, end.loadReport());
   }
 
-  /** Health by symptom: errors, resets and failed connects are trouble, an answer ends it. */
+  /** Records the outcome of an attempt. */
   private void judge(long now, AttemptRecord a, AttemptResult end) {
     EngineRecord e = a.engine;
-    boolean reset = end.outcome() == AttemptOutcome.RESET && now - e.resetAt >= ONE_BREAK;
-    e.resetAt = reset ? now : e.resetAt;
-    a.unattributedError(end.outcome() == AttemptOutcome.ERROR && !end.queryFinished());
-    if (end.outcome() == AttemptOutcome.ERROR && !a.hasUnattributedError()
-        || reset
-        || end.outcome() == AttemptOutcome.UNREACHED) {
-      noteTrouble(now, e, ERRORS_BAD);
-    } else if (end.outcome() == AttemptOutcome.SERVED) {
-      noteErrors(now, a.query, true);
-      e.errors -= ERROR_WEIGHT * e.errors;
-      e.lastSign = now;
-      e.troubles = e.errors <= ERRORS_BAD ? 0 : e.troubles;
-      estimator.onServed(a, end);
-      limiter.onServed(a, end);
-    } else if (end.outcome() == AttemptOutcome.FULL) {
-      limiter.onFull(now, e);
-      // also one that hangs is full after a while
-      e.restUntil = Math.max(e.restUntil, limiter.fullUntilNanos(e));
-    } else if (end.outcome() == AttemptOutcome.TIMEOUT) {
-      limiter.onTimeout(a);
-    }
-  }
-
-  /**
-   * An error counts once its query is done: what errs at several engines and runs at none is a bad
-   * query.
-   */
-  private void noteErrors(long now, QueryRecord q, boolean served) {
-    List<EngineRecord> erred =
-        q.attempts().stream()
-            .filter(AttemptRecord::hasUnattributedError)
-            .map(a -> a.engine)
-            .distinct()
-            .toList();
-    erred.stream()
-        .filter(e -> served || erred.size() == 1)
-        .forEach(e -> noteTrouble(now, e, ERRORS_BAD));
-  }
-
-  /** The engine rests where its share of errors passes the given one. */
-  private void noteTrouble(long now, EngineRecord e, double bad) {
-    e.errors += ERROR_WEIGHT * (1 - e.errors);
-    if (e.errors > bad && now >= e.restUntil) {
-      e.restUntil = now + (REST << Math.min(e.troubles, REST_DOUBLINGS));
-      e.troubles++;
+    switch (end.outcome()) {
+      case SERVED -> {
+        outliers.onServed(now, a);
+        e.lastSign = now;
+        estimator.onServed(a, end);
+        limiter.onServed(a, end);
+      }
+      case FULL -> {
+        limiter.onFull(now, e);
+        outliers.ejectUntil(e, limiter.fullUntilNanos(e));
+      }
+      case TIMEOUT -> limiter.onTimeout(a);
+      case ERROR, RESET, UNREACHED -> outliers.onFailed(now, a, end);
+      case CANCELLED, NOT_SENT -> {
+        // no information about the engine
+      }
     }
   }
 
@@ -758,7 +558,7 @@
   private void goOn(long now, QueryRecord q) {
     boolean late = now + (long) (estimator.averageSeconds(q) * SECOND) > q.deadlineNanos;
     boolean nowhere =
-        engines.values().stream().noneMatch(e -> e.isListedUp() && repeatAllowed(now, q, e));
+        engines.all().stream().noneMatch(e -> e.isListedUp() && repeatAllowed(now, q, e));
     if (late || nowhere || !furtherAllowed(now, q)) {
       giveUp(now, q);
       return;
@@ -811,7 +611,7 @@
   private void giveUp(long now, QueryRecord q) {
     pending.remove(q);
     q.finish();
-    noteErrors(now, q, false);
+    outliers.onUnserved(now, q);
     boolean harmless =
         q.firstRunAt < 0 && !q.isInFlight()
             || q.queryClass.idempotency() == Idempotency.IDEMPOTENT
@@ -854,7 +654,7 @@
     clock.tick(now);
     limiter.updateFleetSize(now);
     keyOrdering.forgetIdle(now);
-    removeGone();
+    engines.forgetRemoved();
     limiter.activeEngines().forEach(e -> watchOver(now, e));
     limiter.adjustEngines(now);
     probeByClock(now);
@@ -874,10 +674,7 @@
   /** An attempt without a sign is lost: its room is free again, its query goes elsewhere. */
   private void lose(long now, AttemptRecord a, boolean silent) {
     limiter.release(a);
-    noteTrouble(
-        now,
-        a.engine,
-        silent ? 0 : 1); // one that answers the rest is drawn less, but need not rest
+    outliers.onUnresponsive(now, a.engine, silent);
     cancel(a);
   }
 
@@ -903,23 +700,12 @@
   private void probeByClock(long now) {
     if (reportsTold() && reportsKept(now)) {
       long gap = limiter.isPoolCalm() ? CALM_GAP : PROBE_GAP;
-      engines.values().stream()
+      engines.all().stream()
           .filter(e -> e.isListedUp() && now - e.probedAt >= gap)
           .forEach(e -> probe(now, e));
     }
   }
 
-  /** Forgets engines that the list has dropped, once nothing is out there. */
-  private void removeGone() {
-    for (EngineRecord e : List.copyOf(gone)) {
-      if (e.inFlight.isEmpty()) {
-        gone.remove(e);
-        e.retire();
-        engines.remove(e.name, e);
-      }
-    }
-  }
-
   private void probe(long now, EngineRecord e) {
     if (!e.probing) {
       probeCredit--;
@@ -931,7 +717,7 @@
 
   @Override
   public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
-    EngineRecord e = engines.get(engine);
+    EngineRecord e = findEngine(engine);
     if (e == null) {
       return;
     }
@@ -940,26 +726,21 @@
     release(now, false);
   }
 
-  /**
-   * Hearsay makes an engine drawn less and tested sooner; it never rests one, nor draws anything to
-   * one.
-   */
   @Override
   public void onPeerReport(long now, String engine, double level) {
-    EngineRecord e = engines.get(engine);
+    EngineRecord e = findEngine(engine);
     if (e != null) {
-      e.hearsay = level;
-      if (level >= HEARSAY_TEST && e.isUp()) {
-        accused.add(e);
-      } else {
-        accused.remove(e);
-      }
-      if (level >= HEARSAY_TEST && e.isListedUp() && reportsTold() && probeCredit >= 1) {
+      peerReports.record(e, level);
+      if (peerReports.isSuspected(e) && e.isUp() && reportsTold() && probeCredit >= 1) {
         probe(now, e);
       }
     }
   }
 
+  private EngineRecord findEngine(String name) {
+    return engines == null ? null : engines.find(name);
+  }
+
   private void noteReport(long now, EngineRecord engine, LoadReport report) {
     if (reports.record(now, engine, report)) {
       limiter.onReport(now, engine, report);
@@ -974,7 +755,7 @@
 
   /** The names of the engines that the scheduler knows, for diagnostics. */
   public Set<String> engineNames() {
-    return Set.copyOf(engines.keySet());
+    return engines == null ? Set.of() : engines.names();
   }
 
   /** The ids of the queries that are not finished or have attempts in flight, for diagnostics. */
