--- a/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
@@ -22,11 +22,10 @@
   final PeerReports.Suspicion suspicion = new PeerReports.Suspicion();
   final SlowStart.WarmUp warmUp = new SlowStart.WarmUp();
   final LoadReports.LatestReport latestReport = new LoadReports.LatestReport();
+  final HealthCheckScheduler.CheckState healthCheck = new HealthCheckScheduler.CheckState();
   final BulkLoadTracker.ForeignLoads foreignLoads = new BulkLoadTracker.ForeignLoads();
 
   long lastSign;
-  boolean probing;
-  long probedAt;
 
   private EngineEndpoint endpoint;
   private EngineState state = EngineState.UP;
--- a/decisions/src/main/java/reachloom/scheduler/QueryRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryRecord.java
@@ -16,15 +16,11 @@
 
   final long deadlineNanos;
 
-  /** Engines checked before the query is forwarded, and until when it waits for their reports. */
-  final List<EngineRecord> asked = new ArrayList<>();
+  /** Load reports requested on behalf of the query; owned by {@link HealthCheckScheduler}. */
+  final HealthCheckScheduler.ReportRequest reportRequest = new HealthCheckScheduler.ReportRequest();
 
-  long askedUntil;
-
-  /** When the first attempt that may have run was forwarded, and where; -1 if none may have. */
-  long firstRunAt = -1;
-
-  EngineRecord firstRunOn;
+  /** The first attempt that may have run; owned by {@link RetryPolicy}. */
+  final RetryPolicy.FirstExecution firstExecution = new RetryPolicy.FirstExecution();
 
   private final List<AttemptRecord> attempts = new ArrayList<>();
   private final List<AttemptRecord> attemptsView = Collections.unmodifiableList(attempts);
@@ -60,14 +56,6 @@
     inFlight--;
   }
 
-  /** Records an attempt that may have run; the first one counts. */
-  void mayHaveRun(AttemptRecord attempt) {
-    if (firstRunAt < 0) {
-      firstRunAt = attempt.forwardedAtNanos;
-      firstRunOn = attempt.engine;
-    }
-  }
-
   /** Whether an attempt has not ended yet. */
   boolean isInFlight() {
     return inFlight > 0;
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -2,16 +2,11 @@
 
 // Events, actions and settings: decisions/src/main/java/reachloom/scheduler/api.
 
-import java.util.Comparator;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Predicate;
-import java.util.stream.Stream;
 import reachloom.balancing.EngineSubset;
 import reachloom.scheduler.api.AttemptResult;
-import reachloom.scheduler.api.DeduplicationScope;
 import reachloom.scheduler.api.EngineCapabilities;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.Idempotency;
@@ -22,7 +17,6 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.scheduler.state.SlidingWindowSum;
 
 /**
  * Decides for one gateway: admits a query at arrival on a prediction, holds it for a short while,
@@ -45,35 +39,18 @@
       1.5; // note periods without a sign of an attempt: it is lost
   private static final double SILENT_NOTES =
       2.5; // note periods without a sign of an engine: silence
-  private static final double CLOCK_SHARE =
-      2; // engines for each query taken lately that a clock may probe
-  private static final double PROBE_SHARE = 2; // probes for each query taken, at most: each costs
-  private static final double PROBE_POINTS =
-      0.05; // ... and no more than so much of all worth in all
-  private static final long ASK_WAIT = 20 * MILLISECOND; // for the reports of two drawn engines
-  private static final long PROBE_GAP = 500 * MILLISECOND; // between probes of one engine
-  private static final long CALM_GAP =
-      2_000 * MILLISECOND; // ... while the pool is calm: each costs
   private static final double BAD_PLAN =
       4; // times the predicted time that the share done points to
   private static final double RESEND_GAIN =
       2; // a new attempt must be so much faster than what remains
 
   // Guards.
-  private static final int KEEP =
-      8; // engines that a gateway keeps to: two draws find room, some at rest
-  private static final double KEEP_SHARE =
-      0.2; // ... and more of them where it has more of one's cores out
-  private static final double CROSS_WEIGHT =
-      15; // load share for each unit of the price of crossing
   private static final long TICK_TOKEN = 0;
   private static final long WATCH_TOKEN = 1;
 
   private final SchedulerActions actions;
   private SchedulerSettings settings;
-  private SplittableRandom random;
   private TickClock clock;
-  private double probeCredit;
   private final LatencyRatios ratios = new LatencyRatios();
   private CostEstimator estimator;
 
@@ -84,11 +61,15 @@
   private PeerReports peerReports;
   private OutlierDetector outliers;
   private BulkLoadTracker bulkLoads;
+  private RetryPolicy retryPolicy;
+  private EngineEligibility eligibility;
+  private EngineCandidates candidates;
+  private EngineSelector selector;
+  private HealthCheckScheduler healthChecks;
   private QueryTable queries;
   private PendingQueue pending;
   private KeyOrdering keyOrdering;
   private TenantQuotas quotas;
-  private final SlidingWindowSum takenLately = new SlidingWindowSum(LoadReports.MAX_AGE_NANOS);
   private RetryBudget retryBudget;
 
   /** A module that acts through the given front. */
@@ -101,7 +82,7 @@
   @Override
   public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
-    random = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     int self =
         s.selfIndex() >= 0
             ? s.selfIndex()
@@ -124,6 +105,14 @@
     pending = new PendingQueue(keyOrdering, estimator);
     queries = new QueryTable(s.classes(), keyOrdering);
     retryBudget = new RetryBudget(s);
+    retryPolicy = new RetryPolicy(s, retryBudget, estimator, engines);
+    eligibility = new EngineEligibility(retryPolicy, outliers, slowStart, bulkLoads, limiter);
+    candidates = new EngineCandidates(engines, slowStart, peerReports, eligibility, limiter);
+    RandomPair randomPair = new RandomPair(random, slowStart);
+    LoadScore score = new LoadScore(s, ratios, outliers, reports, limiter);
+    selector = new EngineSelector(candidates, randomPair, score, limiter, reports);
+    HealthCheckBudget checkBudget = new HealthCheckBudget(s, estimator);
+    healthChecks = new HealthCheckScheduler(actions, checkBudget, engines, selector, limiter);
     if (s.subscribe()) {
       actions.watchEndpoints();
     }
@@ -156,18 +145,19 @@
     QueryRecord q = queries.add(now, query);
     long time = q.deadlineNanos - now;
     retryBudget.onQuery(now);
-    takenLately.add(now, 1);
-    probeCredit = Math.min(probeCredit + probeShare(), 2 * engines.size());
+    healthChecks.onQuery(now);
     quotas.onQuery(now, q);
     estimator.onQuery(q);
     keyOrdering.onQuery(q);
     pending.restartQueueTime(now, q);
     boolean itsTurn = keyOrdering.mayRun(now, q);
-    if (itsTurn && seconds(time - 2 * TICK) > estimator.averageSeconds(q) && ask(now, q)) {
+    if (itsTurn
+        && seconds(time - 2 * TICK) > estimator.averageSeconds(q)
+        && healthChecks.requestReports(now, q)) {
       pending.add(q); // until the reports are in
       return;
     }
-    EngineRecord engine = itsTurn ? pick(now, q) : null;
+    EngineRecord engine = itsTurn ? selector.select(now, q).orElse(null) : null;
     if (engine != null && seconds(time) >= estimator.secondsOn(q, engine)) {
       send(now, q, engine);
     } else if (waitsLonger(now, q, seconds(time) - estimator.averageSeconds(q))
@@ -203,7 +193,7 @@
   private double boundUpTo(long now, QueryRecord q, double enough) {
     double bound = 0;
     for (EngineRecord e : engines.all()) {
-      bound += open(now, q, e) ? limiter.limitThreads(e) : 0;
+      bound += eligibility.isEligible(now, q, e) ? limiter.limitThreads(e) : 0;
       if (bound >= enough) {
         break;
       }
@@ -211,174 +201,6 @@
     return Math.max(limiter.withinPool(now, bound), q.queryClass.threads());
   }
 
-  /** Open, and with room; none where the query would stand still behind loads, or pile up there. */
-  private boolean hasRoom(long now, QueryRecord q, EngineRecord e) {
-    return open(now, q, e) && bulkLoads.allows(now, q, e) && limiter.fits(now, q, e);
-  }
-
-  // ---- The choice of engine ----
-
-  /** Whether the rules and the engine's health leave it open to the query. */
-  private boolean open(long now, QueryRecord q, EngineRecord e) {
-    return e.isListedUp()
-        && outliers.allows(now, e)
-        && (q.queryClass.engineKinds().isEmpty()
-            || q.queryClass.engineKinds().contains(e.endpoint().kind()))
-        && (q.queryClass.zones().isEmpty() || q.queryClass.zones().contains(e.endpoint().zone()))
-        && repeatAllowed(now, q, e)
-        && slowStart.allows(now, q, e);
-  }
-
-  /** Whether a further attempt there keeps the rule on effects; a first one always does. */
-  private boolean repeatAllowed(long now, QueryRecord q, EngineRecord e) {
-    if (q.firstRunAt < 0 || q.queryClass.idempotency() == Idempotency.IDEMPOTENT) {
-      return true;
-    }
-    boolean inGroup =
-        switch (q.queryClass.deduplicationScope()) {
-          case ALL -> true;
-          case ZONE -> e.endpoint().zone() == q.firstRunOn.endpoint().zone();
-          case CELL -> e.endpoint().cell() == q.firstRunOn.endpoint().cell();
-        };
-    return q.queryClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-        && inGroup
-        && now < q.firstRunAt + q.queryClass.idempotencyWindowNanos() - 2 * settings.tickNanos();
-  }
-
-  /**
-   * Asks two drawn engines for reports, two others where both are full; few queries keep none
-   * fresh.
-   */
-  private boolean ask(long now, QueryRecord q) {
-    boolean found = q.asked.stream().anyMatch(e -> hasRoom(now, q, e));
-    if (found || reportsKept(now) || spared(q) || !limiter.fitsPool(now, q) || probeCredit < 2) {
-      return false;
-    }
-    q.asked.clear();
-    q.asked.addAll(drawTwo(now, candidates(now, q)));
-    q.asked.forEach(e -> probe(now, e));
-    q.askedUntil = now + ASK_WAIT;
-    return !q.asked.isEmpty();
-  }
-
-  private boolean reportsTold() {
-    return settings.limits().healthChecks() && settings.traits().loadReports();
-  }
-
-  /**
-   * Whether our traffic pays for fresh reports of all engines; where probes are dear, within their
-   * share.
-   */
-  private boolean reportsKept(long now) {
-    double dear = PROBE_SHARE / probeShare();
-    return !reportsTold() || takenLately.sum(now) * CLOCK_SHARE >= engines.size() * dear * dear;
-  }
-
-  /**
-   * Probes that a query pays for: few where each is dear. What one gateway asks, all of them do.
-   */
-  private double probeShare() {
-    return Math.min(PROBE_SHARE, PROBE_POINTS / Math.max(settings.healthCheckPrice(), 1e-9));
-  }
-
-  /** Where a query can't pay for both its reports, those worth more than most go first. */
-  private boolean spared(QueryRecord q) {
-    return (limiter.isPoolCalm() || probeShare() < PROBE_SHARE / 2)
-        && estimator.isBelowMeanWeight(q);
-  }
-
-  /** The less loaded of two drawn engines with room; null where none has. */
-  private EngineRecord pick(long now, QueryRecord q) {
-    List<EngineRecord> open = limiter.fitsPool(now, q) ? candidates(now, q) : List.of();
-    List<EngineRecord> asked =
-        open.stream() // one that has not answered since is busy, or worse
-            .filter(
-                e -> q.asked.contains(e) && reports.hasReportedSince(q.askedUntil - ASK_WAIT, e))
-            .toList();
-    List<EngineRecord> drawn = asked.isEmpty() ? drawTwo(now, open) : asked;
-    return drawn.stream()
-        .min(
-            Comparator.<EngineRecord>comparingDouble(e -> load(now, q, e))
-                .thenComparing(ratios::hasAnswered))
-        .orElse(null); // of two alike, the one not known yet
-  }
-
-  private List<EngineRecord> candidates(long now, QueryRecord q) {
-    double meanCores = limiter.poolCores() / Math.max(1, engines.size());
-    int wanted = (int) Math.max(KEEP, Math.ceil(limiter.poolThreads() / (meanCores * KEEP_SHARE)));
-    // Where another one has room, it goes neither where it was nor where others speak against the
-    // engine.
-    Predicate<EngineRecord> best =
-        e -> !peerReports.isSuspected(e) && !q.hasTried(e) && hasRoom(now, q, e);
-    List<EngineRecord> draw = first(now, wanted + 1, best);
-    if (draw.size() <= wanted) {
-      Set<EngineRecord> few = new LinkedHashSet<>(draw);
-      draw =
-          few.isEmpty()
-              ? second(now, q, wanted)
-              : few.stream().sorted(Comparator.comparingLong(e -> e.listPosition)).toList();
-    }
-    return preferred(
-        draw.size() > wanted ? draw.subList(0, wanted) : draw,
-        e -> bulkLoads.loadsAhead(now, q, e) == 0);
-  }
-
-  /** So many in this gateway's own order, those that warm up first. */
-  private List<EngineRecord> first(long now, int count, Predicate<EngineRecord> wanted) {
-    Stream<EngineRecord> warm =
-        engines.upByPreference().filter(e -> !slowStart.isWarmingUp(now, e));
-    return Stream.concat(slowStart.warmingUp(now), warm).filter(wanted).limit(count).toList();
-  }
-
-  /**
-   * Where none is as good as wanted: those with room where it was already, or that others speak
-   * against.
-   */
-  private List<EngineRecord> second(long now, QueryRecord q, int wanted) {
-    List<EngineRecord> draw =
-        Stream.concat(q.attempts().stream().map(a -> a.engine), peerReports.suspected())
-            .distinct()
-            .filter(e -> e.isUp() && hasRoom(now, q, e))
-            .sorted(Comparator.comparingLong(e -> e.listPosition))
-            .toList();
-    draw = preferred(preferred(draw, e -> !q.hasTried(e)), e -> !peerReports.isSuspected(e));
-    return draw.size() <= wanted ? draw : first(now, wanted, new LinkedHashSet<>(draw)::contains);
-  }
-
-  /**
-   * Two by chance; a cold one with room is one of them, since its slot is short and few have part
-   * in it.
-   */
-  private List<EngineRecord> drawTwo(long now, List<EngineRecord> draw) {
-    if (draw.size() <= 2) {
-      return draw;
-    }
-    List<EngineRecord> cold = slowStart.warmingUp(now, draw);
-    int first =
-        cold.isEmpty()
-            ? random.nextInt(draw.size())
-            : draw.indexOf(cold.get(random.nextInt(cold.size())));
-    int second = random.nextInt(draw.size() - 1);
-    return List.of(draw.get(first), draw.get(second < first ? second : second + 1));
-  }
-
-  private static List<EngineRecord> preferred(
-      List<EngineRecord> engines, Predicate<EngineRecord> wanted) {
-    List<EngineRecord> some = engines.stream().filter(wanted).toList();
-    return some.isEmpty() ? engines : some;
-  }
-
-  private double load(long now, QueryRecord q, EngineRecord e) {
-    double threads = (e.inFlight.threads() + q.queryClass.threads()) * limiter.fleetSize();
-    double load = outliers.loadFactor(e) * (1 + threads / e.cores) * ratios.of(e);
-    LoadReport report = reports.recent(now, e);
-    load *= 1 + report.utilization() + report.queueLength() / e.cores;
-    if (e.endpoint().zone() != settings.zone()) {
-      load *= 1 + settings.crossZonePrice() * CROSS_WEIGHT;
-    }
-    return load;
-  }
-
   // ---- Sending ----
 
   private void send(long now, QueryRecord q, EngineRecord e) {
@@ -389,7 +211,7 @@
     actions.forward(q.query.id(), e.name, 0);
     q.add(a);
     retryBudget.onForwarded(now, a);
-    q.asked.clear();
+    healthChecks.onForwarded(now, a);
     limiter.onForwarded(now, a);
     slowStart.onForwarded(now, a);
     e.lastSign = e.inFlight.attemptCount() == 1 ? now : e.lastSign;
@@ -420,7 +242,7 @@
         && e.isListedUp()
         && e.isCurrent()
         && slowStart.mayStillStart(now, a)
-        && repeatAllowed(now, q, e);
+        && retryPolicy.isSafeOn(now, q, e);
   }
 
   // ---- While an attempt is out ----
@@ -490,14 +312,9 @@
   /** True where another engine can take the query now, within the rules. */
   private boolean canMove(long now, AttemptRecord a) {
     QueryRecord q = a.query;
-    return furtherAllowed(now, q)
-        && candidates(now, q).stream()
-            .anyMatch(e -> e != a.engine && bulkLoads.loadsAhead(now, q, e) == 0);
-  }
-
-  /** Whether the limit of attempts per query and the retry budget allow one more attempt. */
-  private boolean furtherAllowed(long now, QueryRecord q) {
-    return q.attempts().size() < settings.limits().maxAttempts() && retryBudget.allowsRetry(now);
+    return retryPolicy.allowsAttempt(now, q)
+        && candidates.find(now, q).stream()
+            .anyMatch(e -> e != a.engine && eligibility.isFreeOfBulkLoads(now, q, e));
   }
 
   // ---- The end of an attempt ----
@@ -525,9 +342,7 @@
   private void settle(long now, QueryRecord q, AttemptRecord a, AttemptResult end) {
     q.end(a);
     limiter.release(a);
-    if (end.outcome().mayHaveRun) {
-      q.mayHaveRun(a);
-    }
+    retryPolicy.onEnded(a, end.outcome());
     keyOrdering.onEnded(now, q, end.outcome());
     noteReport(now, a.engine, end.loadReport());
   }
@@ -554,17 +369,14 @@
     }
   }
 
-  /** After a failed attempt: elsewhere at once, else held as at arrival, else the final answer. */
+  /** Queues a query for its next attempt, or rejects it if none is possible. */
   private void goOn(long now, QueryRecord q) {
-    boolean late = now + (long) (estimator.averageSeconds(q) * SECOND) > q.deadlineNanos;
-    boolean nowhere =
-        engines.all().stream().noneMatch(e -> e.isListedUp() && repeatAllowed(now, q, e));
-    if (late || nowhere || !furtherAllowed(now, q)) {
+    if (retryPolicy.shouldRetry(now, q)) {
+      pending.restartQueueTime(now, q);
+      pending.add(q); // the release that follows forwards it at once if it can
+    } else {
       giveUp(now, q);
-      return;
     }
-    pending.restartQueueTime(now, q);
-    pending.add(q); // the release that follows sends it at once where it can
   }
 
   // ---- The held line ----
@@ -581,21 +393,25 @@
       // Bound queries wait for other engines than the front, those that have asked waited only for
       // reports.
       boolean own =
-          !q.asked.isEmpty()
+          !q.reportRequest.isEmpty()
               || !q.queryClass.engineKinds().isEmpty()
               || !q.queryClass.zones().isEmpty();
       double left = estimator.averageSeconds(q) + (itsTurn ? 0 : keyOrdering.waitSeconds(q));
       boolean late =
           now + (long) (left * SECOND) + 2 * TICK
               > q.deadlineNanos; // the next look may come after it
-      boolean asking = now < q.askedUntil && q.asked.stream().anyMatch(e -> e.probing);
+      boolean asking = healthChecks.awaitsReports(now, q);
       if (!late
           && (asking
-              || itsTurn && now < q.queuedUntilNanos() && !q.asked.isEmpty() && ask(now, q))) {
+              || itsTurn
+                  && now < q.queuedUntilNanos()
+                  && !q.reportRequest.isEmpty()
+                  && healthChecks.requestReports(now, q))) {
         continue;
       }
-      EngineRecord e = !late && itsTurn && (!blocked || own) ? pick(now, q) : null;
-      if (e != null && (q.attempts().isEmpty() || furtherAllowed(now, q))) {
+      EngineRecord e =
+          !late && itsTurn && (!blocked || own) ? selector.select(now, q).orElse(null) : null;
+      if (e != null && (q.attempts().isEmpty() || retryPolicy.allowsAttempt(now, q))) {
         send(now, q, e);
       } else if (late || itsTurn && now >= q.queuedUntilNanos()) {
         giveUp(now, q);
@@ -612,14 +428,10 @@
     pending.remove(q);
     q.finish();
     outliers.onUnserved(now, q);
-    boolean harmless =
-        q.firstRunAt < 0 && !q.isInFlight()
-            || q.queryClass.idempotency() == Idempotency.IDEMPOTENT
-            || q.queryClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                && q.queryClass.deduplicationScope() == DeduplicationScope.ALL;
+    boolean harmless = retryPolicy.mayReject(q);
     if (harmless) {
       long retryAfter =
-          !settings.limits().retryAfter()
+          !retryPolicy.sendsRetryAfter()
               ? 0
               : (long) Math.max(1, Math.ceil(predictedWait(now, q))) * (long) SECOND;
       actions.reject(q.query.id(), retryAfter);
@@ -657,7 +469,7 @@
     engines.forgetRemoved();
     limiter.activeEngines().forEach(e -> watchOver(now, e));
     limiter.adjustEngines(now);
-    probeByClock(now);
+    healthChecks.onTick(now);
     limiter.adjustPool(now);
     release(now, true);
     actions.setTimer(TICK, TICK_TOKEN);
@@ -696,32 +508,13 @@
     }
   }
 
-  /** Keeps the reports of all engines fresh, where this gateway's traffic pays for it. */
-  private void probeByClock(long now) {
-    if (reportsTold() && reportsKept(now)) {
-      long gap = limiter.isPoolCalm() ? CALM_GAP : PROBE_GAP;
-      engines.all().stream()
-          .filter(e -> e.isListedUp() && now - e.probedAt >= gap)
-          .forEach(e -> probe(now, e));
-    }
-  }
-
-  private void probe(long now, EngineRecord e) {
-    if (!e.probing) {
-      probeCredit--;
-      e.probing = true;
-      e.probedAt = now;
-      actions.checkHealth(e.name);
-    }
-  }
-
   @Override
   public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
     EngineRecord e = findEngine(engine);
     if (e == null) {
       return;
     }
-    e.probing = false;
+    healthChecks.onChecked(e);
     noteReport(now, e, answered ? report : null);
     release(now, false);
   }
@@ -731,8 +524,8 @@
     EngineRecord e = findEngine(engine);
     if (e != null) {
       peerReports.record(e, level);
-      if (peerReports.isSuspected(e) && e.isUp() && reportsTold() && probeCredit >= 1) {
-        probe(now, e);
+      if (peerReports.isSuspected(e)) {
+        healthChecks.onSuspected(now, e);
       }
     }
   }
