--- a/decisions/src/main/java/reachloom/scheduler/AttemptRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptRecord.java
@@ -19,13 +19,8 @@
   /** Seconds that the attempt is predicted to take on an engine of latency ratio 1. */
   final double predictedSeconds;
 
-  /** The completed share, from 0 to 1. */
-  double share;
-
-  long lastNote;
-
-  /** Whether the attempt waits for memory of its engine. */
-  boolean inLine;
+  /** The progress reported so far; owned by {@link AttemptMonitor}. */
+  final AttemptMonitor.AttemptSignals signals = new AttemptMonitor.AttemptSignals();
 
   private boolean ended;
   private boolean cancelled;
--- a/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineRecord.java
@@ -23,10 +23,9 @@
   final SlowStart.WarmUp warmUp = new SlowStart.WarmUp();
   final LoadReports.LatestReport latestReport = new LoadReports.LatestReport();
   final HealthCheckScheduler.CheckState healthCheck = new HealthCheckScheduler.CheckState();
+  final AttemptMonitor.EngineSignals signals = new AttemptMonitor.EngineSignals();
   final BulkLoadTracker.ForeignLoads foreignLoads = new BulkLoadTracker.ForeignLoads();
 
-  long lastSign;
-
   private EngineEndpoint endpoint;
   private EngineState state = EngineState.UP;
   private boolean current = true;
--- a/decisions/src/main/java/reachloom/scheduler/QueryRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryRecord.java
@@ -73,7 +73,11 @@
 
   /** The largest completed share of an attempt in flight, from 0 to 1. */
   double completedShare() {
-    return attempts.stream().filter(a -> !a.isEnded()).mapToDouble(a -> a.share).max().orElse(0);
+    return attempts.stream()
+        .filter(a -> !a.isEnded())
+        .mapToDouble(a -> a.signals.completedShare())
+        .max()
+        .orElse(0);
   }
 
   /** Whether the query has its final answer, or needs none since its client is gone. */
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -7,11 +7,8 @@
 import java.util.SplittableRandom;
 import reachloom.balancing.EngineSubset;
 import reachloom.scheduler.api.AttemptResult;
-import reachloom.scheduler.api.EngineCapabilities;
 import reachloom.scheduler.api.EngineEndpoint;
-import reachloom.scheduler.api.Idempotency;
 import reachloom.scheduler.api.LoadReport;
-import reachloom.scheduler.api.ProgressKind;
 import reachloom.scheduler.api.ProgressReport;
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.SchedulerActions;
@@ -24,7 +21,7 @@
  * methods stand in the order in which a query lives; docs/design.md gives the reasons and the
  * conditions of each exception.
  */
-public final class QueryScheduler implements SchedulerEvents, EngineListener {
+public final class QueryScheduler implements SchedulerEvents {
   private static final double SECOND = 1e9; // nanoseconds
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
@@ -35,14 +32,6 @@
       25 * MILLISECOND; // between looks at the line, engines and attempts
 
   // Health.
-  private static final double LOST_NOTES =
-      1.5; // note periods without a sign of an attempt: it is lost
-  private static final double SILENT_NOTES =
-      2.5; // note periods without a sign of an engine: silence
-  private static final double BAD_PLAN =
-      4; // times the predicted time that the share done points to
-  private static final double RESEND_GAIN =
-      2; // a new attempt must be so much faster than what remains
 
   // Guards.
   private static final long TICK_TOKEN = 0;
@@ -66,6 +55,11 @@
   private EngineCandidates candidates;
   private EngineSelector selector;
   private HealthCheckScheduler healthChecks;
+  private AttemptCanceller canceller;
+  private AttemptMonitor monitor;
+  private AttemptMigration migration;
+  private AttemptForwarder forwarder;
+  private OutcomeRecorder outcomes;
   private QueryTable queries;
   private PendingQueue pending;
   private KeyOrdering keyOrdering;
@@ -95,11 +89,13 @@
     peerReports = new PeerReports();
     outliers = new OutlierDetector(peerReports);
     bulkLoads = new BulkLoadTracker();
+    canceller = new AttemptCanceller(actions, s);
+    monitor = new AttemptMonitor(s, clock, outliers, limiter, canceller);
     engines =
         new EngineRegistry(
             new EngineOrder(new EngineSubset(self)),
             s.kinds(),
-            List.of(limiter, slowStart, this, peerReports, ratios));
+            List.of(limiter, slowStart, monitor, peerReports, ratios));
     quotas = new TenantQuotas(s);
     keyOrdering = new KeyOrdering(s, estimator);
     pending = new PendingQueue(keyOrdering, estimator);
@@ -111,8 +107,13 @@
     RandomPair randomPair = new RandomPair(random, slowStart);
     LoadScore score = new LoadScore(s, ratios, outliers, reports, limiter);
     selector = new EngineSelector(candidates, randomPair, score, limiter, reports);
+    migration = new AttemptMigration(estimator, retryPolicy, candidates, eligibility, canceller);
+    outcomes = new OutcomeRecorder(reports, estimator, limiter, outliers, monitor);
     HealthCheckBudget checkBudget = new HealthCheckBudget(s, estimator);
     healthChecks = new HealthCheckScheduler(actions, checkBudget, engines, selector, limiter);
+    List<AttemptListener> listeners =
+        List.of(retryBudget, healthChecks, limiter, slowStart, monitor, outliers);
+    forwarder = new AttemptForwarder(actions, s, estimator, listeners);
     if (s.subscribe()) {
       actions.watchEndpoints();
     }
@@ -122,7 +123,7 @@
   @Override
   public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
     List<EngineRecord> replaced = engines.update(now, complete, entries);
-    replaced.forEach(old -> old.inFlight.attempts().forEach(a -> lose(now, a, false)));
+    replaced.forEach(engine -> monitor.abandonAll(now, engine));
     release(now, true);
   }
 
@@ -133,11 +134,6 @@
     }
   }
 
-  @Override
-  public void onEngineListed(long now, EngineRecord engine, boolean asChange) {
-    engine.lastSign = now;
-  }
-
   // ---- Arrival ----
 
   @Override
@@ -159,7 +155,8 @@
     }
     EngineRecord engine = itsTurn ? selector.select(now, q).orElse(null) : null;
     if (engine != null && seconds(time) >= estimator.secondsOn(q, engine)) {
-      send(now, q, engine);
+      pending.remove(q);
+      forwarder.forward(now, q, engine);
     } else if (waitsLonger(now, q, seconds(time) - estimator.averageSeconds(q))
         || itsTurn && q.isOverQuota()) {
       giveUp(now, q);
@@ -201,48 +198,20 @@
     return Math.max(limiter.withinPool(now, bound), q.queryClass.threads());
   }
 
-  // ---- Sending ----
-
-  private void send(long now, QueryRecord q, EngineRecord e) {
-    pending.remove(q);
-    AttemptRecord a =
-        new AttemptRecord(q, e, now, estimator.memoryMb(q), estimator.nominalSeconds(q));
-    setTerms(q);
-    actions.forward(q.query.id(), e.name, 0);
-    q.add(a);
-    retryBudget.onForwarded(now, a);
-    healthChecks.onForwarded(now, a);
-    limiter.onForwarded(now, a);
-    slowStart.onForwarded(now, a);
-    e.lastSign = e.inFlight.attemptCount() == 1 ? now : e.lastSign;
-    outliers.onForwarded(now, a);
-  }
-
-  /** Grant and priority, where the engines heed them. */
-  private void setTerms(QueryRecord q) {
-    EngineCapabilities traits = settings.traits();
-    int priority = estimator.hasHighValueDensity(q) ? 3 : 1;
-    double grant = estimator.reservationMb(q);
-    if (traits.priorities() && priority != 1 || grant > 0) {
-      actions.setResources(q.query.id(), grant, priority);
-    }
+  @Override
+  public boolean mayStart(long now, String query, int number) {
+    AttemptRecord attempt = findAttempt(query, number);
+    return attempt != null
+        && !attempt.query.isFinished()
+        && !attempt.isEnded()
+        && !attempt.isCancelled()
+        && attempt.engine.isUp()
+        && slowStart.mayStillStart(now, attempt)
+        && retryPolicy.isSafeOn(now, attempt.query, attempt.engine);
   }
 
-  /** What may have changed while the attempt waited for its connection. */
-  @Override
-  public boolean mayStart(long now, String query, int attempt) {
-    QueryRecord q = queries == null ? null : queries.find(query);
-    if (q == null || q.isFinished() || attempt >= q.attempts().size()) {
-      return false;
-    }
-    AttemptRecord a = q.attempts().get(attempt);
-    EngineRecord e = a.engine;
-    return !a.isEnded()
-        && !a.isCancelled()
-        && e.isListedUp()
-        && e.isCurrent()
-        && slowStart.mayStillStart(now, a)
-        && retryPolicy.isSafeOn(now, q, e);
+  private AttemptRecord findAttempt(String query, int number) {
+    return queries == null ? null : queries.findAttempt(query, number);
   }
 
   // ---- While an attempt is out ----
@@ -256,119 +225,40 @@
   }
 
   @Override
-  public void onProgress(long now, ProgressReport note) {
-    QueryRecord q = queries == null ? null : queries.find(note.queryId());
-    if (q == null || note.attempt() >= q.attempts().size()) {
-      return;
-    }
-    AttemptRecord a = q.attempts().get(note.attempt());
-    a.engine.lastSign = now;
-    a.lastNote = now;
-    a.inLine = note.kind() == ProgressKind.MEMORY_WAIT;
-    if (a.inLine) { // as good as a full refusal
-      limiter.markFull(now, a.engine);
-    }
-    if (note.kind() == ProgressKind.LOAD_WAIT) {
-      bulkLoads.onProgress(now, a, note);
-      if (canMove(now, a)) {
-        cancel(a); // it has done nothing yet, and a load takes long
-      }
-    } else if (note.kind() == ProgressKind.PROGRESS) {
-      a.share = note.amount();
-      if (a.query.queryClass.idempotency() == Idempotency.IDEMPOTENT
-          && badPlan(now, a)
-          && canMove(now, a)) {
-        cancel(a);
-      }
+  public void onProgress(long now, ProgressReport progress) {
+    AttemptRecord attempt = findAttempt(progress.queryId(), progress.attempt());
+    if (attempt != null) {
+      monitor.onProgress(now, attempt, progress);
+      bulkLoads.onProgress(now, attempt, progress);
+      migration.onProgress(now, attempt, progress);
     }
   }
 
-  /** A bad plan shows as a share far behind; the engine's own ratio tells a slow engine apart. */
-  private boolean badPlan(long now, AttemptRecord a) {
-    if (a.share <= 0 || a.share >= 1 || a.predictedSeconds <= 0) {
-      return false;
-    }
-    double spent = seconds(now - a.forwardedAtNanos);
-    double whole = spent / a.share;
-    double usual = estimator.secondsOnSlower(a.query, a.engine);
-    return a.query.query.estimatedCostNanos() > 0
-        && whole > BAD_PLAN * usual
-        && whole - spent > RESEND_GAIN * usual
-        && now + (long) (usual * SECOND) < a.query.deadlineNanos;
-  }
-
-  /** Gives up an attempt of a query that is over, or that may go elsewhere or be answered. */
-  private void cancel(AttemptRecord a) {
-    QueryRecord q = a.query;
-    boolean free =
-        q.isFinished()
-            || !q.isStreaming() && q.queryClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
-    if (free && !a.isEnded() && !a.isCancelled() && settings.limits().cancel()) {
-      a.cancel();
-      actions.cancelAttempt(q.query.id(), a.number);
-    }
-  }
-
-  /** True where another engine can take the query now, within the rules. */
-  private boolean canMove(long now, AttemptRecord a) {
-    QueryRecord q = a.query;
-    return retryPolicy.allowsAttempt(now, q)
-        && candidates.find(now, q).stream()
-            .anyMatch(e -> e != a.engine && eligibility.isFreeOfBulkLoads(now, q, e));
-  }
-
   // ---- The end of an attempt ----
 
   @Override
-  public void onAttemptEnded(long now, AttemptResult end) {
-    QueryRecord q = queries == null ? null : queries.find(end.queryId());
-    if (q == null || end.attempt() >= q.attempts().size()) {
+  public void onAttemptEnded(long now, AttemptResult result) {
+    AttemptRecord attempt = findAttempt(result.queryId(), result.attempt());
+    if (attempt == null) {
       return;
     }
-    AttemptRecord a = q.attempts().get(end.attempt());
-    limiter.activate(now, a.engine);
-    settle(now, q, a, end);
-    judge(now, a, end);
-    if (end.queryFinished()) {
-      q.finish();
+    QueryRecord query = attempt.query;
+    query.end(attempt);
+    limiter.activate(now, attempt.engine);
+    limiter.release(attempt);
+    retryPolicy.onEnded(attempt, result.outcome());
+    keyOrdering.onEnded(now, query, result.outcome());
+    outcomes.recordResult(now, attempt, result);
+    if (result.queryFinished()) {
+      query.finish();
     }
-    if (!q.isFinished() && !q.isInFlight()) {
-      goOn(now, q);
+    if (!query.isFinished() && !query.isInFlight()) {
+      goOn(now, query);
     }
-    queries.removeIfDone(now, q);
+    queries.removeIfDone(now, query);
     release(now, false);
   }
 
-  private void settle(long now, QueryRecord q, AttemptRecord a, AttemptResult end) {
-    q.end(a);
-    limiter.release(a);
-    retryPolicy.onEnded(a, end.outcome());
-    keyOrdering.onEnded(now, q, end.outcome());
-    noteReport(now, a.engine, end.loadReport());
-  }
-
-  /** Records the outcome of an attempt. */
-  private void judge(long now, AttemptRecord a, AttemptResult end) {
-    EngineRecord e = a.engine;
-    switch (end.outcome()) {
-      case SERVED -> {
-        outliers.onServed(now, a);
-        e.lastSign = now;
-        estimator.onServed(a, end);
-        limiter.onServed(a, end);
-      }
-      case FULL -> {
-        limiter.onFull(now, e);
-        outliers.ejectUntil(e, limiter.fullUntilNanos(e));
-      }
-      case TIMEOUT -> limiter.onTimeout(a);
-      case ERROR, RESET, UNREACHED -> outliers.onFailed(now, a, end);
-      case CANCELLED, NOT_SENT -> {
-        // no information about the engine
-      }
-    }
-  }
-
   /** Queues a query for its next attempt, or rejects it if none is possible. */
   private void goOn(long now, QueryRecord q) {
     if (retryPolicy.shouldRetry(now, q)) {
@@ -412,7 +302,8 @@
       EngineRecord e =
           !late && itsTurn && (!blocked || own) ? selector.select(now, q).orElse(null) : null;
       if (e != null && (q.attempts().isEmpty() || retryPolicy.allowsAttempt(now, q))) {
-        send(now, q, e);
+        pending.remove(q);
+        forwarder.forward(now, q, e);
       } else if (late || itsTurn && now >= q.queuedUntilNanos()) {
         giveUp(now, q);
       } else {
@@ -449,7 +340,7 @@
     }
     pending.remove(q);
     q.finish();
-    q.attempts().forEach(this::cancel);
+    q.attempts().forEach(canceller::cancel);
     queries.removeIfDone(now, q);
     release(now, false);
   }
@@ -467,7 +358,7 @@
     limiter.updateFleetSize(now);
     keyOrdering.forgetIdle(now);
     engines.forgetRemoved();
-    limiter.activeEngines().forEach(e -> watchOver(now, e));
+    monitor.onTick(now, limiter.activeEngines());
     limiter.adjustEngines(now);
     healthChecks.onTick(now);
     limiter.adjustPool(now);
@@ -483,31 +374,6 @@
     }
   }
 
-  /** An attempt without a sign is lost: its room is free again, its query goes elsewhere. */
-  private void lose(long now, AttemptRecord a, boolean silent) {
-    limiter.release(a);
-    outliers.onUnresponsive(now, a.engine, silent);
-    cancel(a);
-  }
-
-  /** Finds silent engines. */
-  private void watchOver(long now, EngineRecord e) {
-    double period = settings.traits().progressPeriodNanos();
-    long lastSign = Math.max(e.lastSign, clock.stalledUntilNanos());
-    boolean silent = now - lastSign > SILENT_NOTES * period;
-    boolean talks = now - lastSign < period;
-    for (AttemptRecord a : period > 0 ? e.inFlight.attempts() : List.<AttemptRecord>of()) {
-      long quiet =
-          now - Math.max(clock.stalledUntilNanos(), Math.max(a.forwardedAtNanos, a.lastNote));
-      // An engine may lose single queries while it answers the rest: each attempt is judged by its
-      // own notes.
-      // One that waits for memory tells so once and is then quiet until it runs.
-      if (quiet > (talks ? LOST_NOTES : SILENT_NOTES) * period && !(talks && a.inLine)) {
-        lose(now, a, silent);
-      }
-    }
-  }
-
   @Override
   public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
     EngineRecord e = findEngine(engine);
@@ -515,7 +381,7 @@
       return;
     }
     healthChecks.onChecked(e);
-    noteReport(now, e, answered ? report : null);
+    outcomes.recordReport(now, e, answered ? report : null);
     release(now, false);
   }
 
@@ -534,12 +400,6 @@
     return engines == null ? null : engines.find(name);
   }
 
-  private void noteReport(long now, EngineRecord engine, LoadReport report) {
-    if (reports.record(now, engine, report)) {
-      limiter.onReport(now, engine, report);
-    }
-  }
-
   private static double seconds(long time) {
     return time / SECOND;
   }
