--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -22,7 +22,16 @@
 
   /** Holders of state, which decide nothing. */
   private static final List<String> RECORDS =
-      List.of("AttemptRecord", "EngineRecord", "KeyQueue", "QueryClassStatistics", "QueryRecord");
+      List.of(
+          "AttemptListener",
+          "AttemptRecord",
+          "EngineListener",
+          "EngineRecord",
+          "InFlightWork",
+          "KeyQueue",
+          "QueryClassStatistics",
+          "QueryRecord",
+          "SchedulingDecision");
 
   @Test
   void theWallClockIsReadInOnePlaceOfEachModuleThatNeedsIt() throws IOException {
