--- a/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
+++ b/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
@@ -1,64 +1,66 @@
 package reachloom.balancing;
 
 /**
- * The part of the pool's work that is this gateway's, told by the memory that its own queries have
- * out and the memory in use that engines report: how many gateways like this one would make up the
- * fleet. One of many with several times the mean traffic is not bound by an equal part while others
- * leave theirs; one with less keeps the equal part and does not use it.
+ * Estimates this gateway's share of the pool from the memory of its own queries in flight and the
+ * memory in use that engines report, as the number of gateways with as much traffic that would make
+ * up the fleet. A gateway with several times the mean traffic is thus not limited to an equal share
+ * while others leave theirs unused.
  *
- * <p>Memory is the measure since both sides tell it in one unit, and since only what runs counts:
- * parts by what is asked for, or by work against busy cores, add up to several times the pool once
- * clients repeat what was refused or disks are the bottleneck, and bounds then bind nobody. Parts
- * by what runs add up to the pool. Where reports or queries are too few to tell, or memory is not
- * told, the number of the settings holds. Times are nanoseconds, memory is in MB.
+ * <p>Memory is the measure since gateways and engines know it in the same unit, and since only
+ * running queries count: shares by arrivals, or by work against busy cores, add up to several times
+ * the pool when clients retry rejected queries or disks are the bottleneck, so that limits would
+ * have no effect. Shares by running queries add up to the pool. With too few reports or queries, or
+ * if memory is unknown, the number of gateways of the settings is used.
  */
 public final class PoolShareEstimator {
-  private static final double SECOND = 1e9; // nanoseconds
+  private static final double NANOS_PER_SECOND = 1e9;
 
-  /**
-   * Own memory out is averaged over about so long, in seconds: longer than a query, shorter than a
-   * burst.
-   */
-  private static final double SPAN = 4;
+  /** Time constant of the average of own memory: longer than a query, shorter than a burst. */
+  private static final double AVERAGING_SECONDS = 4;
 
-  /** Of the newest report: engines differ, and a report is of one. */
+  /** Weight of the newest report; small, since each report is of one engine. */
   private static final double REPORT_WEIGHT = 0.02;
 
-  /** Reports before what they tell is taken for the pool's: fewer are of too few engines. */
+  /** Number of reports below which they may be of too few engines. */
   private static final int MIN_REPORTS = 20;
 
-  /** A pool that is hardly in use tells nothing of shares, and nothing there needs a bound. */
-  private static final double MIN_USE = 0.02;
+  /** Memory utilization below which shares are unknown, and no limit is needed. */
+  private static final double MIN_UTILIZATION = 0.02;
 
   private final int gateways;
-  private double use;
+  private double utilization;
   private long reports;
-  private double own;
-  private long lookedAt = -1;
+  private double ownMemoryMb;
+  private long recordedAtNanos = -1;
 
-  /** The share of one of so many gateways, about which nothing else is known yet. */
+  /** Creates the estimator of one of the given number of gateways, without observations. */
   public PoolShareEstimator(int gateways) {
     this.gateways = Math.max(1, gateways);
   }
 
-  /** So much memory is held by this gateway's queries now; told every tick. */
-  public void running(long now, double memoryMb) {
-    double passed = lookedAt < 0 ? 0 : (now - lookedAt) / SECOND;
-    lookedAt = now;
-    own += (1 - Math.exp(-passed / SPAN)) * (memoryMb - own);
+  /** Records the memory of this gateway's queries in flight, in MB; called at each tick. */
+  public void recordOwnMemory(long nowNanos, double memoryMb) {
+    double passedSeconds =
+        recordedAtNanos < 0 ? 0 : (nowNanos - recordedAtNanos) / NANOS_PER_SECOND;
+    recordedAtNanos = nowNanos;
+    ownMemoryMb += (1 - Math.exp(-passedSeconds / AVERAGING_SECONDS)) * (memoryMb - ownMemoryMb);
   }
 
-  /** An engine has reported what share of its memory is in use. */
-  public void reported(double memoryShare) {
+  /** Records the share of its memory that an engine has in use, from 0 to 1. */
+  public void recordReport(double memoryShare) {
     reports++;
-    use += Math.max(REPORT_WEIGHT, 1.0 / reports) * (Math.min(1, memoryShare) - use);
+    utilization +=
+        Math.max(REPORT_WEIGHT, 1.0 / reports) * (Math.min(1, memoryShare) - utilization);
   }
 
-  /** How many gateways like this one make up the fleet: as many as the settings name, or fewer. */
-  public double fleet(double poolMemoryMb) {
-    if (reports < MIN_REPORTS || use < MIN_USE || own <= 0) {
+  /**
+   * The number of gateways with as much traffic as this one that would make up the fleet, at most
+   * the number of the settings.
+   */
+  public double fleetSize(double poolMemoryMb) {
+    if (reports < MIN_REPORTS || utilization < MIN_UTILIZATION || ownMemoryMb <= 0) {
       return gateways;
     }
-    return Math.max(1, Math.min(gateways, use * poolMemoryMb / own));
+    return Math.max(1, Math.min(gateways, utilization * poolMemoryMb / ownMemoryMb));
   }
 }
--- a/decisions/src/main/java/reachloom/balancing/SlotRotation.java
+++ b/decisions/src/main/java/reachloom/balancing/SlotRotation.java
@@ -1,33 +1,34 @@
 package reachloom.balancing;
 
 /**
- * Whose turn it is, among gateways that are numbered and do not talk: each turn has one owner, each
- * of them one turn in a round. Neighbours in number do not follow each other, since numbers may go
- * with traffic: turns whose owners have nothing to send leave unused what they take turns at.
+ * Assigns numbered slots to numbered gateways in rotation, without messages between them: each slot
+ * has one owner, and each gateway owns one slot per round. Gateways with neighbouring numbers do
+ * not own consecutive slots, since numbers may correlate with traffic, and a slot whose owner has
+ * no queries goes unused.
  */
 public final class SlotRotation {
-  private static final double GOLDEN = 0.6180339887498949; // of its multiples, any run lies evenly
+  private static final double GOLDEN_RATIO = 0.6180339887498949;
 
   private SlotRotation() {}
 
-  /** The number of the owner of that turn at something of that name, from 0. */
-  public static int owner(String name, long turn, int gateways) {
-    long step = Math.max(1, Math.round(gateways * GOLDEN));
+  /** The number of the gateway, from 0, that owns a slot of the engine of the given name. */
+  public static int owner(String name, long slot, int gateways) {
+    long step = Math.max(1, Math.round(gateways * GOLDEN_RATIO));
     while (divisor(step, gateways) > 1) {
       step++;
     }
     long first = Math.floorMod(EngineSubset.mix(name), gateways);
-    return (int) ((first + Math.floorMod(turn, gateways) * step) % gateways);
+    return (int) ((first + Math.floorMod(slot, gateways) * step) % gateways);
   }
 
   /**
-   * The place of that gateway among so many that share a turn, from 0; the first is the turn's
-   * owner, and -1 says that it has none. In a round each gateway has each place once.
+   * The place of a gateway among those that share a slot: 0 for the owner, -1 if the gateway has no
+   * share. In a round each gateway has each place once.
    */
-  public static int place(String name, long turn, int places, int gateways, int gateway) {
+  public static int place(String name, long slot, int places, int gateways, int gateway) {
     int shared = Math.min(places, gateways);
     for (int place = 0; place < shared; place++) {
-      if (owner(name, turn + (long) place * (gateways / shared), gateways) == gateway) {
+      if (owner(name, slot + (long) place * (gateways / shared), gateways) == gateway) {
         return place;
       }
     }
--- a/decisions/src/main/java/reachloom/balancing/package-info.java
+++ b/decisions/src/main/java/reachloom/balancing/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How one gateway of many keeps the load even though it sees little of it: its part of the pool's
- * work, and the engines that it keeps to. Pure: no clock, no chance, no sockets.
+ * Load balancing by each gateway on its own, without messages between gateways: the estimate of a
+ * gateway's share of the pool, its subset of engines, and the rotation of slots. Pure: no clock, no
+ * random numbers, no sockets.
  */
 package reachloom.balancing;
--- a/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
+++ b/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
@@ -3,119 +3,119 @@
 import java.util.SplittableRandom;
 
 /**
- * One gateway's watch over a log of numbered changes: what is taken of what it says, when it counts
- * as dead, and when it is dialled again. The list held never goes back: events at or below the last
- * one held change nothing, and a log that has left events out is asked for all it has, which counts
- * only once it has told as far as was seen. Times are nanoseconds.
+ * The watch of one gateway on a change log of numbered list events: which events to apply, when the
+ * connection counts as dead, and when to reconnect. The list never goes back: events up to the last
+ * one applied are ignored. If events are missing, the log is asked for its complete list, which is
+ * applied only when it has reached the event that showed the gap. Times are nanoseconds.
  */
 public final class EndpointWatch {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  /** The log says something each second, by the protocol. */
+  /** Interval at which the log sends at least a heartbeat, by the protocol. */
   private static final long FRAME = 1_000 * MILLISECOND;
 
   /**
-   * So long without a frame and the watch is dead, though nothing broke: two frames may be late,
-   * and of the 7 s after which all counts as told enough is left for three dials that fail and the
-   * list itself.
+   * Time without a frame after which the connection counts as dead: two frames may be late, and of
+   * the 7 s within which the list has to be complete enough is left for three failed connects.
    */
   public static final long MAX_SILENCE = 5 * FRAME / 2;
 
-  /** Reaching the log takes no longer where it can be reached: half of a frame. */
+  /** Timeout of a connect. */
   public static final long DIAL_TIMEOUT = FRAME / 2;
 
   /**
-   * What a log holds follows the question at once: it has told all once it is quiet for so long.
+   * Time without a frame after which the answer to a request is complete, since all stored events
+   * follow it at once.
    */
   public static final long QUIET = FRAME / 10;
 
-  /** A start does not wait longer for the log: one that is away must not keep a gateway away. */
+  /** Maximum time that a start waits for the log, so that a log that is down delays no gateway. */
   public static final long LONGEST_START = 400 * MILLISECOND;
 
   /**
-   * A gateway is ready by then whatever it still waits for, counted from its program's first line:
-   * of the 10 s in which nine in ten have to be, 2 s stay for the virtual machine's own start.
+   * Maximum time from the start of the program until a gateway is ready, whatever it still waits
+   * for: of the 10 s allowed, 2 s remain for the start of the virtual machine.
    */
   public static final long LATEST_READY = 8_000 * MILLISECOND;
 
-  private static final long FIRST_PAUSE = 100 * MILLISECOND;
+  private static final long MIN_BACKOFF = 100 * MILLISECOND;
 
-  /** Short beside the 2 s within which a gateway has to find a log again that broke off. */
-  private static final long LONGEST_PAUSE = 400 * MILLISECOND;
+  /** Short compared with the 2 s within which a gateway has to reconnect to a log. */
+  private static final long MAX_BACKOFF = 400 * MILLISECOND;
 
   /**
-   * Frames that say nothing new, in an answer that should tell all: it has ended, and may be short.
+   * Consecutive heartbeats after which an answer with the complete list has ended, even if it is
+   * too short.
    */
-  private static final int MAX_QUIET = 2;
+  private static final int MAX_HEARTBEATS_IN_ANSWER = 2;
 
-  /** What is to be done with a frame. */
+  /** What to do with a frame. */
   public enum Verdict {
-    /** Nothing: a sign of life, or an event known before. */
+    /** Nothing: a heartbeat, or an event that was applied before. */
     SKIP,
-    /** It follows what is held. */
+    /** Apply it: it is the next event. */
     TAKE,
-    /** Events before it are missing: the log is asked again, for all of them. */
+    /** Ask the log for the complete list, since events are missing before it. */
     MISSED,
-    /** A part of all of them: it is kept until the rest is there. */
+    /** Buffer it: it is a part of the complete list. */
     FOLD,
-    /** The last part: what was kept, and this one, is the whole list. */
+    /** Apply what was buffered, with this last part, as the complete list. */
     WHOLE
   }
 
   private final SplittableRandom random;
   private long last;
-  private long pause = FIRST_PAUSE;
+  private long backoff = MIN_BACKOFF;
 
-  /** The number that an answer that tells all has to reach, or -1 where none is awaited. */
+  /** The number that the complete list has to reach, or -1 if none is awaited. */
   private long wanted = -1;
 
   private long folded;
   private int quiet;
 
   /**
-   * The log itself leaves numbers out: one that does not follow the last one tells of none missed.
+   * Whether the log itself leaves out numbers, so that a gap does not mean that events are missing.
    */
   private boolean sparse;
 
-  /** A watch that holds what the event of that number told. */
+  /** Creates a watch that has applied events up to the given number; the seed is for backoff. */
   public EndpointWatch(long last, long seed) {
     this.last = last;
     random = new SplittableRandom(seed);
   }
 
-  /** The number of the last event held. */
+  /** The number of the last event applied. */
   public long last() {
     return last;
   }
 
-  /** The number after which the log is asked. */
+  /** The number after which to request events; 0 requests the complete list. */
   public long askAfter() {
     return wanted < 0 ? last : 0;
   }
 
-  /** A connection is asked anew: parts kept of an answer before it count no more. */
+  /** A request was sent on a new connection; buffered parts of earlier answers are dropped. */
   public void asked() {
     folded = 0;
     quiet = 0;
   }
 
   /**
-   * Another source told the list as it was at that number; false where it is older than what is
-   * held.
+   * Another source supplied the complete list as of the given number; false if that is older than
+   * the list applied.
    */
   public boolean toldElsewhere(long number) {
     boolean newer = number > last;
     last = Math.max(last, number);
     if (last >= wanted) {
-      wanted =
-          -1; // nothing is missing up to there, and all of them as they were before would go back
+      wanted = -1; // nothing is missing up to there; applying the awaited list would go back
     }
     return newer;
   }
 
-  /** Takes a frame. */
+  /** Handles a frame: its event number, whether it has the complete list, or is a heartbeat. */
   public Verdict heard(long number, boolean whole, boolean nothing) {
-    pause = FIRST_PAUSE;
+    backoff = MIN_BACKOFF;
     if (wanted >= 0) {
       return partOfAll(number, nothing);
     }
@@ -132,7 +132,7 @@
 
   private Verdict partOfAll(long number, boolean nothing) {
     if (nothing) {
-      if (++quiet >= MAX_QUIET) { // it does not hold what it told before: the list held stays
+      if (++quiet >= MAX_HEARTBEATS_IN_ANSWER) { // the log has lost events; the current list stays
         wanted = -1;
         sparse = true;
       }
@@ -152,17 +152,17 @@
   }
 
   /**
-   * The wait before the next dial: longer each time, half of it by chance, so that not all come
-   * together.
+   * The time to wait before the next connect: exponential backoff with jitter of a half, so that
+   * gateways do not reconnect together.
    */
   public long pause() {
-    long now = pause;
-    pause = Math.min(LONGEST_PAUSE, pause * 2);
-    return now / 2 + random.nextLong(now / 2 + 1);
+    long current = backoff;
+    backoff = Math.min(MAX_BACKOFF, backoff * 2);
+    return current / 2 + random.nextLong(current / 2 + 1);
   }
 
-  /** The log has another address: it is dialled as at the first time. */
+  /** The log has a new address; backoff starts over. */
   public void moved() {
-    pause = FIRST_PAUSE;
+    backoff = MIN_BACKOFF;
   }
 }
--- a/decisions/src/main/java/reachloom/discovery/IncarnationTimes.java
+++ b/decisions/src/main/java/reachloom/discovery/IncarnationTimes.java
@@ -1,38 +1,38 @@
 package reachloom.discovery;
 
 /**
- * Puts the starts of engines, which the change log tells as Unix times, on this process's own
- * clock. The two may be apart by any amount, since the wall clock of this machine may have been
- * wrong when the process started. No engine starts in the future, and one whose start is told as a
- * change has started lately: a start outside of that moves the difference, so that the engine
- * counts as one that has just started.
+ * Converts the start times of engines, which the change log has as Unix times, to the clock of this
+ * process. The two clocks may differ by any amount, since the wall clock of this machine may have
+ * been wrong when the process started. No engine starts in the future, and an engine whose start is
+ * an incremental event has started recently; a start time outside of these bounds corrects the
+ * difference, so that the engine counts as just started.
  *
- * <p>Harms where a change is told later than {@link #LATEST_TOLD}: the engine is taken for cold for
- * longer than it is. Can't help where a whole list at the start of this process is all that tells
- * of an engine and the wall clock was ahead.
+ * <p>Limits: if an event arrives later than {@link #MAX_EVENT_DELAY}, the engine counts as warming
+ * up for too long. The difference is not corrected if an engine is only in the complete list at the
+ * start of this process and the wall clock was ahead.
  */
 public final class IncarnationTimes {
   /**
-   * Nanoseconds; longer than the change log is usually away, and shorter than wrong clocks are
-   * wrong.
+   * Nanoseconds; longer than usual outages of the change log, and shorter than usual errors of
+   * clocks.
    */
-  private static final long LATEST_TOLD = 20_000_000_000L;
+  private static final long MAX_EVENT_DELAY = 20_000_000_000L;
 
-  /** This process's time less that of the starts told, in nanoseconds. */
+  /** The time of this process minus that of the change log, in nanoseconds. */
   private long difference;
 
   /**
-   * When an engine started, on this process's clock, in nanoseconds.
+   * Converts the start of an engine to nanoseconds of the clock of this process.
    *
-   * @param now the present time of this process
-   * @param started the start as it is told, in Unix nanoseconds
-   * @param asChange whether it is told as a change, and not within a whole list
+   * @param nowNanos the current time of this process
+   * @param startedUnixNanos the start according to the change log
+   * @param asChange whether it came as an incremental event, and not in a complete list
    */
-  public long ownTime(long now, long started, boolean asChange) {
-    long own = started + difference;
-    if (own > now || asChange && own < now - LATEST_TOLD) {
-      difference = now - started;
-      return now;
+  public long ownTime(long nowNanos, long startedUnixNanos, boolean asChange) {
+    long own = startedUnixNanos + difference;
+    if (own > nowNanos || asChange && own < nowNanos - MAX_EVENT_DELAY) {
+      difference = nowNanos - startedUnixNanos;
+      return nowNanos;
     }
     return own;
   }
--- a/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
@@ -190,7 +190,7 @@
   void onReport(long nowNanos, EngineRecord engine, LoadReport report) {
     activate(nowNanos, engine);
     recordPoolSignal(isBusy(nowNanos, engine));
-    poolShare.reported(report.memoryShare());
+    poolShare.recordReport(report.memoryShare());
   }
 
   /** Handles a served attempt; {@link CostEstimator} has learned from it before. */
@@ -309,8 +309,8 @@
 
   /** Updates the estimate of {@link #fleetSize()}; called at each tick. */
   void updateFleetSize(long nowNanos) {
-    poolShare.running(nowNanos, pool.inFlight.memoryMb());
-    fleetSize = poolShare.fleet(pool.memoryMb);
+    poolShare.recordOwnMemory(nowNanos, pool.inFlight.memoryMb());
+    fleetSize = poolShare.fleetSize(pool.memoryMb);
   }
 
   /** Adjusts the limits of active engines, and deactivates those that ticks no longer change. */
--- a/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
+++ b/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
@@ -67,7 +67,7 @@
     long cost = query.query.estimatedCostNanos();
     return (cost > 0
             ? Nanoseconds.toSeconds(cost) * c.secondsPerWorkSecond
-            : c.serviceSeconds.value)
+            : c.serviceSeconds.value())
         * ratio;
   }
 
@@ -80,8 +80,8 @@
   /** Average work of the query's class, in seconds. */
   double averageWorkSeconds(QueryRecord query) {
     QueryClassStatistics c = statistics(query);
-    return c.workSeconds.count > 0
-        ? c.workSeconds.value
+    return c.workSeconds.count() > 0
+        ? c.workSeconds.value()
         : Nanoseconds.toSeconds(c.queryClass.deadlineNanos()) * UNKNOWN_WORK_DEADLINE_SHARE;
   }
 
@@ -92,20 +92,20 @@
 
   /** Mean of the average work of all classes, in seconds; 0 without classes. */
   double meanWorkSeconds() {
-    return classes.stream().mapToDouble(c -> c.workSeconds.value).average().orElse(0);
+    return classes.stream().mapToDouble(c -> c.workSeconds.value()).average().orElse(0);
   }
 
   /** Memory that the query needs, in MB, with a margin where engines support reservations. */
   double memoryMb(QueryRecord query) {
     QueryClassStatistics c = statistics(query);
     double estimateMb = query.query.estimatedMemoryMb();
-    double need = estimateMb > 0 ? estimateMb * c.memoryFactor.value : c.memoryMb.value;
+    double need = estimateMb > 0 ? estimateMb * c.memoryFactor.value() : c.memoryMb.value();
     return reservesMemory ? need * RESERVATION_MARGIN : need;
   }
 
   /** Memory to reserve for the query, in MB; 0 leaves it to the engine. */
   double reservationMb(QueryRecord query) {
-    return reservesMemory && statistics(query).memoryMb.count > 0 ? memoryMb(query) : 0;
+    return reservesMemory && statistics(query).memoryMb.count() > 0 ? memoryMb(query) : 0;
   }
 
   /** The latency objective of a query of that class with the given work, in seconds. */
@@ -121,8 +121,8 @@
   boolean hasHighValueDensity(QueryRecord query) {
     double meanWork = meanWorkSeconds();
     QueryClassStatistics c = statistics(query);
-    return c.workSeconds.value > 0
-        && c.queryClass.priorityWeight() / c.workSeconds.value
+    return c.workSeconds.value() > 0
+        && c.queryClass.priorityWeight() / c.workSeconds.value()
             > HIGH_VALUE_DENSITY * meanPriorityWeight / Math.max(meanWork, MIN_WORK_SECONDS);
   }
 
@@ -140,9 +140,9 @@
     }
     QueryClassStatistics c = statistics(query);
     c.workSeconds.add(Nanoseconds.toSeconds(query.query.estimatedCostNanos()), NEWEST_WEIGHT);
-    if (c.servedWorkSeconds.count == 0) { // initially service time is the latency objective
+    if (c.servedWorkSeconds.count() == 0) { // initially service time is the latency objective
       c.secondsPerWorkSecond =
-          Nanoseconds.toSeconds(c.queryClass.latencyObjectiveNanos()) / c.workSeconds.value;
+          Nanoseconds.toSeconds(c.queryClass.latencyObjectiveNanos()) / c.workSeconds.value();
     }
   }
 
@@ -161,7 +161,7 @@
     }
     c.serviceSeconds.add(takenSeconds / ratios.of(attempt.engine), NEWEST_WEIGHT);
     c.servedWorkSeconds.add(workSeconds(query), NEWEST_WEIGHT);
-    c.secondsPerWorkSecond = c.serviceSeconds.value / c.servedWorkSeconds.value;
+    c.secondsPerWorkSecond = c.serviceSeconds.value() / c.servedWorkSeconds.value();
     ratios.onAnswer(attempt.engine, takenSeconds, attempt.predictedSeconds);
   }
 
--- a/decisions/src/main/java/reachloom/scheduler/state/MovingAverage.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/MovingAverage.java
@@ -1,18 +1,32 @@
 package reachloom.scheduler.state;
 
-/** A mean that follows its newest values: plain over the first few, then weighted. */
+/** A moving average: the plain mean of its first values, then one that favours the newest value. */
 public final class MovingAverage {
-  public double value;
-  public int count;
+  private double value;
+  private int count;
 
-  /** A mean that stands at the given value until the first one is added. */
-  public MovingAverage(double start) {
-    value = start;
+  /** Creates an average that has the given value until the first one is added. */
+  public MovingAverage(double initialValue) {
+    value = initialValue;
   }
 
-  /** Adds a value, which weighs as much as any so far, and the given weight at least. */
-  public void add(double newest, double leastWeight) {
+  /**
+   * Adds a value with the same weight as each value before.
+   *
+   * @param minWeight the least weight of the value, from 0 to 1
+   */
+  public void add(double newest, double minWeight) {
     count++;
-    value += Math.max(leastWeight, 1 / (double) count) * (newest - value);
+    value += Math.max(minWeight, 1 / (double) count) * (newest - value);
+  }
+
+  /** The average. */
+  public double value() {
+    return value;
+  }
+
+  /** How many values were added. */
+  public int count() {
+    return count;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/state/SlidingWindowSum.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/SlidingWindowSum.java
@@ -2,33 +2,33 @@
 
 import java.util.ArrayDeque;
 
-/** A sum over the latest stretch of time. */
+/** A sum over a sliding window of time; values that leave the window are dropped. */
 public final class SlidingWindowSum {
-  private record Entry(long at, double value) {}
+  private record Entry(long addedAtNanos, double value) {}
 
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
-  private final long span;
+  private final long windowNanos;
   private double sum;
 
-  /** A sum over the given span of time. */
-  public SlidingWindowSum(long span) {
-    this.span = span;
+  /** Creates a sum over a window of the given length. */
+  public SlidingWindowSum(long windowNanos) {
+    this.windowNanos = windowNanos;
   }
 
-  /** Adds a value at the present time. */
-  public void add(long now, double value) {
-    sum(now); // drops what is past, also where the sum is never asked for
-    entries.addLast(new Entry(now, value));
+  /** Adds a value at the given time, which must not go back. */
+  public void add(long nowNanos, double value) {
+    sum(nowNanos); // bounds the entries even if the sum is never read
+    entries.addLast(new Entry(nowNanos, value));
     sum += value;
   }
 
-  /** The sum of what was added within the span up to now. */
-  public double sum(long now) {
-    while (!entries.isEmpty() && entries.peekFirst().at() < now - span) {
+  /** The sum of the values that were added within the window that ends at the given time. */
+  public double sum(long nowNanos) {
+    while (!entries.isEmpty() && entries.peekFirst().addedAtNanos() < nowNanos - windowNanos) {
       sum -= entries.removeFirst().value();
     }
     if (entries.isEmpty()) {
-      sum = 0; // forget the rounding
+      sum = 0; // drops rounding errors
     }
     return sum;
   }
--- a/decisions/src/main/java/reachloom/scheduler/state/TokenBucket.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/TokenBucket.java
@@ -1,34 +1,39 @@
 package reachloom.scheduler.state;
 
-/** Tokens that fill at a steady rate up to a limit. */
+/** A token bucket: tokens are added at a constant rate up to a limit, and taken one by one. */
 public final class TokenBucket {
   private final double perSecond;
-  private final double most;
-  private double left;
-  private long filledAt;
+  private final double capacity;
+  private double tokens;
+  private long filledAtNanos;
   private boolean filled;
 
   /**
-   * A bucket of that rate which holds what a second brings, or the given least; rate 0 sets no
-   * limit.
+   * Creates a full bucket.
+   *
+   * @param perSecond the rate; 0 means that there is no limit
+   * @param minCapacity the capacity, unless the tokens of one second are more
    */
-  public TokenBucket(double perSecond, double least) {
+  public TokenBucket(double perSecond, double minCapacity) {
     this.perSecond = perSecond;
-    this.most = Math.max(least, perSecond);
+    this.capacity = Math.max(minCapacity, perSecond);
   }
 
-  /** Takes a token; false where there is none. */
-  public boolean take(long now) {
+  /** Takes a token at the given time; false if there is none. */
+  public boolean take(long nowNanos) {
     if (perSecond <= 0) {
       return true;
     }
-    left = filled ? Math.min(most, left + perSecond * (now - filledAt) / 1e9) : most;
+    tokens =
+        filled
+            ? Math.min(capacity, tokens + perSecond * (nowNanos - filledAtNanos) / 1e9)
+            : capacity;
     filled = true;
-    filledAt = now;
-    if (left < 1) {
+    filledAtNanos = nowNanos;
+    if (tokens < 1) {
       return false;
     }
-    left--;
+    tokens--;
     return true;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/state/package-info.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/package-info.java
@@ -1,2 +1,2 @@
-/** Plain holders and neutral containers for what a gateway knows; nothing here decides. */
+/** Containers without rules: a moving average, a sum over a sliding window, a token bucket. */
 package reachloom.scheduler.state;
--- a/decisions/src/test/java/reachloom/balancing/BalancingTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -114,8 +114,8 @@
   private static PoolShareEstimator share(int gateways, double memoryShare, double ownMb) {
     PoolShareEstimator s = new PoolShareEstimator(gateways);
     for (int i = 0; i < 400; i++) {
-      s.running(i * SECOND / 40, ownMb);
-      s.reported(memoryShare);
+      s.recordOwnMemory(i * SECOND / 40, ownMb);
+      s.recordReport(memoryShare);
     }
     return s;
   }
@@ -124,18 +124,18 @@
   void aGatewayWithMuchTrafficKnowsThatItsPartIsLarger() {
     // 100,000 MB of which 30,000 are in use; 3,000 of them are its own: like it, ten would make up
     // the fleet.
-    assertEquals(10, share(200, 0.3, 3_000).fleet(100_000), 1);
+    assertEquals(10, share(200, 0.3, 3_000).fleetSize(100_000), 1);
   }
 
   @Test
   void oneWithLittleTrafficKeepsTheEqualPart() {
-    assertEquals(200, share(200, 0.3, 50).fleet(100_000));
+    assertEquals(200, share(200, 0.3, 50).fleetSize(100_000));
   }
 
   @Test
   void settingsThatNameTooManyGatewaysAreSeenThrough() {
     // Really 200: each has 150 of the 30,000 MB; 600 are named.
-    assertEquals(200, share(600, 0.3, 150).fleet(100_000), 20);
+    assertEquals(200, share(600, 0.3, 150).fleetSize(100_000), 20);
   }
 
   @Test
@@ -145,7 +145,7 @@
     for (double use : new double[] {0.1, 0.5, 1}) {
       double parts = 0;
       for (double own : new double[] {0.2, 0.3, 0.5}) {
-        parts += 1 / share(100, use, own * use * 100_000).fleet(100_000);
+        parts += 1 / share(100, use, own * use * 100_000).fleetSize(100_000);
       }
       assertEquals(1, parts, 0.1, "at a load of " + use);
     }
@@ -155,21 +155,22 @@
   void aPartSinksWithWhatRuns() {
     PoolShareEstimator s = share(200, 0.3, 3_000);
     for (int i = 0; i < 400; i++) {
-      s.running((10 + i / 40) * SECOND, 1_500);
+      s.recordOwnMemory((10 + i / 40) * SECOND, 1_500);
     }
-    assertEquals(20, s.fleet(100_000), 3);
+    assertEquals(20, s.fleetSize(100_000), 3);
   }
 
   @Test
   void withTooLittleToGoByTheSettingsHold() {
-    assertEquals(200, share(200, 0.01, 3_000).fleet(100_000), "a pool hardly in use");
-    assertEquals(200, share(200, 0, 3_000).fleet(100_000), "engines that don't tell of memory");
-    assertEquals(200, share(200, 0.3, 0).fleet(100_000), "nothing out, or its memory not known");
+    assertEquals(200, share(200, 0.01, 3_000).fleetSize(100_000), "a pool hardly in use");
+    assertEquals(200, share(200, 0, 3_000).fleetSize(100_000), "engines that don't tell of memory");
+    assertEquals(
+        200, share(200, 0.3, 0).fleetSize(100_000), "nothing out, or its memory not known");
     PoolShareEstimator silent = new PoolShareEstimator(200);
     for (int i = 0; i < 500; i++) {
-      silent.running(i * SECOND / 40, 3_000);
+      silent.recordOwnMemory(i * SECOND / 40, 3_000);
     }
-    assertEquals(200, silent.fleet(100_000), "no report");
+    assertEquals(200, silent.fleetSize(100_000), "no report");
   }
 
   @Test
--- /dev/null
+++ b/decisions/src/test/java/reachloom/scheduler/TickClockTest.java
@@ -0,0 +1,34 @@
+package reachloom.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** When a late tick counts as a stall. */
+class TickClockTest {
+  private static final long START = 1_000_000_000L;
+  private static final long INTERVAL = TickClock.INTERVAL_NANOS;
+
+  private final TickClock clock = new TickClock(START);
+
+  @Test
+  void aTickThatIsOneIntervalLateIsNoStall() {
+    assertEquals(0, clock.takeStall(START + 2 * INTERVAL));
+    assertEquals(0, clock.stalledUntilNanos());
+  }
+
+  @Test
+  void aStallIsReturnedOnceAndRememberedByItsEnd() {
+    long end = START + 10 * INTERVAL;
+    assertEquals(8 * INTERVAL, clock.takeStall(end));
+    assertEquals(0, clock.takeStall(end), "returned once");
+    assertEquals(end, clock.stalledUntilNanos());
+  }
+
+  @Test
+  void timeCountsFromTheLatestTick() {
+    clock.tick(START + 10 * INTERVAL);
+    assertEquals(0, clock.takeStall(START + 12 * INTERVAL));
+    assertEquals(1, clock.takeStall(START + 12 * INTERVAL + 1));
+  }
+}
