--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -141,7 +141,7 @@
   @Test
   void killedBeforeAnyAcceptedIsNeverProved() {
     Issuers net = new Issuers(5, 1);
-    net.node(1).gagged = w -> w instanceof RevisionMessage.Propose;
+    net.node(1).suppressed = w -> w instanceof RevisionMessage.Propose;
     net.node(1).propose("half");
     net.pass(SECOND);
     net.node(1).crash();
@@ -150,7 +150,7 @@
     net.node(2).propose("next");
     assertTrue(net.await(SECOND, () -> net.log.size() == 1));
     assertTrue(net.log.get(1L).describes("next".getBytes()));
-    net.node(1).gagged = w -> false;
+    net.node(1).suppressed = w -> false;
     net.node(1).start();
     net.pass(20 * SECOND);
     assertEquals(1, net.log.size());
@@ -159,15 +159,15 @@
   @Test
   void killedAfterOneAcceptedIsFinishedByTheNextWhoHearsOfIt() {
     Issuers net = new Issuers(3, 1);
-    net.node(1).gagged = w -> w instanceof RevisionMessage.Notice;
-    net.node(3).gagged =
+    net.node(1).suppressed = w -> w instanceof RevisionMessage.Notice;
+    net.node(3).suppressed =
         w -> w instanceof RevisionMessage.Accepted || w instanceof RevisionMessage.Promise;
-    net.node(2).gagged = w -> w instanceof RevisionMessage.Accepted;
+    net.node(2).suppressed = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("half");
     assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted().isPresent()));
     net.node(1).crash();
-    net.node(3).gagged = w -> false;
-    net.node(2).gagged = w -> false;
+    net.node(3).suppressed = w -> false;
+    net.node(2).suppressed = w -> false;
     List<ProposalResult> next = net.node(3).propose("next");
     assertTrue(net.await(5 * SECOND, () -> over(next)));
     assertEquals(2, next.get(0).number());
@@ -180,7 +180,7 @@
     for (int seed = 0; seed < 20; seed++) {
       Issuers net = new Issuers(5, seed);
       for (int i = 2; i <= 5; i++) {
-        net.node(i).gagged = w -> w instanceof RevisionMessage.Accepted;
+        net.node(i).suppressed = w -> w instanceof RevisionMessage.Accepted;
       }
       net.node(1).propose("half");
       assertTrue(
@@ -192,7 +192,7 @@
                           .count()
                       >= 3));
       net.node(1).crash();
-      net.nodes.values().forEach(n -> n.gagged = w -> false);
+      net.nodes.values().forEach(n -> n.suppressed = w -> false);
       assertTrue(net.await(8 * SECOND, () -> net.log.size() == 1 && net.agree()), "seed " + seed);
       assertEquals("half", net.node(4).document());
       net.pass(10 * SECOND);
@@ -207,12 +207,12 @@
       net.delay = 40 * MILLISECOND;
       List<ProposalResult> old = net.node(1).propose("old");
       net.pass(net.random.nextLong(60) * MILLISECOND);
-      net.stand(1);
+      net.pause(1);
       List<ProposalResult> young = net.node(2).propose("young");
       assertTrue(net.await(10 * SECOND, () -> over(young)), "seed " + seed);
       int before = net.log.size();
       net.pass(20 * SECOND);
-      net.goOn(1);
+      net.resume(1);
       net.pass(20 * SECOND);
       assertEquals(before, net.log.size(), "seed " + seed);
       assertEquals("young", net.node(1).document(), "seed " + seed);
@@ -225,13 +225,13 @@
   @Test
   void oneAloneThatStoodStillDoesNotProposeWhatWaited() {
     Issuers net = new Issuers(5, 1);
-    net.nodes.values().forEach(n -> n.gagged = w -> w instanceof RevisionMessage.Promise);
+    net.nodes.values().forEach(n -> n.suppressed = w -> w instanceof RevisionMessage.Promise);
     List<ProposalResult> old = net.node(1).propose("old");
     net.pass(100 * MILLISECOND);
-    net.stand(1);
+    net.pause(1);
     net.pass(5 * SECOND);
-    net.nodes.values().forEach(n -> n.gagged = w -> false);
-    net.goOn(1);
+    net.nodes.values().forEach(n -> n.suppressed = w -> false);
+    net.resume(1);
     net.pass(30 * SECOND);
     assertEquals(Kind.STOOD_STILL, last(old));
     assertEquals(0, old.get(0).number());
@@ -283,14 +283,14 @@
   void whatWasProposedBeforeTheMajorityWasLostIsToldTwice() {
     Issuers net = new Issuers(5, 1);
     for (int i = 2; i <= 5; i++) {
-      net.node(i).gagged = w -> w instanceof RevisionMessage.Accepted;
+      net.node(i).suppressed = w -> w instanceof RevisionMessage.Accepted;
     }
     List<ProposalResult> unsure = net.node(1).propose("unsure");
     assertTrue(net.await(10 * SECOND, () -> !unsure.isEmpty()));
     assertEquals(Kind.NO_MAJORITY, last(unsure));
     assertEquals(1, unsure.get(0).number());
     assertFalse(over(unsure));
-    net.nodes.values().forEach(n -> n.gagged = w -> false);
+    net.nodes.values().forEach(n -> n.suppressed = w -> false);
     assertTrue(net.await(10 * SECOND, () -> over(unsure)));
     assertEquals(new ProposalResult(Kind.ISSUED, 1, "issued as revision 1"), unsure.get(1));
   }
@@ -398,8 +398,8 @@
   @Test
   void votesOfAnotherBallotAndForgedOnesDoNotCount() {
     Issuers net = new Issuers(3, 1);
-    net.node(2).gagged = w -> w instanceof RevisionMessage.Accepted;
-    net.node(3).gagged = w -> w instanceof RevisionMessage.Accepted;
+    net.node(2).suppressed = w -> w instanceof RevisionMessage.Accepted;
+    net.node(3).suppressed = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("one");
     assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted().isPresent()));
     ConsensusState s = net.node(2).disk.state;
@@ -591,14 +591,14 @@
           case 0 -> n.crash();
           case 1 -> {
             if (n.consensus != null) {
-              net.stand(Integer.parseInt(n.name.substring(1)));
+              net.pause(Integer.parseInt(n.name.substring(1)));
             }
           }
           case 2 -> net.cut(1 + chance.nextInt(count), 1 + chance.nextInt(count));
           case 3 -> net.heal();
           case 4 -> n.disk.broken = chance.nextBoolean();
           default -> {
-            if (n.consensus != null && !n.standing) {
+            if (n.consensus != null && !n.paused) {
               all.add(n.propose("document " + all.size()));
             }
           }
@@ -607,10 +607,10 @@
         for (int i = 1; i <= count; i++) {
           if (chance.nextInt(3) == 0) {
             if (net.node(i).consensus == null) {
-              net.node(i).standing = false;
+              net.node(i).paused = false;
               net.node(i).start();
             }
-            net.goOn(i);
+            net.resume(i);
           }
         }
       }
@@ -621,7 +621,7 @@
         if (net.node(i).consensus == null) {
           net.node(i).start();
         }
-        net.goOn(i);
+        net.resume(i);
       }
       net.pass(10 * SECOND);
       List<ProposalResult> end = net.node(1).propose("the end");
--- a/decisions/src/test/java/reachloom/revision/Issuers.java
+++ b/decisions/src/test/java/reachloom/revision/Issuers.java
@@ -18,9 +18,9 @@
 import java.util.function.Predicate;
 
 /**
- * Issuers on a network in simulated time that loses, delays, copies and cuts. Each has a consensus,
- * a store that a test may break or take away, and a library that asks and answers over the same
- * network.
+ * Issuers on a network in simulated time that loses, delays, copies and cuts. Each has a consensus
+ * node, a store that a test may break or take away, and a repository that asks and answers over the
+ * same network.
  */
 final class Issuers {
   static final long MILLISECOND = 1_000_000;
@@ -89,13 +89,13 @@
     RevisionDissemination dissemination;
 
     RevisionMessage.Notice newest;
-    boolean standing;
+    boolean paused;
     int life;
     private long haveAt;
     private long told;
 
-    /** Words that do not leave this one. */
-    Predicate<RevisionMessage> gagged = w -> false;
+    /** Messages that are lost on their way out of this one. */
+    Predicate<RevisionMessage> suppressed = w -> false;
 
     Node(String name) {
       this.name = name;
@@ -186,14 +186,14 @@
       }
     }
 
-    private void hear(Peer sender, List<RevisionMessage> words) {
+    private void receive(Peer sender, List<RevisionMessage> messages) {
       if (real) {
-        dissemination.hear(now, sender, words);
-        consensus.receive(now, sender, words);
+        dissemination.hear(now, sender, messages);
+        consensus.receive(now, sender, messages);
         look();
         return;
       }
-      for (RevisionMessage w : words) {
+      for (RevisionMessage w : messages) {
         if (w instanceof RevisionMessage.Have h && h.known() > number()) {
           send(now, sender.name(), 0, List.of(new RevisionMessage.Want(0, 0, 0, 0)));
         } else if (w instanceof RevisionMessage.Want && newest != null) {
@@ -202,7 +202,7 @@
           take(n);
         }
       }
-      consensus.receive(now, sender, words);
+      consensus.receive(now, sender, messages);
     }
 
     private void look() {
@@ -321,17 +321,17 @@
     }
 
     @Override
-    public boolean send(long at, String to, long address, List<RevisionMessage> words) {
+    public boolean send(long at, String to, long address, List<RevisionMessage> messages) {
       if (random.nextDouble() < refusing) {
         return false;
       }
       List<RevisionMessage> out =
-          new ArrayList<>(words.stream().filter(w -> !gagged.test(w)).toList());
+          new ArrayList<>(messages.stream().filter(w -> !suppressed.test(w)).toList());
       if (real) {
         out.add(dissemination.have());
       }
       Peer me = peer();
-      carry(this, nodes.get(to), () -> nodes.get(to).hear(me, out));
+      carry(this, nodes.get(to), () -> nodes.get(to).receive(me, out));
       return true;
     }
   }
@@ -384,13 +384,13 @@
     cuts.clear();
   }
 
-  /** It stands still: nothing that comes is looked at until it goes on. */
-  void stand(int i) {
-    node(i).standing = true;
+  /** Its process is paused: nothing that comes is looked at until it is resumed. */
+  void pause(int i) {
+    node(i).paused = true;
   }
 
-  void goOn(int i) {
-    node(i).standing = false;
+  void resume(int i) {
+    node(i).paused = false;
     List<Runnable> all = waiting.remove("c" + i);
     if (all != null) {
       all.forEach(Runnable::run);
@@ -415,7 +415,7 @@
     if (to.life != life || to.consensus == null) {
       return;
     }
-    if (to.standing) {
+    if (to.paused) {
       waiting.computeIfAbsent(to.name, n -> new ArrayList<>()).add(() -> arrive(to, life, what));
     } else {
       what.run();
@@ -423,7 +423,7 @@
   }
 
   private void tick() {
-    nodes.values().stream().filter(n -> n.consensus != null && !n.standing).forEach(Node::tick);
+    nodes.values().stream().filter(n -> n.consensus != null && !n.paused).forEach(Node::tick);
     later(TICK, this::tick);
   }
 
@@ -458,8 +458,7 @@
 
   /** All that are up hold the same newest revision and its document. */
   boolean agree() {
-    List<Node> up =
-        nodes.values().stream().filter(n -> n.consensus != null && !n.standing).toList();
+    List<Node> up = nodes.values().stream().filter(n -> n.consensus != null && !n.paused).toList();
     return up.stream()
         .allMatch(
             n ->
