--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -6,12 +6,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import reachloom.config.EngineMember;
+import reachloom.config.GatewayConfig;
 import reachloom.discovery.EndpointWatch;
 import reachloom.gateway.state.DeadlineQueue.Deadline;
 import reachloom.gateway.wire.ChangeLogDecoder;
@@ -21,239 +21,291 @@
 import reachloom.gateway.wire.Sockets;
 import reachloom.scheduler.api.EngineState;
 
-/** Follows the change log from the last event held; the list held stays while it is away. */
+/**
+ * Follows the change log, from the last event that the gateway holds, for the endpoint list. A
+ * connection that breaks, falls silent or leaves events out is made anew with backoff; the list
+ * stays in use meanwhile. What an event means for the list is decided by {@link EndpointWatch}.
+ *
+ * <p>Confined to the event loop's thread but for the handler of the sockets, which only posts to
+ * it.
+ */
 final class ChangeLogClient {
   private static final Logger LOG = System.getLogger(ChangeLogClient.class.getName());
-  private static final AttributeKey ROUND = new AttributeKey(ChangeLogClient.class, "round");
+  private static final AttributeKey CONNECTION =
+      new AttributeKey(ChangeLogClient.class, "connection");
+
+  /** Is told of the endpoint list; on the event loop's thread. */
+  interface Subscriber {
+    /** The endpoint list has changed; never a heartbeat. */
+    void onEvent(EndpointListEvent event);
+
+    /** The change log can't be reached, or its connection broke. */
+    void onUnavailable();
+  }
 
   private final EventLoop loop;
   private final LingeringClose closing;
+  private final Subscriber subscriber;
   private final NioSocketConnector connector;
   private final EndpointWatch watch;
 
-  /** Parts of a list that is told anew from its beginning. */
-  private final Map<String, EngineMember> parts = new LinkedHashMap<>();
+  /** The engines of a complete list that comes in parts, by name, until the last part is there. */
+  private final Map<String, EngineMember> partialList = new LinkedHashMap<>();
 
-  private final Consumer<EndpointListEvent> news;
-  private final Runnable away;
   private InetSocketAddress address;
 
-  /** Numbers connections, so that one given up is no longer listened to. */
-  private long round;
+  /** Counts connections, so that one that was given up is no longer listened to. */
+  private long connectionNumber;
 
+  /** Null unless the connection is established. */
   private IoSession session;
-  private ConnectFuture dialling;
-  private Deadline silence;
-  private Deadline retry;
 
-  /** What waits for the list to be that of now, until when at the latest; null once it is. */
-  private Runnable waiting;
+  private ConnectFuture connectFuture;
+  private Deadline silenceTimeout;
+  private Deadline reconnectTimer;
+
+  /** What waits for the list to be up to date; null once it is. */
+  private Runnable onCaughtUp;
 
-  private long waitingUntil;
-  private Deadline settling;
+  private long catchUpDeadlineNanos;
+  private Deadline catchUpTimer;
 
+  /** A client that holds the list of the configuration; it connects only when told to. */
   ChangeLogClient(
       EventLoop loop,
       Sockets sockets,
       LingeringClose closing,
-      InetSocketAddress address,
-      long last,
-      long seed,
-      int zones,
-      int kinds,
-      Consumer<EndpointListEvent> news,
-      Runnable away) {
+      GatewayConfig config,
+      Subscriber subscriber) {
     this.loop = loop;
     this.closing = closing;
-    this.address = address;
-    watch = new EndpointWatch(last, seed);
-    this.news = news;
-    this.away = away;
+    this.subscriber = subscriber;
+    address = config.changeLog();
+    watch = new EndpointWatch(config.lastEventNumber(), config.seed());
+    int zoneCount = config.names().zones().size();
+    int engineKindCount = config.names().kinds().size();
     connector =
         sockets.connector(
             new DecodingHandler<>(
-                "change log", () -> new ChangeLogDecoder(zones, kinds), new Heard()),
+                "change log",
+                () -> new ChangeLogDecoder(zoneCount, engineKindCount),
+                new SocketHandler()),
             EndpointWatch.DIAL_TIMEOUT);
   }
 
+  // ---- Configuration ----
+
   /**
-   * Takes over what a configuration read anew tells: events beyond the last one held, and where the
-   * log is now. The old address is left once what has been read from there is dealt with: it counts
-   * as told, and the new one, which goes on with the same numbers, may tell of it late.
+   * Takes over what a configuration read anew says: events after the last one held, and the address
+   * of the change log. The old address is left once what has been read from there is dealt with: it
+   * counts as known, and the new one, which goes on with the same numbers, may send it late.
    */
-  void follow(InetSocketAddress now, long lastKnown, List<EngineMember> known) {
-    if (watch.toldElsewhere(lastKnown)) {
-      news.accept(new EndpointListEvent(lastKnown, false, true, known));
+  void reconfigure(GatewayConfig next) {
+    if (watch.toldElsewhere(next.lastEventNumber())) {
+      subscriber.onEvent(
+          new EndpointListEvent(
+              next.lastEventNumber(), EndpointListEvent.Kind.COMPLETE_LIST, next.knownEngines()));
     }
-    if (now.equals(address)) {
+    if (next.changeLog().equals(address)) {
       return;
     }
     LOG.log(
         Level.INFO,
         "change log: {0} from now on instead of {1}, after event {2}",
-        now,
+        next.changeLog(),
         address,
         Long.toString(watch.last()));
-    address = now;
+    address = next.changeLog();
     watch.moved();
-    loop.post(
-        0,
-        () -> {
-          letGo();
-          connect();
-        });
+    loop.post(0, this::reconnect);
+  }
+
+  private void reconnect() {
+    disconnect();
+    connect();
   }
 
+  // ---- Start ----
+
   /**
-   * Does that once the log has told what it held, or has had its time: a list handed over at the
-   * start may be old by then, and what the log has told since counts as known.
+   * Runs an action once the change log has sent all that it held, or has had its time: a list that
+   * was handed over at the start may be old by then, and what the log has sent since counts as
+   * known.
    */
-  void whenCaughtUp(Runnable then) {
-    waiting = then;
-    waitingUntil = loop.now() + EndpointWatch.LONGEST_START;
-    settling = loop.deadlines().add(waitingUntil, this::caughtUp);
+  void whenCaughtUp(Runnable action) {
+    onCaughtUp = action;
+    catchUpDeadlineNanos = loop.now() + EndpointWatch.LONGEST_START;
+    catchUpTimer = loop.deadlines().add(catchUpDeadlineNanos, this::caughtUp);
   }
 
   private void caughtUp() {
-    Runnable then = waiting;
-    waiting = null;
-    loop.deadlines().cancel(settling);
-    if (then != null) {
-      then.run();
+    Runnable action = onCaughtUp;
+    onCaughtUp = null;
+    loop.deadlines().cancel(catchUpTimer);
+    if (action != null) {
+      action.run();
     }
   }
 
-  private void settle(boolean nothing) {
-    loop.deadlines().cancel(settling);
-    if (nothing) {
-      caughtUp();
-    } else {
-      settling =
-          loop.deadlines()
-              .add(Math.min(waitingUntil, loop.now() + EndpointWatch.QUIET), this::caughtUp);
-    }
+  /** Waits for the log to be quiet for a while: it sends what it holds without a pause. */
+  private void awaitQuiet() {
+    loop.deadlines().cancel(catchUpTimer);
+    long quietAtNanos = Math.min(catchUpDeadlineNanos, loop.now() + EndpointWatch.QUIET);
+    catchUpTimer = loop.deadlines().add(quietAtNanos, this::caughtUp);
   }
 
+  // ---- Connection ----
+
+  /** Connects to the change log; from then on the client keeps itself connected. */
   void connect() {
-    long mine = ++round;
-    dialling = connector.connect(address, (s, f) -> s.setAttribute(ROUND, mine));
-    ConnectFuture future = dialling;
+    long number = ++connectionNumber;
+    ConnectFuture future =
+        connector.connect(address, (newSession, f) -> newSession.setAttribute(CONNECTION, number));
+    connectFuture = future;
     future.addListener(
         f -> {
           if (!future.isConnected()) {
-            loop.post(0, () -> broken(mine, "no connection"));
+            loop.post(0, () -> connectionFailed(number, "no connection"));
           }
         });
-    awaited(EndpointWatch.DIAL_TIMEOUT, "no connection in time");
+    expectWithin(EndpointWatch.DIAL_TIMEOUT, "no connection in time");
   }
 
-  private void awaited(long time, String why) {
-    loop.deadlines().cancel(silence);
-    long mine = round;
-    silence = loop.deadlines().add(loop.now() + time, () -> broken(mine, why));
+  /** Counts the connection as failed unless something comes within that time. */
+  private void expectWithin(long timeoutNanos, String reason) {
+    loop.deadlines().cancel(silenceTimeout);
+    long number = connectionNumber;
+    silenceTimeout =
+        loop.deadlines().add(loop.now() + timeoutNanos, () -> connectionFailed(number, reason));
   }
 
-  private void broken(long mine, String why) {
-    if (mine != round) {
+  private void connectionFailed(long number, String reason) {
+    if (number != connectionNumber) {
       return;
     }
     LOG.log(
         Level.INFO,
-        "change log at {0}: {1}; the list of event {2} stays",
+        "change log at {0}: {1}; the endpoint list of event {2} stays in use",
         address,
-        why,
+        reason,
         Long.toString(watch.last()));
-    letGo();
-    retry = loop.deadlines().add(loop.now() + watch.pause(), this::connect);
-    away.run();
+    disconnect();
+    reconnectTimer = loop.deadlines().add(loop.now() + watch.pause(), this::connect);
+    subscriber.onUnavailable();
   }
 
-  /** Ends the connection, or the one that is being made, or the wait for the next one. */
-  private void letGo() {
-    round++;
-    loop.deadlines().cancel(silence);
-    loop.deadlines().cancel(retry);
+  /** Ends the connection, or the one that is being made, or the backoff before the next one. */
+  private void disconnect() {
+    connectionNumber++;
+    loop.deadlines().cancel(silenceTimeout);
+    loop.deadlines().cancel(reconnectTimer);
     if (session != null) {
       closing.end(session);
       session = null;
-    } else if (dialling != null) {
-      Sockets.giveUp(dialling);
+    } else if (connectFuture != null) {
+      Sockets.giveUp(connectFuture);
     }
   }
 
-  private void heard(EndpointListEvent change) {
-    if (waiting != null) {
-      loop.later(() -> settle(change.nothing())); // once it is dealt with
+  private void connected(IoSession newSession) {
+    session = newSession;
+    if (onCaughtUp != null) {
+      awaitQuiet();
     }
-    awaited(EndpointWatch.MAX_SILENCE, "silent");
-    long before = watch.last();
-    switch (watch.heard(change.number(), change.whole(), change.nothing())) {
-      case TAKE -> news.accept(change);
-      case MISSED -> broken(round, "event " + change.number() + " after " + before);
-      case FOLD -> fold(change);
+    watch.asked();
+    partialList.clear();
+    Sockets.write(newSession, ChangeLogDecoder.hello(watch.askAfter()));
+    expectWithin(EndpointWatch.MAX_SILENCE, "unresponsive");
+  }
+
+  // ---- Events ----
+
+  private void onEvent(EndpointListEvent event) {
+    if (onCaughtUp != null) {
+      loop.later(() -> noteCatchingUp(event)); // once it is dealt with
+    }
+    expectWithin(EndpointWatch.MAX_SILENCE, "unresponsive");
+    long lastBefore = watch.last();
+    switch (watch.heard(event.number(), event.isComplete(), event.isHeartbeat())) {
+      case TAKE -> subscriber.onEvent(event);
+      case MISSED ->
+          connectionFailed(connectionNumber, "event " + event.number() + " after " + lastBefore);
+      case FOLD -> addToPartialList(event);
       case WHOLE -> {
-        fold(change);
-        news.accept(
-            new EndpointListEvent(change.number(), false, true, List.copyOf(parts.values())));
-        parts.clear();
+        addToPartialList(event);
+        completePartialList(event.number());
       }
-      default -> {
-        // a sign of life, or an event told before
+      case SKIP -> {
+        // a heartbeat, or an event that is known
       }
     }
   }
 
-  private void fold(EndpointListEvent change) {
-    if (change.whole()) {
-      parts.clear();
+  private void noteCatchingUp(EndpointListEvent event) {
+    if (event.isHeartbeat()) {
+      caughtUp();
+    } else {
+      awaitQuiet();
     }
-    for (EngineMember m : change.members()) {
-      if (m.endpoint().state() == EngineState.REMOVED) {
-        parts.remove(m.endpoint().name());
+  }
+
+  private void addToPartialList(EndpointListEvent event) {
+    if (event.isComplete()) {
+      partialList.clear();
+    }
+    for (EngineMember member : event.members()) {
+      String name = member.endpoint().name();
+      if (member.endpoint().state() == EngineState.REMOVED) {
+        partialList.remove(name);
       } else {
-        parts.put(m.endpoint().name(), m);
+        partialList.put(name, member);
       }
     }
   }
 
-  private final class Heard implements Listener<EndpointListEvent> {
+  private void completePartialList(long number) {
+    List<EngineMember> members = List.copyOf(partialList.values());
+    subscriber.onEvent(
+        new EndpointListEvent(number, EndpointListEvent.Kind.COMPLETE_LIST, members));
+    partialList.clear();
+  }
+
+  /** Called on the thread that serves the sockets. */
+  private final class SocketHandler implements Listener<EndpointListEvent> {
     @Override
-    public void opened(IoSession s) {
-      long mine = (Long) s.getAttribute(ROUND);
+    public void opened(IoSession newSession) {
+      long number = connectionNumber(newSession);
       loop.post(
           0,
           () -> {
-            if (mine != round) {
-              s.closeNow();
-              return;
+            if (number == connectionNumber) {
+              connected(newSession);
+            } else {
+              newSession.closeNow();
             }
-            session = s;
-            if (waiting != null) {
-              settle(false);
-            }
-            watch.asked();
-            parts.clear();
-            Sockets.write(s, ChangeLogDecoder.hello(watch.askAfter()));
-            awaited(EndpointWatch.MAX_SILENCE, "silent");
           });
     }
 
     @Override
-    public void received(IoSession s, EndpointListEvent change, int bytes) {
-      long mine = (Long) s.getAttribute(ROUND);
+    public void received(IoSession from, EndpointListEvent event, int bytes) {
+      long number = connectionNumber(from);
       loop.postFirst(
           bytes,
           () -> {
-            if (mine == round) {
-              heard(change);
+            if (number == connectionNumber) {
+              onEvent(event);
             }
           });
     }
 
     @Override
-    public void closed(IoSession s) {
-      long mine = (Long) s.getAttribute(ROUND);
-      loop.post(0, () -> broken(mine, "closed"));
+    public void closed(IoSession closedSession) {
+      long number = connectionNumber(closedSession);
+      loop.post(0, () -> connectionFailed(number, "closed"));
+    }
+
+    private static long connectionNumber(IoSession session) {
+      return (Long) session.getAttribute(CONNECTION);
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -14,7 +14,6 @@
 import org.apache.mina.core.session.IoSession;
 import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
-import reachloom.gateway.state.AttemptProgress;
 import reachloom.gateway.state.ClientConnection;
 import reachloom.gateway.state.ClientConnectionTable;
 import reachloom.gateway.state.ClientRequest;
@@ -45,7 +44,8 @@
  * It translates, keeps time and keeps bounds; it decides nothing. All of it runs on the loop's
  * thread.
  */
-public final class GatewayService implements SchedulerActions, EngineConnectionPool.Watcher {
+public final class GatewayService
+    implements SchedulerActions, AttemptListener, ChangeLogClient.Subscriber {
   private static final Logger LOG = System.getLogger(GatewayService.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final AttributeKey CLIENT = new AttributeKey(GatewayService.class, "client");
@@ -104,7 +104,7 @@
   private final SchedulerEvents module;
   private final Sockets sockets;
   private final LingeringClose closing;
-  private final EngineConnectionPool engines;
+  private final EngineClient engines;
   private final ChangeLogClient changeLog;
   private final ClientConnectionTable clients;
   private final int mostClients;
@@ -139,26 +139,14 @@
         new LingeringClose(
             loop, sockets, config.transport().dialTimeoutNanos(), third / ARRIVING_PART);
     engines =
-        new EngineConnectionPool(
+        new EngineClient(
             loop,
             sockets,
             closing,
             this,
-            config.transport(),
-            config.settings().traits().loadReports(),
-            third);
-    changeLog =
-        new ChangeLogClient(
-            loop,
-            sockets,
-            closing,
-            config.changeLog(),
-            config.lastEventNumber(),
-            config.seed(),
-            config.names().zones().size(),
-            config.names().kinds().size(),
-            this::changed,
-            this::changeLogAway);
+            new EngineClient.Options(
+                config.transport(), config.settings().traits().loadReports(), third));
+    changeLog = new ChangeLogClient(loop, sockets, closing, config, this);
   }
 
   // ---- Start and stop ----
@@ -206,7 +194,7 @@
 
   /** Takes over from a configuration read anew what may change while the gateway runs. */
   public void reload(GatewayConfig next) {
-    changeLog.follow(next.changeLog(), next.lastEventNumber(), next.knownEngines());
+    changeLog.reconfigure(next);
   }
 
   /**
@@ -274,11 +262,11 @@
         "statements",
         (int) heldBytes,
         "engines",
-        engines.known(),
+        engines.engineCount(),
         "connections",
-        engines.connections(),
+        engines.connectionCount(),
         "unhanded",
-        engines.unhanded(),
+        engines.unsentAttempts(),
         "deadlines",
         loop.deadlines().size());
   }
@@ -294,20 +282,22 @@
 
   // ---- The list of engines ----
 
-  private void changed(EndpointListEvent change) {
-    engines.update(change.whole(), change.members());
+  @Override
+  public void onEvent(EndpointListEvent change) {
+    engines.update(change.isComplete(), change.members());
     tell(
         () ->
             module.onEndpoints(
                 loop.now(),
-                change.whole(),
+                change.isComplete(),
                 change.members().stream().map(EngineMember::endpoint).toList()));
     if (observer != null) {
-      observer.onEndpoints(change.whole(), change.members());
+      observer.onEndpoints(change.isComplete(), change.members());
     }
   }
 
-  private void changeLogAway() {
+  @Override
+  public void onUnavailable() {
     if (config.settings().subscribe()) {
       tell(() -> module.onEndpointsUnavailable(loop.now()));
     }
@@ -429,7 +419,7 @@
     for (ClientConnection c = overdue(now); c != null && closing.hasRoom(); c = overdue(now)) {
       hangUp(c, "it rests, or stays silent");
     }
-    engines.sweep();
+    engines.closeStalledConnections();
     tellOfWallClock();
     loop.deadlines().add(now + SWEEP, this::sweep);
   }
@@ -659,7 +649,7 @@
     ClientRequest r = a.request;
     long now = loop.now();
     try {
-      return !r.over && !a.ended && now < a.until && module.mayStart(now, r.id, a.number);
+      return !r.over && !a.ended && now < a.deadlineNanos && module.mayStart(now, r.id, a.number);
     } catch (RuntimeException e) {
       LOG.log(Level.ERROR, "the decision module failed on an event", e);
       return false;
@@ -667,7 +657,7 @@
   }
 
   @Override
-  public void ended(EngineAttempt a, AttemptOutcome outcome) {
+  public void onAttemptEnded(EngineAttempt a, AttemptOutcome outcome) {
     finish(a, outcome);
   }
 
@@ -681,7 +671,7 @@
     }
     a.ended = true;
     loop.deadlines().cancel(a.timeout);
-    boolean givenUp = outcome.mayRunOn && a.reach != AttemptProgress.NOT_CONNECTED;
+    boolean givenUp = outcome.mayRunOn && a.isConnected();
     engines.withdraw(a);
     if (outcome == AttemptOutcome.SERVED && !a.request.over) {
       answer(
@@ -702,18 +692,18 @@
     r.out--;
     long now = loop.now();
     boolean served = outcome == AttemptOutcome.SERVED;
-    RequestLog.ended(a, outcome, now - a.sentAt);
+    RequestLog.ended(a, outcome, now - a.sentAtNanos);
     AttemptResult end =
         new AttemptResult(
             r.id,
             a.number,
             a.engine,
             outcome,
-            now - a.sentAt,
+            now - a.sentAtNanos,
             r.over,
             served ? a.costMs : 0,
             served ? a.memoryMb : 0,
-            a.report);
+            a.loadReport);
     a.pages.clear();
     if (observer != null) {
       observer.onAttemptEnded(a.engine, outcome, served || !r.over);
@@ -723,7 +713,7 @@
   }
 
   @Override
-  public void noted(EngineAttempt a, ProgressKind kind, double amount) {
+  public void onProgress(EngineAttempt a, ProgressKind kind, double amount) {
     tell(
         () ->
             module.onProgress(
@@ -731,8 +721,8 @@
   }
 
   @Override
-  public void probed(String engine, boolean answered, LoadReport report) {
-    tell(() -> module.onHealthCheck(loop.now(), engine, answered, report));
+  public void onHealthCheck(String engine, boolean answered, Optional<LoadReport> report) {
+    tell(() -> module.onHealthCheck(loop.now(), engine, answered, report.orElse(null)));
   }
 
   // ---- What the module does ----
@@ -758,7 +748,7 @@
     if (a.number > 0) {
       RequestLog.repeated(r, a, now);
     }
-    a.timeout = loop.deadlines().add(until, () -> finish(a, a.reach().expired));
+    a.timeout = loop.deadlines().add(until, () -> finish(a, a.progress().outcomeIfTimedOut));
     engines.send(a);
   }
 
@@ -767,7 +757,7 @@
     ClientRequest r = byId.get(query);
     if (r != null && r.priority != priority) { // engines of this protocol take no grant
       r.priority = priority;
-      r.attempts.stream().filter(a -> !a.ended).forEach(a -> engines.priority(a, priority));
+      r.attempts.stream().filter(a -> !a.ended).forEach(a -> engines.setPriority(a, priority));
     }
   }
 
@@ -806,7 +796,7 @@
 
   @Override
   public void checkHealth(String engine) {
-    engines.probe(engine);
+    engines.checkHealth(engine);
   }
 
   @Override
--- a/gateway/src/main/java/reachloom/gateway/RequestLog.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestLog.java
@@ -28,7 +28,7 @@
         r.queryClass,
         Integer.toString(a.number + 1),
         a.engine,
-        ms(now - r.attempts.get(0).sentAt));
+        ms(now - r.attempts.get(0).sentAtNanos));
   }
 
   /** An attempt has ended after so many nanoseconds; one that was served needs no line. */
--- /dev/null
+++ b/gateway/src/main/java/reachloom/gateway/ResultCollector.java
@@ -0,0 +1,110 @@
+package reachloom.gateway;
+
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.OptionalLong;
+import java.util.function.BiConsumer;
+import reachloom.gateway.state.EngineAttempt;
+import reachloom.gateway.wire.EngineCommandWriter;
+import reachloom.gateway.wire.EngineResponse;
+import reachloom.gateway.wire.Rows;
+import reachloom.scheduler.api.AttemptOutcome;
+
+/**
+ * Collects the pages of results, asking for one after the other, until a result is complete. What
+ * is buffered is bounded for each result and in all. Confined to the event loop's thread.
+ */
+final class ResultCollector {
+  private static final Logger LOG = System.getLogger(EngineClient.class.getName());
+  private static final int MAX_RESULT_BYTES = 48_000;
+  private static final int MAX_PAGES = 1024;
+
+  /** Bytes of results that are not complete yet, of all attempts together. */
+  private static final long MAX_BUFFERED_BYTES = 8L << 20;
+
+  private final EngineConnectionPool pool;
+  private final BiConsumer<EngineAttempt, AttemptOutcome> onEnd;
+  private long bufferedBytes;
+
+  /**
+   * A collector without results.
+   *
+   * @param onEnd ends an attempt whose result is complete or has to be dropped
+   */
+  ResultCollector(EngineConnectionPool pool, BiConsumer<EngineAttempt, AttemptOutcome> onEnd) {
+    this.pool = pool;
+    this.onEnd = onEnd;
+  }
+
+  /** Takes the first page of a result, which tells how many there are; a duplicate is ignored. */
+  void onFirstPage(EngineAttempt attempt, EngineResponse response) {
+    if (!attempt.pages.isEmpty()) {
+      return;
+    }
+    OptionalLong pageCount = response.pageCount();
+    if (pageCount.isEmpty() || pageCount.getAsLong() < 1 || pageCount.getAsLong() > MAX_PAGES) {
+      pool.closeOnProtocolError(
+          attempt.connection, "a result of " + response.pageCountText() + " pages");
+      return;
+    }
+    attempt.resultStarted((int) pageCount.getAsLong(), response.costMs(), response.memoryMb());
+    addPage(attempt, response.body());
+  }
+
+  /** Takes a further page of a result; a duplicate is ignored. */
+  void onFurtherPage(EngineAttempt attempt, EngineResponse response) {
+    OptionalLong number = response.pageNumber();
+    int expected = attempt.pages.size();
+    if (number.isPresent() && number.getAsLong() > 0 && number.getAsLong() < expected) {
+      return;
+    }
+    if (expected == 0 || number.isEmpty() || number.getAsLong() != expected) {
+      pool.closeOnProtocolError(
+          attempt.connection, "page " + response.pageNumberText() + " out of order");
+      return;
+    }
+    addPage(attempt, response.body());
+  }
+
+  private void addPage(EngineAttempt attempt, byte[] page) {
+    attempt.pages.add(page);
+    attempt.resultBytes += page.length;
+    bufferedBytes += page.length;
+    if (attempt.resultBytes > MAX_RESULT_BYTES || !Rows.whole(page)) {
+      pool.closeOnProtocolError(
+          attempt.connection,
+          "a page with incomplete rows, or " + attempt.resultBytes + " bytes of a result");
+    } else if (bufferedBytes > MAX_BUFFERED_BYTES) {
+      dropResult(attempt);
+    } else if (attempt.pages.size() < attempt.pageCount) {
+      pool.write(
+          attempt.connection,
+          EngineCommandWriter.fetchPage(attempt.request.id, attempt.pages.size()));
+    } else {
+      completeResult(attempt);
+    }
+  }
+
+  private void dropResult(EngineAttempt attempt) {
+    LOG.log(
+        Level.WARNING,
+        "{0} bytes of incomplete results are buffered: one of {1} is dropped",
+        bufferedBytes,
+        attempt.engine);
+    pool.write(attempt.connection, EngineCommandWriter.releaseResult(attempt.request.id));
+    onEnd.accept(attempt, AttemptOutcome.ERROR);
+  }
+
+  private void completeResult(EngineAttempt attempt) {
+    if (attempt.pageCount > 1) {
+      pool.write(attempt.connection, EngineCommandWriter.releaseResult(attempt.request.id));
+    }
+    onEnd.accept(attempt, AttemptOutcome.SERVED);
+  }
+
+  /** No longer counts the pages of an attempt that has ended. */
+  void discard(EngineAttempt attempt) {
+    bufferedBytes -= attempt.resultBytes;
+    attempt.resultBytes = 0;
+  }
+}
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -262,7 +262,7 @@
   public void forward(String query, String engine, long timeout) {
     int number = attempts.merge(query, 1, Integer::sum) - 1;
     out.add(new Sent(query, number, engine, now));
-    EngineCommandWriter.ask(
+    EngineCommandWriter.run(
         query, "a", 1, query, 1, Bytes.of(STATEMENT.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
@@ -9,35 +9,47 @@
 import java.util.function.Consumer;
 import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
+import reachloom.gateway.wire.EndpointListEvent.Kind;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
 
-/** Frames of the change log. */
+/**
+ * Decodes the frames of the change log: a length, the number of the event, the kind of the frame,
+ * and a record for each engine, all big-endian. Not thread-safe: one decoder for each connection.
+ */
 public final class ChangeLogDecoder implements Decoder<EndpointListEvent> {
-  private static final int HEAD = Long.BYTES + 1;
-  private static final int RECORD = 27;
+  private static final int HEADER_BYTES = Long.BYTES + 1;
+  private static final int RECORD_BYTES = 27;
   private static final int MAX_RECORDS = 16_384;
-  private static final int NOTHING = 0;
-  private static final int WHOLE = 1;
-  private static final int CHANGES = 2;
+
+  /** The kinds of frames by their numbers in the protocol. */
+  private static final List<Kind> KINDS = List.of(Kind.HEARTBEAT, Kind.COMPLETE_LIST, Kind.CHANGES);
+
+  private static final byte STATE_UP = 0;
+  private static final byte STATE_REMOVED = 2;
   private static final int LOW_BYTE = 0xff;
   private static final int LOW_SHORT = 0xffff;
+  private static final long LOW_INT = 0xffffffffL;
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  private final FrameDecoder frames = new FrameDecoder(HEAD, HEAD + RECORD * MAX_RECORDS);
-  private final int zones;
-  private final int kinds;
+  private final FrameDecoder frames =
+      new FrameDecoder(HEADER_BYTES, HEADER_BYTES + RECORD_BYTES * MAX_RECORDS);
+  private final int zoneCount;
+  private final int engineKindCount;
   private String fault;
 
-  /** A decoder that knows how many zones and kinds the settings list. */
-  public ChangeLogDecoder(int zones, int kinds) {
-    this.zones = zones;
-    this.kinds = kinds;
+  /**
+   * A decoder that knows how many zones and kinds of engines the settings list; a record with
+   * another one is a fault.
+   */
+  public ChangeLogDecoder(int zoneCount, int engineKindCount) {
+    this.zoneCount = zoneCount;
+    this.engineKindCount = engineKindCount;
   }
 
-  /** What a client writes first: the number of the last event that it has. */
-  public static ByteBuffer hello(long last) {
-    return ByteBuffer.allocate(Long.BYTES).putLong(last).flip();
+  /** What a client writes first: the number of the last event that it has, 0 for none. */
+  public static ByteBuffer hello(long lastEventNumber) {
+    return ByteBuffer.allocate(Long.BYTES).putLong(lastEventNumber).flip();
   }
 
   @Override
@@ -47,65 +59,68 @@
 
   @Override
   public String feed(byte[] bytes, int from, int to, Consumer<? super EndpointListEvent> messages) {
-    String broken =
-        frames.feed(
-            bytes,
-            from,
-            to,
-            f -> {
-              EndpointListEvent change = fault == null ? change(ByteBuffer.wrap(f)) : null;
-              if (change != null) {
-                messages.accept(change);
-              }
-            });
+    String broken = frames.feed(bytes, from, to, frame -> decode(frame, messages));
     return fault != null ? fault : broken;
   }
 
-  private EndpointListEvent change(ByteBuffer frame) {
+  /** Decodes a frame and passes it on; once a frame had a fault, those behind it are ignored. */
+  private void decode(byte[] bytes, Consumer<? super EndpointListEvent> messages) {
+    if (fault != null) {
+      return;
+    }
+    ByteBuffer frame = ByteBuffer.wrap(bytes);
     long number = frame.getLong();
-    int kind = frame.get() & LOW_BYTE;
-    if (kind > CHANGES
-        || kind == NOTHING && frame.hasRemaining()
-        || frame.remaining() % RECORD != 0) {
-      fault = "a frame of kind " + kind + " with " + frame.remaining() + " bytes";
-      return null;
+    int kindNumber = frame.get() & LOW_BYTE;
+    if (!isWellFormed(kindNumber, frame.remaining())) {
+      fault = "a frame of kind " + kindNumber + " with " + frame.remaining() + " bytes";
+      return;
     }
-    List<EngineMember> members = new ArrayList<>(frame.remaining() / RECORD);
+    List<EngineMember> members = new ArrayList<>(frame.remaining() / RECORD_BYTES);
     while (frame.hasRemaining() && fault == null) {
-      members.add(member(frame));
+      decodeRecord(frame, members);
+    }
+    if (fault == null) {
+      messages.accept(new EndpointListEvent(number, KINDS.get(kindNumber), members));
     }
-    return fault == null
-        ? new EndpointListEvent(number, kind == NOTHING, kind == WHOLE, members)
-        : null;
   }
 
-  private EngineMember member(ByteBuffer record) {
-    String id = String.format("s-%08x", record.getInt());
+  private static boolean isWellFormed(int kindNumber, int recordBytes) {
+    return kindNumber < KINDS.size()
+        && (KINDS.get(kindNumber) != Kind.HEARTBEAT || recordBytes == 0)
+        && recordBytes % RECORD_BYTES == 0;
+  }
+
+  private void decodeRecord(ByteBuffer record, List<EngineMember> members) {
+    String name = String.format("s-%08x", record.getInt());
     byte[] address = new byte[Integer.BYTES];
     record.get(address);
     int port = record.getShort() & LOW_SHORT;
-    // A state not known here reads as draining: nothing new is sent.
-    EngineState state =
-        switch (record.get()) {
-          case 0 -> EngineState.UP;
-          case 2 -> EngineState.REMOVED;
-          default -> EngineState.DRAINING;
-        };
+    EngineState state = state(record.get());
     int zone = record.get() & LOW_BYTE;
     int kind = record.get() & LOW_BYTE;
-    if (zone >= zones || kind >= kinds) {
-      fault = "engine " + id + " of zone " + zone + " and kind " + kind;
-      return null;
+    if (zone >= zoneCount || kind >= engineKindCount) {
+      fault = "engine " + name + " of zone " + zone + " and kind " + kind;
+      return;
     }
     int cell = record.getShort() & LOW_SHORT;
-    double weight = GatewayConfig.weight(record.getInt() & 0xffffffffL);
-    EngineEndpoint info =
-        new EngineEndpoint(id, state, kind, zone, cell, weight, record.getLong() * MILLISECOND);
+    double weight = GatewayConfig.weight(record.getInt() & LOW_INT);
+    long incarnation = record.getLong() * MILLISECOND;
+    EngineEndpoint endpoint =
+        new EngineEndpoint(name, state, kind, zone, cell, weight, incarnation);
     try {
-      return new EngineMember(info, new InetSocketAddress(InetAddress.getByAddress(address), port));
+      InetAddress host = InetAddress.getByAddress(address);
+      members.add(new EngineMember(endpoint, new InetSocketAddress(host, port)));
     } catch (UnknownHostException e) { // four bytes are always an address
-      fault = "engine " + id + " without an address";
-      return null;
+      fault = "engine " + name + " without an address";
     }
   }
+
+  /** A state that is not known counts as draining: nothing new is sent. */
+  private static EngineState state(byte number) {
+    return switch (number) {
+      case STATE_UP -> EngineState.UP;
+      case STATE_REMOVED -> EngineState.REMOVED;
+      default -> EngineState.DRAINING;
+    };
+  }
 }
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -7,14 +7,16 @@
 import java.util.function.Consumer;
 
 /**
- * Answers of engines: a line {@code ID WORD FIELDS LENGTH}, so many bytes, and the end of a line.
+ * Decodes the responses of engines: a line {@code ID STATUS FIELDS LENGTH}, a body of so many
+ * bytes, and the end of a line. Lines end with CR and LF; fields are {@code NAME=VALUE} with commas
+ * between, or a hyphen for none. Not thread-safe: one decoder for each connection.
  */
 public final class EngineResponseDecoder implements Decoder<EngineResponse> {
-  private static final int MAX_LINE = 4096;
-  private static final int MAX_BODY = 6_000; // a page, as the protocol says
-  private static final int FIRST_LINE = 128;
-  private static final int WORDS = 4;
-  private static final byte[] NOTHING = new byte[0];
+  private static final int MAX_LINE_BYTES = 4096;
+  private static final int MAX_BODY_BYTES = 6_000; // a page, as the protocol says
+  private static final int INITIAL_LINE_BYTES = 128;
+  private static final int TOKENS = 4;
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   private enum State {
     LINE,
@@ -24,10 +26,10 @@
   }
 
   private State state = State.LINE;
-  private byte[] line = new byte[FIRST_LINE];
+  private byte[] line = new byte[INITIAL_LINE_BYTES];
   private int lineLength;
-  private EngineResponse answer;
-  private int have;
+  private EngineResponse response;
+  private int bodyLength;
 
   @Override
   public boolean partial() {
@@ -40,14 +42,8 @@
     String fault = null;
     while (at < to && fault == null) {
       switch (state) {
-        case LINE -> fault = lineByte(bytes[at++]);
-        case BODY -> {
-          int part = Math.min(to - at, answer.body().length - have);
-          System.arraycopy(bytes, at, answer.body(), have, part);
-          at += part;
-          have += part;
-          state = have == answer.body().length ? State.BODY_CR : State.BODY;
-        }
+        case LINE -> fault = decodeLineByte(bytes[at++]);
+        case BODY -> at += copyBody(bytes, at, to);
         case BODY_CR -> {
           fault = bytes[at++] == '\r' ? null : "a body longer than it says";
           state = State.BODY_LF;
@@ -56,7 +52,7 @@
           fault = bytes[at++] == '\n' ? null : "a body longer than it says";
           state = State.LINE;
           if (fault == null) {
-            messages.accept(answer);
+            messages.accept(response);
           }
         }
       }
@@ -64,64 +60,69 @@
     return fault;
   }
 
-  private String lineByte(byte b) {
-    if (b != '\n') {
-      if (lineLength == MAX_LINE) {
-        return "a line without end";
-      }
-      if (lineLength == line.length) {
-        line = Arrays.copyOf(line, Math.min(MAX_LINE, 2 * lineLength));
-      }
-      line[lineLength++] = b;
-      return null;
+  /** Copies what there is of the body; gives how many bytes that is. */
+  private int copyBody(byte[] bytes, int from, int to) {
+    byte[] body = response.body();
+    int length = Math.min(to - from, body.length - bodyLength);
+    System.arraycopy(bytes, from, body, bodyLength, length);
+    bodyLength += length;
+    state = bodyLength == body.length ? State.BODY_CR : State.BODY;
+    return length;
+  }
+
+  private String decodeLineByte(byte next) {
+    if (next != '\n') {
+      return appendToLine(next);
     }
     if (lineLength == 0 || line[lineLength - 1] != '\r') {
       return "a line that ends without CR";
     }
     String text = new String(line, 0, lineLength - 1, StandardCharsets.ISO_8859_1);
     lineLength = 0;
-    return head(text);
+    return decodeLine(text);
   }
 
-  private String head(String text) {
-    String[] words = text.split(" ", -1);
-    int length = words.length == WORDS ? length(words[WORDS - 1]) : -1;
-    if (length < 0 || words[0].isEmpty()) {
-      return "a line that is no answer";
+  private String appendToLine(byte next) {
+    if (lineLength == MAX_LINE_BYTES) {
+      return "a line without end";
     }
-    answer =
-        new EngineResponse(
-            words[0], word(words[1]), fields(words[2]), length == 0 ? NOTHING : new byte[length]);
-    have = 0;
-    state = length == 0 ? State.BODY_CR : State.BODY;
+    if (lineLength == line.length) {
+      line = Arrays.copyOf(line, Math.min(MAX_LINE_BYTES, 2 * lineLength));
+    }
+    line[lineLength++] = next;
     return null;
   }
 
-  private static EngineResponse.Word word(String text) {
-    for (EngineResponse.Word w : EngineResponse.Word.values()) {
-      if (w.name().equals(text)) {
-        return w;
-      }
+  private String decodeLine(String text) {
+    String[] tokens = text.split(" ", -1);
+    int length = tokens.length == TOKENS ? bodyLength(tokens[TOKENS - 1]) : -1;
+    if (length < 0 || tokens[0].isEmpty()) {
+      return "a line that is no answer";
     }
-    return EngineResponse.Word.OTHER;
+    byte[] body = length == 0 ? EMPTY_BODY : new byte[length];
+    response =
+        new EngineResponse(tokens[0], EngineResponse.Status.of(tokens[1]), fields(tokens[2]), body);
+    bodyLength = 0;
+    state = length == 0 ? State.BODY_CR : State.BODY;
+    return null;
   }
 
-  private static int length(String text) {
-    long read = Numbers.whole(text, -1);
-    return read >= 0 && read <= MAX_BODY ? (int) read : -1;
+  private static int bodyLength(String text) {
+    long length = Numbers.whole(text, -1);
+    return length >= 0 && length <= MAX_BODY_BYTES ? (int) length : -1;
   }
 
   private static Map<String, String> fields(String text) {
     if (text.equals("-")) {
       return Map.of();
     }
-    Map<String, String> read = new HashMap<>();
+    Map<String, String> fields = new HashMap<>();
     for (String field : text.split(",")) {
       int equals = field.indexOf('=');
-      if (equals > 0) { // what is no field is passed over
-        read.put(field.substring(0, equals), field.substring(equals + 1));
+      if (equals > 0) { // what is no field is ignored
+        fields.put(field.substring(0, equals), field.substring(equals + 1));
       }
     }
-    return read;
+    return fields;
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
+++ b/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
@@ -93,13 +93,13 @@
 
   @Test
   void onlyWhatWasWholeOnTheWireMayHaveRun() {
-    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.broken);
-    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_WHOLE.broken);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.outcomeIfConnectionLost);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.PARTLY_WRITTEN.outcomeIfConnectionLost);
     // What waits to be written goes out later, before the word that gives it up.
-    assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.NOT_WHOLE.expired);
-    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.expired);
-    assertEquals(AttemptOutcome.RESET, AttemptProgress.OUT.broken);
-    assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.OUT.expired);
-    assertEquals(AttemptOutcome.RESET, AttemptProgress.ANSWERING.broken);
+    assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.PARTLY_WRITTEN.outcomeIfTimedOut);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.outcomeIfTimedOut);
+    assertEquals(AttemptOutcome.RESET, AttemptProgress.SENT.outcomeIfConnectionLost);
+    assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.SENT.outcomeIfTimedOut);
+    assertEquals(AttemptOutcome.RESET, AttemptProgress.RECEIVING_RESULT.outcomeIfConnectionLost);
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
@@ -42,8 +42,9 @@
             record(record(frame(5, 2, 2), 1, 1, 0, 0), 2, 2, 0, 0).array());
     List<EndpointListEvent> read = Feeds.alike(stream, ChangeLogDecoderTest::decoder, c -> c);
     assertEquals(
-        List.of(true, false, false), read.stream().map(EndpointListEvent::nothing).toList());
-    assertEquals(List.of(false, true, false), read.stream().map(EndpointListEvent::whole).toList());
+        List.of(true, false, false), read.stream().map(EndpointListEvent::isHeartbeat).toList());
+    assertEquals(
+        List.of(false, true, false), read.stream().map(EndpointListEvent::isComplete).toList());
     var member = read.get(1).members().get(0);
     assertEquals("s-00c41f7a", member.endpoint().name());
     assertEquals("/127.1.2.3:41000", member.address().toString());
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
@@ -19,6 +19,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import reachloom.config.EngineMember;
+import reachloom.gateway.wire.EndpointListEvent.Kind;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
 
@@ -59,14 +60,14 @@
 
   private static Map<String, EndpointListEvent> read() {
     Map<String, EndpointListEvent> read = new LinkedHashMap<>();
-    read.put("nothing-new", new EndpointListEvent(41, true, false, List.of()));
-    read.put("whole-list", new EndpointListEvent(4, false, true, List.of(UP, DRAINING)));
-    read.put("whole-list-empty", new EndpointListEvent(5, false, true, List.of()));
-    read.put("changes", new EndpointListEvent(6, false, false, List.of(DRAINING, GONE)));
-    read.put("changes-up", new EndpointListEvent(7, false, false, List.of(UP)));
+    read.put("nothing-new", new EndpointListEvent(41, Kind.HEARTBEAT, List.of()));
+    read.put("whole-list", new EndpointListEvent(4, Kind.COMPLETE_LIST, List.of(UP, DRAINING)));
+    read.put("whole-list-empty", new EndpointListEvent(5, Kind.COMPLETE_LIST, List.of()));
+    read.put("changes", new EndpointListEvent(6, Kind.CHANGES, List.of(DRAINING, GONE)));
+    read.put("changes-up", new EndpointListEvent(7, Kind.CHANGES, List.of(UP)));
     read.put(
-        "changes-unknown-state", new EndpointListEvent(8, false, false, List.of(UNKNOWN_STATE)));
-    read.put("changes-empty", new EndpointListEvent(Long.MAX_VALUE, false, false, List.of()));
+        "changes-unknown-state", new EndpointListEvent(8, Kind.CHANGES, List.of(UNKNOWN_STATE)));
+    read.put("changes-empty", new EndpointListEvent(Long.MAX_VALUE, Kind.CHANGES, List.of()));
     return read;
   }
 
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
@@ -35,9 +35,9 @@
 
   /** All fields of an answer, with the body's bytes as digits so that answers can be compared. */
   private record Fields(
-      String id, EngineResponse.Word word, Map<String, String> fields, String body) {
+      String id, EngineResponse.Status status, Map<String, String> fields, String body) {
     Fields(EngineResponse answer) {
-      this(answer.id(), answer.word(), answer.fields(), GoldenHex.hex(answer.body()));
+      this(answer.id(), answer.status(), answer.fields(), GoldenHex.hex(answer.body()));
     }
   }
 
@@ -46,22 +46,22 @@
     byte[] binary =
         "select \"\u00c3\u00a4\u00e2\u0082\u00ac\"\r\nfrom \0t\u00ff\r\n".getBytes(ISO_8859_1);
     Map<String, ByteBuffer> written = new LinkedHashMap<>();
-    written.put("ask", EngineCommandWriter.ask(REQUEST, "report", 150, null, 1, plain));
-    written.put("ask-with-key", EngineCommandWriter.ask(REQUEST, "load", 1, KEY, 1, plain));
+    written.put("ask", EngineCommandWriter.run(REQUEST, "report", 150, null, 1, plain));
+    written.put("ask-with-key", EngineCommandWriter.run(REQUEST, "load", 1, KEY, 1, plain));
     written.put(
-        "ask-with-priority", EngineCommandWriter.ask(REQUEST, "report", 25_000, null, 0, plain));
+        "ask-with-priority", EngineCommandWriter.run(REQUEST, "report", 25_000, null, 0, plain));
     written.put(
         "ask-with-key-and-priority",
-        EngineCommandWriter.ask(REQUEST, "load", 150, KEY, 3, Bytes.of(binary)));
+        EngineCommandWriter.run(REQUEST, "load", 150, KEY, 3, Bytes.of(binary)));
     written.put(
         "ask-with-empty-statement",
-        EngineCommandWriter.ask(REQUEST, "report", 150, null, 1, Bytes.of(new byte[0])));
-    written.put("quit", EngineCommandWriter.quit(REQUEST));
-    written.put("prio", EngineCommandWriter.priority(REQUEST, 0));
-    written.put("next", EngineCommandWriter.next(REQUEST, 1023));
-    written.put("free", EngineCommandWriter.free(REQUEST));
-    written.put("info", EngineCommandWriter.probe(PROBE, true));
-    written.put("noop", EngineCommandWriter.probe(PROBE, false));
+        EngineCommandWriter.run(REQUEST, "report", 150, null, 1, Bytes.of(new byte[0])));
+    written.put("quit", EngineCommandWriter.cancel(REQUEST));
+    written.put("prio", EngineCommandWriter.setPriority(REQUEST, 0));
+    written.put("next", EngineCommandWriter.fetchPage(REQUEST, 1023));
+    written.put("free", EngineCommandWriter.releaseResult(REQUEST));
+    written.put("info", EngineCommandWriter.checkHealth(PROBE, true));
+    written.put("noop", EngineCommandWriter.checkHealth(PROBE, false));
     return written;
   }
 
@@ -70,7 +70,7 @@
     read.put(
         "ok-one-page",
         answer(
-            EngineResponse.Word.OK,
+            EngineResponse.Status.RESULT,
             Map.of(
                 "fetches",
                 "1",
@@ -84,63 +84,65 @@
     read.put(
         "ok-first-of-pages",
         answer(
-            EngineResponse.Word.OK,
+            EngineResponse.Status.RESULT,
             Map.of("fetches", "1024", "effort", "0.5", "high", "0"),
             ROWS.getBytes(UTF_8)));
-    read.put("ok-without-rows", answer(EngineResponse.Word.OK, Map.of("fetches", "1")));
+    read.put("ok-without-rows", answer(EngineResponse.Status.RESULT, Map.of("fetches", "1")));
     read.put(
         "ok-body-with-line-ends",
         answer(
-            EngineResponse.Word.OK,
+            EngineResponse.Status.RESULT,
             Map.of("fetches", "1"),
             "a\tb\r\nc\n\r\n\0\u00ff".getBytes(ISO_8859_1)));
     read.put(
         "ok-largest-body",
         answer(
-            EngineResponse.Word.OK,
+            EngineResponse.Status.RESULT,
             Map.of("fetches", "1"),
             ("x".repeat(5994) + "\tb\tcd\n").getBytes(UTF_8)));
     read.put(
-        "rows", answer(EngineResponse.Word.ROWS, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
-    read.put("busy", answer(EngineResponse.Word.BUSY, Map.of()));
+        "rows", answer(EngineResponse.Status.PAGE, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
+    read.put("busy", answer(EngineResponse.Status.BUSY, Map.of()));
     read.put(
         "busy-with-report",
-        answer(EngineResponse.Word.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
-    read.put("err", answer(EngineResponse.Word.ERR, Map.of(), "no such table".getBytes(UTF_8)));
-    read.put("void", answer(EngineResponse.Word.VOID, Map.of()));
+        answer(EngineResponse.Status.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
+    read.put("err", answer(EngineResponse.Status.ERROR, Map.of(), "no such table".getBytes(UTF_8)));
+    read.put("void", answer(EngineResponse.Status.NOT_RUN, Map.of()));
     read.put(
         "note-so-far",
-        answer(EngineResponse.Word.NOTE, Map.of("detail", "so_far", "figure", "0.25")));
+        answer(EngineResponse.Status.PROGRESS, Map.of("detail", "so_far", "figure", "0.25")));
     read.put(
         "note-lacking",
-        answer(EngineResponse.Word.NOTE, Map.of("detail", "lacking", "figure", "12")));
+        answer(EngineResponse.Status.PROGRESS, Map.of("detail", "lacking", "figure", "12")));
     read.put(
         "note-waiting",
-        answer(EngineResponse.Word.NOTE, Map.of("detail", "waiting", "figure", "2")));
+        answer(EngineResponse.Status.PROGRESS, Map.of("detail", "waiting", "figure", "2")));
     read.put(
         "up-with-report",
-        probeAnswer(EngineResponse.Word.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
-    read.put("up", probeAnswer(EngineResponse.Word.UP, Map.of()));
-    read.put("down", probeAnswer(EngineResponse.Word.DOWN, Map.of()));
-    read.put("unknown-word", answer(EngineResponse.Word.OTHER, Map.of(), "xyz".getBytes(UTF_8)));
+        probeAnswer(EngineResponse.Status.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
+    read.put("up", probeAnswer(EngineResponse.Status.UP, Map.of()));
+    read.put("down", probeAnswer(EngineResponse.Status.DOWN, Map.of()));
+    read.put(
+        "unknown-word", answer(EngineResponse.Status.UNKNOWN, Map.of(), "xyz".getBytes(UTF_8)));
     read.put(
         "unreadable-fields",
         answer(
-            EngineResponse.Word.OK,
+            EngineResponse.Status.RESULT,
             Map.of("fetches", "1", "twice", "2", "note", "a=b", "empty", "")));
     return read;
   }
 
-  private static Fields answer(EngineResponse.Word word, Map<String, String> fields) {
-    return answer(word, fields, new byte[0]);
+  private static Fields answer(EngineResponse.Status status, Map<String, String> fields) {
+    return answer(status, fields, new byte[0]);
   }
 
-  private static Fields answer(EngineResponse.Word word, Map<String, String> fields, byte[] body) {
-    return new Fields(REQUEST, word, fields, GoldenHex.hex(body));
+  private static Fields answer(
+      EngineResponse.Status status, Map<String, String> fields, byte[] body) {
+    return new Fields(REQUEST, status, fields, GoldenHex.hex(body));
   }
 
-  private static Fields probeAnswer(EngineResponse.Word word, Map<String, String> fields) {
-    return new Fields(PROBE, word, fields, "");
+  private static Fields probeAnswer(EngineResponse.Status status, Map<String, String> fields) {
+    return new Fields(PROBE, status, fields, "");
   }
 
   static Stream<Arguments> commands() {
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
@@ -21,7 +21,7 @@
   private static String view(EngineResponse a) {
     return a.id()
         + "|"
-        + a.word()
+        + a.status().wireName()
         + "|"
         + new java.util.TreeMap<>(a.fields())
         + "|"
@@ -87,16 +87,16 @@
     Bytes statement = new Bytes(bytes("xxselect 1yy"), 2, 8);
     assertEquals(
         "ASK 7f queue=report,budget=150,uniq=k1,weight=3 8\r\nselect 1\r\n",
-        text(EngineCommandWriter.ask("7f", "report", 150, "k1", 3, statement)));
+        text(EngineCommandWriter.run("7f", "report", 150, "k1", 3, statement)));
     assertEquals(
         "ASK 7f queue=report,budget=150 8\r\nselect 1\r\n",
-        text(EngineCommandWriter.ask("7f", "report", 150, null, 1, statement)));
-    assertEquals("QUIT 7f\r\n", text(EngineCommandWriter.quit("7f")));
-    assertEquals("PRIO 7f 0\r\n", text(EngineCommandWriter.priority("7f", 0)));
-    assertEquals("NEXT 7f 2\r\n", text(EngineCommandWriter.next("7f", 2)));
-    assertEquals("FREE 7f\r\n", text(EngineCommandWriter.free("7f")));
-    assertEquals("INFO p1\r\n", text(EngineCommandWriter.probe("p1", true)));
-    assertEquals("NOOP p1\r\n", text(EngineCommandWriter.probe("p1", false)));
+        text(EngineCommandWriter.run("7f", "report", 150, null, 1, statement)));
+    assertEquals("QUIT 7f\r\n", text(EngineCommandWriter.cancel("7f")));
+    assertEquals("PRIO 7f 0\r\n", text(EngineCommandWriter.setPriority("7f", 0)));
+    assertEquals("NEXT 7f 2\r\n", text(EngineCommandWriter.fetchPage("7f", 2)));
+    assertEquals("FREE 7f\r\n", text(EngineCommandWriter.releaseResult("7f")));
+    assertEquals("INFO p1\r\n", text(EngineCommandWriter.checkHealth("p1", true)));
+    assertEquals("NOOP p1\r\n", text(EngineCommandWriter.checkHealth("p1", false)));
   }
 
   private static String text(ByteBuffer bytes) {
--- a/lab/src/test/java/reachloom/gateway/EngineList.java
+++ b/lab/src/test/java/reachloom/gateway/EngineList.java
@@ -1,6 +1,7 @@
 package reachloom.gateway;
 
 import java.util.List;
+import java.util.Optional;
 import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig.Transport;
 import reachloom.gateway.state.EngineAttempt;
@@ -14,41 +15,40 @@
   private static final int LINKS = 300;
   private static final int CLIENTS = 10;
 
-  private final EngineConnectionPool engines;
+  private final EngineClient engines;
 
   /** An empty list. */
   public EngineList() {
     EventLoop loop = new EventLoop();
     Sockets sockets = new Sockets(CLIENTS);
     engines =
-        new EngineConnectionPool(
+        new EngineClient(
             loop,
             sockets,
             new LingeringClose(loop, sockets, 1, 1),
-            new EngineConnectionPool.Watcher() {
+            new AttemptListener() {
               @Override
               public boolean mayStart(EngineAttempt attempt) {
                 return false;
               }
 
               @Override
-              public void ended(EngineAttempt attempt, AttemptOutcome outcome) {
+              public void onAttemptEnded(EngineAttempt attempt, AttemptOutcome outcome) {
                 // there are none
               }
 
               @Override
-              public void noted(EngineAttempt attempt, ProgressKind kind, double amount) {
+              public void onProgress(EngineAttempt attempt, ProgressKind kind, double amount) {
                 // there are none
               }
 
               @Override
-              public void probed(String engine, boolean answered, LoadReport report) {
+              public void onHealthCheck(
+                  String engine, boolean answered, Optional<LoadReport> report) {
                 // there are none
               }
             },
-            new Transport(1, 1, 1, 1),
-            false,
-            LINKS);
+            new EngineClient.Options(new Transport(1, 1, 1, 1), false, LINKS));
   }
 
   /** Takes over what the list tells. */
