--- a/gateway/src/main/java/reachloom/config/ConfigurationSettings.java
+++ b/gateway/src/main/java/reachloom/config/ConfigurationSettings.java
@@ -5,12 +5,18 @@
 import java.util.List;
 
 /**
- * How this instance takes part in spreading the configuration: its place (the region in the upper
- * byte of sixteen bits, the zone in the lower), and the issuers whose votes prove a revision.
+ * How an instance takes part in distributing the configuration. Immutable.
+ *
+ * @param place where it stands: the region in the upper byte of sixteen bits, the zone in the lower
+ * @param issuers those whose votes prove a revision
  */
 public record ConfigurationSettings(int place, List<Issuer> issuers) {
   /**
-   * One that may vote for a revision: its name in gossip, where it listens, and its certificate.
+   * An issuer, which may vote for a revision.
+   *
+   * @param name its name in gossip
+   * @param address where it listens
+   * @param certificateFile its certificate
    */
   public record Issuer(String name, InetSocketAddress address, Path certificateFile) {}
 
--- a/gateway/src/main/java/reachloom/config/GossipSettings.java
+++ b/gateway/src/main/java/reachloom/config/GossipSettings.java
@@ -6,9 +6,18 @@
 import java.util.Optional;
 
 /**
- * Gossip between instances as an installation sets it. {@code period} is in nanoseconds, {@code
- * bytesPerSecond} counts what this instance sends; {@code revoked} is null where no list is kept;
- * without {@code configuration} no revision is heard of.
+ * How an instance takes part in gossip. Immutable.
+ *
+ * @param cluster the name of the cluster; datagrams of another one are rejected
+ * @param listen the address at which it listens for datagrams
+ * @param bytesPerSecond the most bytes that it sends in a second
+ * @param periodNanos the protocol's period, in nanoseconds
+ * @param keyFile its private key
+ * @param certificateFile its certificate, which also gives its name
+ * @param authorityFiles the certificates of the authorities that may sign others'
+ * @param revocationFile the list of revoked certificates; null where none is kept
+ * @param seeds the addresses of instances to join by
+ * @param configuration how it takes part in distributing the configuration; empty where it does not
  */
 public record GossipSettings(
     String cluster,
@@ -21,7 +30,7 @@
     Path revocationFile,
     List<InetSocketAddress> seeds,
     Optional<ConfigurationSettings> configuration) {
-  /** Gossip alone. */
+  /** Gossip without a part in distributing the configuration. */
   public GossipSettings(
       String cluster,
       InetSocketAddress listen,
@@ -45,8 +54,8 @@
         Optional.empty());
   }
 
-  /** The same with a part in spreading the configuration. */
-  public GossipSettings with(ConfigurationSettings c) {
+  /** The same settings with a part in distributing the configuration. */
+  public GossipSettings with(ConfigurationSettings distribution) {
     return new GossipSettings(
         cluster,
         listen,
@@ -57,6 +66,6 @@
         authorityFiles,
         revocationFile,
         seeds,
-        Optional.of(c));
+        Optional.of(distribution));
   }
 }
--- a/gateway/src/main/java/reachloom/config/LocalSettings.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettings.java
@@ -9,13 +9,15 @@
 import java.util.OptionalLong;
 
 /**
- * What an installation sets beside the platform's configuration. What is absent is off; the file
- * itself may be absent, and then no class that reads XML is loaded. {@code clientIdleTimeout}, in
- * nanoseconds, is how long a connection of a client may rest with nothing open; absent, the
- * gateway's own bound holds.
+ * What an installation sets for a gateway beside the platform's configuration. What is absent is
+ * off. The file itself may be absent, and then no class that reads XML is loaded. Immutable.
+ *
+ * @param gossip how the gateway takes part in gossip; empty where it does not
+ * @param clientIdleTimeoutNanos how long a client's connection may be idle, in nanoseconds; empty
+ *     for the gateway's own default
  */
 public record LocalSettings(Optional<GossipSettings> gossip, OptionalLong clientIdleTimeoutNanos) {
-  /** The variable that names the file where the command line does not. */
+  /** The environment variable that names the file where the command line does not. */
   public static final String VARIABLE = "REACHLOOM_SETTINGS";
 
   /** All defaults: nothing is on. */
@@ -23,53 +25,61 @@
     return new LocalSettings(Optional.empty(), OptionalLong.empty());
   }
 
-  /** Reads the file that the command line names, else the one of the environment, else none. */
+  /**
+   * Reads the settings file.
+   *
+   * @param option the file that the command line names; null for that of the environment
+   * @return all defaults where neither names one
+   */
   public static LocalSettings read(String option, Map<String, String> environment)
       throws ConfigException {
     String file = option != null ? option : environment.getOrDefault(VARIABLE, "");
     return file.isBlank() ? none() : LocalSettingsParser.read(Path.of(file));
   }
 
-  /** What differs in settings read anew and can't change while the gateway runs. */
+  /**
+   * The elements and attributes that differ in other settings, and which a running gateway does not
+   * take over: it has to be restarted for them.
+   */
   public List<String> changesNeedingRestart(LocalSettings next) {
     List<String> keys = new ArrayList<>();
-    GossipSettings old = gossip.orElse(null);
-    GossipSettings now = next.gossip.orElse(null);
-    if (old == null || now == null) {
-      if (old != now) {
-        keys.add("gossip");
-      }
+    if (gossip.isEmpty() || next.gossip.isEmpty()) {
+      addIfDifferent(keys, "gossip", gossip.isPresent(), next.gossip.isPresent());
       return keys;
     }
-    difference(keys, "gossip cluster", old.cluster(), now.cluster());
-    difference(keys, "gossip listen", old.listen(), now.listen());
-    difference(keys, "gossip periodMs", old.periodNanos(), now.periodNanos());
-    difference(keys, "gossip bytesPerSecond", old.bytesPerSecond(), now.bytesPerSecond());
-    difference(keys, "gossip configuration", old.configuration(), now.configuration());
+    GossipSettings ours = gossip.get();
+    GossipSettings theirs = next.gossip.get();
+    addIfDifferent(keys, "gossip cluster", ours.cluster(), theirs.cluster());
+    addIfDifferent(keys, "gossip listen", ours.listen(), theirs.listen());
+    addIfDifferent(keys, "gossip periodMs", ours.periodNanos(), theirs.periodNanos());
+    addIfDifferent(keys, "gossip bytesPerSecond", ours.bytesPerSecond(), theirs.bytesPerSecond());
+    addIfDifferent(keys, "gossip configuration", ours.configuration(), theirs.configuration());
     return keys;
   }
 
-  /** What differs in settings read anew and takes effect at once. */
+  /** The elements and attributes that differ in other settings, and which take effect at once. */
   public List<String> changesAppliedAtOnce(LocalSettings next) {
     List<String> keys = new ArrayList<>();
-    difference(keys, "clients idleTimeoutMs", clientIdleTimeoutNanos, next.clientIdleTimeoutNanos);
-    if (gossip.isPresent() && next.gossip.isPresent()) {
-      GossipSettings old = gossip.get();
-      GossipSettings now = next.gossip.get();
-      difference(
-          keys,
-          "gossip identity",
-          List.of(old.keyFile(), old.certificateFile()),
-          List.of(now.keyFile(), now.certificateFile()));
-      difference(keys, "gossip authority", old.authorityFiles(), now.authorityFiles());
-      difference(keys, "gossip revoked", old.revocationFile(), now.revocationFile());
-      difference(keys, "gossip seed", old.seeds(), now.seeds());
+    addIfDifferent(
+        keys, "clients idleTimeoutMs", clientIdleTimeoutNanos, next.clientIdleTimeoutNanos);
+    if (gossip.isEmpty() || next.gossip.isEmpty()) {
+      return keys;
     }
+    GossipSettings ours = gossip.get();
+    GossipSettings theirs = next.gossip.get();
+    addIfDifferent(
+        keys,
+        "gossip identity",
+        List.of(ours.keyFile(), ours.certificateFile()),
+        List.of(theirs.keyFile(), theirs.certificateFile()));
+    addIfDifferent(keys, "gossip authority", ours.authorityFiles(), theirs.authorityFiles());
+    addIfDifferent(keys, "gossip revoked", ours.revocationFile(), theirs.revocationFile());
+    addIfDifferent(keys, "gossip seed", ours.seeds(), theirs.seeds());
     return keys;
   }
 
-  private static void difference(List<String> keys, String key, Object old, Object now) {
-    if (!Objects.equals(old, now)) {
+  private static void addIfDifferent(List<String> keys, String key, Object value, Object next) {
+    if (!Objects.equals(value, next)) {
       keys.add(key);
     }
   }
--- a/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
@@ -30,57 +30,84 @@
 import reachloom.config.ConfigurationSettings.Issuer;
 
 /**
- * Reads the settings file: XML checked against {@code reachloom.xsd}, which also gives the
- * defaults. Document type declarations, and with them entities from elsewhere, are refused: a
+ * Reads the settings file: XML that is validated against {@code reachloom.xsd}, which also gives
+ * the defaults. Document type declarations, and with them external entities, are rejected: a
  * settings file has no use for them.
  */
 final class LocalSettingsParser extends DefaultHandler {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long MAX_BYTES = 1 << 20;
+  private static final long MAX_FILE_BYTES = 1 << 20;
 
+  /** An element with its attributes, as the schema completed them. */
   private record Element(
-      String name, int line, Map<String, String> values, List<Element> children) {
-    List<Element> all(String child) {
-      return children.stream().filter(c -> c.name.equals(child)).toList();
+      String name, int line, Map<String, String> attributes, List<Element> children) {
+    List<Element> children(String childName) {
+      return children.stream().filter(child -> child.name.equals(childName)).toList();
+    }
+
+    String attribute(String attributeName) {
+      return attributes.get(attributeName);
+    }
+
+    int intAttribute(String attributeName) {
+      return Integer.parseInt(attribute(attributeName));
+    }
+
+    long nanosAttribute(String millisecondsName) {
+      return Long.parseLong(attribute(millisecondsName)) * MILLISECOND;
+    }
+
+    boolean isEnabled() {
+      return Boolean.parseBoolean(attribute("enabled")) || attribute("enabled").equals("1");
     }
   }
 
   private final Path file;
-  private final Deque<Element> open = new ArrayDeque<>();
+  private final Deque<Element> openElements = new ArrayDeque<>();
   private Element root;
   private Locator locator;
+
+  /** The first fault that the validator found; null without one. */
   private SAXParseException fault;
 
   private LocalSettingsParser(Path file) {
     this.file = file;
   }
 
-  /** The settings in that file, or what is wrong with them: file, line and element. */
+  /**
+   * Reads a settings file.
+   *
+   * @throws ConfigException where it can't be used, with the file, the line and the element
+   */
   static LocalSettings read(Path file) throws ConfigException {
-    byte[] text;
+    byte[] text = readBytes(file);
+    LocalSettingsParser parser = new LocalSettingsParser(file);
     try {
-      if (Files.size(file) > MAX_BYTES) {
-        throw new ConfigException(file + ": is larger than " + MAX_BYTES + " bytes");
+      saxParser().parse(new InputSource(new ByteArrayInputStream(text)), parser);
+      if (parser.fault != null) {
+        throw parser.fault;
       }
-      text = Files.readAllBytes(file);
-    } catch (IOException e) {
-      throw new ConfigException(file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
+    } catch (SAXParseException e) {
+      throw new ConfigException(file + ":" + e.getLineNumber(), reason(e));
+    } catch (SAXException | IOException | ParserConfigurationException e) {
+      throw new ConfigException(file.toString(), "cannot be read: " + e.getMessage());
     }
-    LocalSettingsParser reader = new LocalSettingsParser(file);
+    return parser.settings();
+  }
+
+  private static byte[] readBytes(Path file) throws ConfigException {
     try {
-      parser().parse(new InputSource(new ByteArrayInputStream(text)), reader);
-      if (reader.fault != null) {
-        throw reader.fault;
+      if (Files.size(file) > MAX_FILE_BYTES) {
+        throw new ConfigException(file.toString(), "is larger than " + MAX_FILE_BYTES + " bytes");
       }
-    } catch (SAXParseException e) {
-      throw new ConfigException(file + ":" + e.getLineNumber() + ": " + reason(e));
-    } catch (SAXException | IOException | ParserConfigurationException e) {
-      throw new ConfigException(file + ": cannot be read: " + e.getMessage());
+      return Files.readAllBytes(file);
+    } catch (IOException e) {
+      throw new ConfigException(
+          file.toString(), "cannot be read (" + e.getClass().getSimpleName() + ")");
     }
-    return reader.settings();
   }
 
-  private static SAXParser parser() throws SAXException, ParserConfigurationException {
+  private static SAXParser saxParser() throws SAXException, ParserConfigurationException {
     SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
     schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
     schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
@@ -95,52 +122,53 @@
     return parsers.newSAXParser();
   }
 
-  /** The validator's words without its own numbers of rules. */
+  /** The validator's message without the names of its rules. */
   private static String reason(SAXParseException e) {
     return e.getMessage()
         .replaceFirst("^cvc-[\\w.-]+: ", "")
         .replaceAll("\"urn:reachloom:settings:1\":", "");
   }
 
-  // ---- What the parser tells ----
+  // ---- Events of the parser ----
 
   @Override
-  public void setDocumentLocator(Locator l) {
-    locator = l;
+  public void setDocumentLocator(Locator documentLocator) {
+    locator = documentLocator;
   }
 
   @Override
-  public void startElement(String uri, String name, String prefixed, Attributes attributes) {
+  public void startElement(
+      String uri, String localName, String qualifiedName, Attributes attributes) {
     Map<String, String> values = new LinkedHashMap<>();
     for (int i = 0; i < attributes.getLength(); i++) {
       values.put(attributes.getLocalName(i), attributes.getValue(i));
     }
-    Element e = new Element(name, locator.getLineNumber(), values, new ArrayList<>());
-    if (open.isEmpty()) {
-      root = e;
+    Element element = new Element(localName, locator.getLineNumber(), values, new ArrayList<>());
+    if (openElements.isEmpty()) {
+      root = element;
     } else {
-      open.peek().children.add(e);
+      openElements.peek().children.add(element);
     }
-    open.push(e);
+    openElements.push(element);
   }
 
   @Override
-  public void endElement(String uri, String name, String prefixed) {
-    open.pop();
+  public void endElement(String uri, String localName, String qualifiedName) {
+    openElements.pop();
   }
 
   /**
-   * A value is told of twice: first what is wrong with it, then which attribute of which element it
-   * is.
+   * Keeps the first fault. The validator reports an invalid value twice: first what is wrong with
+   * it, then the attribute and the element that it belongs to; the latter is the one to keep.
    */
   @Override
   public void error(SAXParseException e) {
-    boolean named =
+    boolean namesAttributeOfFault =
         fault != null
             && e.getMessage().startsWith("cvc-attribute")
             && !fault.getMessage().startsWith("cvc-attribute")
             && e.getLineNumber() == fault.getLineNumber();
-    fault = fault == null || named ? e : fault;
+    fault = fault == null || namesAttributeOfFault ? e : fault;
   }
 
   @Override
@@ -148,75 +176,72 @@
     throw e;
   }
 
-  // ---- What it means ----
+  // ---- Meaning of the elements ----
 
   private LocalSettings settings() throws ConfigException {
     Optional<GossipSettings> gossip = Optional.empty();
-    for (Element e : root.all("gossip")) {
-      if (Boolean.parseBoolean(e.values.get("enabled")) || e.values.get("enabled").equals("1")) {
-        gossip = Optional.of(gossip(e));
+    for (Element element : root.children("gossip")) {
+      if (element.isEnabled()) {
+        gossip = Optional.of(gossip(element));
       }
     }
-    OptionalLong idle = OptionalLong.empty();
-    for (Element e : root.all("clients")) {
-      idle = OptionalLong.of(Long.parseLong(e.values.get("idleTimeoutMs")) * MILLISECOND);
+    OptionalLong clientIdleTimeoutNanos = OptionalLong.empty();
+    for (Element element : root.children("clients")) {
+      clientIdleTimeoutNanos = OptionalLong.of(element.nanosAttribute("idleTimeoutMs"));
     }
-    return new LocalSettings(gossip, idle);
+    return new LocalSettings(gossip, clientIdleTimeoutNanos);
   }
 
-  private GossipSettings gossip(Element e) throws ConfigException {
-    Element identity = e.all("identity").get(0);
+  private GossipSettings gossip(Element element) throws ConfigException {
+    Element identity = element.children("identity").get(0);
     List<Path> authorities = new ArrayList<>();
-    e.all("authority").forEach(a -> authorities.add(path(a, "file")));
+    element.children("authority").forEach(authority -> authorities.add(path(authority, "file")));
     List<InetSocketAddress> seeds = new ArrayList<>();
-    for (Element seed : e.all("seed")) {
+    for (Element seed : element.children("seed")) {
       seeds.add(address(seed, "address"));
     }
-    List<Element> revoked = e.all("revoked");
+    List<Element> revoked = element.children("revoked");
     return new GossipSettings(
-        e.values.get("cluster"),
-        address(e, "listen"),
-        Integer.parseInt(e.values.get("bytesPerSecond")),
-        Long.parseLong(e.values.get("periodMs")) * MILLISECOND,
+        element.attribute("cluster"),
+        address(element, "listen"),
+        element.intAttribute("bytesPerSecond"),
+        element.nanosAttribute("periodMs"),
         path(identity, "key"),
         path(identity, "certificate"),
         List.copyOf(authorities),
         revoked.isEmpty() ? null : path(revoked.get(0), "file"),
         List.copyOf(seeds),
-        configuration(e));
+        configuration(element));
   }
 
   private Optional<ConfigurationSettings> configuration(Element gossip) throws ConfigException {
-    List<Element> found = gossip.all("configuration");
+    List<Element> found = gossip.children("configuration");
     if (found.isEmpty()) {
       return Optional.empty();
     }
-    Element e = found.get(0);
+    Element element = found.get(0);
     Set<String> names = new LinkedHashSet<>();
     List<Issuer> issuers = new ArrayList<>();
-    for (Element i : e.all("issuer")) {
-      if (!names.add(i.values.get("name"))) {
+    for (Element issuer : element.children("issuer")) {
+      String name = issuer.attribute("name");
+      if (!names.add(name)) {
         throw new ConfigException(
-            file
-                + ":"
-                + i.line
-                + ": issuer: name: '"
-                + i.values.get("name")
-                + "' stands here twice");
+            file + ":" + issuer.line + ": issuer: name", "'" + name + "' stands here twice");
       }
-      issuers.add(new Issuer(i.values.get("name"), address(i, "address"), path(i, "certificate")));
+      issuers.add(new Issuer(name, address(issuer, "address"), path(issuer, "certificate")));
     }
-    int region = Integer.parseInt(e.values.get("region"));
-    int zone = Integer.parseInt(e.values.get("zone"));
-    return Optional.of(new ConfigurationSettings(region << Byte.SIZE | zone, List.copyOf(issuers)));
+    int place = element.intAttribute("region") << Byte.SIZE | element.intAttribute("zone");
+    return Optional.of(new ConfigurationSettings(place, List.copyOf(issuers)));
   }
 
-  private Path path(Element e, String key) {
-    return file.toAbsolutePath().resolveSibling(e.values.get(key)).normalize();
+  /** A path relative to the folder of the settings file. */
+  private Path path(Element element, String attribute) {
+    return file.toAbsolutePath().resolveSibling(element.attribute(attribute)).normalize();
   }
 
-  private InetSocketAddress address(Element e, String key) throws ConfigException {
-    return GatewayConfig.address(
-        e.values.get(key), file + ":" + e.line + ": " + e.name + ": " + key);
+  private InetSocketAddress address(Element element, String attribute) throws ConfigException {
+    return GatewayConfigParser.address(
+        element.attribute(attribute),
+        file + ":" + element.line + ": " + element.name + ": " + attribute);
   }
 }
--- a/gateway/src/main/java/reachloom/config/MergePatch.java
+++ b/gateway/src/main/java/reachloom/config/MergePatch.java
@@ -12,13 +12,15 @@
 import java.util.Map;
 
 /**
- * A JSON Merge Patch (RFC 7396), laid over a gateway's own configuration: what it names replaces,
- * objects are gone into, null takes away. What belongs to one gateway alone can't stand in one that
- * is for all.
+ * A JSON Merge Patch (RFC 7396) that is applied to the configuration of each gateway of an
+ * installation: a value replaces the one of the same key, objects are merged, and null removes a
+ * key. Keys that belong to one gateway alone are not allowed in it.
+ *
+ * @param patch the document
  */
 public record MergePatch(ObjectNode patch) {
-  /** Keys of one gateway's own, dotted below the first level. */
-  private static final List<List<String>> OWN =
+  /** The keys that belong to one gateway alone, each as its path from the root. */
+  private static final List<List<String>> GATEWAY_KEYS =
       List.of(
           List.of("name"),
           List.of("listen"),
@@ -35,51 +37,50 @@
 
   /** Reads and checks a document that is to hold for a whole installation. */
   public static MergePatch read(byte[] document) throws ConfigException {
-    JsonNode root;
-    try {
-      root = STRICT.readTree(document);
-    } catch (JsonProcessingException e) {
-      throw new ConfigException(
-          "the document is not JSON: line "
-              + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
-              + ": "
-              + e.getOriginalMessage());
-    } catch (IOException e) {
-      throw new ConfigException("the document is not JSON: " + e.getMessage());
-    }
-    if (!(root instanceof ObjectNode object)) {
+    if (!(parse(document) instanceof ObjectNode patch)) {
       throw new ConfigException("the document is not an object");
     }
-    for (List<String> own : OWN) {
-      JsonNode at = object;
-      for (String key : own) {
-        at = at.path(key);
+    for (List<String> path : GATEWAY_KEYS) {
+      JsonNode value = patch;
+      for (String key : path) {
+        value = value.path(key);
       }
-      if (!at.isMissingNode()) {
+      if (!value.isMissingNode()) {
         throw new ConfigException(
-            String.join(".", own) + ": is each gateway's own, and can't be set for all");
+            String.join(".", path), "is each gateway's own, and can't be set for all");
       }
     }
-    return new MergePatch(object);
+    return new MergePatch(patch);
+  }
+
+  private static JsonNode parse(byte[] document) throws ConfigException {
+    try {
+      return STRICT.readTree(document);
+    } catch (JsonProcessingException e) {
+      int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
+      throw new ConfigException("the document is not JSON: line " + line, e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new ConfigException("the document is not JSON", e.getMessage());
+    }
   }
 
-  /** The patch laid over that value, which is left as it is. */
+  /** The patch applied to a value, which stays as it is. */
   public JsonNode applyTo(JsonNode target) {
-    return merged(target, patch);
+    return merge(target, patch);
   }
 
-  private static JsonNode merged(JsonNode target, JsonNode patch) {
+  private static JsonNode merge(JsonNode target, JsonNode patch) {
     if (!patch.isObject()) {
       return patch;
     }
     ObjectNode result =
         target.isObject() ? ((ObjectNode) target).deepCopy() : ((ObjectNode) patch).objectNode();
     for (Iterator<Map.Entry<String, JsonNode>> fields = patch.fields(); fields.hasNext(); ) {
-      Map.Entry<String, JsonNode> f = fields.next();
-      if (f.getValue().isNull()) {
-        result.remove(f.getKey());
+      Map.Entry<String, JsonNode> field = fields.next();
+      if (field.getValue().isNull()) {
+        result.remove(field.getKey());
       } else {
-        result.set(f.getKey(), merged(result.path(f.getKey()), f.getValue()));
+        result.set(field.getKey(), merge(result.path(field.getKey()), field.getValue()));
       }
     }
     return result;
--- a/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
+++ b/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
@@ -16,10 +16,11 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * Reads the settings object of a starting instance. Absent settings mean "none" or "not allowed".
+ * Reads the settings of the scheduler from JSON. This is the one place where the keys of that
+ * object meet the names of the code. A setting that is absent means "none" or "not allowed".
  */
 public final class SchedulerSettingsReader {
-  private static final Map<String, Idempotency> EFFECTS =
+  private static final Map<String, Idempotency> IDEMPOTENCIES =
       Map.of(
           "repeatable",
           Idempotency.IDEMPOTENT,
@@ -27,7 +28,7 @@
           Idempotency.IDEMPOTENT_BY_KEY,
           "once",
           Idempotency.NOT_IDEMPOTENT);
-  private static final Map<String, DeduplicationScope> SCOPES =
+  private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
       Map.of(
           "all",
           DeduplicationScope.ALL,
@@ -35,7 +36,7 @@
           DeduplicationScope.ZONE,
           "cell",
           DeduplicationScope.CELL);
-  private static final Map<String, OvercommitPolicy> OVERBOOKED =
+  private static final Map<String, OvercommitPolicy> OVERCOMMIT_POLICIES =
       Map.of(
           "queue",
           OvercommitPolicy.WAIT,
@@ -47,35 +48,37 @@
   private SchedulerSettingsReader() {}
 
   /**
-   * The settings in that object, or what is wrong with them: a reference to a kind or zone not
-   * listed.
+   * The settings in an object, whose references to kinds and zones are checked.
+   *
+   * @throws ConfigException where one names a kind or zone that is not listed, or a class has no
+   *     deadline
    */
   public static SchedulerSettings readChecked(JsonNode root) throws ConfigException {
     int index = 0;
-    for (JsonNode c : root.path("classes")) {
-      String where = "settings.classes[" + index++ + "].";
-      references(c, "allowedOn", root.path("kinds").size(), where);
-      references(c, "runsIn", root.path("zones").size(), where);
-      if (c.path("giveUp").asLong() <= 0) {
-        throw new ConfigException(where + "giveUp: is not a number above 0");
+    for (JsonNode queryClass : root.path("classes")) {
+      String path = "settings.classes[" + index++ + "].";
+      checkReferences(queryClass, "allowedOn", root.path("kinds").size(), path);
+      checkReferences(queryClass, "runsIn", root.path("zones").size(), path);
+      if (queryClass.path("giveUp").asLong() <= 0) {
+        throw new ConfigException(path + "giveUp", "is not a number above 0");
       }
     }
     return read(root);
   }
 
-  private static void references(JsonNode c, String key, int size, String where)
+  private static void checkReferences(JsonNode queryClass, String key, int listed, String path)
       throws ConfigException {
-    for (JsonNode place : c.path(key)) {
-      if (!place.isIntegralNumber() || place.asInt() < 0 || place.asInt() >= size) {
-        throw new ConfigException(where + key + ": " + place + " is not in the settings' list");
+    for (JsonNode reference : queryClass.path(key)) {
+      if (!reference.isIntegralNumber() || reference.asInt() < 0 || reference.asInt() >= listed) {
+        throw new ConfigException(path + key, reference + " is not in the settings' list");
       }
     }
   }
 
-  /** The settings in that object. */
+  /** The settings in an object, as they stand. */
   public static SchedulerSettings read(JsonNode root) {
-    JsonNode special = root.path("specifics");
-    JsonNode prices = root.path("deductions");
+    JsonNode specifics = root.path("specifics");
+    JsonNode deductions = root.path("deductions");
     return new SchedulerSettings(
         Math.max(1, root.path("balancers").asInt()),
         root.path("selfIndex").asInt(-1),
@@ -83,64 +86,66 @@
         "subscribe".equals(root.path("discovery").asText()),
         root.path("tick").asLong(),
         root.path("overShareWorth").asDouble(1),
-        prices.path("crossZone").asDouble(),
-        prices.path("probe").asDouble(),
-        prices.path("waste").asDouble(),
-        classes(root.path("classes"), special),
-        kinds(root, special),
+        deductions.path("crossZone").asDouble(),
+        deductions.path("probe").asDouble(),
+        deductions.path("waste").asDouble(),
+        classes(root.path("classes"), specifics),
+        kinds(root, specifics),
         tenants(root.path("orgs")),
         limits(root.path("limits")),
         rules(root.path("contract")),
-        traits(root, special));
+        traits(root, specifics));
   }
 
-  private static List<QueryClass> classes(JsonNode classes, JsonNode special) {
+  private static List<QueryClass> classes(JsonNode classes, JsonNode specifics) {
     List<QueryClass> read = new ArrayList<>();
-    for (JsonNode c : classes) {
-      int i = read.size();
-      // An effect or scope not known here reads as the strictest one.
+    for (JsonNode queryClass : classes) {
+      int index = read.size();
+      // An effect or scope that is not known counts as the strictest one.
       read.add(
           new QueryClass(
-              c.path("goalTime").asLong(),
-              c.path("aimStretch").asDouble(),
-              c.path("giveUp").asLong(),
-              c.path("worth").asDouble(),
-              c.path("lateValue").asDouble(),
-              EFFECTS.getOrDefault(c.path("effect").asText(), Idempotency.NOT_IDEMPOTENT),
-              SCOPES.getOrDefault(c.path("dedupScope").asText(), DeduplicationScope.CELL),
-              c.path("keyTtl").asLong(),
-              c.path("fifoByKey").asBoolean(),
-              c.path("stream").asBoolean(),
-              integers(c.path("allowedOn")),
-              integers(c.path("runsIn")),
-              Math.max(1, special.path("widthByClass").path(i).asInt(1)),
-              special.path("classLoad").path(i).asBoolean(),
-              special.path("yieldsToLoads").path(i).asBoolean()));
+              queryClass.path("goalTime").asLong(),
+              queryClass.path("aimStretch").asDouble(),
+              queryClass.path("giveUp").asLong(),
+              queryClass.path("worth").asDouble(),
+              queryClass.path("lateValue").asDouble(),
+              IDEMPOTENCIES.getOrDefault(
+                  queryClass.path("effect").asText(), Idempotency.NOT_IDEMPOTENT),
+              DEDUPLICATION_SCOPES.getOrDefault(
+                  queryClass.path("dedupScope").asText(), DeduplicationScope.CELL),
+              queryClass.path("keyTtl").asLong(),
+              queryClass.path("fifoByKey").asBoolean(),
+              queryClass.path("stream").asBoolean(),
+              integers(queryClass.path("allowedOn")),
+              integers(queryClass.path("runsIn")),
+              Math.max(1, specifics.path("widthByClass").path(index).asInt(1)),
+              specifics.path("classLoad").path(index).asBoolean(),
+              specifics.path("yieldsToLoads").path(index).asBoolean()));
     }
     return List.copyOf(read);
   }
 
   private static List<Integer> integers(JsonNode values) {
     List<Integer> read = new ArrayList<>();
-    values.forEach(v -> read.add(v.asInt()));
+    values.forEach(value -> read.add(value.asInt()));
     return List.copyOf(read);
   }
 
-  private static List<EngineKind> kinds(JsonNode root, JsonNode special) {
-    int count = Math.max(root.path("kinds").size(), special.path("cpuOfKind").size());
+  private static List<EngineKind> kinds(JsonNode root, JsonNode specifics) {
+    int count = Math.max(root.path("kinds").size(), specifics.path("cpuOfKind").size());
     List<EngineKind> read = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       read.add(
           new EngineKind(
-              special.path("cpuOfKind").path(i).asInt(),
-              special.path("ramOfKindMb").path(i).asDouble()));
+              specifics.path("cpuOfKind").path(i).asInt(),
+              specifics.path("ramOfKindMb").path(i).asDouble()));
     }
     return List.copyOf(read);
   }
 
   private static List<TenantQuota> tenants(JsonNode orgs) {
     List<TenantQuota> read = new ArrayList<>();
-    orgs.forEach(o -> read.add(new TenantQuota(o.path("quotaPerS").asDouble())));
+    orgs.forEach(tenant -> read.add(new TenantQuota(tenant.path("quotaPerS").asDouble())));
     return List.copyOf(read);
   }
 
@@ -167,14 +172,15 @@
         rules.path("extraPerRequest").asDouble());
   }
 
-  private static EngineCapabilities traits(JsonNode root, JsonNode special) {
+  private static EngineCapabilities traits(JsonNode root, JsonNode specifics) {
     String via = root.path("stats").path("via").asText();
     return new EngineCapabilities(
-        special.path("grants").asBoolean(),
-        special.path("takesPriority").asBoolean(),
+        specifics.path("grants").asBoolean(),
+        specifics.path("takesPriority").asBoolean(),
         "pull".equals(via) || "piggyback".equals(via),
-        special.path("notePeriod").asLong(),
-        special.path("largestShare").asDouble(1),
-        OVERBOOKED.getOrDefault(special.path("overbooked").asText(), OvercommitPolicy.WAIT));
+        specifics.path("notePeriod").asLong(),
+        specifics.path("largestShare").asDouble(1),
+        OVERCOMMIT_POLICIES.getOrDefault(
+            specifics.path("overbooked").asText(), OvercommitPolicy.WAIT));
   }
 }
