--- a/gateway/src/main/java/reachloom/gateway/EngineOutcomeListener.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineOutcomeListener.java
@@ -4,11 +4,22 @@
 import reachloom.config.EngineMember;
 import reachloom.scheduler.api.AttemptOutcome;
 
-/** Hears, on the loop, what a gateway learns of its engines. */
+/**
+ * Is told what a gateway learns of its engines, such as by gossip that passes it on; called on the
+ * event loop's thread.
+ */
 public interface EngineOutcomeListener {
-  /** News of the list of engines; {@code whole} means that those not named are gone. */
-  void onEndpoints(boolean whole, List<EngineMember> members);
+  /**
+   * The endpoint list has changed.
+   *
+   * @param complete whether engines that are not named here have been removed
+   */
+  void onEndpoints(boolean complete, List<EngineMember> members);
 
-  /** An attempt is over; {@code wanted} is false where its request was over before. */
+  /**
+   * An attempt has ended.
+   *
+   * @param wanted false where its request had been answered, or its client had gone, before
+   */
   void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted);
 }
