--- a/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
+++ b/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
@@ -90,20 +90,20 @@
       long itsTime,
       long seq) {
     if (Math.abs(now - itsTime) > CLOCKS_APART && Math.abs(wallClock - itsTime) > CLOCKS_APART) {
-      return refuse(RejectionReason.TIME);
+      return reject(RejectionReason.TIME);
     }
     Replay replay = senders.get(sender);
     if (replay != null && !replay.fresh(seq)) {
-      return refuse(RejectionReason.REPLAYED);
+      return reject(RejectionReason.REPLAYED);
     }
     if (!known && !certified) {
-      return refuse(RejectionReason.UNKNOWN);
+      return reject(RejectionReason.UNKNOWN);
     }
     boolean room =
         ofMember
             ? bucket(members, source, memberRate).take(now)
             : bucket(others, source, SOURCE_RATE).take(now) && strangers.take(now);
-    return room && total.take(now) ? null : refuse(RejectionReason.BUDGET);
+    return room && total.take(now) ? null : reject(RejectionReason.BUDGET);
   }
 
   private static TokenBucket bucket(Map<Long, TokenBucket> of, long source, double rate) {
@@ -119,7 +119,7 @@
   }
 
   /** The signature holds: its number is used up from now on; false where another one was faster. */
-  public boolean take(String sender, long seq) {
+  public boolean acceptSequenceNumber(String sender, long seq) {
     Replay r = senders.get(sender);
     if (r == null) {
       if (senders.size() >= MAX_SENDERS) {
@@ -129,7 +129,7 @@
       senders.put(sender, r);
     }
     if (!r.take(seq)) {
-      refuse(RejectionReason.REPLAYED);
+      reject(RejectionReason.REPLAYED);
       return false;
     }
     taken++;
@@ -137,18 +137,18 @@
   }
 
   /** Counts a refusal; gives it back. */
-  public RejectionReason refuse(RejectionReason why) {
+  public RejectionReason reject(RejectionReason why) {
     counts.merge(why, 1L, Long::sum);
     return why;
   }
 
   /** How many were refused, by reason. */
-  public Map<RejectionReason, Long> refused() {
+  public Map<RejectionReason, Long> rejections() {
     return counts.isEmpty() ? Map.of() : new EnumMap<>(counts);
   }
 
   /** How many were taken. */
-  public long taken() {
+  public long acceptedCount() {
     return taken;
   }
 
--- a/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -15,7 +15,6 @@
 import reachloom.peerreport.OutcomeWindow;
 import reachloom.peerreport.PeerReport;
 import reachloom.peerreport.WeightedQuorum;
-import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.revision.Peer;
 import reachloom.revision.RevisionMessage;
 import reachloom.revision.RevisionMessageSender;
@@ -27,12 +26,12 @@
 public final class GossipProtocol implements MessageSender, RevisionMessageSender {
   private static final int REVIEWS = 4; // in a period
   private static final double STEP = 0.1; // a level that has moved by less is not told again
-  private static final int MAX_CLAIMS = 32; // in one packet
+  private static final int MOST_CLAIMS = 32; // in one packet
 
   /**
    * Words in one packet: a certificate, the longest names and what always rides find room beside.
    */
-  private static final int MAX_WORDS = 700; // bytes
+  private static final int MOST_WORDS = 700; // bytes
 
   private final String name;
   private final long address;
@@ -44,7 +43,7 @@
   private final long reviewEvery;
   private final Map<String, Long> engines = new LinkedHashMap<>();
   private final Map<String, Double> told = new LinkedHashMap<>();
-  private List<Belief> beliefs = List.of();
+  private List<WeightedQuorum.Assessment> beliefs = List.of();
   private long nextReview;
   private PiggybackPayload rider;
   private boolean peersChanged;
@@ -79,13 +78,13 @@
             this,
             new WireSizes() {
               @Override
-              public int message(String to, MembershipMessage message) {
-                return transport.message(to, message) + riding();
+              public int messageBytes(String to, MembershipMessage message) {
+                return transport.messageBytes(to, message) + riding();
               }
 
               @Override
-              public int news(MembershipUpdate news) {
-                return transport.news(news);
+              public int updateBytes(MembershipUpdate news) {
+                return transport.updateBytes(news);
               }
             });
   }
@@ -94,32 +93,32 @@
    * Lets something ride on the packets from now on, and sets this instance's place; before it
    * starts.
    */
-  public void carry(int place, PiggybackPayload what) {
-    membership.place(place);
+  public void attachPayload(int place, PiggybackPayload what) {
+    membership.setPlace(place);
     rider = what;
     peersChanged = true;
   }
 
   /** Bytes of what rides on each packet. */
   private int riding() {
-    return rider == null ? 0 : transport.riding(membership.place(), rider.always());
+    return rider == null ? 0 : transport.payloadBytes(membership.place(), rider.messages());
   }
 
   public MembershipService membership() {
     return membership;
   }
 
-  public WeightedQuorum corroboration() {
+  public WeightedQuorum quorum() {
     return corroboration;
   }
 
   /** What is believed by hearsay, as of the last review. */
-  public List<Belief> beliefs() {
+  public List<WeightedQuorum.Assessment> assessments() {
     return beliefs;
   }
 
   /** An engine is in use from now on; {@code since} is the start of its process. */
-  public void engine(String engine, long since) {
+  public void addEngine(String engine, long since) {
     Long old = engines.put(engine, since);
     if (old != null && old != since) { // another process: nothing said of the old one holds
       ledger.forget(engine);
@@ -130,28 +129,30 @@
   }
 
   /** An engine is no longer in use. */
-  public void engineGone(String engine) {
+  public void removeEngine(String engine) {
     engines.remove(engine);
     told.remove(engine);
     ledger.forget(engine);
   }
 
   /** This instance has seen something of an engine. */
-  public void seen(long now, String engine, OutcomeWindow.Seen seen) {
+  public void recordOutcome(long now, String engine, OutcomeWindow.Observation seen) {
     Long since = engines.get(engine);
     if (since != null) {
-      ledger.note(now, engine, since, seen);
-      urgent |= seen != OutcomeWindow.Seen.SERVED;
+      ledger.record(now, engine, since, seen);
+      urgent |= seen != OutcomeWindow.Observation.SERVED;
     }
   }
 
-  /** Looks at the clock; to be called as often as {@link MembershipService#tickEvery} says. */
+  /**
+   * Looks at the clock; to be called as often as {@link MembershipService#tickIntervalNanos} says.
+   */
   public void tick(long now) {
     membership.tick(now);
     if (urgent && now >= nextTell) {
       urgent = false;
       nextTell = now + reviewEvery * REVIEWS / 2;
-      membership.tell(now);
+      membership.sendPayload(now);
     }
     if (now >= nextReview) {
       nextReview = now + reviewEvery;
@@ -160,7 +161,7 @@
     if (rider != null) {
       if (peersChanged) {
         peersChanged = false;
-        rider.peers(
+        rider.onPeers(
             now,
             membership.members().stream()
                 .filter(m -> m.state().present())
@@ -172,7 +173,7 @@
   }
 
   private void review(long now) {
-    beliefs = corroboration.review(now, engines);
+    beliefs = corroboration.assess(now, engines);
     Map<String, Double> levels = new LinkedHashMap<>();
     beliefs.forEach(b -> levels.put(b.engine(), b.level()));
     for (String engine : new ArrayList<>(told.keySet())) {
@@ -184,7 +185,8 @@
     levels.forEach(
         (engine, level) -> {
           double before = told.getOrDefault(engine, 0.0);
-          boolean crossed = before >= WeightedQuorum.ACCUSED != level >= WeightedQuorum.ACCUSED;
+          boolean crossed =
+              before >= WeightedQuorum.ACCUSED_LEVEL != level >= WeightedQuorum.ACCUSED_LEVEL;
           if (crossed || Math.abs(level - before) >= STEP) {
             told.put(engine, level);
             hearsay.accept(engine, level);
@@ -195,15 +197,15 @@
   /** A packet has come whose sender is proved. */
   public void receive(long now, Packet p) {
     membership.receive(
-        now, p.sender(), p.address(), p.place(), p.incarnation(), p.message(), p.news());
+        now, p.sender(), p.address(), p.place(), p.incarnation(), p.message(), p.updates());
     if (membership.member(p.sender()) == null) {
       return;
     }
-    if (!p.claims().isEmpty()) {
-      corroboration.hear(now, p.sender(), p.claims());
+    if (!p.reports().isEmpty()) {
+      corroboration.onReports(now, p.sender(), p.reports());
     }
-    if (rider != null && !p.words().isEmpty()) {
-      rider.hear(now, new Peer(p.sender(), p.address(), p.place()), p.words());
+    if (rider != null && !p.revisionMessages().isEmpty()) {
+      rider.onMessages(now, new Peer(p.sender(), p.address(), p.place()), p.revisionMessages());
     }
   }
 
@@ -222,16 +224,16 @@
       MembershipMessage message,
       List<MembershipUpdate> news,
       int most) {
-    int size = transport.message(to, message) + riding();
+    int size = transport.messageBytes(to, message) + riding();
     for (MembershipUpdate n : news) {
-      size += transport.news(n);
+      size += transport.updateBytes(n);
     }
     List<PeerReport> claims = new ArrayList<>();
     if (size < most) {
       int room = most - size;
-      int fit = Math.min(MAX_CLAIMS, room / MIN_CLAIM);
-      for (PeerReport c : fit <= 0 ? List.<PeerReport>of() : ledger.tell(now, fit)) {
-        int weight = transport.claim(c);
+      int fit = Math.min(MOST_CLAIMS, room / LEAST_CLAIM);
+      for (PeerReport c : fit <= 0 ? List.<PeerReport>of() : ledger.reportsToSend(now, fit)) {
+        int weight = transport.reportBytes(c);
         if (weight > room) {
           break;
         }
@@ -240,7 +242,7 @@
         size += weight;
       }
     }
-    send(to, at, message, List.copyOf(news), claims, rider == null ? List.of() : rider.always());
+    send(to, at, message, List.copyOf(news), claims, rider == null ? List.of() : rider.messages());
     return size;
   }
 
@@ -269,12 +271,12 @@
 
   @Override
   public int encodedBytes(RevisionMessage word) {
-    return transport.word(word);
+    return transport.revisionMessageBytes(word);
   }
 
   @Override
   public int maxPacketBytes() {
-    return MAX_WORDS;
+    return MOST_WORDS;
   }
 
   @Override
@@ -282,26 +284,26 @@
     if (rider == null) {
       return false; // what rides is being started, and may have something to say already
     }
-    MembershipMessage.Tell tell = new MembershipMessage.Tell();
-    List<RevisionMessage> all = new ArrayList<>(rider.always());
+    MembershipMessage.PayloadOnly tell = new MembershipMessage.PayloadOnly();
+    List<RevisionMessage> all = new ArrayList<>(rider.messages());
     all.addAll(words);
-    int size = transport.message(to, tell) + transport.riding(membership.place(), all);
-    if (!membership.meter().room(now, BandwidthLimiter.Use.REVISION, size)) {
+    int size = transport.messageBytes(to, tell) + transport.payloadBytes(membership.place(), all);
+    if (!membership.bandwidth().hasRoom(now, BandwidthLimiter.Purpose.REVISION, size)) {
       return false;
     }
-    membership.meter().sent(now, size, 0);
+    membership.bandwidth().record(now, size, 0);
     send(to, at, tell, List.of(), List.of(), all);
     return true;
   }
 
   /** A claim takes no less; only so that no more are looked at than may fit. */
-  private static final int MIN_CLAIM = 24;
+  private static final int LEAST_CLAIM = 24;
 
   @Override
-  public void changed(long now, MembershipUpdate member) {
+  public void onMemberChanged(long now, MembershipUpdate member) {
     peersChanged = true;
     if (!member.state().present()) {
-      corroboration.gone(member.member());
+      corroboration.onPeerGone(member.member());
     }
   }
 }
--- a/decisions/src/main/java/reachloom/gossip/Packet.java
+++ b/decisions/src/main/java/reachloom/gossip/Packet.java
@@ -17,17 +17,17 @@
     int place,
     long incarnation,
     MembershipMessage message,
-    List<MembershipUpdate> news,
-    List<PeerReport> claims,
-    List<RevisionMessage> words) {
+    List<MembershipUpdate> updates,
+    List<PeerReport> reports,
+    List<RevisionMessage> revisionMessages) {
   /** A packet of one that says no place, and nothing of the configuration. */
   public Packet(
       String sender,
       long address,
       long incarnation,
       MembershipMessage message,
-      List<MembershipUpdate> news,
-      List<PeerReport> claims) {
-    this(sender, address, 0, incarnation, message, news, claims, List.of());
+      List<MembershipUpdate> updates,
+      List<PeerReport> reports) {
+    this(sender, address, 0, incarnation, message, updates, reports, List.of());
   }
 }
--- a/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
+++ b/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
@@ -8,13 +8,13 @@
 /** What else rides on gossip's packets: the configuration's revisions. Called from one thread. */
 public interface PiggybackPayload {
   /** What rides on each packet. */
-  List<RevisionMessage> always();
+  List<RevisionMessage> messages();
 
   /** A packet of a member has come with these words. */
-  void hear(long now, Peer sender, List<RevisionMessage> words);
+  void onMessages(long now, Peer sender, List<RevisionMessage> words);
 
   /** The members that are believed to be there have changed; this instance is not among them. */
-  void peers(long now, Collection<Peer> present);
+  void onPeers(long now, Collection<Peer> present);
 
   /** Looks at the clock. */
   void tick(long now);
--- a/decisions/src/main/java/reachloom/gossip/Transport.java
+++ b/decisions/src/main/java/reachloom/gossip/Transport.java
@@ -8,15 +8,15 @@
 /** What carries packets, and knows what they weigh. */
 public interface Transport extends WireSizes {
   /** One claim, in bytes. */
-  int claim(PeerReport claim);
+  int reportBytes(PeerReport claim);
 
   /** One word about the configuration, in bytes. */
-  int word(RevisionMessage word);
+  int revisionMessageBytes(RevisionMessage word);
 
   /**
    * What a place (0 for none) and words add to a packet, in bytes, with all that surrounds them.
    */
-  int riding(int place, List<RevisionMessage> words);
+  int payloadBytes(int place, List<RevisionMessage> words);
 
   /**
    * Sends a packet to whoever listens at that address; an empty name where it is not known who
--- a/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -9,7 +9,7 @@
  */
 public final class BandwidthLimiter {
   /** What a datagram is sent for. */
-  public enum Use {
+  public enum Purpose {
     /** To find out who is alive. */
     PROBE(1),
     /** To let one in that knows nobody yet. */
@@ -24,7 +24,7 @@
     /** The share of the cap up to which it is sent. */
     private final double share;
 
-    Use(double share) {
+    Purpose(double share) {
       this.share = share;
     }
   }
@@ -53,29 +53,29 @@
   }
 
   /** Whether a datagram of that size may go out now. */
-  public boolean room(long now, Use use, int bytes) {
+  public boolean hasRoom(long now, Purpose use, int bytes) {
     return sent.sum(now) + bytes <= cap * use.share;
   }
 
   /** How large a datagram of that many bytes may grow by what rides on it. */
-  public int fill(long now, int bytes, int mostBytes) {
+  public int maxWithPiggyback(long now, int bytes, int mostBytes) {
     double left =
         Math.min(cap * RIDE_SHARE - ridden.sum(now), cap * RIDE_UP_TO - sent.sum(now) - bytes);
-    return Math.max(bytes, (int) Math.min(mostBytes, bytes + Math.min(left, packet())));
+    return Math.max(bytes, (int) Math.min(mostBytes, bytes + Math.min(left, maxPiggybackBytes())));
   }
 
   /** How large a packet may grow whose very purpose is what it carries. */
-  public int sync(long now, int bytes, int mostBytes) {
-    return Math.max(bytes, Math.min(mostBytes, (int) (cap * Use.SYNC.share - sent.sum(now))));
+  public int maxSyncBytes(long now, int bytes, int mostBytes) {
+    return Math.max(bytes, Math.min(mostBytes, (int) (cap * Purpose.SYNC.share - sent.sum(now))));
   }
 
   /** What may ride on one packet, in bytes. */
-  public int packet() {
+  public int maxPiggybackBytes() {
     return (int) (cap * PACKET_SHARE);
   }
 
   /** Notes what went out, and how much of it rode on a message. */
-  public void sent(long now, int bytes, int riding) {
+  public void record(long now, int bytes, int riding) {
     sent.add(now, bytes);
     if (riding > 0) {
       ridden.add(now, riding);
--- a/decisions/src/main/java/reachloom/membership/LocalHealth.java
+++ b/decisions/src/main/java/reachloom/membership/LocalHealth.java
@@ -11,12 +11,12 @@
   private int score;
 
   /** Something that an instance in good health would not have seen. */
-  void worse(int by) {
+  void worsen(int by) {
     score = Math.min(MOST, score + by);
   }
 
   /** A probe went as it should. */
-  void better() {
+  void improve() {
     score = Math.max(0, score - 1);
   }
 
--- a/decisions/src/main/java/reachloom/membership/Member.java
+++ b/decisions/src/main/java/reachloom/membership/Member.java
@@ -43,7 +43,7 @@
   }
 
   /** When it came into its state. */
-  public long since() {
+  public long sinceNanos() {
     return since;
   }
 
@@ -52,7 +52,7 @@
     return place;
   }
 
-  MembershipUpdate news() {
+  MembershipUpdate toUpdate() {
     return new MembershipUpdate(name, address, incarnation, state, accuser, place);
   }
 }
--- a/decisions/src/main/java/reachloom/membership/MembershipService.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipService.java
@@ -10,7 +10,6 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import reachloom.membership.BandwidthLimiter.Use;
 
 /**
  * One instance's part in keeping the list of members: it probes the others in turn, has others ask
@@ -27,26 +26,26 @@
  */
 public final class MembershipService {
   private static final long SECOND = 1_000_000_000; // nanoseconds
-  private static final int MAX_PACKET = 1_200; // bytes; fits each usual path without being cut up
-  private static final int MAX_NAME = 33; // bytes of a name on the wire
+  private static final int MOST_PACKET = 1_200; // bytes; fits each usual path without being cut up
+  private static final int MOST_NAME = 33; // bytes of a name on the wire
   private static final double DIRECT_SHARE = 0.4; // of a period, for a member's own answer
   private static final double RELAY_SHARE = 0.3; // ... and for a relay's word on its way back
   private static final int RELAYS = 3; // k of SWIM: others that are asked to ask
   private static final int LAST_ASKS = 2; // own questions to one whose time is up
   private static final int RETOLD = 2; // suspects told again in a period
-  private static final int MAX_RELAYED = 64; // questions that others have put through this one
+  private static final int MOST_RELAYED = 64; // questions that others have put through this one
   private static final int TICKS = 10; // in a period, at least: more than that late is a standstill
   private static final double STANDSTILL = 0.5; // of a period
   private static final int RECONNECT = 4; // periods between tries to reach one given up, or a seed
   private static final double GREETERS =
       4; // members that greet a newcomer without being asked, about
-  private static final int MAX_DOUBLINGS = 1; // of the pause between two tries to join
+  private static final int MOST_DOUBLINGS = 1; // of the pause between two tries to join
   // periods between two rounds of bringing tables together, at most and on average
   private static final int SYNC = 12;
   private static final int CROWD = 3; // newcomers after which tables are compared soon
   private static final int SETTLING = 15; // periods after which one that starts probes in any case
   private static final int MARK = 2; // bytes
-  private static final int MAX_MEMBERS = 2_048; // held, the dead among them
+  private static final int MOST_MEMBERS = 2_048; // held, the dead among them
   private static final long DEAD_MEMORY = 600; // periods for which one that is gone is remembered
   private static final long FUTURE =
       60; // seconds that an incarnation heard of may be ahead of the clock
@@ -161,32 +160,32 @@
   }
 
   /** How badly this instance does by its own probes: 0 is well, 8 the most. */
-  public int health() {
+  public int healthScore() {
     return health.score();
   }
 
   /** The meter of all that goes out, evidence and answers to operators among it. */
-  public BandwidthLimiter meter() {
+  public BandwidthLimiter bandwidth() {
     return meter;
   }
 
   /** How often {@link #tick} is to be called. */
-  public long tickEvery() {
+  public long tickIntervalNanos() {
     return period / TICKS;
   }
 
   /** The largest packet. */
   public int mostPacket() {
-    return MAX_PACKET;
+    return MOST_PACKET;
   }
 
   /** Takes over seeds of settings read anew. */
-  public void seeds(List<Long> now) {
+  public void setSeeds(List<Long> now) {
     seeds = List.copyOf(now);
   }
 
   /** Sets this instance's own region and zone, before it starts; 0 where they are not known. */
-  public void place(int own) {
+  public void setPlace(int own) {
     place = own;
   }
 
@@ -215,7 +214,12 @@
         .removeIf(
             r -> {
               if (now >= r.until) {
-                send(now, Use.ANSWER, r.asker, r.address, new MembershipMessage.Nack(r.seq));
+                send(
+                    now,
+                    BandwidthLimiter.Purpose.ANSWER,
+                    r.asker,
+                    r.address,
+                    new MembershipMessage.Nack(r.seq));
               }
               return now >= r.until;
             });
@@ -237,7 +241,7 @@
     if (late <= period * STANDSTILL) {
       return;
     }
-    health.worse((int) Math.min(TICKS, 1 + late / period));
+    health.worsen((int) Math.min(TICKS, 1 + late / period));
     members.values().stream()
         .filter(m -> m.suspicion != null)
         .forEach(m -> m.suspicion.shift(late + m.suspicion.least()));
@@ -257,13 +261,13 @@
     }
     if (now >= probe.until) {
       // Relays that did not even say "no" show that it is this instance which does not hear.
-      health.worse(probe.asked == 0 ? 1 : probe.asked - Math.min(probe.asked, probe.nacks));
+      health.worsen(probe.asked == 0 ? 1 : probe.asked - Math.min(probe.asked, probe.nacks));
       Member target = probe.target;
       probe = null;
       if (target.state == MemberState.ALIVE) {
         suspect(now, target, name);
       } else if (target.state == MemberState.SUSPECT && target.suspicion.confirm(name)) {
-        rumours.add(target.news());
+        rumours.add(target.toUpdate());
       }
     }
   }
@@ -274,7 +278,9 @@
         new MembershipMessage.PingRequest(number, target.name(), target.address);
     return (int)
         draw(RELAYS, m -> m != target && m.state == MemberState.ALIVE).stream()
-            .filter(relay -> send(now, Use.PROBE, relay.name(), relay.address, ask))
+            .filter(
+                relay ->
+                    send(now, BandwidthLimiter.Purpose.PROBE, relay.name(), relay.address, ask))
             .count();
   }
 
@@ -294,7 +300,7 @@
     probe =
         send(
                 now,
-                Use.PROBE,
+                BandwidthLimiter.Purpose.PROBE,
                 target.name(),
                 target.address,
                 new MembershipMessage.Ping(started.seq, target.name()))
@@ -316,7 +322,7 @@
             m ->
                 send(
                     now,
-                    Use.PROBE,
+                    BandwidthLimiter.Purpose.PROBE,
                     m.name(),
                     m.address,
                     new MembershipMessage.Ping(seq++, m.name())));
@@ -365,7 +371,11 @@
       if (m.suspicion.lastAsks() >= LAST_ASKS) {
         turn(now, m, MemberState.DEAD, m.incarnation);
       } else if (send(
-          now, Use.PROBE, m.name(), m.address, new MembershipMessage.Ping(seq++, m.name()))) {
+          now,
+          BandwidthLimiter.Purpose.PROBE,
+          m.name(),
+          m.address,
+          new MembershipMessage.Ping(seq++, m.name()))) {
         m.suspicion.asked(now + health.stretch(period));
         askThrough(now, m, seq++);
       }
@@ -380,7 +390,12 @@
     List<Member> gone = members.values().stream().filter(m -> m.state == MemberState.DEAD).toList();
     if (!gone.isEmpty()) {
       Member m = gone.get(random.nextInt(gone.size()));
-      send(now, Use.SYNC, m.name(), m.address, new MembershipMessage.Ping(seq++, m.name()));
+      send(
+          now,
+          BandwidthLimiter.Purpose.SYNC,
+          m.name(),
+          m.address,
+          new MembershipMessage.Ping(seq++, m.name()));
     }
     List<Long> unknown =
         seeds.stream()
@@ -392,9 +407,9 @@
             .toList();
     if (!unknown.isEmpty()) {
       long seed = unknown.get(random.nextInt(unknown.size()));
-      send(now, Use.SYNC, "", seed, new MembershipMessage.Ping(seq++, ""));
+      send(now, BandwidthLimiter.Purpose.SYNC, "", seed, new MembershipMessage.Ping(seq++, ""));
       if (present == 0) { // the more often in vain, the more others there must be who try
-        long pause = period << Math.min(lonely++, MAX_DOUBLINGS);
+        long pause = period << Math.min(lonely++, MOST_DOUBLINGS);
         nextReconnectAt = now + pause / 2 + random.nextLong(pause);
       }
     }
@@ -416,15 +431,16 @@
     teller = null;
     int salt = random.nextInt();
     int size =
-        weights.message(m.name(), new MembershipMessage.Pull(syncAfter, "", salt, List.of()))
-            + MAX_NAME;
-    if (!meter.room(now, Use.SYNC, size)) {
+        weights.messageBytes(
+                m.name(), new MembershipMessage.SyncRequest(syncAfter, "", salt, List.of()))
+            + MOST_NAME;
+    if (!meter.hasRoom(now, BandwidthLimiter.Purpose.SYNC, size)) {
       nextSyncAt = now + random.nextLong(period);
       return;
     }
     List<Integer> marks = new ArrayList<>();
     String last = "";
-    int room = (meter.sync(now, size, MAX_PACKET) - size) / MARK;
+    int room = (meter.maxSyncBytes(now, size, MOST_PACKET) - size) / MARK;
     for (Member held : members.tailMap(syncAfter, false).values()) {
       if (marks.size() >= room) {
         break;
@@ -433,8 +449,9 @@
       last = held.name();
     }
     boolean whole = last.isEmpty() || members.higherKey(last) == null;
-    MembershipMessage pull = new MembershipMessage.Pull(syncAfter, whole ? "" : last, salt, marks);
-    meter.sent(now, out.send(now, m.name(), m.address, pull, List.of(), 0), 0);
+    MembershipMessage pull =
+        new MembershipMessage.SyncRequest(syncAfter, whole ? "" : last, salt, marks);
+    meter.record(now, out.send(now, m.name(), m.address, pull, List.of(), 0), 0);
     syncAfter = whole ? "" : last;
     pulled = true;
     newcomers = 0;
@@ -449,14 +466,14 @@
    * What is held of members in that range and has no mark there; those gone are others' own to find
    * out.
    */
-  private MembershipMessage.Part lacking(MembershipMessage.Pull p, int room) {
-    Set<Integer> marks = new TreeSet<>(p.marks());
+  private MembershipMessage.SyncResponse lacking(MembershipMessage.SyncRequest p, int room) {
+    Set<Integer> marks = new TreeSet<>(p.digests());
     List<MembershipUpdate> held = new ArrayList<>();
     int left = room;
     boolean more = false;
     List<Member> open = new ArrayList<>();
-    for (Member m : members.tailMap(p.after(), false).values()) {
-      if (!p.last().isEmpty() && m.name().compareTo(p.last()) > 0) {
+    for (Member m : members.tailMap(p.afterName(), false).values()) {
+      if (!p.lastName().isEmpty() && m.name().compareTo(p.lastName()) > 0) {
         break;
       }
       if (m.state.present() && !marks.contains(MemberDigest.of(p.salt(), m))) {
@@ -466,24 +483,26 @@
     Collections.rotate(
         open, open.isEmpty() ? 0 : random.nextInt(open.size())); // not the same ones to each
     for (Member m : open) {
-      MembershipUpdate n = m.news();
-      if (weights.news(n) > left) {
+      MembershipUpdate n = m.toUpdate();
+      if (weights.updateBytes(n) > left) {
         more = true;
         break;
       }
       held.add(n);
-      left -= weights.news(n);
+      left -= weights.updateBytes(n);
     }
-    return new MembershipMessage.Part(more, held);
+    return new MembershipMessage.SyncResponse(more, held);
   }
 
   /** A part of somebody's table has come, asked for or as a welcome. */
-  private void part(long now, Member from, MembershipMessage.Part p) {
+  private void part(long now, Member from, MembershipMessage.SyncResponse p) {
     int before = members.size();
-    p.held().forEach(n -> hear(now, n, from.name(), false));
+    p.updates().forEach(n -> hear(now, n, from.name(), false));
     syncHungry =
-        p.more() || !pulled || members.size() > before; // where something was new, there is more
-    teller = p.more() ? from : null;
+        p.truncated()
+            || !pulled
+            || members.size() > before; // where something was new, there is more
+    teller = p.truncated() ? from : null;
     settled |= !syncHungry;
     if (syncHungry) {
       nextSyncAt = Math.min(nextSyncAt, now + period / TICKS + random.nextLong(period / 2));
@@ -542,24 +561,30 @@
       if (p.target().isEmpty()) {
         welcome(now, m);
       } else if (p.target().equals(name)) {
-        send(now, Use.ANSWER, m.name(), m.address, new MembershipMessage.Ack(p.seq()));
+        send(
+            now,
+            BandwidthLimiter.Purpose.ANSWER,
+            m.name(),
+            m.address,
+            new MembershipMessage.Ack(p.sequenceNumber()));
       }
     } else if (message instanceof MembershipMessage.Ack a) {
-      acked(now, m, a.seq());
+      acked(now, m, a.sequenceNumber());
     } else if (message instanceof MembershipMessage.Nack n) {
-      if (probe != null && probe.seq == n.seq()) {
+      if (probe != null && probe.seq == n.sequenceNumber()) {
         probe.nacks++;
       }
     } else if (message instanceof MembershipMessage.PingRequest r) {
       relay(now, m, r);
-    } else if (message instanceof MembershipMessage.Pull p) {
-      int size = weights.message(m.name(), new MembershipMessage.Part(false, List.of()));
-      if (meter.room(now, Use.SYNC, size)) {
-        int most = meter.sync(now, size, MAX_PACKET);
-        meter.sent(
+    } else if (message instanceof MembershipMessage.SyncRequest p) {
+      int size =
+          weights.messageBytes(m.name(), new MembershipMessage.SyncResponse(false, List.of()));
+      if (meter.hasRoom(now, BandwidthLimiter.Purpose.SYNC, size)) {
+        int most = meter.maxSyncBytes(now, size, MOST_PACKET);
+        meter.record(
             now, out.send(now, m.name(), m.address, lacking(p, most - size), List.of(), most), 0);
       }
-    } else if (message instanceof MembershipMessage.Part p) {
+    } else if (message instanceof MembershipMessage.SyncResponse p) {
       part(now, m, p);
     }
   }
@@ -570,23 +595,28 @@
    * with the seeds.
    */
   private void welcome(long now, Member m) {
-    MembershipMessage none = new MembershipMessage.Part(true, List.of());
-    int size = weights.message(m.name(), none);
-    int left = Math.min(meter.packet(), MAX_PACKET - size);
+    MembershipMessage none = new MembershipMessage.SyncResponse(true, List.of());
+    int size = weights.messageBytes(m.name(), none);
+    int left = Math.min(meter.maxPiggybackBytes(), MOST_PACKET - size);
     List<MembershipUpdate> some = new ArrayList<>();
     for (Member other :
-        draw(left / weights.news(own()), o -> o != m && o.state == MemberState.ALIVE)) {
-      left -= weights.news(other.news());
+        draw(left / weights.updateBytes(own()), o -> o != m && o.state == MemberState.ALIVE)) {
+      left -= weights.updateBytes(other.toUpdate());
       if (left >= 0) {
-        some.add(other.news());
-        size += weights.news(other.news());
+        some.add(other.toUpdate());
+        size += weights.updateBytes(other.toUpdate());
       }
     }
-    if (meter.room(now, Use.WELCOME, size)) {
-      meter.sent(
+    if (meter.hasRoom(now, BandwidthLimiter.Purpose.WELCOME, size)) {
+      meter.record(
           now,
           out.send(
-              now, m.name(), m.address, new MembershipMessage.Part(true, some), List.of(), size),
+              now,
+              m.name(),
+              m.address,
+              new MembershipMessage.SyncResponse(true, some),
+              List.of(),
+              size),
           0);
     }
   }
@@ -595,7 +625,7 @@
     if (probe != null && probe.seq == ofSeq) {
       // An answer that came through a relay bears the relay's name, and the same number.
       if (probe.target == m && now < probe.directUntil) {
-        health.better();
+        health.improve();
       }
       probe = null;
       return;
@@ -605,23 +635,33 @@
       relayed.remove(ofSeq);
       // With what it says itself: the one that asks may hold an accusation that was objected to
       // long ago.
-      send(now, Use.ANSWER, r.asker, r.address, new MembershipMessage.Ack(r.seq), m.news());
+      send(
+          now,
+          BandwidthLimiter.Purpose.ANSWER,
+          r.asker,
+          r.address,
+          new MembershipMessage.Ack(r.seq),
+          m.toUpdate());
     }
   }
 
   private void relay(long now, Member asker, MembershipMessage.PingRequest r) {
-    if (relayed.size() >= MAX_RELAYED || r.target().equals(name)) {
+    if (relayed.size() >= MOST_RELAYED || r.target().equals(name)) {
       return;
     }
     long mine = seq++;
     if (send(
-        now, Use.ANSWER, r.target(), r.address(), new MembershipMessage.Ping(mine, r.target()))) {
+        now,
+        BandwidthLimiter.Purpose.ANSWER,
+        r.target(),
+        r.targetAddress(),
+        new MembershipMessage.Ping(mine, r.target()))) {
       relayed.put(
           mine,
           new Relayed(
               asker.name(),
               asker.address,
-              r.seq(),
+              r.sequenceNumber(),
               r.target(),
               now + (long) (period * RELAY_SHARE)));
     }
@@ -647,7 +687,7 @@
       placed(now, m, of);
     } else if (m.heardAt == 0 && itsIncarnation == m.incarnation && m.address != from) {
       m.address = from; // hearsay had it elsewhere
-      rumours.add(m.news());
+      rumours.add(m.toUpdate());
     }
     m.heardAt = now;
     return m;
@@ -656,12 +696,12 @@
   /** Where a member is has become known: others may lack it as well. */
   private void placed(long now, Member m, int of) {
     m.place = of;
-    rumours.add(m.news());
-    out.changed(now, m.news());
+    rumours.add(m.toUpdate());
+    out.onMemberChanged(now, m.toUpdate());
   }
 
   private Member join(long now, MembershipUpdate n, boolean isNews) {
-    if (members.size() >= MAX_MEMBERS && !evict()) {
+    if (members.size() >= MOST_MEMBERS && !evict()) {
       return null;
     }
     Member m = new Member(n.member(), n.address(), n.incarnation(), MemberState.ALIVE, now);
@@ -670,13 +710,13 @@
     present++;
     order.add(next + random.nextInt(order.size() - next + 1), m);
     if (isNews) {
-      rumours.add(m.news());
+      rumours.add(m.toUpdate());
     }
     if (++newcomers >= CROWD) { // where so many come, there are more than news can tell of in time
       quietRounds = 0;
       nextSyncAt = Math.min(nextSyncAt, now + period / 2 + random.nextLong(period));
     }
-    out.changed(now, m.news());
+    out.onMemberChanged(now, m.toUpdate());
     return m;
   }
 
@@ -720,12 +760,13 @@
       }
     } else if (n.incarnation() >= m.incarnation && m.state.present()) {
       m.incarnation = n.incarnation();
-      String accuser = n.state() == MemberState.SUSPECT && !n.by().isEmpty() ? n.by() : teller;
+      String accuser =
+          n.state() == MemberState.SUSPECT && !n.accuser().isEmpty() ? n.accuser() : teller;
       if (m.state == MemberState.ALIVE) {
         suspect(now, m, accuser);
       } else if (m.suspicion.confirm(accuser)) {
         m.accuser = accuser;
-        rumours.add(m.news());
+        rumours.add(m.toUpdate());
       }
     }
   }
@@ -740,7 +781,7 @@
       return;
     }
     if (n.state() != MemberState.ALIVE) {
-      health.worse(1);
+      health.worsen(1);
     }
     incarnation = n.incarnation() + 1;
     rumours.add(own());
@@ -765,9 +806,9 @@
     if (to.present() && !was && !order.contains(m)) {
       order.add(next + random.nextInt(order.size() - next + 1), m);
     }
-    rumours.add(m.news());
+    rumours.add(m.toUpdate());
     if (differs) {
-      out.changed(now, m.news());
+      out.onMemberChanged(now, m.toUpdate());
     }
   }
 
@@ -776,16 +817,23 @@
   /** Tells some members that this one goes; from here on it neither asks nor answers. */
   public void leave(long now) {
     for (Member m : draw(2 * RELAYS, m -> m.state == MemberState.ALIVE)) {
-      send(now, Use.PROBE, m.name(), m.address, new MembershipMessage.Leave());
+      send(now, BandwidthLimiter.Purpose.PROBE, m.name(), m.address, new MembershipMessage.Leave());
     }
     leaving = true;
   }
 
   /** Lets what rides on packets reach some others now, and not only with the next probes. */
-  public void tell(long now) {
+  public void sendPayload(long now) {
     if (!leaving) {
       draw(RELAYS, m -> m.state == MemberState.ALIVE)
-          .forEach(m -> send(now, Use.SYNC, m.name(), m.address, new MembershipMessage.Tell()));
+          .forEach(
+              m ->
+                  send(
+                      now,
+                      BandwidthLimiter.Purpose.SYNC,
+                      m.name(),
+                      m.address,
+                      new MembershipMessage.PayloadOnly()));
     }
   }
 
@@ -797,13 +845,19 @@
    * Sends where the cap leaves room; one that is suspected, or given up, is told so first: it may
    * object.
    */
-  private boolean send(long now, Use use, String to, long at, MembershipMessage message) {
+  private boolean send(
+      long now, BandwidthLimiter.Purpose use, String to, long at, MembershipMessage message) {
     return send(now, use, to, at, message, null);
   }
 
   private boolean send(
-      long now, Use use, String to, long at, MembershipMessage message, MembershipUpdate about) {
-    int size = weights.message(to, message);
+      long now,
+      BandwidthLimiter.Purpose use,
+      String to,
+      long at,
+      MembershipMessage message,
+      MembershipUpdate about) {
+    int size = weights.messageBytes(to, message);
     Member m = members.get(to);
     MembershipUpdate first =
         m != null
@@ -811,16 +865,16 @@
                     || message instanceof MembershipMessage.Ack
                         && m.incarnation > 0
                         && m.heardAt == 0)
-            ? m.news()
+            ? m.toUpdate()
             : about;
-    int least = size + (first == null ? 0 : weights.news(first));
-    if (!meter.room(now, use, least)) {
+    int least = size + (first == null ? 0 : weights.updateBytes(first));
+    if (!meter.hasRoom(now, use, least)) {
       return false;
     }
-    int most = meter.fill(now, least, MAX_PACKET);
+    int most = meter.maxWithPiggyback(now, least, MOST_PACKET);
     List<MembershipUpdate> news = rumours.take(first, size(), most - size, weights);
     int sent = out.send(now, to, at, message, news, most);
-    meter.sent(now, sent, sent - least);
+    meter.record(now, sent, sent - least);
     return true;
   }
 
--- a/decisions/src/main/java/reachloom/membership/MessageSender.java
+++ b/decisions/src/main/java/reachloom/membership/MessageSender.java
@@ -18,5 +18,5 @@
       int most);
 
   /** A member has joined, or is believed to be in another state than before. */
-  void changed(long now, MembershipUpdate member);
+  void onMemberChanged(long now, MembershipUpdate member);
 }
--- a/decisions/src/main/java/reachloom/membership/UpdateQueue.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateQueue.java
@@ -46,18 +46,18 @@
   List<MembershipUpdate> take(MembershipUpdate first, int members, int room, WireSizes weights) {
     List<MembershipUpdate> taken = new ArrayList<>();
     int left = room;
-    if (first != null && weights.news(first) <= left) {
+    if (first != null && weights.updateBytes(first) <= left) {
       taken.add(first);
-      left -= weights.news(first);
+      left -= weights.updateBytes(first);
     }
     if (rumours.isEmpty()) {
       return taken;
     }
-    int most = most(members);
+    int most = maxTransmissions(members);
     List<Rumour> order = new ArrayList<>(rumours.values());
     order.sort(Comparator.<Rumour>comparingInt(r -> r.sent).thenComparingLong(r -> -r.number));
     for (Rumour r : order) {
-      int size = weights.news(r.news);
+      int size = weights.updateBytes(r.news);
       if (size > left) {
         break;
       }
@@ -73,7 +73,7 @@
     return taken;
   }
 
-  static int most(int members) {
+  static int maxTransmissions(int members) {
     return (int) Math.ceil(SPREAD * (Math.log(members + 1) / Math.log(2)));
   }
 
--- a/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
+++ b/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
@@ -13,22 +13,22 @@
  */
 public final class OutcomeWindow {
   /** What became of an attempt. */
-  public enum Seen {
+  public enum Observation {
     SERVED,
     FAILED,
-    LOST;
+    TIMED_OUT;
 
     /**
      * What the end of an attempt tells of its engine, or null where it tells nothing; {@code
      * wanted} is false where its query was over before: one given up by its client says nothing of
      * the engine.
      */
-    public static Seen of(AttemptOutcome outcome, boolean wanted) {
+    public static OutcomeWindow.Observation of(AttemptOutcome outcome, boolean wanted) {
       return switch (outcome) {
         case SERVED -> SERVED;
         case ERROR, RESET, UNREACHED -> FAILED;
-        case TIMEOUT -> LOST;
-        case CANCELLED -> wanted ? LOST : null;
+        case TIMEOUT -> TIMED_OUT;
+        case CANCELLED -> wanted ? TIMED_OUT : null;
         case FULL, NOT_SENT -> null;
       };
     }
@@ -43,7 +43,7 @@
 
   private static final class Page {
     private final long since;
-    private final int[][] counts = new int[SLICES][Seen.values().length];
+    private final int[][] counts = new int[SLICES][OutcomeWindow.Observation.values().length];
     private final long[] slices = new long[SLICES];
     private long lastAt;
     private long lastBadAt;
@@ -51,7 +51,7 @@
     /**
      * What came to nothing since the last attempt that was served: of each kind, and since when.
      */
-    private final int[] streak = new int[Seen.values().length];
+    private final int[] streak = new int[OutcomeWindow.Observation.values().length];
 
     /** When it was last told to others: who has waited longest goes first. */
     private long toldAt;
@@ -64,7 +64,7 @@
   private final Map<String, Page> pages = new LinkedHashMap<>();
 
   /** Notes what became of an attempt at an engine; a new process begins a new page. */
-  public void note(long now, String engine, long since, Seen seen) {
+  public void record(long now, String engine, long since, OutcomeWindow.Observation seen) {
     Page p = pages.get(engine);
     if (p != null && since < p.since) {
       return; // the end of an attempt at the process before
@@ -81,11 +81,11 @@
     int place = (int) (slice % SLICES);
     if (p.slices[place] != slice) {
       p.slices[place] = slice;
-      p.counts[place] = new int[Seen.values().length];
+      p.counts[place] = new int[OutcomeWindow.Observation.values().length];
     }
     p.counts[place][seen.ordinal()]++;
     p.lastAt = now;
-    if (seen == Seen.SERVED) {
+    if (seen == OutcomeWindow.Observation.SERVED) {
       Arrays.fill(p.streak, 0);
     } else {
       p.lastBadAt = now;
@@ -102,12 +102,12 @@
    * What has been seen of that process over the last {@code slices} seconds; a sample of 0 where
    * nothing has.
    */
-  public PeerReport seen(long now, String engine, long since, int slices) {
+  public PeerReport summary(long now, String engine, long since, int slices) {
     Page p = pages.get(engine);
     if (p == null || p.since != since) {
       return new PeerReport(engine, since, 0, 0, 0, Long.MAX_VALUE);
     }
-    int[] sum = new int[Seen.values().length];
+    int[] sum = new int[OutcomeWindow.Observation.values().length];
     long slice = now / SLICE;
     for (int i = 0; i < SLICES; i++) {
       if (p.slices[i] > slice - Math.min(slices, SLICES) && p.slices[i] <= slice) {
@@ -119,14 +119,14 @@
     return new PeerReport(
         engine,
         since,
-        sum[Seen.SERVED.ordinal()],
-        sum[Seen.FAILED.ordinal()],
-        sum[Seen.LOST.ordinal()],
+        sum[OutcomeWindow.Observation.SERVED.ordinal()],
+        sum[OutcomeWindow.Observation.FAILED.ordinal()],
+        sum[OutcomeWindow.Observation.TIMED_OUT.ordinal()],
         now - p.lastAt);
   }
 
   /** When an attempt at that process last came to nothing; 0 where none has. */
-  public long lastBadAt(String engine, long since) {
+  public long lastFailureAtNanos(String engine, long since) {
     Page p = pages.get(engine);
     return p == null || p.since != since ? 0 : p.lastBadAt;
   }
@@ -136,29 +136,29 @@
    * those alone: what it served before it fell sick would hide it for as long as the span.
    */
   private PeerReport claim(long now, String engine, Page p) {
-    int failed = p.streak[Seen.FAILED.ordinal()];
-    int lost = p.streak[Seen.LOST.ordinal()];
+    int failed = p.streak[OutcomeWindow.Observation.FAILED.ordinal()];
+    int lost = p.streak[OutcomeWindow.Observation.TIMED_OUT.ordinal()];
     if (failed + lost >= STREAK && now - p.lastAt <= MEMORY) {
       return new PeerReport(engine, p.since, 0, failed, lost, now - p.lastAt);
     }
-    return seen(now, engine, p.since, SLICES);
+    return summary(now, engine, p.since, SLICES);
   }
 
   /**
    * Claims for one packet: engines that fail go first, then those that have not been told of for
    * longest.
    */
-  public List<PeerReport> tell(long now, int most) {
+  public List<PeerReport> reportsToSend(long now, int most) {
     List<PeerReport> claims = new ArrayList<>();
     pages.forEach(
         (engine, p) -> {
           PeerReport c = claim(now, engine, p);
-          if (c.sample() > 0) {
+          if (c.attempts() > 0) {
             claims.add(c);
           }
         });
     claims.sort(
-        Comparator.<PeerReport>comparingInt(c -> c.failed() + c.lost() > 0 ? 0 : 1)
+        Comparator.<PeerReport>comparingInt(c -> c.failed() + c.timedOut() > 0 ? 0 : 1)
             .thenComparingLong(c -> pages.get(c.engine()).toldAt));
     List<PeerReport> told = claims.subList(0, Math.min(most, claims.size()));
     told.forEach(c -> pages.get(c.engine()).toldAt = now);
--- a/decisions/src/main/java/reachloom/peerreport/PeerReport.java
+++ b/decisions/src/main/java/reachloom/peerreport/PeerReport.java
@@ -2,18 +2,20 @@
 
 /**
  * What one instance has seen of one engine in the latest span: attempts served, attempts that
- * failed by an error, a reset or no connection, and attempts lost in silence. {@code since} is the
- * start of the engine's process as told by the list, so that another one at its address inherits
- * nothing; {@code age} is how long ago the latest of it was seen, in nanoseconds.
+ * failed by an error, a reset or no connection, and attempts timedOut in silence. {@code
+ * incarnation} is the start of the engine's process as told by the list, so that another one at its
+ * address inherits nothing; {@code ageNanos} is how long ago the latest of it was seen, in
+ * nanoseconds.
  */
-public record PeerReport(String engine, long since, int served, int failed, int lost, long age) {
+public record PeerReport(
+    String engine, long incarnation, int served, int failed, int timedOut, long ageNanos) {
   /** How many attempts it speaks of. */
-  public int sample() {
-    return served + failed + lost;
+  public int attempts() {
+    return served + failed + timedOut;
   }
 
   /** The share of them that came to nothing. */
-  public double bad() {
-    return sample() == 0 ? 0 : (double) (failed + lost) / sample();
+  public double failureRatio() {
+    return attempts() == 0 ? 0 : (double) (failed + timedOut) / attempts();
   }
 }
--- a/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
+++ b/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
@@ -37,8 +37,8 @@
   }
 
   /** Something was seen of an engine. */
-  public void seen(OutcomeWindow.Seen seen) {
-    urgent |= seen != OutcomeWindow.Seen.SERVED;
+  public void onObservation(OutcomeWindow.Observation seen) {
+    urgent |= seen != OutcomeWindow.Observation.SERVED;
   }
 
   /** Whom to tell now; mostly nobody. */
--- a/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -12,9 +12,9 @@
 /**
  * Weighs what others say of engines by how many they are, how fresh and how broad what they saw is,
  * and how well each has stood so far. What comes of it is a level from 0 to 1 for each engine, to
- * be taken as hearsay: at {@link #ACCUSED} and above several peers accuse it. One peer alone never
- * brings an engine that far; own fresh evidence of an engine brings its level to 0, whatever others
- * say; and no more than a part of the engines can be accused at a time.
+ * be taken as hearsay: at {@link #ACCUSED_LEVEL} and above several peers accuse it. One peer alone
+ * never brings an engine that far; own fresh evidence of an engine brings its level to 0, whatever
+ * others say; and no more than a part of the engines can be accused at a time.
  *
  * <p>A peer's standing falls with each claim that own observation contradicts, and recovers slowly.
  * Peers that were contradicted over the same engine lately count as one: liars that agree gain
@@ -24,7 +24,7 @@
  */
 public final class WeightedQuorum {
   /** From this level on several peers accuse an engine. */
-  public static final double ACCUSED = 0.5;
+  public static final double ACCUSED_LEVEL = 0.5;
 
   private static final long SECOND = 1_000_000_000; // nanoseconds
   // of a claim; what is sick is avoided, so that new ones are rare
@@ -47,9 +47,9 @@
   private static final double ONE_PEER =
       0.4; // the most that one peer alone, or one group, can bring about
   private static final double PRIOR = 0.15; // weight against each accusation
-  private static final double MAX_ACCUSED = 0.25; // share of the engines
-  private static final int MAX_PEERS = 2_048;
-  private static final int MAX_CLAIMS = 256; // of one peer
+  private static final double MOST_ACCUSED = 0.25; // share of the engines
+  private static final int MOST_PEERS = 2_048;
+  private static final int MOST_CLAIMS = 256; // of one peer
 
   private record Held(PeerReport claim, long at) {}
 
@@ -66,8 +66,12 @@
   }
 
   /** What is believed of one engine by hearsay, and why. */
-  public record Belief(
-      String engine, long since, double level, List<String> accusers, List<String> vouchers) {}
+  public record Assessment(
+      String engine,
+      long incarnation,
+      double level,
+      List<String> accusers,
+      List<String> vouchers) {}
 
   private final OutcomeWindow own;
   private final TreeMap<String, Peer> peers = new TreeMap<>();
@@ -79,10 +83,10 @@
   }
 
   /** A peer tells what it saw. */
-  public void hear(long now, String peer, List<PeerReport> claims) {
+  public void onReports(long now, String peer, List<PeerReport> claims) {
     Peer p = peers.get(peer);
     if (p == null) {
-      if (peers.size() >= MAX_PEERS) {
+      if (peers.size() >= MOST_PEERS) {
         return;
       }
       p = new Peer();
@@ -90,14 +94,18 @@
     }
     for (PeerReport c : claims) {
       boolean usable =
-          c.served() >= 0 && c.failed() >= 0 && c.lost() >= 0 && c.age() >= 0 && c.age() < LIFE;
+          c.served() >= 0
+              && c.failed() >= 0
+              && c.timedOut() >= 0
+              && c.ageNanos() >= 0
+              && c.ageNanos() < LIFE;
       if (!usable) {
         continue;
       }
-      if (!p.claims.containsKey(c.engine()) && p.claims.size() >= MAX_CLAIMS) {
+      if (!p.claims.containsKey(c.engine()) && p.claims.size() >= MOST_CLAIMS) {
         p.claims.remove(p.claims.keySet().iterator().next());
       }
-      p.claims.put(c.engine(), new Held(c, now - c.age()));
+      p.claims.put(c.engine(), new Held(c, now - c.ageNanos()));
     }
   }
 
@@ -105,7 +113,7 @@
    * A member that is gone takes its claims with it; its standing stays, so that leaving clears no
    * name.
    */
-  public void gone(String peer) {
+  public void onPeerGone(String peer) {
     Peer p = peers.get(peer);
     if (p != null) {
       p.claims.clear();
@@ -113,13 +121,13 @@
   }
 
   /** How well a peer has stood so far, from 0 to 1. */
-  public double standing(String peer) {
+  public double reputation(String peer) {
     Peer p = peers.get(peer);
     return p == null ? START : p.standing;
   }
 
   /** How many claims of a peer own observation has contradicted. */
-  public int contradicted(String peer) {
+  public int contradictions(String peer) {
     Peer p = peers.get(peer);
     return p == null ? 0 : p.contradicted;
   }
@@ -128,20 +136,20 @@
    * Judges the peers by own evidence, and weighs what is left: beliefs about the given engines,
    * those with a level above 0 only. {@code engines} holds name and start of each one in use.
    */
-  public List<Belief> review(long now, Map<String, Long> engines) {
+  public List<WeightedQuorum.Assessment> assess(long now, Map<String, Long> engines) {
     recover(now);
     for (Peer p : peers.values()) {
       p.claims.values().removeIf(h -> now - h.at > LIFE);
       p.wrongAbout.values().removeIf(at -> now - at > BOUND_FOR);
       p.judgedAt.values().removeIf(at -> now - at >= JUDGE_GAP);
     }
-    List<Belief> beliefs = new ArrayList<>();
+    List<WeightedQuorum.Assessment> beliefs = new ArrayList<>();
     engines.forEach(
         (engine, since) -> {
-          PeerReport seen = own.seen(now, engine, since, FRESH);
+          PeerReport seen = own.summary(now, engine, since, FRESH);
           judge(now, engine, since, seen);
-          if (seen.sample() < OWN_LEAST) {
-            Belief b = weigh(now, engine, since);
+          if (seen.attempts() < OWN_LEAST) {
+            WeightedQuorum.Assessment b = weigh(now, engine, since);
             if (b.level > 0) {
               beliefs.add(b);
             }
@@ -163,8 +171,10 @@
   /** What own evidence shows of a peer's word; only where it is plain, and about the same time. */
   private void judge(long now, String engine, long since, PeerReport seen) {
     boolean good =
-        seen.sample() >= OWN_LEAST && seen.bad() <= GOOD && seen.failed() + seen.lost() == 0;
-    boolean bad = seen.sample() >= OWN_LEAST && seen.bad() >= BAD;
+        seen.attempts() >= OWN_LEAST
+            && seen.failureRatio() <= GOOD
+            && seen.failed() + seen.timedOut() == 0;
+    boolean bad = seen.attempts() >= OWN_LEAST && seen.failureRatio() >= BAD;
     if (!good && !bad) {
       return;
     }
@@ -172,14 +182,14 @@
       Held h = p.claims.get(engine);
       boolean comparable =
           h != null
-              && h.claim.since() == since
+              && h.claim.incarnation() == since
               && now - h.at <= FRESH * SECOND
               && !p.judgedAt.containsKey(engine);
       if (!comparable || !accuses(h.claim) && !vouches(h.claim)) {
         continue;
       }
       // What was seen before this one's first failure may have been true then.
-      if (bad && vouches(h.claim) && h.at <= own.lastBadAt(engine, since)) {
+      if (bad && vouches(h.claim) && h.at <= own.lastFailureAtNanos(engine, since)) {
         continue;
       }
       p.judgedAt.put(engine, now);
@@ -195,15 +205,15 @@
   }
 
   private static boolean accuses(PeerReport c) {
-    int none = c.failed() + c.lost();
-    return none >= BAD_LEAST && c.bad() >= BAD || none >= LONE_LEAST && c.served() == 0;
+    int none = c.failed() + c.timedOut();
+    return none >= BAD_LEAST && c.failureRatio() >= BAD || none >= LONE_LEAST && c.served() == 0;
   }
 
   private static boolean vouches(PeerReport c) {
-    return c.served() >= BAD_LEAST && c.bad() <= GOOD;
+    return c.served() >= BAD_LEAST && c.failureRatio() <= GOOD;
   }
 
-  private Belief weigh(long now, String engine, long since) {
+  private WeightedQuorum.Assessment weigh(long now, String engine, long since) {
     List<String> accusers = new ArrayList<>();
     List<String> vouchers = new ArrayList<>();
     List<List<Peer>> groups = new ArrayList<>();
@@ -212,7 +222,7 @@
     for (Map.Entry<String, Peer> entry : peers.entrySet()) {
       Peer p = entry.getValue();
       Held h = p.claims.get(engine);
-      if (h == null || h.claim.since() != since) {
+      if (h == null || h.claim.incarnation() != since) {
         continue;
       }
       double weight = weight(now, p, h);
@@ -234,13 +244,13 @@
     double total = weights.stream().mapToDouble(w -> w).sum();
     double level = total <= 0 ? 0 : total / (total + against);
     level = weights.size() <= 1 ? Math.min(level, ONE_PEER) : level;
-    return new Belief(engine, since, level, accusers, vouchers);
+    return new WeightedQuorum.Assessment(engine, since, level, accusers, vouchers);
   }
 
   private static double weight(long now, Peer p, Held h) {
     double fresh =
         Math.min(1, FADES * (1 - (double) (now - h.at) / LIFE)); // full at first, then fading
-    double sample = h.claim.sample() / (h.claim.sample() + SAMPLE_HALF);
+    double sample = h.claim.attempts() / (h.claim.attempts() + SAMPLE_HALF);
     return p.standing * p.standing * fresh * sample;
   }
 
@@ -263,14 +273,21 @@
   /**
    * No more than a part of the engines can be accused: the most accused stay, the others are talk.
    */
-  private static List<Belief> bounded(List<Belief> beliefs, int engines) {
-    int most = (int) (engines * MAX_ACCUSED);
-    List<Belief> order = new ArrayList<>(beliefs);
-    order.sort(Comparator.<Belief>comparingDouble(b -> -b.level).thenComparing(Belief::engine));
-    List<Belief> bounded = new ArrayList<>();
-    for (Belief b : order) {
-      boolean over = b.level >= ACCUSED && bounded.size() >= most;
-      bounded.add(over ? new Belief(b.engine, b.since, ONE_PEER, b.accusers, b.vouchers) : b);
+  private static List<WeightedQuorum.Assessment> bounded(
+      List<WeightedQuorum.Assessment> beliefs, int engines) {
+    int most = (int) (engines * MOST_ACCUSED);
+    List<WeightedQuorum.Assessment> order = new ArrayList<>(beliefs);
+    order.sort(
+        Comparator.<WeightedQuorum.Assessment>comparingDouble(b -> -b.level)
+            .thenComparing(WeightedQuorum.Assessment::engine));
+    List<WeightedQuorum.Assessment> bounded = new ArrayList<>();
+    for (WeightedQuorum.Assessment b : order) {
+      boolean over = b.level >= ACCUSED_LEVEL && bounded.size() >= most;
+      bounded.add(
+          over
+              ? new WeightedQuorum.Assessment(
+                  b.engine, b.incarnation, ONE_PEER, b.accusers, b.vouchers)
+              : b);
     }
     return bounded;
   }
--- a/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
+++ b/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
@@ -24,22 +24,22 @@
     assertNull(admit(1, true, now + 10 * SECOND, 2));
     assertEquals(RejectionReason.TIME, admit(1, true, now - 3_600 * SECOND, 3));
     assertEquals(RejectionReason.TIME, admit(1, true, now + 3_600 * SECOND, 4));
-    assertEquals(2L, guard.refused().get(RejectionReason.TIME));
+    assertEquals(2L, guard.rejections().get(RejectionReason.TIME));
   }
 
   @Test
   void aNumberIsTakenOnceAlsoOutOfOrder() {
-    assertTrue(guard.take("p", 100));
-    assertTrue(guard.take("p", 103));
-    assertTrue(guard.take("p", 101));
+    assertTrue(guard.acceptSequenceNumber("p", 100));
+    assertTrue(guard.acceptSequenceNumber("p", 103));
+    assertTrue(guard.acceptSequenceNumber("p", 101));
     assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 101));
     assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 103));
     assertNull(admit(1, true, now, 102));
-    assertFalse(guard.take("p", 100));
-    assertTrue(guard.take("p", 10_000));
+    assertFalse(guard.acceptSequenceNumber("p", 100));
+    assertTrue(guard.acceptSequenceNumber("p", 10_000));
     assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 102), "too far behind to be known");
     assertNull(admit(1, true, now, 10_001));
-    assertTrue(guard.take("q", 100), "another sender counts for itself");
+    assertTrue(guard.acceptSequenceNumber("q", 100), "another sender counts for itself");
   }
 
   @Test
--- a/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
+++ b/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void changed(long at, MembershipUpdate member) {
+    public void onMemberChanged(long at, MembershipUpdate member) {
       changes.add(member);
     }
   }
@@ -47,12 +47,12 @@
   private static final WireSizes WEIGHTS =
       new WireSizes() {
         @Override
-        public int message(String to, MembershipMessage message) {
+        public int messageBytes(String to, MembershipMessage message) {
           return 100;
         }
 
         @Override
-        public int news(MembershipUpdate news) {
+        public int updateBytes(MembershipUpdate news) {
           return 30;
         }
       };
@@ -104,7 +104,7 @@
       pass(SECOND / 10);
       for (Sent s : List.copyOf(sent.subList(from, sent.size()))) {
         if (s.message() instanceof MembershipMessage.Ping p && !List.of(silent).contains(s.to())) {
-          hear(s.to(), new MembershipMessage.Ack(p.seq()));
+          hear(s.to(), new MembershipMessage.Ack(p.sequenceNumber()));
         }
       }
     }
@@ -201,7 +201,7 @@
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 1, before, MemberState.SUSPECT, "a"));
     assertEquals(before + 1, me.incarnation());
-    assertEquals(1, me.health());
+    assertEquals(1, me.healthScore());
     hear("a", new MembershipMessage.Ping(7, "me"));
     assertTrue(
         last().news().contains(new MembershipUpdate("me", 1, before + 1, MemberState.ALIVE, "")));
@@ -291,7 +291,10 @@
     }
     assertEquals(MemberState.SUSPECT, state("a"));
     MembershipMessage.PingRequest asked = (MembershipMessage.PingRequest) through.message();
-    hear(through.to(), new MembershipMessage.Ack(asked.seq()), news("a", 1, MemberState.ALIVE, ""));
+    hear(
+        through.to(),
+        new MembershipMessage.Ack(asked.sequenceNumber()),
+        news("a", 1, MemberState.ALIVE, ""));
     assertEquals(
         MemberState.ALIVE,
         state("a"),
@@ -396,7 +399,7 @@
     now += 20 * SECOND; // longer than any time to object
     me.tick(now);
     assertEquals(MemberState.SUSPECT, state("a"), "what was said meanwhile waits on the socket");
-    assertTrue(me.health() > 0);
+    assertTrue(me.healthScore() > 0);
     assertEquals(MemberState.ALIVE, state("c"));
   }
 
@@ -407,7 +410,7 @@
     hear("a", new MembershipMessage.PingRequest(42, "c", address("c")));
     MembershipMessage.Ping asked = (MembershipMessage.Ping) last().message();
     assertEquals("c", last().to());
-    hear("c", new MembershipMessage.Ack(asked.seq()));
+    hear("c", new MembershipMessage.Ack(asked.sequenceNumber()));
     assertEquals(new MembershipMessage.Ack(42), last().message());
     assertEquals("a", last().to());
     assertEquals("c", last().news().get(0).member(), "with what it has heard from it itself");
@@ -438,7 +441,7 @@
     for (int i = 0; i < 600; i++) {
       for (int k = 0; k < 20; k++) {
         hear("m" + i % 50 + "x" + k, new MembershipMessage.Ping(i, "me"));
-        hear("m" + i % 50 + "x" + k, new MembershipMessage.Pull("", "", 1, List.of()));
+        hear("m" + i % 50 + "x" + k, new MembershipMessage.SyncRequest("", "", 1, List.of()));
       }
       passAnswering(SECOND / 10);
       long from = now - SECOND;
@@ -468,13 +471,13 @@
                         && s.message()
                             .equals(
                                 new MembershipMessage.Ping(
-                                    ((MembershipMessage.Ping) s.message()).seq(), ""))));
+                                    ((MembershipMessage.Ping) s.message()).sequenceNumber(), ""))));
     assertTrue(sent.size() >= 3);
     join("a", "b", "c");
     hear("new", new MembershipMessage.Ping(1, ""));
-    MembershipMessage.Part welcome = (MembershipMessage.Part) last().message();
-    assertEquals(3, welcome.held().size());
-    assertTrue(welcome.more());
+    MembershipMessage.SyncResponse welcome = (MembershipMessage.SyncResponse) last().message();
+    assertEquals(3, welcome.updates().size());
+    assertTrue(welcome.truncated());
   }
 
   @Test
@@ -485,10 +488,10 @@
             .filter(m -> !m.name().equals("b"))
             .map(m -> MemberDigest.of(5, m))
             .toList();
-    hear("a", new MembershipMessage.Pull("", "", 5, marks));
-    MembershipMessage.Part part = (MembershipMessage.Part) last().message();
-    assertEquals(List.of("b"), part.held().stream().map(MembershipUpdate::member).toList());
-    assertFalse(part.more());
+    hear("a", new MembershipMessage.SyncRequest("", "", 5, marks));
+    MembershipMessage.SyncResponse part = (MembershipMessage.SyncResponse) last().message();
+    assertEquals(List.of("b"), part.updates().stream().map(MembershipUpdate::member).toList());
+    assertFalse(part.truncated());
   }
 
   @Test
--- a/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
+++ b/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
@@ -8,8 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import reachloom.peerreport.OutcomeWindow.Seen;
-import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.scheduler.api.AttemptOutcome;
 
 /** What others say is weighed, and own evidence goes before it. */
@@ -29,20 +27,20 @@
   }
 
   private void claim(String peer, String engine, int served, int lost) {
-    others.hear(now, peer, List.of(new PeerReport(engine, 0, served, 0, lost, 0)));
+    others.onReports(now, peer, List.of(new PeerReport(engine, 0, served, 0, lost, 0)));
   }
 
   private double level(String engine) {
-    return others.review(now, engines).stream()
+    return others.assess(now, engines).stream()
         .filter(b -> b.engine().equals(engine))
-        .mapToDouble(Belief::level)
+        .mapToDouble(WeightedQuorum.Assessment::level)
         .findFirst()
         .orElse(0);
   }
 
   private void seeGood(String engine) {
     for (int i = 0; i < 4; i++) {
-      own.note(now, engine, 0, Seen.SERVED);
+      own.record(now, engine, 0, OutcomeWindow.Observation.SERVED);
     }
   }
 
@@ -54,7 +52,7 @@
       for (String p : peers) {
         claim(p, engine, 0, 5);
       }
-      others.review(now, engines);
+      others.assess(now, engines);
     }
   }
 
@@ -63,7 +61,7 @@
     for (int i = 0; i < 20; i++) {
       now += SECOND;
       claim("p", "e1", 0, 1_000);
-      assertTrue(level("e1") < WeightedQuorum.ACCUSED);
+      assertTrue(level("e1") < WeightedQuorum.ACCUSED_LEVEL);
     }
     assertTrue(level("e1") > 0, "but it is heard");
   }
@@ -72,8 +70,8 @@
   void twoThatSawItIndependentlyDo() {
     claim("p", "e1", 0, 5);
     claim("q", "e1", 0, 4);
-    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
-    assertEquals(List.of("p", "q"), others.review(now, engines).get(0).accusers());
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED_LEVEL);
+    assertEquals(List.of("p", "q"), others.assess(now, engines).get(0).accusers());
   }
 
   @Test
@@ -84,7 +82,7 @@
     for (String v : new String[] {"r", "s", "t", "u"}) {
       claim(v, "e1", 20, 0);
     }
-    assertTrue(level("e1") < WeightedQuorum.ACCUSED && level("e1") < accused);
+    assertTrue(level("e1") < WeightedQuorum.ACCUSED_LEVEL && level("e1") < accused);
   }
 
   @Test
@@ -92,41 +90,41 @@
     for (int i = 0; i < 30; i++) {
       claim("p" + i, "e1", 0, 50);
     }
-    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED_LEVEL);
     seeGood("e1");
     assertEquals(0, level("e1"));
     now += 4 * SECOND; // what was seen is no longer fresh
     for (int i = 30; i < 40; i++) {
       claim("p" + i, "e1", 0, 50);
     }
-    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED_LEVEL);
   }
 
   @Test
   void aPeerThatIsContradictedLosesItsStandingAndRegainsItSlowly() {
     slander("e1", 10, "liar");
-    assertTrue(others.standing("liar") < 0.05, others.standing("liar") + "");
-    assertTrue(others.contradicted("liar") >= 8);
+    assertTrue(others.reputation("liar") < 0.05, others.reputation("liar") + "");
+    assertTrue(others.contradictions("liar") >= 8);
     now += 10 * SECOND;
     level("e1");
-    assertTrue(others.standing("liar") < 0.1);
+    assertTrue(others.reputation("liar") < 0.1);
     for (int i = 0; i < 1_000; i++) {
       now += SECOND;
       level("e1");
     }
-    assertTrue(others.standing("liar") > 0.4);
+    assertTrue(others.reputation("liar") > 0.4);
   }
 
   @Test
   void whatIsBorneOutRaisesStanding() {
     for (int i = 0; i < 10; i++) {
       now += SECOND;
-      own.note(now, "e1", 0, Seen.LOST);
-      own.note(now, "e1", 0, Seen.LOST);
+      own.record(now, "e1", 0, OutcomeWindow.Observation.TIMED_OUT);
+      own.record(now, "e1", 0, OutcomeWindow.Observation.TIMED_OUT);
       claim("p", "e1", 0, 3);
       level("e1");
     }
-    assertTrue(others.standing("p") > 0.7);
+    assertTrue(others.reputation("p") > 0.7);
   }
 
   @Test
@@ -135,10 +133,10 @@
     for (String p : new String[] {"x", "y", "z"}) {
       claim(p, "e2", 0, 50); // another engine, of which nothing is seen here
     }
-    assertTrue(level("e2") < WeightedQuorum.ACCUSED, level("e2") + "");
+    assertTrue(level("e2") < WeightedQuorum.ACCUSED_LEVEL, level("e2") + "");
     claim("a", "e2", 0, 5);
     claim("b", "e2", 0, 5);
-    assertTrue(level("e2") >= WeightedQuorum.ACCUSED, "two honest ones still count");
+    assertTrue(level("e2") >= WeightedQuorum.ACCUSED_LEVEL, "two honest ones still count");
   }
 
   @Test
@@ -146,7 +144,7 @@
     claim("p", "e1", 0, 5);
     claim("q", "e1", 0, 5);
     claim("liar", "e1", 1_000, 0);
-    assertTrue(level("e1") >= WeightedQuorum.ACCUSED);
+    assertTrue(level("e1") >= WeightedQuorum.ACCUSED_LEVEL);
   }
 
   @Test
@@ -157,8 +155,8 @@
       claim("z", e, 0, 50);
     }
     long accused =
-        others.review(now, engines).stream()
-            .filter(b -> b.level() >= WeightedQuorum.ACCUSED)
+        others.assess(now, engines).stream()
+            .filter(b -> b.level() >= WeightedQuorum.ACCUSED_LEVEL)
             .count();
     assertEquals(ENGINES / 4, accused);
   }
@@ -169,33 +167,41 @@
     claim("q", "e1", 0, 5);
     engines.put("e1", 77L);
     assertEquals(0, level("e1"));
-    own.note(now, "e1", 77, Seen.SERVED);
-    own.note(now, "e1", 0, Seen.LOST); // an attempt at the old one ends late
-    assertEquals(new PeerReport("e1", 77, 1, 0, 0, 0), own.seen(now, "e1", 77, 3));
+    own.record(now, "e1", 77, OutcomeWindow.Observation.SERVED);
+    own.record(
+        now, "e1", 0, OutcomeWindow.Observation.TIMED_OUT); // an attempt at the old one ends late
+    assertEquals(new PeerReport("e1", 77, 1, 0, 0, 0), own.summary(now, "e1", 77, 3));
   }
 
   @Test
   void claimsGrowOldAndWhoIsGoneTakesHisWithHim() {
     claim("p", "e1", 0, 5);
     claim("q", "e1", 0, 5);
-    others.gone("q");
-    assertTrue(level("e1") < WeightedQuorum.ACCUSED);
+    others.onPeerGone("q");
+    assertTrue(level("e1") < WeightedQuorum.ACCUSED_LEVEL);
     now += 21 * SECOND;
     assertEquals(0, level("e1"));
   }
 
   @Test
   void whatAnEndTellsOfAnEngine() {
-    assertEquals(Seen.SERVED, Seen.of(AttemptOutcome.SERVED, false));
-    assertEquals(Seen.LOST, Seen.of(AttemptOutcome.CANCELLED, true));
-    assertNull(Seen.of(AttemptOutcome.CANCELLED, false), "its client has left");
-    assertNull(Seen.of(AttemptOutcome.FULL, true), "a full engine is not a sick one");
-    assertEquals(Seen.FAILED, Seen.of(AttemptOutcome.RESET, true));
+    assertEquals(
+        OutcomeWindow.Observation.SERVED,
+        OutcomeWindow.Observation.of(AttemptOutcome.SERVED, false));
+    assertEquals(
+        OutcomeWindow.Observation.TIMED_OUT,
+        OutcomeWindow.Observation.of(AttemptOutcome.CANCELLED, true));
+    assertNull(
+        OutcomeWindow.Observation.of(AttemptOutcome.CANCELLED, false), "its client has left");
+    assertNull(
+        OutcomeWindow.Observation.of(AttemptOutcome.FULL, true), "a full engine is not a sick one");
+    assertEquals(
+        OutcomeWindow.Observation.FAILED, OutcomeWindow.Observation.of(AttemptOutcome.RESET, true));
   }
 
   @Test
   void nonsenseInClaimsIsLeftOut() {
-    others.hear(
+    others.onReports(
         now,
         "p",
         List.of(
@@ -208,26 +214,26 @@
   @Test
   void theLedgerTellsOfTroubleFirstAndThenInTurn() {
     for (int i = 0; i < 6; i++) {
-      own.note(now, "e" + i, 0, Seen.SERVED);
+      own.record(now, "e" + i, 0, OutcomeWindow.Observation.SERVED);
     }
-    own.note(now, "e4", 0, Seen.FAILED);
-    assertEquals("e4", own.tell(now, 2).get(0).engine());
+    own.record(now, "e4", 0, OutcomeWindow.Observation.FAILED);
+    assertEquals("e4", own.reportsToSend(now, 2).get(0).engine());
     now += SECOND;
-    List<PeerReport> next = own.tell(now, 3);
+    List<PeerReport> next = own.reportsToSend(now, 3);
     assertEquals("e4", next.get(0).engine());
     assertEquals("e1", next.get(1).engine(), "e0 was told before");
     now += 11 * SECOND;
-    assertEquals(List.of(), own.tell(now, 5), "the span is over");
-    own.note(now, "e0", 0, Seen.SERVED);
-    own.note(now, "e0", 0, Seen.LOST);
-    own.note(now, "e0", 0, Seen.LOST);
+    assertEquals(List.of(), own.reportsToSend(now, 5), "the span is over");
+    own.record(now, "e0", 0, OutcomeWindow.Observation.SERVED);
+    own.record(now, "e0", 0, OutcomeWindow.Observation.TIMED_OUT);
+    own.record(now, "e0", 0, OutcomeWindow.Observation.TIMED_OUT);
     assertEquals(
         new PeerReport("e0", 0, 0, 0, 2, 0),
-        own.tell(now, 1).get(0),
+        own.reportsToSend(now, 1).get(0),
         "what it served before hides nothing");
     now += 15 * SECOND;
-    assertEquals(2, own.tell(now, 1).get(0).lost(), "nobody has seen better since");
-    own.note(now, "e0", 0, Seen.SERVED);
-    assertEquals(1, own.tell(now, 1).get(0).served());
+    assertEquals(2, own.reportsToSend(now, 1).get(0).timedOut(), "nobody has seen better since");
+    own.record(now, "e0", 0, OutcomeWindow.Observation.SERVED);
+    assertEquals(1, own.reportsToSend(now, 1).get(0).served());
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -84,7 +84,7 @@
   /** How many were refused, by reason. */
   Map<RejectionReason, Long> refused() {
     synchronized (guard) {
-      return guard.refused();
+      return guard.rejections();
     }
   }
 
@@ -97,7 +97,7 @@
       try {
         return taken(now, source, bytes);
       } catch (UnreadableException e) {
-        guard.refuse(e.why());
+        guard.reject(e.why());
         return null;
       }
     }
@@ -106,7 +106,7 @@
   private Entered taken(long now, long source, byte[] bytes) throws UnreadableException {
     DatagramHeader head = GossipCodec.head(bytes);
     if (head.cluster() != cluster) {
-      guard.refuse(RejectionReason.CLUSTER);
+      guard.reject(RejectionReason.CLUSTER);
       return null;
     }
     X509Certificate held;
@@ -136,21 +136,21 @@
     NodeIdentity me = identity;
     long ms = wallClock / MILLISECOND;
     if (me.revoked(of)) {
-      guard.refuse(RejectionReason.REVOKED);
+      guard.reject(RejectionReason.REVOKED);
       return null;
     }
     boolean valid = ms >= of.getNotBefore().getTime() && ms <= of.getNotAfter().getTime();
     if (!valid) {
-      guard.refuse(RejectionReason.CERTIFICATE);
+      guard.reject(RejectionReason.CERTIFICATE);
       return null;
     }
     int signed = bytes.length - GossipCodec.SIGNATURE;
     byte[] signature = Arrays.copyOfRange(bytes, signed, bytes.length);
     if (!NodeIdentity.verify(of.getPublicKey(), bytes, signed, signature)) {
-      guard.refuse(RejectionReason.FORGED);
+      guard.reject(RejectionReason.FORGED);
       return null;
     }
-    if (!guard.take(head.sender(), head.seq())) {
+    if (!guard.acceptSequenceNumber(head.sender(), head.seq())) {
       return null;
     }
     if (!same) {
@@ -177,7 +177,7 @@
     } catch (GeneralSecurityException e) {
       // told below
     }
-    guard.refuse(RejectionReason.CERTIFICATE);
+    guard.reject(RejectionReason.CERTIFICATE);
     return null;
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -27,7 +27,7 @@
 import reachloom.membership.MembershipUpdate;
 import reachloom.peerreport.OutcomeWindow;
 import reachloom.peerreport.PeerReport;
-import reachloom.peerreport.WeightedQuorum.Belief;
+import reachloom.peerreport.WeightedQuorum;
 import reachloom.revision.RevisionMessage;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
@@ -105,7 +105,7 @@
     if (settings.configuration().isPresent()) {
       revisions =
           new RevisionService(loop, identity.name(), settings, identity, seed, gossip, installer);
-      gossip.carry(settings.configuration().get().place(), revisions);
+      gossip.attachPayload(settings.configuration().get().place(), revisions);
     }
     doorway =
         new DatagramVerifier(
@@ -144,7 +144,7 @@
         gossip.membership().members().stream()
             .map(m -> m.address())
             .collect(Collectors.toUnmodifiableSet()));
-    loop.deadlines().add(loop.now() + gossip.membership().tickEvery(), this::tick);
+    loop.deadlines().add(loop.now() + gossip.membership().tickIntervalNanos(), this::tick);
   }
 
   /** Takes over keys, authorities, revocations and seeds read anew. */
@@ -166,7 +166,7 @@
       knowsUs.clear(); // they hold the certificate before
       doorway.identity(read);
       port.identity(read);
-      gossip.membership().seeds(seeds(next));
+      gossip.membership().setSeeds(seeds(next));
     } catch (ConfigException e) {
       LOG.log(Level.WARNING, "gossip stays as it is: {0}", e.getMessage());
     }
@@ -219,21 +219,21 @@
         gone(m.endpoint().name());
       } else {
         engines.add(m.endpoint().name());
-        gossip.engine(m.endpoint().name(), m.endpoint().incarnation());
+        gossip.addEngine(m.endpoint().name(), m.endpoint().incarnation());
       }
     }
   }
 
   private void gone(String engine) {
     engines.remove(engine);
-    gossip.engineGone(engine);
+    gossip.removeEngine(engine);
   }
 
   @Override
   public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {
-    OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(outcome, wanted);
+    OutcomeWindow.Observation seen = OutcomeWindow.Observation.of(outcome, wanted);
     if (seen != null) {
-      gossip.seen(loop.now(), engine, seen);
+      gossip.recordOutcome(loop.now(), engine, seen);
     }
   }
 
@@ -250,7 +250,7 @@
     } else {
       knowsUs.remove(p.sender());
     }
-    if (p.message() instanceof MembershipMessage.Status s) {
+    if (p.message() instanceof MembershipMessage.StatusRequest s) {
       status(p, s, e.source(), e.timeMs());
     } else {
       gossip.receive(loop.now(), p);
@@ -260,28 +260,28 @@
   // ---- What goes out ----
 
   @Override
-  public int message(String to, MembershipMessage message) {
+  public int messageBytes(String to, MembershipMessage message) {
     return GossipCodec.size(
         identity.name(), message, knowsUs.contains(to) ? 0 : identity.certificate().length);
   }
 
   @Override
-  public int news(MembershipUpdate news) {
+  public int updateBytes(MembershipUpdate news) {
     return GossipCodec.size(news);
   }
 
   @Override
-  public int claim(PeerReport claim) {
+  public int reportBytes(PeerReport claim) {
     return GossipCodec.size(claim);
   }
 
   @Override
-  public int word(RevisionMessage word) {
+  public int revisionMessageBytes(RevisionMessage word) {
     return GossipCodec.size(word);
   }
 
   @Override
-  public int riding(int place, List<RevisionMessage> words) {
+  public int payloadBytes(int place, List<RevisionMessage> words) {
     return GossipCodec.riding(place, words);
   }
 
@@ -305,16 +305,19 @@
    * bears the time of the question: that is fresh by the clock of whoever asked, however far from
    * this machine's.
    */
-  private void status(Packet asked, MembershipMessage.Status s, long source, long timeMs) {
+  private void status(Packet asked, MembershipMessage.StatusRequest s, long source, long timeMs) {
     List<String> pages = pages();
     if (s.page() < 0 || s.page() >= pages.size()) {
       return;
     }
     MembershipMessage answer =
         new MembershipMessage.StatusPage(s.page(), pages.size(), pages.get(s.page()));
-    int size = message(asked.sender(), answer);
-    if (gossip.membership().meter().room(loop.now(), BandwidthLimiter.Use.ANSWER, size)) {
-      gossip.membership().meter().sent(loop.now(), size, 0);
+    int size = messageBytes(asked.sender(), answer);
+    if (gossip
+        .membership()
+        .bandwidth()
+        .hasRoom(loop.now(), BandwidthLimiter.Purpose.ANSWER, size)) {
+      gossip.membership().bandwidth().record(loop.now(), size, 0);
       send(
           asked.sender(),
           source,
@@ -361,7 +364,7 @@
             + " incarnation "
             + membership.incarnation()
             + " health "
-            + membership.health()
+            + membership.healthScore()
             + " members "
             + membership.size());
     lines.add(
@@ -401,12 +404,12 @@
                         + " incarnation "
                         + m.incarnation()
                         + " for "
-                        + (now - m.since()) / (1_000 * MILLISECOND)
+                        + (now - m.sinceNanos()) / (1_000 * MILLISECOND)
                         + " s standing "
-                        + String.format("%.2f", gossip.corroboration().standing(m.name()))
+                        + String.format("%.2f", gossip.quorum().reputation(m.name()))
                         + " contradicted "
-                        + gossip.corroboration().contradicted(m.name())));
-    for (Belief b : gossip.beliefs()) {
+                        + gossip.quorum().contradictions(m.name())));
+    for (WeightedQuorum.Assessment b : gossip.assessments()) {
       lines.add(
           "engine "
               + b.engine()
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -124,12 +124,12 @@
   // ---- What rides on gossip ----
 
   @Override
-  public List<RevisionMessage> always() {
+  public List<RevisionMessage> messages() {
     return List.of(dissemination.have());
   }
 
   @Override
-  public void hear(long now, Peer sender, List<RevisionMessage> words) {
+  public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
     dissemination.hear(now, sender, words);
     if (council != null) {
       council.hear(now, sender, words);
@@ -137,7 +137,7 @@
   }
 
   @Override
-  public void peers(long now, Collection<Peer> present) {
+  public void onPeers(long now, Collection<Peer> present) {
     dissemination.peers(present);
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
@@ -50,8 +50,8 @@
       for (int tries = 0; pages.size() < count && tries < TRIES * count; tries++) {
         send(socket, at, me, clusterName, pages.size(), seq++);
         MembershipMessage.StatusPage p = answer(socket, doorway);
-        if (p != null && p.pages() > 0) {
-          count = p.pages();
+        if (p != null && p.pageCount() > 0) {
+          count = p.pageCount();
           pages.put(p.page(), p.text());
         }
       }
@@ -74,7 +74,8 @@
       long seq)
       throws IOException, GeneralSecurityException {
     Packet asked =
-        new Packet(me.name(), 0, 0, new MembershipMessage.Status(page), List.of(), List.of());
+        new Packet(
+            me.name(), 0, 0, new MembershipMessage.StatusRequest(page), List.of(), List.of());
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(clusterName),
--- a/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
@@ -110,22 +110,30 @@
       return 9 + text(p.target());
     } else if (m instanceof MembershipMessage.PingRequest r) {
       return 9 + text(r.target()) + 6;
-    } else if (m instanceof MembershipMessage.Pull p) {
-      return 1 + text(p.after()) + text(p.last()) + 4 + 2 * p.marks().size();
-    } else if (m instanceof MembershipMessage.Part p) {
-      return 2 + p.held().stream().mapToInt(GossipCodec::size).sum();
+    } else if (m instanceof MembershipMessage.SyncRequest p) {
+      return 1 + text(p.afterName()) + text(p.lastName()) + 4 + 2 * p.digests().size();
+    } else if (m instanceof MembershipMessage.SyncResponse p) {
+      return 2 + p.updates().stream().mapToInt(GossipCodec::size).sum();
     }
     if (m instanceof MembershipMessage.StatusPage s) {
       return 1 + 4 + 2 + s.text().length();
-    } else if (m instanceof MembershipMessage.Status) {
+    } else if (m instanceof MembershipMessage.StatusRequest) {
       return 3;
     }
-    return m instanceof MembershipMessage.Leave || m instanceof MembershipMessage.Tell ? 1 : 9;
+    return m instanceof MembershipMessage.Leave || m instanceof MembershipMessage.PayloadOnly
+        ? 1
+        : 9;
   }
 
   /** One piece of news. */
   public static int size(MembershipUpdate n) {
-    return 1 + text(n.member()) + 6 + 8 + 1 + text(n.by()) + (n.place() == 0 ? 0 : Short.BYTES);
+    return 1
+        + text(n.member())
+        + 6
+        + 8
+        + 1
+        + text(n.accuser())
+        + (n.place() == 0 ? 0 : Short.BYTES);
   }
 
   /** One claim. */
@@ -174,14 +182,14 @@
     putMessage(out, p.message());
     end(out, at);
     at = begin(out, NEWS);
-    p.news().forEach(n -> putNews(out, n));
+    p.updates().forEach(n -> putNews(out, n));
     end(out, at);
     at = begin(out, CLAIMS);
-    p.claims().forEach(c -> putClaim(out, c));
+    p.reports().forEach(c -> putClaim(out, c));
     end(out, at);
-    if (!p.words().isEmpty()) {
+    if (!p.revisionMessages().isEmpty()) {
       at = begin(out, WORDS);
-      p.words().forEach(w -> RevisionMessageCodec.put(out, w));
+      p.revisionMessages().forEach(w -> RevisionMessageCodec.put(out, w));
       end(out, at);
     }
     if (p.place() != 0) {
@@ -212,33 +220,33 @@
 
   private static void putMessage(ByteBuffer out, MembershipMessage m) {
     if (m instanceof MembershipMessage.Ping p) {
-      put(out.put((byte) 1).putLong(p.seq()), p.target());
+      put(out.put((byte) 1).putLong(p.sequenceNumber()), p.target());
     } else if (m instanceof MembershipMessage.Ack a) {
-      out.put((byte) 2).putLong(a.seq());
+      out.put((byte) 2).putLong(a.sequenceNumber());
     } else if (m instanceof MembershipMessage.PingRequest r) {
-      put(out.put((byte) 3).putLong(r.seq()), r.target());
-      putAddress(out, r.address());
+      put(out.put((byte) 3).putLong(r.sequenceNumber()), r.target());
+      putAddress(out, r.targetAddress());
     } else if (m instanceof MembershipMessage.Nack n) {
-      out.put((byte) 4).putLong(n.seq());
-    } else if (m instanceof MembershipMessage.Pull p) {
-      put(out.put((byte) 5), p.after());
-      put(out, p.last());
+      out.put((byte) 4).putLong(n.sequenceNumber());
+    } else if (m instanceof MembershipMessage.SyncRequest p) {
+      put(out.put((byte) 5), p.afterName());
+      put(out, p.lastName());
       out.putInt(p.salt());
-      p.marks().forEach(k -> out.putShort(k.shortValue()));
-    } else if (m instanceof MembershipMessage.Part p) {
-      out.put((byte) 6).put((byte) (p.more() ? 1 : 0));
-      p.held().forEach(n -> putNews(out, n));
+      p.digests().forEach(k -> out.putShort(k.shortValue()));
+    } else if (m instanceof MembershipMessage.SyncResponse p) {
+      out.put((byte) 6).put((byte) (p.truncated() ? 1 : 0));
+      p.updates().forEach(n -> putNews(out, n));
     } else if (m instanceof MembershipMessage.Leave) {
       out.put((byte) 7);
-    } else if (m instanceof MembershipMessage.Tell) {
+    } else if (m instanceof MembershipMessage.PayloadOnly) {
       out.put((byte) 8);
-    } else if (m instanceof MembershipMessage.Status s) {
+    } else if (m instanceof MembershipMessage.StatusRequest s) {
       out.put((byte) 9).putShort((short) s.page());
     } else if (m instanceof MembershipMessage.StatusPage s) {
       byte[] text = s.text().getBytes(StandardCharsets.US_ASCII);
       out.put((byte) 10)
           .putShort((short) s.page())
-          .putShort((short) s.pages())
+          .putShort((short) s.pageCount())
           .putShort((short) text.length)
           .put(text);
     }
@@ -249,7 +257,7 @@
     put(out, n.member());
     putAddress(out, n.address());
     out.putLong(n.incarnation()).put((byte) n.state().ordinal());
-    put(out, n.by());
+    put(out, n.accuser());
     if (n.place() != 0) {
       out.putShort((short) n.place());
     }
@@ -258,11 +266,11 @@
   private static void putClaim(ByteBuffer out, PeerReport c) {
     out.put((byte) (size(c) - 1));
     put(out, c.engine());
-    out.putLong(c.since())
+    out.putLong(c.incarnation())
         .putShort(count(c.served()))
         .putShort(count(c.failed()))
-        .putShort(count(c.lost()))
-        .putInt((int) Math.min(Integer.MAX_VALUE, c.age() / MILLISECOND));
+        .putShort(count(c.timedOut()))
+        .putInt((int) Math.min(Integer.MAX_VALUE, c.ageNanos() / MILLISECOND));
   }
 
   private static short count(int value) {
@@ -397,11 +405,11 @@
       case 2 -> new MembershipMessage.Ack(in.getLong());
       case 3 -> new MembershipMessage.PingRequest(in.getLong(), name(in), address(in));
       case 4 -> new MembershipMessage.Nack(in.getLong());
-      case 5 -> new MembershipMessage.Pull(name(in), name(in), in.getInt(), marks(in));
-      case 6 -> new MembershipMessage.Part(in.get() != 0, news(in));
+      case 5 -> new MembershipMessage.SyncRequest(name(in), name(in), in.getInt(), marks(in));
+      case 6 -> new MembershipMessage.SyncResponse(in.get() != 0, news(in));
       case 7 -> new MembershipMessage.Leave();
-      case 8 -> new MembershipMessage.Tell();
-      case 9 -> new MembershipMessage.Status(Short.toUnsignedInt(in.getShort()));
+      case 8 -> new MembershipMessage.PayloadOnly();
+      case 9 -> new MembershipMessage.StatusRequest(Short.toUnsignedInt(in.getShort()));
       case 10 -> page(in);
       default -> throw new UnreadableException(RejectionReason.NONSENSE);
     };
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -12,7 +12,6 @@
 import reachloom.peerreport.PeerReport;
 import reachloom.peerreport.ReportScheduler;
 import reachloom.peerreport.WeightedQuorum;
-import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -75,13 +74,14 @@
   }
 
   void ended(long now, AttemptResult end) {
-    OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(end.outcome(), !end.queryFinished());
+    OutcomeWindow.Observation seen =
+        OutcomeWindow.Observation.of(end.outcome(), !end.queryFinished());
     Long since = engines.get(end.engine());
     if (seen != null
         && since != null
         && !(end.queryFinished() && end.outcome() != AttemptOutcome.SERVED)) {
-      ledger.note(now, end.engine(), since, seen);
-      courier.seen(seen);
+      ledger.record(now, end.engine(), since, seen);
+      courier.onObservation(seen);
     }
   }
 
@@ -99,7 +99,7 @@
     }
     nextReview = now + REVIEW;
     Map<String, Double> levels = new LinkedHashMap<>();
-    for (Belief b : corroboration.review(now, engines)) {
+    for (WeightedQuorum.Assessment b : corroboration.assess(now, engines)) {
       levels.put(b.engine(), b.level());
     }
     for (String engine : new ArrayList<>(told.keySet())) {
@@ -118,12 +118,12 @@
 
   private byte[] message(long now) {
     ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
-    for (PeerReport c : ledger.tell(now, MAX_BYTES / CLAIM)) {
+    for (PeerReport c : ledger.reportsToSend(now, MAX_BYTES / CLAIM)) {
       if (c.served() == 0) { // trouble alone is worth its price
-        out.putInt(mark(c.engine(), c.since()))
+        out.putInt(mark(c.engine(), c.incarnation()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.failed()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.lost()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.age() / MILLISECOND));
+            .putShort((short) Math.min(Short.MAX_VALUE, c.timedOut()))
+            .putShort((short) Math.min(Short.MAX_VALUE, c.ageNanos() / MILLISECOND));
       }
     }
     byte[] message = new byte[out.position()];
@@ -143,6 +143,6 @@
         claims.add(new PeerReport(engine, engines.get(engine), 0, failed, lost, age));
       }
     }
-    corroboration.hear(now, Integer.toString(from), claims);
+    corroboration.onReports(now, Integer.toString(from), claims);
   }
 }
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -137,11 +137,11 @@
   private void accuse(String accuser, String member) {
     MembershipUpdate news =
         new MembershipUpdate(member, address(member), 5, MemberState.SUSPECT, accuser);
-    hear(accuser, 0, new MembershipMessage.Tell(), List.of(news), List.of());
+    hear(accuser, 0, new MembershipMessage.PayloadOnly(), List.of(news), List.of());
   }
 
   private void report(String peer, PeerReport... claims) {
-    hear(peer, 0, new MembershipMessage.Tell(), List.of(), List.of(claims));
+    hear(peer, 0, new MembershipMessage.PayloadOnly(), List.of(), List.of(claims));
   }
 
   private static PeerReport failed(String engine) {
@@ -162,17 +162,17 @@
     playedAtNanos = loop.now() / SECOND_NANOS * SECOND_NANOS;
     nowNanos = playedAtNanos - AGE_SECONDS * SECOND_NANOS;
     for (int i = 2; i <= 14; i++) {
-      hear("g" + i, i == 8 ? PLACE : 0, new MembershipMessage.Tell(), List.of(), List.of());
+      hear("g" + i, i == 8 ? PLACE : 0, new MembershipMessage.PayloadOnly(), List.of(), List.of());
     }
     hear("g5", 0, new MembershipMessage.Leave(), List.of(), List.of());
     accuse("g2", "g4");
     passSeconds(30); // more than g4 has to object
     accuse("g2", "g3");
     for (int i = 1; i <= 8; i++) {
-      gossip().engine("s-0000000" + i, 0);
+      gossip().addEngine("s-0000000" + i, 0);
     }
-    gossip().seen(nowNanos, "s-00000003", OutcomeWindow.Seen.SERVED);
-    gossip().seen(nowNanos, "s-00000003", OutcomeWindow.Seen.SERVED);
+    gossip().recordOutcome(nowNanos, "s-00000003", OutcomeWindow.Observation.SERVED);
+    gossip().recordOutcome(nowNanos, "s-00000003", OutcomeWindow.Observation.SERVED);
     report("g2", failed("s-00000001"), failed("s-00000002"));
     report("g6", failed("s-00000001"), failed("s-00000003"));
     report("g7", new PeerReport("s-00000001", 0, 5, 0, 0, 0));
@@ -234,8 +234,8 @@
     open(alone.with(new ConfigurationSettings(PLACE, List.of(issuer))));
     nowNanos = loop.now();
     playedAtNanos = nowNanos;
-    hear("g2", PLACE, new MembershipMessage.Tell(), List.of(), List.of());
-    hear("g3", 0x0101, new MembershipMessage.Tell(), List.of(), List.of());
+    hear("g2", PLACE, new MembershipMessage.PayloadOnly(), List.of(), List.of());
+    hear("g3", 0x0101, new MembershipMessage.PayloadOnly(), List.of(), List.of());
     gossip().tick(nowNanos);
     String recorded = golden("issuer.txt");
     awaitDatagramsOf(recorded);
--- a/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
@@ -72,14 +72,16 @@
     packets.put(
         "pull",
         packet(
-            new MembershipMessage.Pull(
+            new MembershipMessage.SyncRequest(
                 "gateway-1", "gateway-9", 0xcafe_babe, List.of(0, 1, 65_535))));
-    packets.put("pull-to-end", packet(new MembershipMessage.Pull("gateway-9", "", 5, List.of())));
-    packets.put("part", packet(new MembershipMessage.Part(false, ALL_STATES)));
-    packets.put("part-more", packet(new MembershipMessage.Part(true, ALL_STATES.subList(0, 1))));
+    packets.put(
+        "pull-to-end", packet(new MembershipMessage.SyncRequest("gateway-9", "", 5, List.of())));
+    packets.put("part", packet(new MembershipMessage.SyncResponse(false, ALL_STATES)));
+    packets.put(
+        "part-more", packet(new MembershipMessage.SyncResponse(true, ALL_STATES.subList(0, 1))));
     packets.put("leave", packet(new MembershipMessage.Leave()));
-    packets.put("tell", packet(new MembershipMessage.Tell()));
-    packets.put("status", packet(new MembershipMessage.Status(0x0102)));
+    packets.put("tell", packet(new MembershipMessage.PayloadOnly()));
+    packets.put("status", packet(new MembershipMessage.StatusRequest(0x0102)));
     packets.put(
         "status-page", packet(new MembershipMessage.StatusPage(1, 3, "instance g1\nrefused {}\n")));
     packets.put("section-news", packet(0, ALL_STATES, List.of(), List.of()));
@@ -105,7 +107,7 @@
         SENDER_ADDRESS,
         place,
         INCARNATION,
-        new MembershipMessage.Tell(),
+        new MembershipMessage.PayloadOnly(),
         news,
         claims,
         words);
@@ -153,9 +155,9 @@
     assertEquals(expected.place(), decoded.place());
     assertEquals(expected.incarnation(), decoded.incarnation());
     assertEquals(expected.message(), decoded.message());
-    assertEquals(expected.news(), decoded.news());
-    assertEquals(expected.claims(), decoded.claims());
-    assertEquals(expected.words(), decoded.words());
+    assertEquals(expected.updates(), decoded.updates());
+    assertEquals(expected.reports(), decoded.reports());
+    assertEquals(expected.revisionMessages(), decoded.revisionMessages());
     assertEquals(expected, decoded);
   }
 
@@ -177,9 +179,9 @@
     int planned =
         GossipCodec.size(
                 packet.sender(), packet.message(), certificate == null ? 0 : certificate.length)
-            + packet.news().stream().mapToInt(GossipCodec::size).sum()
-            + packet.claims().stream().mapToInt(GossipCodec::size).sum()
-            + GossipCodec.riding(packet.place(), packet.words());
+            + packet.updates().stream().mapToInt(GossipCodec::size).sum()
+            + packet.reports().stream().mapToInt(GossipCodec::size).sum()
+            + GossipCodec.riding(packet.place(), packet.revisionMessages());
     assertEquals(planned, stored.length + GossipCodec.UDP);
   }
 
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -41,11 +41,11 @@
           new MembershipMessage.Ack(Long.MAX_VALUE),
           new MembershipMessage.PingRequest(9, "g4", ADDRESS),
           new MembershipMessage.Nack(0),
-          new MembershipMessage.Pull("a", "", 5, List.of(0, 1, 65_535)),
-          new MembershipMessage.Part(true, List.of(NEWS)),
-          new MembershipMessage.Part(false, List.of()),
-          new MembershipMessage.Tell(),
-          new MembershipMessage.Status(3),
+          new MembershipMessage.SyncRequest("a", "", 5, List.of(0, 1, 65_535)),
+          new MembershipMessage.SyncResponse(true, List.of(NEWS)),
+          new MembershipMessage.SyncResponse(false, List.of()),
+          new MembershipMessage.PayloadOnly(),
+          new MembershipMessage.StatusRequest(3),
           new MembershipMessage.StatusPage(3, 4, "member g1\n"),
           new MembershipMessage.Leave());
 
@@ -72,7 +72,14 @@
   /** A packet that bears that word, and a place. */
   private static Packet packet(RevisionMessage w) {
     return new Packet(
-        "g1", ADDRESS, 0x0102, 1, new MembershipMessage.Tell(), List.of(), List.of(), List.of(w));
+        "g1",
+        ADDRESS,
+        0x0102,
+        1,
+        new MembershipMessage.PayloadOnly(),
+        List.of(),
+        List.of(),
+        List.of(w));
   }
 
   private static Packet packet(MembershipMessage m) {
@@ -105,7 +112,7 @@
       assertNull(head.certificate());
       int weight =
           GossipCodec.size("g1", m, 0)
-              + p.news().stream().mapToInt(GossipCodec::size).sum()
+              + p.updates().stream().mapToInt(GossipCodec::size).sum()
               + GossipCodec.size(CLAIM);
       assertEquals(weight, bytes.length + GossipCodec.UDP, m.toString());
     }
@@ -126,10 +133,10 @@
       byte[] bytes = whole(packet(w), null, false);
       Packet read = GossipCodec.read(bytes, GossipCodec.head(bytes));
       assertEquals(0x0102, read.place());
-      assertEquals(w.getClass(), read.words().get(0).getClass());
+      assertEquals(w.getClass(), read.revisionMessages().get(0).getClass());
       assertArrayEquals(bytes, whole(read, null, false), w.toString());
       assertEquals(
-          GossipCodec.size("g1", new MembershipMessage.Tell(), 0)
+          GossipCodec.size("g1", new MembershipMessage.PayloadOnly(), 0)
               + GossipCodec.riding(0x0102, List.of(w)),
           bytes.length + GossipCodec.UDP,
           w.toString());
@@ -143,7 +150,7 @@
         bytes.length - GossipCodec.SIGNATURE - 5 - 3 * Long.BYTES - 1; // before a place's section
     byte[] later = bytes.clone();
     later[kind] = 99;
-    assertEquals(List.of(), GossipCodec.read(later, GossipCodec.head(later)).words());
+    assertEquals(List.of(), GossipCodec.read(later, GossipCodec.head(later)).revisionMessages());
     byte[] negative = bytes.clone();
     negative[kind + 1] = -1;
     assertEquals(
@@ -169,7 +176,7 @@
 
   @Test
   void withoutPlaceAndWordsTheBytesAreThoseOfBefore() {
-    Packet p = packet(new MembershipMessage.Tell());
+    Packet p = packet(new MembershipMessage.PayloadOnly());
     byte[] bytes = whole(p, null, false);
     int claims = bytes.length - GossipCodec.SIGNATURE - GossipCodec.size(CLAIM) - 3;
     assertEquals(3, bytes[claims], "the section of claims is the last one");
@@ -242,7 +249,7 @@
 
   @Test
   void whatALaterVersionAddsIsSkipped() throws Exception {
-    Packet p = packet(new MembershipMessage.Tell());
+    Packet p = packet(new MembershipMessage.PayloadOnly());
     byte[] bytes = whole(p, null, false);
     ByteArrayOutputStream longer = new ByteArrayOutputStream();
     longer.write(bytes, 0, bytes.length - GossipCodec.SIGNATURE);
@@ -255,7 +262,8 @@
   void fieldsBehindThoseKnownOfAPieceOfNewsAreSkipped() throws Exception {
     MembershipUpdate all =
         new MembershipUpdate("g2", ADDRESS + 1, 1_700_000_000L, MemberState.SUSPECT, "g3", 0x0102);
-    Packet p = new Packet("g1", ADDRESS, 1, new MembershipMessage.Tell(), List.of(all), List.of());
+    Packet p =
+        new Packet("g1", ADDRESS, 1, new MembershipMessage.PayloadOnly(), List.of(all), List.of());
     byte[] bytes = whole(p, null, false);
     int at = bytes.length - GossipCodec.SIGNATURE - 3 - GossipCodec.size(all); // its length byte
     List<Byte> longer = new ArrayList<>();
--- a/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
@@ -175,7 +175,7 @@
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(Installation.CLUSTER),
-            new Packet(name, 1, 1, new MembershipMessage.Tell(), List.of(), List.of()),
+            new Packet(name, 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()),
             Long.MAX_VALUE - 1_000_000_000 + seq,
             WallClock.unixMillis(),
             null,
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -93,27 +93,27 @@
     }
 
     @Override
-    public int message(String to, MembershipMessage message) {
+    public int messageBytes(String to, MembershipMessage message) {
       return GossipCodec.size(name, message, knowsMe.contains(to) ? 0 : CERTIFICATE);
     }
 
     @Override
-    public int news(MembershipUpdate news) {
+    public int updateBytes(MembershipUpdate news) {
       return GossipCodec.size(news);
     }
 
     @Override
-    public int claim(PeerReport claim) {
+    public int reportBytes(PeerReport claim) {
       return GossipCodec.size(claim);
     }
 
     @Override
-    public int word(RevisionMessage word) {
+    public int revisionMessageBytes(RevisionMessage word) {
       return GossipCodec.size(word);
     }
 
     @Override
-    public int riding(int place, List<RevisionMessage> words) {
+    public int payloadBytes(int place, List<RevisionMessage> words) {
       return GossipCodec.riding(place, words);
     }
 
@@ -232,7 +232,7 @@
       n.waiting.poll().run();
     }
     n.gossip.tick(n.clock());
-    agenda.at(agenda.now() + n.gossip.membership().tickEvery(), () -> tick(n, life));
+    agenda.at(agenda.now() + n.gossip.membership().tickIntervalNanos(), () -> tick(n, life));
   }
 
   private void deliver(Node from, long at, byte[] bytes) {
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
@@ -126,9 +126,9 @@
                   p.place(),
                   p.incarnation(),
                   p.message(),
-                  p.news(),
+                  p.updates(),
                   claims(engines, engines.get(target), c.agenda.now()),
-                  p.words());
+                  p.revisionMessages());
     }
   }
 
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -197,7 +197,7 @@
               .map(e -> new EngineEndpoint(e.name, EngineState.UP, 0, 0, 0, 1, 0))
               .toList());
       if (gossip) {
-        engines.keySet().forEach(e -> node.gossip.engine(e, 0));
+        engines.keySet().forEach(e -> node.gossip.addEngine(e, 0));
       }
       next();
     }
@@ -276,10 +276,12 @@
       }
       t.over = true;
       if (gossip && (!o.over || outcome == AttemptOutcome.SERVED)) {
-        node.gossip.seen(
+        node.gossip.recordOutcome(
             node.clock(),
             t.engine.name,
-            outcome == AttemptOutcome.SERVED ? OutcomeWindow.Seen.SERVED : OutcomeWindow.Seen.LOST);
+            outcome == AttemptOutcome.SERVED
+                ? OutcomeWindow.Observation.SERVED
+                : OutcomeWindow.Observation.TIMED_OUT);
       }
       if (outcome == AttemptOutcome.SERVED && !o.over) {
         settle(o, true);
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -131,16 +131,16 @@
               ? new ConsensusNode(
                   node.name, issuers, seal, disk, dissemination, node.gossip, random.split(), now)
               : null;
-      node.gossip.carry(place(node), this);
+      node.gossip.attachPayload(place(node), this);
     }
 
     @Override
-    public List<RevisionMessage> always() {
+    public List<RevisionMessage> messages() {
       return List.of(dissemination.have());
     }
 
     @Override
-    public void hear(long now, Peer sender, List<RevisionMessage> words) {
+    public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
       dissemination.hear(now, sender, words);
       if (council != null) {
         council.hear(now, sender, words);
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void peers(long now, Collection<Peer> present) {
+    public void onPeers(long now, Collection<Peer> present) {
       dissemination.peers(present);
     }
 
--- a/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
+++ b/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
@@ -50,7 +50,7 @@
     byte[] unsigned =
         GossipCodec.write(
             GossipCodec.cluster(Installation.CLUSTER),
-            new Packet("g2", 1, 1, new MembershipMessage.Tell(), List.of(), List.of()),
+            new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()),
             seq++,
             time,
             certified ? sender.certificate() : null,
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -276,7 +276,7 @@
     byte[] signed =
         GossipCodec.write(
             GossipCodec.cluster(Installation.CLUSTER),
-            new Packet("g2", 1, 1, new MembershipMessage.Tell(), List.of(), List.of()),
+            new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()),
             5,
             System.currentTimeMillis(),
             id.certificate(),
--- a/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
@@ -81,7 +81,7 @@
                         .allMatch(m -> m.name().equals(deaf.name) || m.state().present()))
             .count();
     assertEquals(11, present, "what it says of the others is refuted");
-    assertTrue(deaf.gossip.membership().health() > 0, "and it looks to itself");
+    assertTrue(deaf.gossip.membership().healthScore() > 0, "and it looks to itself");
   }
 
   @Test
