--- a/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
+++ b/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
@@ -3,180 +3,169 @@
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import reachloom.scheduler.state.TokenBucket;
 
 /**
- * Stands before the costly check of a signature: what can be refused cheaply is, and the rest has a
- * budget, so that a flood can't eat this process's part of a core. Sources that members are known
- * to send from have budgets of their own; all others share one, so that a flood from anywhere else
- * leaves the members alone. It harms when many join at once: they come in at the pace of the shared
- * budget.
+ * Stands before the costly check of a signature: what can be rejected cheaply is, and the rest has
+ * a rate limit, so that a flood can't take this process's part of a core. Sources that members are
+ * known to send from have limits of their own; all others share one, so that a flood from anywhere
+ * else leaves the members alone. The cost: where many nodes join at once, they come in at the pace
+ * of the shared limit.
+ *
+ * <p>Not thread-safe. Times are nanoseconds of Unix time.
  */
 public final class DatagramRateLimiter {
-  private static final long SECOND = 1_000_000_000; // nanoseconds
-  private static final long CLOCKS_APART =
-      30 * SECOND; // of two instances; also how long a replay is of use
-  private static final double MEMBER_RATE =
-      20; // checks a period for packets from one member's address
+  private static final long SECOND_NANOS = 1_000_000_000;
 
-  /**
-   * ... and more of a second where members also pass documents on: the largest comes in 26 pieces.
-   */
-  private static final double PIECES = 60;
+  /** How far clocks of two nodes may differ; also how long a replayed datagram is of use. */
+  private static final long MAX_CLOCK_DIFFERENCE_NANOS = 30 * SECOND_NANOS;
 
-  private static final double SOURCE_RATE = 5; // ... from one other address
-  private static final double STRANGER_RATE = 50; // ... and from all other addresses together
-  private static final double TOTAL_RATE = 250; // ... and at all
-  private static final int MAX_SOURCES = 4_096;
-  private static final int MAX_SENDERS = 4_096;
+  private static final double CHECKS_PER_MEMBER_AND_PERIOD = 20; // from one member's address
 
-  private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
-  private final Map<Long, TokenBucket> members = new LinkedHashMap<>();
-  private final Map<Long, TokenBucket> others = new LinkedHashMap<>(16, 0.75f, true);
-  private final Map<String, Replay> senders = new LinkedHashMap<>(16, 0.75f, true);
-  private final TokenBucket strangers = new TokenBucket(STRANGER_RATE, STRANGER_RATE);
-  private final TokenBucket total = new TokenBucket(TOTAL_RATE, TOTAL_RATE);
-  private final double memberRate;
-  private long taken;
+  /** More in a second where members pass documents on as well: the largest has 26 chunks. */
+  private static final double CHUNK_CHECKS_PER_SECOND = 60;
 
-  /**
-   * A guard of an instance that probes once in so many nanoseconds: members say more where that is
-   * short.
-   */
-  public DatagramRateLimiter(long period) {
-    this(period, false);
-  }
+  private static final double CHECKS_PER_OTHER_SOURCE = 5; // a second, from one other address
+  private static final double CHECKS_OF_OTHERS = 50; // a second, from all other addresses together
+  private static final double TOTAL_CHECKS = 250; // a second
+  private static final int MAX_SOURCES = 4_096;
+  private static final int MAX_SENDERS = 4_096;
+  private static final float LOAD_FACTOR = 0.75f;
+  private static final int INITIAL_CAPACITY = 16;
 
   /**
-   * The same, where {@code revisions} is set, of one whose members pass the configuration on as
-   * well.
+   * What is known of a datagram before its signature is checked.
+   *
+   * @param source the address that it came from: IPv4 address and port in the lowest 48 bits
+   * @param fromMember whether a member is known to send from there
+   * @param senderKnown whether its sender's certificate is held here
+   * @param certificateAttached whether it brings its sender's certificate
+   * @param sender the name that it gives
+   * @param sentAtNanos its time, by its sender's clock
+   * @param sequenceNumber its number among the sender's datagrams
    */
-  public DatagramRateLimiter(long period, boolean revisions) {
-    memberRate =
-        Math.min(
-            TOTAL_RATE,
-            MEMBER_RATE * Math.max(1, (double) SECOND / period) + (revisions ? PIECES : 0));
+  public record Arrival(
+      long source,
+      boolean fromMember,
+      boolean senderKnown,
+      boolean certificateAttached,
+      String sender,
+      long sentAtNanos,
+      long sequenceNumber) {}
+
+  private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
+  private final Map<Long, TokenBucket> memberLimits = new LinkedHashMap<>();
+  private final Map<Long, TokenBucket> otherLimits =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+  private final Map<String, SequenceWindow> senders =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+  private final TokenBucket othersLimit = new TokenBucket(CHECKS_OF_OTHERS, CHECKS_OF_OTHERS);
+  private final TokenBucket totalLimit = new TokenBucket(TOTAL_CHECKS, TOTAL_CHECKS);
+  private final double checksPerMember;
+  private long acceptedCount;
+
+  /** A limiter for a cluster with that protocol period, without configuration revisions. */
+  public DatagramRateLimiter(long periodNanos) {
+    this(periodNanos, false);
   }
 
   /**
-   * The cheap checks, in order of their cost: null, or why it is refused. All times are in
-   * nanoseconds.
+   * A limiter for a cluster.
+   *
+   * @param periodNanos the protocol period: members send more a second where it is short
+   * @param revisions whether members pass the configuration on as well
    */
-  public RejectionReason admit(
-      long now,
-      long source,
-      boolean ofMember,
-      boolean known,
-      boolean certified,
-      String sender,
-      long itsTime,
-      long seq) {
-    return admit(now, now, source, ofMember, known, certified, sender, itsTime, seq);
+  public DatagramRateLimiter(long periodNanos, boolean revisions) {
+    double perSecond =
+        CHECKS_PER_MEMBER_AND_PERIOD * Math.max(1, (double) SECOND_NANOS / periodNanos);
+    checksPerMember = Math.min(TOTAL_CHECKS, perSecond + (revisions ? CHUNK_CHECKS_PER_SECOND : 0));
   }
 
   /**
-   * The same where the wall clock may have been stepped since this process started: what is of the
-   * present by either clock is fresh, since a tool that is started after a step goes by the wall
-   * clock of then.
+   * The cheap checks, in the order of their cost. The wall clock may have been stepped since this
+   * process started: what is of the present by either clock is fresh, since a tool that is started
+   * after a step goes by the wall clock of then.
+   *
+   * @param nowNanos the process's own time
+   * @param wallClockNanos the wall clock's time
+   * @return why the datagram is rejected, which is counted; empty where its signature is to be
+   *     checked
    */
-  public RejectionReason admit(
-      long now,
-      long wallClock,
-      long source,
-      boolean ofMember,
-      boolean known,
-      boolean certified,
-      String sender,
-      long itsTime,
-      long seq) {
-    if (Math.abs(now - itsTime) > CLOCKS_APART && Math.abs(wallClock - itsTime) > CLOCKS_APART) {
-      return reject(RejectionReason.TIME);
+  public Optional<RejectionReason> admit(long nowNanos, long wallClockNanos, Arrival arrival) {
+    if (isStale(nowNanos, arrival) && isStale(wallClockNanos, arrival)) {
+      return Optional.of(reject(RejectionReason.TIME));
+    }
+    SequenceWindow window = senders.get(arrival.sender());
+    if (window != null && !window.isFresh(arrival.sequenceNumber())) {
+      return Optional.of(reject(RejectionReason.REPLAYED));
     }
-    Replay replay = senders.get(sender);
-    if (replay != null && !replay.fresh(seq)) {
-      return reject(RejectionReason.REPLAYED);
+    if (!arrival.senderKnown() && !arrival.certificateAttached()) {
+      return Optional.of(reject(RejectionReason.UNKNOWN));
     }
-    if (!known && !certified) {
-      return reject(RejectionReason.UNKNOWN);
+    if (!takeFromSource(nowNanos, arrival) || !totalLimit.take(nowNanos)) {
+      return Optional.of(reject(RejectionReason.BUDGET));
     }
-    boolean room =
-        ofMember
-            ? bucket(members, source, memberRate).take(now)
-            : bucket(others, source, SOURCE_RATE).take(now) && strangers.take(now);
-    return room && total.take(now) ? null : reject(RejectionReason.BUDGET);
+    return Optional.empty();
   }
 
-  private static TokenBucket bucket(Map<Long, TokenBucket> of, long source, double rate) {
-    TokenBucket b = of.get(source);
-    if (b == null) {
-      if (of.size() >= MAX_SOURCES) {
-        of.remove(of.keySet().iterator().next());
+  private static boolean isStale(long nowNanos, Arrival arrival) {
+    return Math.abs(nowNanos - arrival.sentAtNanos()) > MAX_CLOCK_DIFFERENCE_NANOS;
+  }
+
+  private boolean takeFromSource(long nowNanos, Arrival arrival) {
+    return arrival.fromMember()
+        ? limit(memberLimits, arrival.source(), checksPerMember).take(nowNanos)
+        : limit(otherLimits, arrival.source(), CHECKS_PER_OTHER_SOURCE).take(nowNanos)
+            && othersLimit.take(nowNanos);
+  }
+
+  private static TokenBucket limit(Map<Long, TokenBucket> limits, long source, double rate) {
+    TokenBucket limit = limits.get(source);
+    if (limit == null) {
+      if (limits.size() >= MAX_SOURCES) {
+        limits.remove(limits.keySet().iterator().next());
       }
-      b = new TokenBucket(rate, rate);
-      of.put(source, b);
+      limit = new TokenBucket(rate, rate);
+      limits.put(source, limit);
     }
-    return b;
+    return limit;
   }
 
-  /** The signature holds: its number is used up from now on; false where another one was faster. */
-  public boolean acceptSequenceNumber(String sender, long seq) {
-    Replay r = senders.get(sender);
-    if (r == null) {
+  /**
+   * A signature holds: the number of its datagram is used up from now on. False, and counted, where
+   * another datagram with that number was faster.
+   */
+  public boolean acceptSequenceNumber(String sender, long sequenceNumber) {
+    SequenceWindow window = senders.get(sender);
+    if (window == null) {
       if (senders.size() >= MAX_SENDERS) {
         senders.remove(senders.keySet().iterator().next());
       }
-      r = new Replay();
-      senders.put(sender, r);
+      window = new SequenceWindow();
+      senders.put(sender, window);
     }
-    if (!r.take(seq)) {
+    if (!window.accept(sequenceNumber)) {
       reject(RejectionReason.REPLAYED);
       return false;
     }
-    taken++;
+    acceptedCount++;
     return true;
   }
 
-  /** Counts a refusal; gives it back. */
-  public RejectionReason reject(RejectionReason why) {
-    counts.merge(why, 1L, Long::sum);
-    return why;
+  /** Counts a rejection; gives its reason back. */
+  public RejectionReason reject(RejectionReason reason) {
+    rejections.merge(reason, 1L, Long::sum);
+    return reason;
   }
 
-  /** How many were refused, by reason. */
+  /** How many datagrams were rejected, by reason; a copy. */
   public Map<RejectionReason, Long> rejections() {
-    return counts.isEmpty() ? Map.of() : new EnumMap<>(counts);
+    return rejections.isEmpty() ? Map.of() : new EnumMap<>(rejections);
   }
 
-  /** How many were taken. */
+  /** How many datagrams were accepted. */
   public long acceptedCount() {
-    return taken;
-  }
-
-  /** Numbers seen of one sender: the largest, and which of those just below it (as in RFC 6479). */
-  static final class Replay {
-    private long largest = Long.MIN_VALUE;
-    private long seen;
-
-    boolean fresh(long seq) {
-      if (largest == Long.MIN_VALUE || seq > largest) {
-        return true;
-      }
-      long behind = largest - seq;
-      return behind >= 0 && behind < Long.SIZE && (seen >>> behind & 1) == 0;
-    }
-
-    boolean take(long seq) {
-      if (!fresh(seq)) {
-        return false;
-      }
-      if (largest == Long.MIN_VALUE || seq > largest) {
-        long ahead = largest == Long.MIN_VALUE ? Long.SIZE : seq - largest;
-        seen = ahead >= Long.SIZE || ahead < 0 ? 1 : seen << ahead | 1;
-        largest = seq;
-      } else {
-        seen |= 1L << largest - seq;
-      }
-      return true;
-    }
+    return acceptedCount;
   }
 }
--- a/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -5,125 +5,144 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.BiConsumer;
-import reachloom.membership.BandwidthLimiter;
+import reachloom.membership.BandwidthLimiter.Purpose;
 import reachloom.membership.MembershipMessage;
 import reachloom.membership.MembershipService;
+import reachloom.membership.MembershipSettings;
 import reachloom.membership.MembershipUpdate;
 import reachloom.membership.MessageSender;
 import reachloom.membership.WireSizes;
 import reachloom.peerreport.OutcomeWindow;
 import reachloom.peerreport.PeerReport;
 import reachloom.peerreport.WeightedQuorum;
+import reachloom.peerreport.WeightedQuorum.Assessment;
 import reachloom.revision.Peer;
 import reachloom.revision.RevisionMessage;
 import reachloom.revision.RevisionMessageSender;
 
 /**
- * One instance among others: keeps the list of members, tells what it has seen of engines, and
- * makes hearsay of what others tell. Times are nanoseconds of the clock handed in.
+ * One node among others: keeps the list of members, reports what it has seen of engines, weighs
+ * what others report, and lets a payload ride on its packets.
+ *
+ * <p>Not thread-safe: all methods are called from one thread. Times are nanoseconds of the clock
+ * handed in, which must not go back.
  */
 public final class GossipProtocol implements MessageSender, RevisionMessageSender {
-  private static final int REVIEWS = 4; // in a period
-  private static final double STEP = 0.1; // a level that has moved by less is not told again
-  private static final int MOST_CLAIMS = 32; // in one packet
+  private static final int ASSESSMENTS_PER_PERIOD = 4;
+  private static final int ASSESSMENTS_PER_REPORT = 2; // at least, where failures are reported soon
+  private static final double MIN_LEVEL_CHANGE = 0.1; // a level that moved by less stays unreported
+  private static final int MAX_REPORTS_PER_PACKET = 32;
+
+  /** A report takes no less; only bounds how many are looked at for one packet. */
+  private static final int MIN_REPORT_BYTES = 24;
 
   /**
-   * Words in one packet: a certificate, the longest names and what always rides find room beside.
+   * Bytes of payload messages in one packet: a certificate, the longest names and what rides on
+   * each packet find room beside them.
    */
-  private static final int MOST_WORDS = 700; // bytes
+  private static final int MAX_PAYLOAD_BYTES = 700;
+
+  /** Learns what peers make this node believe of engines. */
+  public interface EngineLevelListener {
+    /** The level of an engine, from 0 to 1, has changed; 0 where peers no longer accuse it. */
+    void onLevelChanged(String engine, double level);
+  }
 
-  private final String name;
-  private final long address;
+  private final MembershipSettings settings;
   private final Transport transport;
+  private final SizesWithPayload sizes = new SizesWithPayload();
   private final MembershipService membership;
-  private final OutcomeWindow ledger = new OutcomeWindow();
-  private final WeightedQuorum corroboration = new WeightedQuorum(ledger);
-  private final BiConsumer<String, Double> hearsay;
-  private final long reviewEvery;
+  private final OutcomeWindow ownOutcomes = new OutcomeWindow();
+  private final WeightedQuorum quorum = new WeightedQuorum(ownOutcomes);
+  private final EngineLevelListener listener;
+  private final long assessmentIntervalNanos;
+
+  /** The incarnation of each engine in use, by name. */
   private final Map<String, Long> engines = new LinkedHashMap<>();
-  private final Map<String, Double> told = new LinkedHashMap<>();
-  private List<WeightedQuorum.Assessment> beliefs = List.of();
-  private long nextReview;
-  private PiggybackPayload rider;
+
+  /** The level last told to the listener, by engine. */
+  private final Map<String, Double> toldLevels = new LinkedHashMap<>();
+
+  private List<Assessment> assessments = List.of();
+  private long nextAssessmentAtNanos;
+
+  /** What rides on packets; null for nothing. */
+  private PiggybackPayload payload;
+
   private boolean peersChanged;
-  private boolean urgent;
-  private long nextTell;
+  private boolean failureSeen;
+  private long nextReportAtNanos;
 
-  /** An instance that starts; {@code hearsay} hears of engines whose level has changed. */
+  /**
+   * A node that starts.
+   *
+   * @param seed of all its random choices
+   * @param listener learns of engines whose level has changed
+   */
   public GossipProtocol(
-      String name,
-      long address,
-      List<Long> seeds,
-      long now,
-      long period,
-      int cap,
+      MembershipSettings settings,
+      long nowNanos,
       long seed,
       Transport transport,
-      BiConsumer<String, Double> hearsay) {
-    this.name = name;
-    this.address = address;
+      EngineLevelListener listener) {
+    this.settings = settings;
     this.transport = transport;
-    this.hearsay = hearsay;
-    reviewEvery = period / REVIEWS;
-    membership =
-        new MembershipService(
-            name,
-            address,
-            seeds,
-            now,
-            period,
-            cap,
-            new SplittableRandom(seed),
-            this,
-            new WireSizes() {
-              @Override
-              public int messageBytes(String to, MembershipMessage message) {
-                return transport.messageBytes(to, message) + riding();
-              }
-
-              @Override
-              public int updateBytes(MembershipUpdate news) {
-                return transport.updateBytes(news);
-              }
-            });
+    this.listener = listener;
+    assessmentIntervalNanos = settings.periodNanos() / ASSESSMENTS_PER_PERIOD;
+    membership = new MembershipService(settings, nowNanos, new SplittableRandom(seed), this, sizes);
+  }
+
+  /** Sizes of messages with what rides on each packet. */
+  private final class SizesWithPayload implements WireSizes {
+    @Override
+    public int messageBytes(String to, MembershipMessage message) {
+      int payloadBytes =
+          payload == null ? 0 : transport.payloadBytes(membership.place(), payload.messages());
+      return transport.messageBytes(to, message) + payloadBytes;
+    }
+
+    @Override
+    public int updateBytes(MembershipUpdate update) {
+      return transport.updateBytes(update);
+    }
   }
 
   /**
-   * Lets something ride on the packets from now on, and sets this instance's place; before it
-   * starts.
+   * Lets a payload ride on the packets from now on, and sets this node's region and zone; to be
+   * called before it starts.
    */
-  public void attachPayload(int place, PiggybackPayload what) {
+  public void attachPayload(int place, PiggybackPayload attached) {
     membership.setPlace(place);
-    rider = what;
+    payload = attached;
     peersChanged = true;
   }
 
-  /** Bytes of what rides on each packet. */
-  private int riding() {
-    return rider == null ? 0 : transport.payloadBytes(membership.place(), rider.messages());
-  }
-
+  /** The members of the cluster. */
   public MembershipService membership() {
     return membership;
   }
 
+  /** The peers' reports and reputations. */
   public WeightedQuorum quorum() {
-    return corroboration;
+    return quorum;
   }
 
-  /** What is believed by hearsay, as of the last review. */
-  public List<WeightedQuorum.Assessment> assessments() {
-    return beliefs;
+  /** What peers make this node believe of engines, as of the last assessment. */
+  public List<Assessment> assessments() {
+    return assessments;
   }
 
-  /** An engine is in use from now on; {@code since} is the start of its process. */
-  public void addEngine(String engine, long since) {
-    Long old = engines.put(engine, since);
-    if (old != null && old != since) { // another process: nothing said of the old one holds
-      ledger.forget(engine);
-      if (told.remove(engine) != null) {
-        hearsay.accept(engine, 0.0);
+  /**
+   * An engine is in use from now on.
+   *
+   * @param incarnation the start of its process; another one than before clears what was reported
+   */
+  public void addEngine(String engine, long incarnation) {
+    Long before = engines.put(engine, incarnation);
+    if (before != null && before != incarnation) {
+      ownOutcomes.forget(engine);
+      if (toldLevels.remove(engine) != null) {
+        listener.onLevelChanged(engine, 0);
       }
     }
   }
@@ -131,179 +150,191 @@
   /** An engine is no longer in use. */
   public void removeEngine(String engine) {
     engines.remove(engine);
-    told.remove(engine);
-    ledger.forget(engine);
+    toldLevels.remove(engine);
+    ownOutcomes.forget(engine);
   }
 
-  /** This instance has seen something of an engine. */
-  public void recordOutcome(long now, String engine, OutcomeWindow.Observation seen) {
-    Long since = engines.get(engine);
-    if (since != null) {
-      ledger.record(now, engine, since, seen);
-      urgent |= seen != OutcomeWindow.Observation.SERVED;
+  /** An attempt of this node's own has shown something of an engine. */
+  public void recordOutcome(long nowNanos, String engine, OutcomeWindow.Observation observation) {
+    Long incarnation = engines.get(engine);
+    if (incarnation != null) {
+      ownOutcomes.record(nowNanos, engine, incarnation, observation);
+      failureSeen |= observation != OutcomeWindow.Observation.SERVED;
     }
   }
 
-  /**
-   * Looks at the clock; to be called as often as {@link MembershipService#tickIntervalNanos} says.
-   */
-  public void tick(long now) {
-    membership.tick(now);
-    if (urgent && now >= nextTell) {
-      urgent = false;
-      nextTell = now + reviewEvery * REVIEWS / 2;
-      membership.sendPayload(now);
+  /** Time has passed; to be called as often as {@link MembershipService#tickIntervalNanos}. */
+  public void tick(long nowNanos) {
+    membership.tick(nowNanos);
+    if (failureSeen && nowNanos >= nextReportAtNanos) {
+      failureSeen = false;
+      nextReportAtNanos = nowNanos + assessmentIntervalNanos * ASSESSMENTS_PER_REPORT;
+      membership.sendPayload(nowNanos);
     }
-    if (now >= nextReview) {
-      nextReview = now + reviewEvery;
-      review(now);
+    if (nowNanos >= nextAssessmentAtNanos) {
+      nextAssessmentAtNanos = nowNanos + assessmentIntervalNanos;
+      assess(nowNanos);
     }
-    if (rider != null) {
-      if (peersChanged) {
-        peersChanged = false;
-        rider.onPeers(
-            now,
-            membership.members().stream()
-                .filter(m -> m.state().present())
-                .map(m -> new Peer(m.name(), m.address(), m.place()))
-                .toList());
-      }
-      rider.tick(now);
+    if (payload != null) {
+      tickPayload(nowNanos);
+    }
+  }
+
+  private void tickPayload(long nowNanos) {
+    if (peersChanged) {
+      peersChanged = false;
+      payload.onPeers(
+          nowNanos,
+          membership.members().stream()
+              .filter(member -> member.state().present())
+              .map(member -> new Peer(member.name(), member.address(), member.place()))
+              .toList());
     }
+    payload.tick(nowNanos);
   }
 
-  private void review(long now) {
-    beliefs = corroboration.assess(now, engines);
+  private void assess(long nowNanos) {
+    assessments = quorum.assess(nowNanos, engines);
     Map<String, Double> levels = new LinkedHashMap<>();
-    beliefs.forEach(b -> levels.put(b.engine(), b.level()));
-    for (String engine : new ArrayList<>(told.keySet())) {
+    assessments.forEach(assessment -> levels.put(assessment.engine(), assessment.level()));
+    for (String engine : List.copyOf(toldLevels.keySet())) {
       if (!levels.containsKey(engine)) {
-        told.remove(engine);
-        hearsay.accept(engine, 0.0);
+        toldLevels.remove(engine);
+        listener.onLevelChanged(engine, 0);
       }
     }
-    levels.forEach(
-        (engine, level) -> {
-          double before = told.getOrDefault(engine, 0.0);
-          boolean crossed =
-              before >= WeightedQuorum.ACCUSED_LEVEL != level >= WeightedQuorum.ACCUSED_LEVEL;
-          if (crossed || Math.abs(level - before) >= STEP) {
-            told.put(engine, level);
-            hearsay.accept(engine, level);
-          }
-        });
+    levels.forEach(this::tellIfChanged);
+  }
+
+  private void tellIfChanged(String engine, double level) {
+    double before = toldLevels.getOrDefault(engine, 0.0);
+    boolean wasAccused = before >= WeightedQuorum.ACCUSED_LEVEL;
+    boolean isAccused = level >= WeightedQuorum.ACCUSED_LEVEL;
+    if (wasAccused != isAccused || Math.abs(level - before) >= MIN_LEVEL_CHANGE) {
+      toldLevels.put(engine, level);
+      listener.onLevelChanged(engine, level);
+    }
   }
 
-  /** A packet has come whose sender is proved. */
-  public void receive(long now, Packet p) {
+  /** A packet has come whose sender is authenticated. */
+  public void receive(long nowNanos, Packet packet) {
     membership.receive(
-        now, p.sender(), p.address(), p.place(), p.incarnation(), p.message(), p.updates());
-    if (membership.member(p.sender()) == null) {
+        nowNanos,
+        packet.sender(),
+        packet.address(),
+        packet.place(),
+        packet.incarnation(),
+        packet.message(),
+        packet.updates());
+    if (membership.member(packet.sender()).isEmpty()) {
       return;
     }
-    if (!p.reports().isEmpty()) {
-      corroboration.onReports(now, p.sender(), p.reports());
+    if (!packet.reports().isEmpty()) {
+      quorum.onReports(nowNanos, packet.sender(), packet.reports());
     }
-    if (rider != null && !p.revisionMessages().isEmpty()) {
-      rider.onMessages(now, new Peer(p.sender(), p.address(), p.place()), p.revisionMessages());
+    if (payload != null && !packet.revisionMessages().isEmpty()) {
+      Peer sender = new Peer(packet.sender(), packet.address(), packet.place());
+      payload.onMessages(nowNanos, sender, packet.revisionMessages());
     }
   }
 
-  /** Says good-bye. */
-  public void leave(long now) {
-    membership.leave(now);
+  /** Tells members that this node leaves. */
+  public void leave(long nowNanos) {
+    membership.leave(nowNanos);
   }
 
   // ---- What the membership sends ----
 
   @Override
   public int send(
-      long now,
+      long nowNanos,
       String to,
-      long at,
+      long address,
       MembershipMessage message,
-      List<MembershipUpdate> news,
-      int most) {
-    int size = transport.messageBytes(to, message) + riding();
-    for (MembershipUpdate n : news) {
-      size += transport.updateBytes(n);
+      List<MembershipUpdate> updates,
+      int maxBytes) {
+    int bytes = sizes.messageBytes(to, message);
+    for (MembershipUpdate update : updates) {
+      bytes += transport.updateBytes(update);
     }
-    List<PeerReport> claims = new ArrayList<>();
-    if (size < most) {
-      int room = most - size;
-      int fit = Math.min(MOST_CLAIMS, room / LEAST_CLAIM);
-      for (PeerReport c : fit <= 0 ? List.<PeerReport>of() : ledger.reportsToSend(now, fit)) {
-        int weight = transport.reportBytes(c);
-        if (weight > room) {
-          break;
-        }
-        claims.add(c);
-        room -= weight;
-        size += weight;
+    List<PeerReport> reports = reportsFor(nowNanos, maxBytes - bytes);
+    for (PeerReport report : reports) {
+      bytes += transport.reportBytes(report);
+    }
+    List<RevisionMessage> riding = payload == null ? List.of() : payload.messages();
+    transport.send(to, address, packet(message, List.copyOf(updates), reports, riding));
+    return bytes;
+  }
+
+  /** The reports that fit into so many bytes. */
+  private List<PeerReport> reportsFor(long nowNanos, int maxBytes) {
+    int count = Math.min(MAX_REPORTS_PER_PACKET, maxBytes / MIN_REPORT_BYTES);
+    if (count <= 0) {
+      return List.of();
+    }
+    List<PeerReport> fitting = new ArrayList<>();
+    int leftBytes = maxBytes;
+    for (PeerReport report : ownOutcomes.reportsToSend(nowNanos, count)) {
+      leftBytes -= transport.reportBytes(report);
+      if (leftBytes < 0) {
+        break;
       }
+      fitting.add(report);
     }
-    send(to, at, message, List.copyOf(news), claims, rider == null ? List.of() : rider.messages());
-    return size;
+    return fitting;
   }
 
-  private void send(
-      String to,
-      long at,
+  private Packet packet(
       MembershipMessage message,
-      List<MembershipUpdate> news,
-      List<PeerReport> claims,
-      List<RevisionMessage> words) {
-    transport.send(
-        to,
-        at,
-        new Packet(
-            name,
-            address,
-            membership.place(),
-            membership.incarnation(),
-            message,
-            news,
-            claims,
-            words));
+      List<MembershipUpdate> updates,
+      List<PeerReport> reports,
+      List<RevisionMessage> riding) {
+    return new Packet(
+        settings.name(),
+        settings.address(),
+        membership.place(),
+        membership.incarnation(),
+        message,
+        updates,
+        reports,
+        riding);
+  }
+
+  @Override
+  public void onMemberChanged(long nowNanos, MembershipUpdate member) {
+    peersChanged = true;
+    if (!member.state().present()) {
+      quorum.onPeerGone(member.member());
+    }
   }
 
-  // ---- What rides ----
+  // ---- What the payload sends ----
 
   @Override
-  public int encodedBytes(RevisionMessage word) {
-    return transport.revisionMessageBytes(word);
+  public int encodedBytes(RevisionMessage message) {
+    return transport.revisionMessageBytes(message);
   }
 
   @Override
   public int maxPacketBytes() {
-    return MOST_WORDS;
+    return MAX_PAYLOAD_BYTES;
   }
 
   @Override
-  public boolean send(long now, String to, long at, List<RevisionMessage> words) {
-    if (rider == null) {
-      return false; // what rides is being started, and may have something to say already
+  public boolean send(long nowNanos, String to, long address, List<RevisionMessage> messages) {
+    if (payload == null) {
+      return false; // the payload is being started, and may have something to send already
     }
-    MembershipMessage.PayloadOnly tell = new MembershipMessage.PayloadOnly();
-    List<RevisionMessage> all = new ArrayList<>(rider.messages());
-    all.addAll(words);
-    int size = transport.messageBytes(to, tell) + transport.payloadBytes(membership.place(), all);
-    if (!membership.bandwidth().hasRoom(now, BandwidthLimiter.Purpose.REVISION, size)) {
+    MembershipMessage message = new MembershipMessage.PayloadOnly();
+    List<RevisionMessage> all = new ArrayList<>(payload.messages());
+    all.addAll(messages);
+    int bytes =
+        transport.messageBytes(to, message) + transport.payloadBytes(membership.place(), all);
+    if (!membership.bandwidth().hasRoom(nowNanos, Purpose.REVISION, bytes)) {
       return false;
     }
-    membership.bandwidth().record(now, size, 0);
-    send(to, at, tell, List.of(), List.of(), all);
+    membership.bandwidth().record(nowNanos, bytes, 0);
+    transport.send(to, address, packet(message, List.of(), List.of(), all));
     return true;
   }
-
-  /** A claim takes no less; only so that no more are looked at than may fit. */
-  private static final int LEAST_CLAIM = 24;
-
-  @Override
-  public void onMemberChanged(long now, MembershipUpdate member) {
-    peersChanged = true;
-    if (!member.state().present()) {
-      corroboration.onPeerGone(member.member());
-    }
-  }
 }
--- a/decisions/src/main/java/reachloom/gossip/Packet.java
+++ b/decisions/src/main/java/reachloom/gossip/Packet.java
@@ -7,9 +7,16 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * What goes over the wire at once: who sends, where it listens (IPv4 and port in the lowest 48
- * bits), at which place it is (0 where it does not say) and in which incarnation, one message, and
- * what rides on it.
+ * The content of one datagram: a message and what rides on it.
+ *
+ * @param sender the sender's name
+ * @param address where the sender listens: IPv4 address and port in the lowest 48 bits
+ * @param place the sender's region (upper byte) and zone (lower byte); 0 where it does not tell
+ * @param incarnation the sender's incarnation
+ * @param message the message itself
+ * @param updates membership updates that ride on it
+ * @param reports peer reports that ride on it
+ * @param revisionMessages messages about the configuration that ride on it
  */
 public record Packet(
     String sender,
@@ -20,7 +27,7 @@
     List<MembershipUpdate> updates,
     List<PeerReport> reports,
     List<RevisionMessage> revisionMessages) {
-  /** A packet of one that says no place, and nothing of the configuration. */
+  /** A packet of a sender that tells no place, and nothing of the configuration. */
   public Packet(
       String sender,
       long address,
--- a/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
+++ b/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
@@ -5,17 +5,20 @@
 import reachloom.revision.Peer;
 import reachloom.revision.RevisionMessage;
 
-/** What else rides on gossip's packets: the configuration's revisions. Called from one thread. */
+/**
+ * What else rides on the packets of gossip: the revisions of the configuration. All methods are
+ * called from the thread that calls {@link GossipProtocol}.
+ */
 public interface PiggybackPayload {
-  /** What rides on each packet. */
+  /** The messages that ride on each packet. */
   List<RevisionMessage> messages();
 
-  /** A packet of a member has come with these words. */
-  void onMessages(long now, Peer sender, List<RevisionMessage> words);
+  /** A packet of a member has brought these messages. */
+  void onMessages(long nowNanos, Peer sender, List<RevisionMessage> messages);
 
-  /** The members that are believed to be there have changed; this instance is not among them. */
-  void onPeers(long now, Collection<Peer> present);
+  /** The members that are present have changed; this node is not among them. */
+  void onPeers(long nowNanos, Collection<Peer> present);
 
-  /** Looks at the clock. */
-  void tick(long now);
+  /** Time has passed; called as often as {@link GossipProtocol#tick}. */
+  void tick(long nowNanos);
 }
--- a/decisions/src/main/java/reachloom/gossip/RejectionReason.java
+++ b/decisions/src/main/java/reachloom/gossip/RejectionReason.java
@@ -1,27 +1,33 @@
 package reachloom.gossip;
 
-/** Why a datagram was not taken; counted, never logged one by one. */
+/**
+ * Why a datagram was not taken in. Rejections are counted, and never logged one by one; the names
+ * are part of the text of {@code reachloom gossip status}.
+ */
 public enum RejectionReason {
   /** Too large, too small, or not of this form. */
   FORM,
-  /** A version that is not spoken here. */
+  /** Of a version that is not understood here. */
   VERSION,
+  /** Of another cluster. */
   CLUSTER,
-  /** Its time is too far from ours: old, or from a clock that is wrong. */
+  /** Its time is too far from this node's: old, or from a clock that is wrong. */
   TIME,
+  /** Its sequence number has been used before. */
   REPLAYED,
-  /** Nobody known, and without a certificate. */
+  /** From a sender that is not known, and without a certificate. */
   UNKNOWN,
-  /** Over the budget for checking signatures, of its source or of all. */
+  /** Over the rate limit of signature checks, of its source or of all. */
   BUDGET,
   /**
    * Its certificate is not signed by a trusted authority, not yet or no longer valid, or of another
    * name.
    */
   CERTIFICATE,
+  /** Its certificate is revoked. */
   REVOKED,
-  /** The signature does not hold. */
+  /** Its signature does not hold. */
   FORGED,
-  /** Signed well, and yet nonsense. */
+  /** Its signature holds, but its content makes no sense. */
   NONSENSE
 }
--- /dev/null
+++ b/decisions/src/main/java/reachloom/gossip/SequenceWindow.java
@@ -0,0 +1,40 @@
+package reachloom.gossip;
+
+/**
+ * The sequence numbers received of one sender: the largest, and which of the 64 just below it (the
+ * anti-replay window of RFC 6479).
+ */
+final class SequenceWindow {
+  private long largest = Long.MIN_VALUE;
+
+  /** Bit i is set where {@code largest - i} has been received. */
+  private long received;
+
+  /** Whether that number has not been received, and is not too far behind to be known. */
+  boolean isFresh(long sequenceNumber) {
+    if (isEmpty() || sequenceNumber > largest) {
+      return true;
+    }
+    long behind = largest - sequenceNumber;
+    return behind >= 0 && behind < Long.SIZE && (received >>> behind & 1) == 0;
+  }
+
+  private boolean isEmpty() {
+    return largest == Long.MIN_VALUE;
+  }
+
+  /** Marks a number as received; false where it is not fresh. */
+  boolean accept(long sequenceNumber) {
+    if (!isFresh(sequenceNumber)) {
+      return false;
+    }
+    if (isEmpty() || sequenceNumber > largest) {
+      long ahead = isEmpty() ? Long.SIZE : sequenceNumber - largest;
+      received = ahead >= Long.SIZE || ahead < 0 ? 1 : received << ahead | 1;
+      largest = sequenceNumber;
+    } else {
+      received |= 1L << largest - sequenceNumber;
+    }
+    return true;
+  }
+}
--- a/decisions/src/main/java/reachloom/gossip/Transport.java
+++ b/decisions/src/main/java/reachloom/gossip/Transport.java
@@ -5,22 +5,23 @@
 import reachloom.peerreport.PeerReport;
 import reachloom.revision.RevisionMessage;
 
-/** What carries packets, and knows what they weigh. */
+/** Sends packets, and tells how large their parts are on the wire. */
 public interface Transport extends WireSizes {
-  /** One claim, in bytes. */
-  int reportBytes(PeerReport claim);
+  /** The bytes of one peer report. */
+  int reportBytes(PeerReport report);
 
-  /** One word about the configuration, in bytes. */
-  int revisionMessageBytes(RevisionMessage word);
+  /** The bytes of one message about the configuration. */
+  int revisionMessageBytes(RevisionMessage message);
 
   /**
-   * What a place (0 for none) and words add to a packet, in bytes, with all that surrounds them.
+   * The bytes that a place (0 for none) and messages about the configuration add to a packet, all
+   * that surrounds them included.
    */
-  int payloadBytes(int place, List<RevisionMessage> words);
+  int payloadBytes(int place, List<RevisionMessage> messages);
 
   /**
-   * Sends a packet to whoever listens at that address; an empty name where it is not known who
-   * does.
+   * Sends a packet to whoever listens at an address (IPv4 and port in the lowest 48 bits); the name
+   * is empty where it is not known who does.
    */
   void send(String to, long address, Packet packet);
 }
--- a/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -3,25 +3,25 @@
 import reachloom.scheduler.state.SlidingWindowSum;
 
 /**
- * Keeps what is sent within a cap in each second, however the second is laid. What matters less may
- * fill less of it, so that the failure detector finds room when joins, news and evidence would take
- * all.
+ * Keeps what is sent within a limit in each second, wherever the second begins. What matters less
+ * may fill less of it, so that the failure detector has room when joins, updates and peer reports
+ * would take all. Not thread-safe.
  */
 public final class BandwidthLimiter {
   /** What a datagram is sent for. */
   public enum Purpose {
-    /** To find out who is alive. */
+    /** To detect failures. */
     PROBE(1),
-    /** To let one in that knows nobody yet. */
+    /** To let a node join that knows nobody yet. */
     WELCOME(0.95),
-    /** To answer those who want to find out. */
+    /** To answer the pings of others. */
     ANSWER(0.9),
     /** To pass on the configuration: it may fill what the failure detector leaves. */
     REVISION(0.85),
-    /** To bring tables together, and to say hello. */
+    /** To bring tables together, and to ping seeds. */
     SYNC(0.75);
 
-    /** The share of the cap up to which it is sent. */
+    /** The share of the limit up to which it is sent. */
     private final double share;
 
     Purpose(double share) {
@@ -30,55 +30,59 @@
   }
 
   /**
-   * News and evidence beside messages get that share of their own, whatever the messages take: an
-   * instance that is asked by many knows most of what is new, and would else be the last to tell.
+   * Updates and peer reports beside messages get that share of their own, whatever the messages
+   * take: a node that is pinged by many knows most of what is new, and would else be the last to
+   * tell.
    */
-  private static final double RIDE_SHARE = 0.25;
+  private static final double PIGGYBACK_SHARE = 0.25;
 
-  /** ... but never the last of the cap. */
-  private static final double RIDE_UP_TO = 0.8;
+  /** ... but never the last of the limit. */
+  private static final double MAX_SHARE_WITH_PIGGYBACK = 0.8;
 
   /** One packet carries up to that share, so that the next ones have something to carry, too. */
-  private static final double PACKET_SHARE = 0.1;
+  private static final double PACKET_PIGGYBACK_SHARE = 0.1;
 
-  private static final long SECOND = 1_000_000_000; // nanoseconds
+  private static final long SECOND_NANOS = 1_000_000_000;
 
-  private final int cap;
-  private final SlidingWindowSum sent = new SlidingWindowSum(SECOND);
-  private final SlidingWindowSum ridden = new SlidingWindowSum(SECOND);
+  private final int maxBytesPerSecond;
+  private final SlidingWindowSum sentBytes = new SlidingWindowSum(SECOND_NANOS);
+  private final SlidingWindowSum piggybackBytes = new SlidingWindowSum(SECOND_NANOS);
 
-  /** A meter for that many bytes a second. */
-  public BandwidthLimiter(int cap) {
-    this.cap = cap;
+  /** A limiter that lets through that many bytes in each second. */
+  public BandwidthLimiter(int maxBytesPerSecond) {
+    this.maxBytesPerSecond = maxBytesPerSecond;
   }
 
   /** Whether a datagram of that size may go out now. */
-  public boolean hasRoom(long now, Purpose use, int bytes) {
-    return sent.sum(now) + bytes <= cap * use.share;
+  public boolean hasRoom(long nowNanos, Purpose purpose, int bytes) {
+    return sentBytes.sum(nowNanos) + bytes <= maxBytesPerSecond * purpose.share;
   }
 
-  /** How large a datagram of that many bytes may grow by what rides on it. */
-  public int maxWithPiggyback(long now, int bytes, int mostBytes) {
+  /** How large a datagram of that many bytes may grow by what rides on it, in bytes. */
+  public int maxWithPiggyback(long nowNanos, int bytes, int maxBytes) {
     double left =
-        Math.min(cap * RIDE_SHARE - ridden.sum(now), cap * RIDE_UP_TO - sent.sum(now) - bytes);
-    return Math.max(bytes, (int) Math.min(mostBytes, bytes + Math.min(left, maxPiggybackBytes())));
+        Math.min(
+            maxBytesPerSecond * PIGGYBACK_SHARE - piggybackBytes.sum(nowNanos),
+            maxBytesPerSecond * MAX_SHARE_WITH_PIGGYBACK - sentBytes.sum(nowNanos) - bytes);
+    return Math.max(bytes, (int) Math.min(maxBytes, bytes + Math.min(left, maxPiggybackBytes())));
   }
 
-  /** How large a packet may grow whose very purpose is what it carries. */
-  public int maxSyncBytes(long now, int bytes, int mostBytes) {
-    return Math.max(bytes, Math.min(mostBytes, (int) (cap * Purpose.SYNC.share - sent.sum(now))));
+  /** How large a datagram may grow whose very purpose is what it carries, in bytes. */
+  public int maxSyncBytes(long nowNanos, int bytes, int maxBytes) {
+    int left = (int) (maxBytesPerSecond * Purpose.SYNC.share - sentBytes.sum(nowNanos));
+    return Math.max(bytes, Math.min(maxBytes, left));
   }
 
   /** What may ride on one packet, in bytes. */
   public int maxPiggybackBytes() {
-    return (int) (cap * PACKET_SHARE);
+    return (int) (maxBytesPerSecond * PACKET_PIGGYBACK_SHARE);
   }
 
-  /** Notes what went out, and how much of it rode on a message. */
-  public void record(long now, int bytes, int riding) {
-    sent.add(now, bytes);
-    if (riding > 0) {
-      ridden.add(now, riding);
+  /** Records what went out, and how many bytes of it rode on a message. */
+  public void record(long nowNanos, int bytes, int ridingBytes) {
+    sentBytes.add(nowNanos, bytes);
+    if (ridingBytes > 0) {
+      piggybackBytes.add(nowNanos, ridingBytes);
     }
   }
 }
--- a/decisions/src/main/java/reachloom/membership/LocalHealth.java
+++ b/decisions/src/main/java/reachloom/membership/LocalHealth.java
@@ -1,30 +1,32 @@
 package reachloom.membership;
 
 /**
- * How well this instance itself does, as its own probes show: Lifeguard's local health multiplier.
- * One that was starved or stalled gives others more time before it blames them. It harms where the
- * network is bad and the instance well: real failures are found later, by a factor of nine at most.
+ * How well this node itself does, as its own pings show: Lifeguard's local health multiplier
+ * (section IV-A). A node that was starved or paused gives others more time before it accuses them.
+ * The cost: where the network is bad and the node healthy, failures are detected later, by a factor
+ * of nine at most.
  */
 final class LocalHealth {
-  private static final int MOST = 8; // Lifeguard's bound
+  private static final int MAX_SCORE = 8; // Lifeguard's bound
 
   private int score;
 
-  /** Something that an instance in good health would not have seen. */
+  /** Something happened that a healthy node would not have seen. */
   void worsen(int by) {
-    score = Math.min(MOST, score + by);
+    score = Math.min(MAX_SCORE, score + by);
   }
 
-  /** A probe went as it should. */
+  /** A ping was acknowledged in time. */
   void improve() {
     score = Math.max(0, score - 1);
   }
 
-  /** A time, stretched. */
-  long stretch(long time) {
-    return time * (score + 1);
+  /** A span of time, stretched by the score. */
+  long stretch(long nanos) {
+    return nanos * (score + 1);
   }
 
+  /** 0 is healthy, {@link #MAX_SCORE} the worst. */
   int score() {
     return score;
   }
--- a/decisions/src/main/java/reachloom/membership/MembershipMessage.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipMessage.java
@@ -2,42 +2,128 @@
 
 import java.util.List;
 
-/** What instances say to each other; each goes out with news beside it. */
+/** What nodes send to each other; each message may carry updates, peer reports and a payload. */
 public sealed interface MembershipMessage {
-  /** Are you there? An empty target asks whoever listens at the address. */
-  record Ping(long sequenceNumber, String target) implements MembershipMessage {}
+  /** Calls the method of the visitor for this kind of message. */
+  void accept(Visitor visitor);
 
-  /** Here I am. */
-  record Ack(long sequenceNumber) implements MembershipMessage {}
+  /** One method for each kind of message, so that the compiler checks that none is left out. */
+  interface Visitor {
+    /** A ping has come. */
+    void visit(Ping ping);
 
-  /** Ask that one for me. */
+    /** An acknowledgement has come. */
+    void visit(Ack ack);
+
+    /** A request for an indirect ping has come. */
+    void visit(PingRequest request);
+
+    /** A negative acknowledgement has come. */
+    void visit(Nack nack);
+
+    /** A request for differences of the member tables has come. */
+    void visit(SyncRequest request);
+
+    /** Members of the sender's table have come. */
+    void visit(SyncResponse response);
+
+    /** A packet has come whose message is what it carries. */
+    void visit(PayloadOnly payload);
+
+    /** An operator's request has come. */
+    void visit(StatusRequest request);
+
+    /** An answer to an operator's request has come. */
+    void visit(StatusPage page);
+
+    /** The sender leaves. */
+    void visit(Leave leave);
+  }
+
+  /** Asks a member to acknowledge; an empty target asks whoever listens at the address. */
+  record Ping(long sequenceNumber, String target) implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
+
+  /** Acknowledges the ping of that number. */
+  record Ack(long sequenceNumber) implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
+
+  /** Asks the receiver to ping another member, which listens at the address (indirect ping). */
   record PingRequest(long sequenceNumber, String target, long targetAddress)
-      implements MembershipMessage {}
+      implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
-  /** I am here, but that one has not answered me. */
-  record Nack(long sequenceNumber) implements MembershipMessage {}
+  /** Tells that the target of an indirect ping has not answered, while the relay is there. */
+  record Nack(long sequenceNumber) implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
   /**
-   * What do you hold of the members behind the first name, up to the last one, that I don't? The
-   * marks are {@link MemberDigest} of what the sender holds of them; an empty last name stands for
-   * the end.
+   * Asks for the members after the first name, up to the last one, of which the sender does not
+   * hold the same. The digests are {@link MemberDigest} of what it holds; an empty last name stands
+   * for the end of the table.
    */
   record SyncRequest(String afterName, String lastName, int salt, List<Integer> digests)
-      implements MembershipMessage {}
+      implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
-  /** What is held; {@code more} tells that not all of it found room. */
+  /** Tells of members; {@code truncated} is set where not all of them found room. */
   record SyncResponse(boolean truncated, List<MembershipUpdate> updates)
-      implements MembershipMessage {}
+      implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
-  /** Nothing but what rides on it: something has been seen that others should know soon. */
-  record PayloadOnly() implements MembershipMessage {}
+  /** Carries updates, peer reports and payload that others should know soon. */
+  record PayloadOnly() implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
-  /** An operator asks for a page of what this instance knows. */
-  record StatusRequest(int page) implements MembershipMessage {}
+  /** An operator asks for a page of the status; pages count from 0. */
+  record StatusRequest(int page) implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
-  /** One of so many pages, as text. */
-  record StatusPage(int page, int pageCount, String text) implements MembershipMessage {}
+  /** One page of the status as text. */
+  record StatusPage(int page, int pageCount, String text) implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 
-  /** I am going. */
-  record Leave() implements MembershipMessage {}
+  /** Tells that the sender leaves. */
+  record Leave() implements MembershipMessage {
+    @Override
+    public void accept(Visitor visitor) {
+      visitor.visit(this);
+    }
+  }
 }
--- a/decisions/src/main/java/reachloom/membership/MessageSender.java
+++ b/decisions/src/main/java/reachloom/membership/MessageSender.java
@@ -2,21 +2,24 @@
 
 import java.util.List;
 
-/** Where a member's packets and findings go. */
+/** Where a node's messages and the changes that it finds go. */
 public interface MessageSender {
   /**
-   * Sends a message with news; gives the bytes that it took on the wire. What is left up to {@code
-   * most} may be used for what else the instance has to say. An empty name stands for whoever
-   * listens at the address.
+   * Sends a message with updates.
+   *
+   * @param to the receiver's name; empty stands for whoever listens at the address
+   * @param address where the receiver listens: IPv4 address and port in the lowest 48 bits
+   * @param maxBytes how large the datagram may grow; what is left may carry peer reports
+   * @return the bytes that it took on the wire
    */
   int send(
-      long now,
+      long nowNanos,
       String to,
       long address,
       MembershipMessage message,
-      List<MembershipUpdate> news,
-      int most);
+      List<MembershipUpdate> updates,
+      int maxBytes);
 
-  /** A member has joined, or is believed to be in another state than before. */
-  void onMemberChanged(long now, MembershipUpdate member);
+  /** A member has joined, has changed its state, or its place has become known. */
+  void onMemberChanged(long nowNanos, MembershipUpdate member);
 }
--- a/decisions/src/main/java/reachloom/membership/Suspicion.java
+++ b/decisions/src/main/java/reachloom/membership/Suspicion.java
@@ -4,59 +4,58 @@
 import java.util.Set;
 
 /**
- * The time that a suspected member has to object. It starts long, and each further independent
- * accuser shortens it, down to a least time that is enough for a refutation to get round
+ * The time that a suspected member has to refute the accusation. It starts long, and each further
+ * independent accuser shortens it, down to a minimum that is enough for a refutation to get round
  * (Lifeguard, section IV-B).
  */
 final class Suspicion {
-  // periods for each decade of members; what follows, the last questions, makes up for memberlist's
-  // fourth
-  private static final double MIN_FACTOR = 3;
-  private static final double MAX_FACTOR = 6; // ... and the longest time in least times
-  private static final int ACCUSERS = 2; // further accusers that shorten it to the least
+  // Periods for each decade of members; the last pings that follow make up for memberlist's fourth.
+  private static final double MIN_TIMEOUT_PERIODS = 3;
+  private static final double MAX_TIMEOUT_FACTOR = 6; // the longest timeout in shortest ones
+  private static final int CONFIRMATIONS = 2; // further accusers that shorten it to the minimum
 
   private final Set<String> accusers = new LinkedHashSet<>();
-  private final long least;
-  private long startedAt;
-  private int lastAsks;
-  private long askedUntil;
-
-  Suspicion(long now, long period, int members, String accuser) {
-    startedAt = now;
-    least = (long) (MIN_FACTOR * Math.max(1, Math.log10(Math.max(1, members))) * period);
+  private final long minTimeoutNanos;
+  private long startedAtNanos;
+  private int lastPings;
+  private long lastPingDeadlineNanos;
+
+  Suspicion(long nowNanos, long periodNanos, int clusterSize, String accuser) {
+    startedAtNanos = nowNanos;
+    double decades = Math.max(1, Math.log10(Math.max(1, clusterSize)));
+    minTimeoutNanos = (long) (MIN_TIMEOUT_PERIODS * decades * periodNanos);
     accusers.add(accuser);
   }
 
-  /**
-   * Takes one more accuser; true where it is a new one that counts, so that its word is passed on.
-   */
+  /** Takes one more accuser; true where it is a new one that counts, and is to be passed on. */
   boolean confirm(String accuser) {
-    return accusers.size() <= ACCUSERS && accusers.add(accuser);
+    return accusers.size() <= CONFIRMATIONS && accusers.add(accuser);
   }
 
-  /** Nothing of a standstill of this process counts against the member. */
-  void shift(long by) {
-    startedAt += by;
+  /** Moves the start of the timeout: a pause of this process does not count against the member. */
+  void extend(long nanos) {
+    startedAtNanos += nanos;
   }
 
-  /** When its time is up. */
-  long until() {
-    double part = Math.log(accusers.size()) / Math.log(ACCUSERS + 1);
-    long time = startedAt + (long) (least * (MAX_FACTOR - (MAX_FACTOR - 1) * part));
-    return Math.max(time, askedUntil);
+  /** When the member's time is up. */
+  long deadlineNanos() {
+    double confirmed = Math.log(accusers.size()) / Math.log(CONFIRMATIONS + 1);
+    double factor = MAX_TIMEOUT_FACTOR - (MAX_TIMEOUT_FACTOR - 1) * confirmed;
+    return Math.max(startedAtNanos + (long) (minTimeoutNanos * factor), lastPingDeadlineNanos);
   }
 
-  /** It has been asked once more, and has until then to answer. */
-  void asked(long until) {
-    lastAsks++;
-    askedUntil = until;
+  /** The member has been pinged once more, and has until then to acknowledge. */
+  void onLastPing(long deadlineNanos) {
+    lastPings++;
+    lastPingDeadlineNanos = deadlineNanos;
   }
 
-  int lastAsks() {
-    return lastAsks;
+  /** How often the member was pinged after its time was up. */
+  int lastPings() {
+    return lastPings;
   }
 
-  long least() {
-    return least;
+  long minTimeoutNanos() {
+    return minTimeoutNanos;
   }
 }
--- /dev/null
+++ b/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
@@ -0,0 +1,136 @@
+package reachloom.membership;
+
+import java.util.Optional;
+
+/**
+ * Takes in what members tell of themselves and of others, and refutes what is told wrongly of this
+ * node. Confined to the thread that calls {@link MembershipService}.
+ */
+final class UpdateProcessor {
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final long MAX_CLOCK_LEAD_SECONDS = 60; // of an incarnation that others tell
+
+  private final LocalMember local;
+  private final LocalHealth health;
+  private final UpdateQueue updates;
+  private final MemberTable members;
+  private final SuspicionTracker suspicions;
+  private final JoinProtocol joining;
+  private final AntiEntropySync sync;
+
+  UpdateProcessor(
+      LocalMember local,
+      LocalHealth health,
+      UpdateQueue updates,
+      MemberTable members,
+      SuspicionTracker suspicions,
+      JoinProtocol joining,
+      AntiEntropySync sync) {
+    this.local = local;
+    this.health = health;
+    this.updates = updates;
+    this.members = members;
+    this.suspicions = suspicions;
+    this.joining = joining;
+    this.sync = sync;
+  }
+
+  /** A packet of its own shows a member alive, where it listens, and in which incarnation. */
+  Optional<Member> onHeardFrom(long nowNanos, MembershipUpdate self) {
+    Optional<Member> known = members.find(self.member());
+    if (known.isEmpty()) {
+      known = add(nowNanos, self, true);
+    } else {
+      refresh(nowNanos, known.get(), self);
+    }
+    known.ifPresent(member -> member.heardAtNanos = nowNanos);
+    return known;
+  }
+
+  private void refresh(long nowNanos, Member member, MembershipUpdate self) {
+    boolean sameIncarnation = self.incarnation() == member.incarnation;
+    if (self.incarnation() > member.incarnation) {
+      member.address = self.address();
+      member.place = self.place();
+      members.transition(nowNanos, member, MemberState.ALIVE, self.incarnation());
+    } else if (self.place() != 0 && member.place == 0 && sameIncarnation) {
+      members.setPlace(nowNanos, member, self.place());
+    } else if (member.heardAtNanos == 0 && sameIncarnation && member.address != self.address()) {
+      members.correctAddress(member, self.address());
+    }
+  }
+
+  private Optional<Member> add(long nowNanos, MembershipUpdate update, boolean spread) {
+    Optional<Member> added = members.add(nowNanos, update);
+    if (added.isPresent()) {
+      MembershipUpdate told = added.get().toUpdate();
+      if (spread) {
+        updates.add(told);
+      }
+      sync.onMemberAdded(nowNanos);
+      members.reportChange(nowNanos, told);
+    }
+    return added;
+  }
+
+  /**
+   * Takes in what {@code teller} says of a member. What stands in a table that was asked for is not
+   * passed on: {@code spread} is false.
+   */
+  void apply(long nowNanos, MembershipUpdate update, String teller, boolean spread) {
+    if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_CLOCK_LEAD_SECONDS) {
+      return; // no honest node has got there: it would leave no number to refute it with
+    }
+    if (update.member().equals(local.name())) {
+      applyToSelf(update);
+      return;
+    }
+    Optional<Member> known = members.find(update.member());
+    if (known.isEmpty()) {
+      applyToUnknown(nowNanos, update, spread);
+    } else if (update.state() == MemberState.ALIVE) {
+      applyAlive(nowNanos, known.get(), update);
+    } else {
+      applyAccusation(nowNanos, known.get(), update, teller);
+    }
+  }
+
+  private void applyToSelf(MembershipUpdate update) {
+    if (local.isContradictedBy(update)) {
+      if (update.state() != MemberState.ALIVE) {
+        health.worsen(1);
+      }
+      local.refute(update);
+      updates.add(local.toUpdate());
+    }
+  }
+
+  private void applyToUnknown(long nowNanos, MembershipUpdate update, boolean spread) {
+    if (update.state() != MemberState.ALIVE) {
+      return;
+    }
+    Optional<Member> added = add(nowNanos, update, spread);
+    if (added.isPresent() && spread) {
+      joining.onNewcomerHeardOf(nowNanos, added.get(), local.toUpdate());
+    }
+  }
+
+  private void applyAlive(long nowNanos, Member member, MembershipUpdate update) {
+    if (update.incarnation() > member.incarnation) {
+      member.address = update.address();
+      member.place = update.place() == 0 ? member.place : update.place();
+      members.transition(nowNanos, member, MemberState.ALIVE, update.incarnation());
+    } else if (member.place == 0 && update.place() != 0) { // fills a gap, moves nobody
+      members.setPlace(nowNanos, member, update.place());
+    }
+  }
+
+  private void applyAccusation(
+      long nowNanos, Member member, MembershipUpdate update, String teller) {
+    if (update.incarnation() >= member.incarnation && member.state.present()) {
+      member.incarnation = update.incarnation();
+      boolean namesAccuser = update.state() == MemberState.SUSPECT && !update.accuser().isEmpty();
+      suspicions.onAccusation(nowNanos, member, namesAccuser ? update.accuser() : teller);
+    }
+  }
+}
--- a/decisions/src/main/java/reachloom/membership/UpdateQueue.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateQueue.java
@@ -5,79 +5,89 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * News on its way round, the latest of each member. Each piece goes out a bounded number of times;
- * what has gone out least goes first, and of equals the newest. With the table full, the oldest
- * yields.
+ * Updates on their way round the cluster, the latest of each member (SWIM, section 4.1). Each one
+ * is sent a bounded number of times; what was sent least goes first, and of equals the newest. With
+ * the queue full, the oldest update is dropped.
  */
 final class UpdateQueue {
-  private static final int MOST = 1024; // members with news at one time
-  private static final double SPREAD =
-      3; // times that news goes out, for each doubling of the members
+  private static final int MAX_UPDATES = 1_024; // members with an update at one time
+  private static final double TRANSMISSIONS_PER_DOUBLING = 3; // of the number of members
 
-  private static final class Rumour {
-    private final MembershipUpdate news;
+  private static final class QueuedUpdate {
+    private final MembershipUpdate update;
     private final long number;
-    private int sent;
+    private int transmissions;
 
-    Rumour(MembershipUpdate news, long number) {
-      this.news = news;
+    QueuedUpdate(MembershipUpdate update, long number) {
+      this.update = update;
       this.number = number;
     }
   }
 
-  private final Map<String, Rumour> rumours = new LinkedHashMap<>();
-  private long count;
+  private static final Comparator<QueuedUpdate> LEAST_SENT_THEN_NEWEST =
+      Comparator.<QueuedUpdate>comparingInt(queued -> queued.transmissions)
+          .thenComparingLong(queued -> -queued.number);
 
-  /** Takes news that is to get round, in the place of older news of the same member. */
-  void add(MembershipUpdate news) {
-    rumours.remove(news.member());
-    if (rumours.size() >= MOST) {
-      rumours.remove(rumours.keySet().iterator().next());
+  private final Map<String, QueuedUpdate> queue = new LinkedHashMap<>();
+  private long nextNumber;
+
+  /** Queues an update, in the place of an older one on the same member. */
+  void add(MembershipUpdate update) {
+    queue.remove(update.member());
+    if (queue.size() >= MAX_UPDATES) {
+      queue.remove(queue.keySet().iterator().next());
     }
-    rumours.put(news.member(), new Rumour(news, count++));
+    queue.put(update.member(), new QueuedUpdate(update, nextNumber++));
   }
 
   /**
-   * News for one packet of no more than {@code room} bytes, the given piece first where there is
-   * one.
+   * Takes the updates for one packet, the given one before all others.
+   *
+   * @param first an update that is sent with this packet in any case, as far as it fits
+   * @param clusterSize how many members there are; bounds how often an update is sent
+   * @param maxBytes how many bytes all of them may take
    */
-  List<MembershipUpdate> take(MembershipUpdate first, int members, int room, WireSizes weights) {
+  List<MembershipUpdate> take(
+      Optional<MembershipUpdate> first, int clusterSize, int maxBytes, WireSizes sizes) {
     List<MembershipUpdate> taken = new ArrayList<>();
-    int left = room;
-    if (first != null && weights.updateBytes(first) <= left) {
-      taken.add(first);
-      left -= weights.updateBytes(first);
+    int leftBytes = maxBytes;
+    if (first.isPresent() && sizes.updateBytes(first.get()) <= leftBytes) {
+      taken.add(first.get());
+      leftBytes -= sizes.updateBytes(first.get());
     }
-    if (rumours.isEmpty()) {
+    if (queue.isEmpty()) {
       return taken;
     }
-    int most = maxTransmissions(members);
-    List<Rumour> order = new ArrayList<>(rumours.values());
-    order.sort(Comparator.<Rumour>comparingInt(r -> r.sent).thenComparingLong(r -> -r.number));
-    for (Rumour r : order) {
-      int size = weights.updateBytes(r.news);
-      if (size > left) {
+    String firstMember = first.map(MembershipUpdate::member).orElse("");
+    int maxTransmissions = maxTransmissions(clusterSize);
+    List<QueuedUpdate> order = new ArrayList<>(queue.values());
+    order.sort(LEAST_SENT_THEN_NEWEST);
+    for (QueuedUpdate queued : order) {
+      int updateBytes = sizes.updateBytes(queued.update);
+      if (updateBytes > leftBytes) {
         break;
       }
-      if (first != null && r.news.member().equals(first.member())) {
+      if (queued.update.member().equals(firstMember)) {
         continue;
       }
-      taken.add(r.news);
-      left -= size;
-      if (++r.sent >= most) {
-        rumours.remove(r.news.member());
+      taken.add(queued.update);
+      leftBytes -= updateBytes;
+      if (++queued.transmissions >= maxTransmissions) {
+        queue.remove(queued.update.member());
       }
     }
     return taken;
   }
 
-  static int maxTransmissions(int members) {
-    return (int) Math.ceil(SPREAD * (Math.log(members + 1) / Math.log(2)));
+  /** How often an update is sent in a cluster of that size: logarithmic, as in SWIM. */
+  static int maxTransmissions(int clusterSize) {
+    return (int) Math.ceil(TRANSMISSIONS_PER_DOUBLING * (Math.log(clusterSize + 1) / Math.log(2)));
   }
 
   int size() {
-    return rumours.size();
+    return queue.size();
   }
 }
--- a/decisions/src/main/java/reachloom/membership/WireSizes.java
+++ b/decisions/src/main/java/reachloom/membership/WireSizes.java
@@ -1,10 +1,13 @@
 package reachloom.membership;
 
-/** Bytes on the wire, so that what is sent can be planned before it is written. */
+/** Sizes on the wire, so that what is sent can be planned before it is encoded. */
 public interface WireSizes {
-  /** A datagram to that member with that message and nothing else, with all that surrounds it. */
+  /**
+   * The bytes of a datagram to that member with that message and nothing else, all headers
+   * included; the name is empty where it is not known who listens.
+   */
   int messageBytes(String to, MembershipMessage message);
 
-  /** One piece of news. */
-  int updateBytes(MembershipUpdate news);
+  /** The bytes of one update. */
+  int updateBytes(MembershipUpdate update);
 }
--- a/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -2,292 +2,280 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
+import reachloom.peerreport.ReportingPeer.HeldReport;
 
 /**
- * Weighs what others say of engines by how many they are, how fresh and how broad what they saw is,
- * and how well each has stood so far. What comes of it is a level from 0 to 1 for each engine, to
- * be taken as hearsay: at {@link #ACCUSED_LEVEL} and above several peers accuse it. One peer alone
- * never brings an engine that far; own fresh evidence of an engine brings its level to 0, whatever
- * others say; and no more than a part of the engines can be accused at a time.
+ * Weighs what peers report of engines by how many they are, how fresh and how broad their reports
+ * are, and how reliable each peer has been so far. The result is a level from 0 to 1 for each
+ * engine: at {@link #ACCUSED_LEVEL} and above a quorum of peers accuses it. One peer alone never
+ * brings an engine that far; fresh attempts of this node's own bring its level to 0, whatever
+ * others report; and no more than a share of the engines can be accused at a time.
  *
- * <p>A peer's standing falls with each claim that own observation contradicts, and recovers slowly.
- * Peers that were contradicted over the same engine lately count as one: liars that agree gain
- * nothing by being many once they have been found out together. It harms peers whose path to an
- * engine is bad while ours is good: what they tell is true for them, and counts for little here,
- * which is as it should be.
+ * <p>A peer's reputation falls with each report that this node's own attempts contradict, and
+ * recovers slowly. Peers that were contradicted about the same engine lately count as one: nodes
+ * that agree on a lie gain nothing by being many once they have been found out together. The cost
+ * is borne by peers whose path to an engine is bad while this node's is good: what they report is
+ * true for them, and counts for little here, as it should.
+ *
+ * <p>Not thread-safe; times are nanoseconds of the clock handed in. Peers are held in the order of
+ * their names, so that the same events give the same levels bit by bit.
  */
 public final class WeightedQuorum {
-  /** From this level on several peers accuse an engine. */
+  /** From this level on a quorum of peers accuses an engine. */
   public static final double ACCUSED_LEVEL = 0.5;
 
-  private static final long SECOND = 1_000_000_000; // nanoseconds
-  // of a claim; what is sick is avoided, so that new ones are rare
-  private static final long LIFE = 20 * SECOND;
-  private static final double FADES = 2; // times as fast as from the start: over the second half
-  private static final int FRESH = 3; // seconds of own evidence that go before hearsay
-  private static final int OWN_LEAST = 2; // own attempts in them that settle it
-  private static final double BAD = 0.5; // share that came to nothing: a claim accuses from here on
-  private static final double GOOD = 0.2; // ... and vouches up to here
-  private static final int BAD_LEAST = 2; // attempts that must have failed: one may be chance
-  private static final int LONE_LEAST = 1; // ... with no success beside it one counts, for less
-  private static final double SAMPLE_HALF = 1; // attempts at which a claim weighs half
-  private static final double START = 0.5; // standing of a peer not known yet
-  private static final double FALL = 0.6; // what is left of it after a contradiction
-  private static final double GAIN = 0.1; // of what it lacks, for a claim borne out
-  private static final double RECOVERY = 0.005; // of a standing under the start's, each second
-  private static final long JUDGE_GAP = SECOND; // between judgements of one peer on one engine
-  private static final long BOUND_FOR =
-      60 * SECOND; // peers contradicted together count as one for so long
-  private static final double ONE_PEER =
-      0.4; // the most that one peer alone, or one group, can bring about
-  private static final double PRIOR = 0.15; // weight against each accusation
-  private static final double MOST_ACCUSED = 0.25; // share of the engines
-  private static final int MOST_PEERS = 2_048;
-  private static final int MOST_CLAIMS = 256; // of one peer
+  private static final long SECOND_NANOS = 1_000_000_000;
 
-  private record Held(PeerReport claim, long at) {}
+  // An engine that fails is avoided, so that new reports on it are rare.
+  private static final long REPORT_LIFETIME_NANOS = 20 * SECOND_NANOS;
+  private static final double FADE_RATE = 2; // full weight in the first half of a report's lifetime
+  private static final int OWN_FRESH_SECONDS = 3; // in which own attempts go before reports
+  private static final int MIN_OWN_ATTEMPTS = 2; // in them that settle it
+  private static final double MIN_ACCUSING_RATIO = 0.5; // of failures: a report accuses from here
+  private static final double MAX_VOUCHING_RATIO = 0.2; // ... and vouches up to here
+  private static final int MIN_ATTEMPTS = 2; // that a report counts: one may be chance
+  private static final int MIN_LONE_FAILURES = 1; // ... without success, for less weight
+  private static final double HALF_WEIGHT_ATTEMPTS = 1; // at which a report has half its weight
+  private static final long JUDGEMENT_INTERVAL_NANOS = SECOND_NANOS; // of a peer on an engine
+  private static final long CONTRADICTION_MEMORY_NANOS = 60 * SECOND_NANOS;
+  private static final double MAX_LEVEL_OF_ONE =
+      0.4; // by one peer, or one group that counts as one
+  private static final double PRIOR_WEIGHT = 0.15; // against each accusation
+  private static final double MAX_ACCUSED_SHARE = 0.25; // of the engines
+  private static final int MAX_PEERS = 2_048;
 
-  private static final class Peer {
-    private final Map<String, Held> claims = new LinkedHashMap<>();
-    private final Map<String, Long> judgedAt = new LinkedHashMap<>();
+  /**
+   * What peers make this node believe of one engine, and why.
+   *
+   * @param engine the engine's name
+   * @param incarnation the start of its process
+   * @param level from 0, nothing against it, to 1
+   * @param accusers the peers whose reports accuse it
+   * @param vouchers the peers whose reports vouch for it
+   */
+  public record Assessment(
+      String engine, long incarnation, double level, List<String> accusers, List<String> vouchers) {
+    private Assessment withLevel(double otherLevel) {
+      return new Assessment(engine, incarnation, otherLevel, accusers, vouchers);
+    }
+  }
 
-    /** Engines about which it was contradicted, and when. */
-    private final Map<String, Long> wrongAbout = new LinkedHashMap<>();
+  /** Accusers that were contradicted together count as one, with their largest weight. */
+  private static final class AccuserGroups {
+    private final List<List<ReportingPeer>> groups = new ArrayList<>();
+    private final List<Double> weights = new ArrayList<>();
 
-    private double standing = START;
-    private int contradicted;
-    private int borneOut;
-  }
+    private void add(ReportingPeer peer, double weight) {
+      int group = 0;
+      while (group < groups.size() && !peer.sharesContradictionWithAny(groups.get(group))) {
+        group++;
+      }
+      if (group == groups.size()) {
+        groups.add(new ArrayList<>(List.of(peer)));
+        weights.add(weight);
+      } else {
+        groups.get(group).add(peer);
+        weights.set(group, Math.max(weights.get(group), weight));
+      }
+    }
 
-  /** What is believed of one engine by hearsay, and why. */
-  public record Assessment(
-      String engine,
-      long incarnation,
-      double level,
-      List<String> accusers,
-      List<String> vouchers) {}
+    private int count() {
+      return groups.size();
+    }
+
+    private double totalWeight() {
+      return weights.stream().mapToDouble(weight -> weight).sum();
+    }
+  }
 
-  private final OutcomeWindow own;
-  private final TreeMap<String, Peer> peers = new TreeMap<>();
-  private long reviewedAt;
+  private final OutcomeWindow ownOutcomes;
+  private final TreeMap<String, ReportingPeer> peers = new TreeMap<>();
+  private long assessedAtNanos;
 
-  /** Hearsay beside that ledger of own evidence. */
-  public WeightedQuorum(OutcomeWindow own) {
-    this.own = own;
+  /** Weighs peers' reports beside the outcomes of this node's own attempts. */
+  public WeightedQuorum(OutcomeWindow ownOutcomes) {
+    this.ownOutcomes = ownOutcomes;
   }
 
-  /** A peer tells what it saw. */
-  public void onReports(long now, String peer, List<PeerReport> claims) {
-    Peer p = peers.get(peer);
-    if (p == null) {
-      if (peers.size() >= MOST_PEERS) {
+  /** Takes in the reports of a peer; those with impossible values are left out. */
+  public void onReports(long nowNanos, String peerName, List<PeerReport> reports) {
+    ReportingPeer peer = peers.get(peerName);
+    if (peer == null) {
+      if (peers.size() >= MAX_PEERS) {
         return;
       }
-      p = new Peer();
-      peers.put(peer, p);
+      peer = new ReportingPeer();
+      peers.put(peerName, peer);
     }
-    for (PeerReport c : claims) {
-      boolean usable =
-          c.served() >= 0
-              && c.failed() >= 0
-              && c.timedOut() >= 0
-              && c.ageNanos() >= 0
-              && c.ageNanos() < LIFE;
-      if (!usable) {
-        continue;
-      }
-      if (!p.claims.containsKey(c.engine()) && p.claims.size() >= MOST_CLAIMS) {
-        p.claims.remove(p.claims.keySet().iterator().next());
+    for (PeerReport report : reports) {
+      if (isUsable(report)) {
+        peer.add(nowNanos, report);
       }
-      p.claims.put(c.engine(), new Held(c, now - c.ageNanos()));
     }
   }
 
+  private static boolean isUsable(PeerReport report) {
+    return report.served() >= 0
+        && report.failed() >= 0
+        && report.timedOut() >= 0
+        && report.ageNanos() >= 0
+        && report.ageNanos() < REPORT_LIFETIME_NANOS;
+  }
+
   /**
-   * A member that is gone takes its claims with it; its standing stays, so that leaving clears no
-   * name.
+   * A peer is no longer a member: its reports no longer count, its reputation stays, so that
+   * leaving clears no name.
    */
-  public void onPeerGone(String peer) {
-    Peer p = peers.get(peer);
-    if (p != null) {
-      p.claims.clear();
+  public void onPeerGone(String peerName) {
+    ReportingPeer peer = peers.get(peerName);
+    if (peer != null) {
+      peer.clearReports();
     }
   }
 
-  /** How well a peer has stood so far, from 0 to 1. */
-  public double reputation(String peer) {
-    Peer p = peers.get(peer);
-    return p == null ? START : p.standing;
+  /** How reliable a peer has been so far, from 0 to 1; the initial value for an unknown one. */
+  public double reputation(String peerName) {
+    ReportingPeer peer = peers.get(peerName);
+    return peer == null ? ReportingPeer.INITIAL_REPUTATION : peer.reputation();
   }
 
-  /** How many claims of a peer own observation has contradicted. */
-  public int contradictions(String peer) {
-    Peer p = peers.get(peer);
-    return p == null ? 0 : p.contradicted;
+  /** How many reports of a peer this node's own attempts have contradicted. */
+  public int contradictions(String peerName) {
+    ReportingPeer peer = peers.get(peerName);
+    return peer == null ? 0 : peer.contradictions();
   }
 
   /**
-   * Judges the peers by own evidence, and weighs what is left: beliefs about the given engines,
-   * those with a level above 0 only. {@code engines} holds name and start of each one in use.
+   * Judges the peers by this node's own attempts, and weighs what is left.
+   *
+   * @param engines name and incarnation of each engine in use
+   * @return assessments of those with a level above 0, the highest level first
    */
-  public List<WeightedQuorum.Assessment> assess(long now, Map<String, Long> engines) {
-    recover(now);
-    for (Peer p : peers.values()) {
-      p.claims.values().removeIf(h -> now - h.at > LIFE);
-      p.wrongAbout.values().removeIf(at -> now - at > BOUND_FOR);
-      p.judgedAt.values().removeIf(at -> now - at >= JUDGE_GAP);
+  public List<Assessment> assess(long nowNanos, Map<String, Long> engines) {
+    recoverReputations(nowNanos);
+    for (ReportingPeer peer : peers.values()) {
+      peer.expire(
+          nowNanos, REPORT_LIFETIME_NANOS, CONTRADICTION_MEMORY_NANOS, JUDGEMENT_INTERVAL_NANOS);
     }
-    List<WeightedQuorum.Assessment> beliefs = new ArrayList<>();
+    List<Assessment> assessments = new ArrayList<>();
     engines.forEach(
-        (engine, since) -> {
-          PeerReport seen = own.summary(now, engine, since, FRESH);
-          judge(now, engine, since, seen);
-          if (seen.attempts() < OWN_LEAST) {
-            WeightedQuorum.Assessment b = weigh(now, engine, since);
-            if (b.level > 0) {
-              beliefs.add(b);
+        (engine, incarnation) -> {
+          PeerReport own = ownOutcomes.summary(nowNanos, engine, incarnation, OWN_FRESH_SECONDS);
+          judgePeers(nowNanos, own);
+          if (own.attempts() < MIN_OWN_ATTEMPTS) {
+            Assessment assessment = weigh(nowNanos, engine, incarnation);
+            if (assessment.level > 0) {
+              assessments.add(assessment);
             }
           }
         });
-    return bounded(beliefs, engines.size());
+    return withBoundedAccusations(assessments, engines.size());
   }
 
-  private void recover(long now) {
-    double passed = reviewedAt == 0 ? 0 : (now - reviewedAt) / (double) SECOND;
-    reviewedAt = now;
-    for (Peer p : peers.values()) {
-      if (p.standing < START) {
-        p.standing += (START - p.standing) * Math.min(1, RECOVERY * passed);
-      }
+  private void recoverReputations(long nowNanos) {
+    double seconds =
+        assessedAtNanos == 0 ? 0 : (nowNanos - assessedAtNanos) / (double) SECOND_NANOS;
+    assessedAtNanos = nowNanos;
+    peers.values().forEach(peer -> peer.recover(seconds));
+  }
+
+  /**
+   * What own attempts show of the peers' reports on an engine: only where they are plain, and about
+   * the same time.
+   */
+  private void judgePeers(long nowNanos, PeerReport own) {
+    boolean enough = own.attempts() >= MIN_OWN_ATTEMPTS;
+    boolean healthy = enough && own.failureRatio() <= MAX_VOUCHING_RATIO && own.unserved() == 0;
+    boolean failing = enough && own.failureRatio() >= MIN_ACCUSING_RATIO;
+    if (healthy || failing) {
+      peers.values().forEach(peer -> judge(nowNanos, peer, own, failing));
     }
   }
 
-  /** What own evidence shows of a peer's word; only where it is plain, and about the same time. */
-  private void judge(long now, String engine, long since, PeerReport seen) {
-    boolean good =
-        seen.attempts() >= OWN_LEAST
-            && seen.failureRatio() <= GOOD
-            && seen.failed() + seen.timedOut() == 0;
-    boolean bad = seen.attempts() >= OWN_LEAST && seen.failureRatio() >= BAD;
-    if (!good && !bad) {
+  private void judge(long nowNanos, ReportingPeer peer, PeerReport own, boolean failing) {
+    String engine = own.engine();
+    HeldReport held = peer.report(engine, own.incarnation());
+    boolean comparable =
+        held != null
+            && nowNanos - held.atNanos() <= OWN_FRESH_SECONDS * SECOND_NANOS
+            && !peer.wasJudgedOn(engine);
+    if (!comparable || !accuses(held.report()) && !vouches(held.report())) {
       return;
     }
-    for (Peer p : peers.values()) {
-      Held h = p.claims.get(engine);
-      boolean comparable =
-          h != null
-              && h.claim.incarnation() == since
-              && now - h.at <= FRESH * SECOND
-              && !p.judgedAt.containsKey(engine);
-      if (!comparable || !accuses(h.claim) && !vouches(h.claim)) {
-        continue;
-      }
-      // What was seen before this one's first failure may have been true then.
-      if (bad && vouches(h.claim) && h.at <= own.lastFailureAtNanos(engine, since)) {
-        continue;
-      }
-      p.judgedAt.put(engine, now);
-      if (accuses(h.claim) == bad) {
-        p.standing += GAIN * (1 - p.standing);
-        p.borneOut++;
-      } else {
-        p.standing *= FALL;
-        p.contradicted++;
-        p.wrongAbout.put(engine, now);
-      }
+    // What was seen before this node's latest failure may have been true then.
+    boolean outdated = held.atNanos() <= ownOutcomes.lastFailureAtNanos(engine, own.incarnation());
+    if (failing && vouches(held.report()) && outdated) {
+      return;
+    }
+    if (accuses(held.report()) == failing) {
+      peer.onConfirmed(nowNanos, engine);
+    } else {
+      peer.onContradicted(nowNanos, engine);
     }
   }
 
-  private static boolean accuses(PeerReport c) {
-    int none = c.failed() + c.timedOut();
-    return none >= BAD_LEAST && c.failureRatio() >= BAD || none >= LONE_LEAST && c.served() == 0;
+  private static boolean accuses(PeerReport report) {
+    int unserved = report.unserved();
+    return unserved >= MIN_ATTEMPTS && report.failureRatio() >= MIN_ACCUSING_RATIO
+        || unserved >= MIN_LONE_FAILURES && report.served() == 0;
   }
 
-  private static boolean vouches(PeerReport c) {
-    return c.served() >= BAD_LEAST && c.failureRatio() <= GOOD;
+  private static boolean vouches(PeerReport report) {
+    return report.served() >= MIN_ATTEMPTS && report.failureRatio() <= MAX_VOUCHING_RATIO;
   }
 
-  private WeightedQuorum.Assessment weigh(long now, String engine, long since) {
+  private Assessment weigh(long nowNanos, String engine, long incarnation) {
     List<String> accusers = new ArrayList<>();
     List<String> vouchers = new ArrayList<>();
-    List<List<Peer>> groups = new ArrayList<>();
-    List<Double> weights = new ArrayList<>();
-    double against = PRIOR;
-    for (Map.Entry<String, Peer> entry : peers.entrySet()) {
-      Peer p = entry.getValue();
-      Held h = p.claims.get(engine);
-      if (h == null || h.claim.incarnation() != since) {
+    AccuserGroups groups = new AccuserGroups();
+    double against = PRIOR_WEIGHT;
+    for (Map.Entry<String, ReportingPeer> entry : peers.entrySet()) {
+      ReportingPeer peer = entry.getValue();
+      HeldReport held = peer.report(engine, incarnation);
+      if (held == null) {
         continue;
       }
-      double weight = weight(now, p, h);
-      if (accuses(h.claim)) {
+      double weight = weight(nowNanos, peer, held);
+      if (accuses(held.report())) {
         accusers.add(entry.getKey());
-        int group = groupOf(groups, p);
-        if (group < 0) {
-          groups.add(new ArrayList<>(List.of(p)));
-          weights.add(weight);
-        } else { // as one peer, its strongest word
-          groups.get(group).add(p);
-          weights.set(group, Math.max(weights.get(group), weight));
-        }
-      } else if (vouches(h.claim)) {
+        groups.add(peer, weight);
+      } else if (vouches(held.report())) {
         vouchers.add(entry.getKey());
         against += weight;
       }
     }
-    double total = weights.stream().mapToDouble(w -> w).sum();
+    double total = groups.totalWeight();
     double level = total <= 0 ? 0 : total / (total + against);
-    level = weights.size() <= 1 ? Math.min(level, ONE_PEER) : level;
-    return new WeightedQuorum.Assessment(engine, since, level, accusers, vouchers);
-  }
-
-  private static double weight(long now, Peer p, Held h) {
-    double fresh =
-        Math.min(1, FADES * (1 - (double) (now - h.at) / LIFE)); // full at first, then fading
-    double sample = h.claim.attempts() / (h.claim.attempts() + SAMPLE_HALF);
-    return p.standing * p.standing * fresh * sample;
+    if (groups.count() <= 1) {
+      level = Math.min(level, MAX_LEVEL_OF_ONE);
+    }
+    return new Assessment(engine, incarnation, level, accusers, vouchers);
   }
 
-  /**
-   * The group of accusers with which a peer was contradicted over the same engine lately, or -1.
-   */
-  private static int groupOf(List<List<Peer>> groups, Peer p) {
-    for (int i = 0; i < groups.size(); i++) {
-      for (Peer other : groups.get(i)) {
-        Set<String> both = new TreeSet<>(p.wrongAbout.keySet());
-        both.retainAll(other.wrongAbout.keySet());
-        if (!both.isEmpty()) {
-          return i;
-        }
-      }
-    }
-    return -1;
+  /** The weight of a report: full at first, fading over the second half of its lifetime. */
+  private static double weight(long nowNanos, ReportingPeer peer, HeldReport held) {
+    double age = (double) (nowNanos - held.atNanos()) / REPORT_LIFETIME_NANOS;
+    double freshness = Math.min(1, FADE_RATE * (1 - age));
+    int attempts = held.report().attempts();
+    double breadth = attempts / (attempts + HALF_WEIGHT_ATTEMPTS);
+    return peer.reputation() * peer.reputation() * freshness * breadth;
   }
 
-  /**
-   * No more than a part of the engines can be accused: the most accused stay, the others are talk.
-   */
-  private static List<WeightedQuorum.Assessment> bounded(
-      List<WeightedQuorum.Assessment> beliefs, int engines) {
-    int most = (int) (engines * MOST_ACCUSED);
-    List<WeightedQuorum.Assessment> order = new ArrayList<>(beliefs);
+  /** No more than a share of the engines can be accused: those with the highest levels stay. */
+  private static List<Assessment> withBoundedAccusations(
+      List<Assessment> assessments, int engineCount) {
+    int maxAccused = (int) (engineCount * MAX_ACCUSED_SHARE);
+    List<Assessment> order = new ArrayList<>(assessments);
     order.sort(
-        Comparator.<WeightedQuorum.Assessment>comparingDouble(b -> -b.level)
-            .thenComparing(WeightedQuorum.Assessment::engine));
-    List<WeightedQuorum.Assessment> bounded = new ArrayList<>();
-    for (WeightedQuorum.Assessment b : order) {
-      boolean over = b.level >= ACCUSED_LEVEL && bounded.size() >= most;
-      bounded.add(
-          over
-              ? new WeightedQuorum.Assessment(
-                  b.engine, b.incarnation, ONE_PEER, b.accusers, b.vouchers)
-              : b);
+        Comparator.<Assessment>comparingDouble(assessment -> -assessment.level)
+            .thenComparing(Assessment::engine));
+    List<Assessment> bounded = new ArrayList<>();
+    for (Assessment assessment : order) {
+      boolean over = assessment.level >= ACCUSED_LEVEL && bounded.size() >= maxAccused;
+      bounded.add(over ? assessment.withLevel(MAX_LEVEL_OF_ONE) : assessment);
     }
     return bounded;
   }
--- a/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
+++ b/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -11,31 +10,35 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One instance, told event by event what the others say; no network. */
+/** One node, given event by event what the others tell; no network. */
 class MembershipServiceTest {
-  private static final long SECOND = 1_000_000_000;
-  private static final long START = 1_000_000 * SECOND;
-  private static final int CAP = 65_536;
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final long START = 1_000_000 * SECOND_NANOS;
+  private static final int MAX_BYTES_PER_SECOND = 65_536;
 
   private record Sent(
-      long at, String to, long address, MembershipMessage message, List<MembershipUpdate> news) {}
+      long at,
+      String to,
+      long address,
+      MembershipMessage message,
+      List<MembershipUpdate> updates) {}
 
   private final List<Sent> sent = new ArrayList<>();
   private final List<MembershipUpdate> changes = new ArrayList<>();
   private long now = START;
-  private MembershipService me;
+  private MembershipService service;
 
-  private final class Out implements MessageSender {
+  private final class RecordingSender implements MessageSender {
     @Override
     public int send(
         long at,
         String to,
         long address,
         MembershipMessage message,
-        List<MembershipUpdate> news,
-        int most) {
-      sent.add(new Sent(at, to, address, message, news));
-      return 100 + 30 * news.size();
+        List<MembershipUpdate> updates,
+        int maxBytes) {
+      sent.add(new Sent(at, to, address, message, updates));
+      return 100 + 30 * updates.size();
     }
 
     @Override
@@ -44,7 +47,7 @@
     }
   }
 
-  private static final WireSizes WEIGHTS =
+  private static final WireSizes SIZES =
       new WireSizes() {
         @Override
         public int messageBytes(String to, MembershipMessage message) {
@@ -52,76 +55,81 @@
         }
 
         @Override
-        public int updateBytes(MembershipUpdate news) {
+        public int updateBytes(MembershipUpdate update) {
           return 30;
         }
       };
 
   @BeforeEach
   void start() {
-    me = instance(CAP, List.of());
+    service = instance(MAX_BYTES_PER_SECOND, List.of());
   }
 
   private MembershipService instance(int cap, List<Long> seeds) {
     return new MembershipService(
-        "me", 1, seeds, now, SECOND, cap, new SplittableRandom(1), new Out(), WEIGHTS);
+        new MembershipSettings("me", 1, seeds, SECOND_NANOS, cap),
+        now,
+        new SplittableRandom(1),
+        new RecordingSender(),
+        SIZES);
   }
 
-  private void pass(long time) {
-    for (long until = now + time; now < until; ) {
-      now += SECOND / 10;
-      me.tick(now);
+  private void advance(long nanos) {
+    for (long until = now + nanos; now < until; ) {
+      now += SECOND_NANOS / 10;
+      service.tick(now);
     }
   }
 
-  private void hear(String from, MembershipMessage message, MembershipUpdate... news) {
-    me.receive(now, from, address(from), START / SECOND, message, List.of(news));
+  private void receive(String from, MembershipMessage message, MembershipUpdate... updates) {
+    service.receive(now, from, address(from), START / SECOND_NANOS, message, List.of(updates));
   }
 
   private static long address(String name) {
     return 100 + name.hashCode() % 50;
   }
 
-  private static MembershipUpdate news(String of, long incarnation, MemberState state, String by) {
-    return new MembershipUpdate(of, address(of), START / SECOND + incarnation, state, by);
+  private static MembershipUpdate update(
+      String of, long incarnation, MemberState state, String accuser) {
+    return new MembershipUpdate(
+        of, address(of), START / SECOND_NANOS + incarnation, state, accuser);
   }
 
   private MemberState state(String of) {
-    Member m = me.member(of);
-    return m == null ? null : m.state();
+    return service.member(of).map(Member::state).orElse(null);
   }
 
   private void join(String... names) {
     for (String n : names) {
-      hear(n, new MembershipMessage.Ack(-1));
+      receive(n, new MembershipMessage.Ack(-1));
     }
   }
 
-  /** Answers pings that have gone out to members, but for those named. */
-  private void passAnswering(long time, String... silent) {
-    for (long until = now + time; now < until; ) {
+  /** Lets time pass and acknowledges pings of members, except of those named. */
+  private void advanceAnswering(long nanos, String... silent) {
+    for (long until = now + nanos; now < until; ) {
       int from = sent.size();
-      pass(SECOND / 10);
+      advance(SECOND_NANOS / 10);
       for (Sent s : List.copyOf(sent.subList(from, sent.size()))) {
         if (s.message() instanceof MembershipMessage.Ping p && !List.of(silent).contains(s.to())) {
-          hear(s.to(), new MembershipMessage.Ack(p.sequenceNumber()));
+          receive(s.to(), new MembershipMessage.Ack(p.sequenceNumber()));
         }
       }
     }
   }
 
   @Test
-  void aPacketOfItsOwnMakesAMember() {
+  void aPacketFromANodeMakesItAMember() {
     join("a");
     assertEquals(MemberState.ALIVE, state("a"));
-    assertEquals(2, me.size());
+    assertEquals(2, service.size());
     assertEquals("a", changes.get(0).member());
   }
 
   @Test
-  void whoDoesNotAnswerIsAskedThroughOthersThenSuspectedThenDead() {
+  void aSilentMemberIsPingedIndirectlyThenSuspectedThenDead() {
     join("a", "b", "c", "d", "e");
-    passAnswering(30 * SECOND, "e");
+    advanceAnswering(30 * SECOND_NANOS, "e");
     assertTrue(
         sent.stream()
                 .filter(
@@ -135,23 +143,23 @@
         "three others were asked");
     assertTrue(
         changes.stream().anyMatch(n -> n.member().equals("e") && n.state() == MemberState.SUSPECT));
-    passAnswering(30 * SECOND, "e");
+    advanceAnswering(30 * SECOND_NANOS, "e");
     assertEquals(MemberState.DEAD, state("e"));
     assertEquals(
         List.of("a", "b", "c", "d"),
-        me.members().stream()
+        service.members().stream()
             .filter(m -> m.state() == MemberState.ALIVE)
             .map(Member::name)
             .toList());
-    assertEquals(5, me.size());
+    assertEquals(5, service.size());
   }
 
   @Test
-  void eachIsProbedWithinTwoRounds() {
+  void eachMemberIsPingedWithinTwoRounds() {
     join("a", "b", "c", "d", "e", "f", "g", "h");
-    passAnswering(16 * SECOND);
+    advanceAnswering(16 * SECOND_NANOS);
     sent.clear();
-    passAnswering(15 * SECOND); // 2n - 1 periods, as SWIM has it
+    advanceAnswering(15 * SECOND_NANOS); // 2n - 1 periods, as SWIM has it
     assertEquals(
         8,
         sent.stream()
@@ -162,59 +170,61 @@
   }
 
   @Test
-  void oneVoiceAboutADeathIsAnAccusationOnly() {
+  void aFailureToldByOneOtherIsAnAccusationOnly() {
     join("a", "b", "liar");
-    hear("liar", new MembershipMessage.Ack(-1), news("a", 0, MemberState.DEAD, "liar"));
+    receive("liar", new MembershipMessage.Ack(-1), update("a", 0, MemberState.DEAD, "liar"));
     assertEquals(MemberState.SUSPECT, state("a"));
-    hear("liar", new MembershipMessage.Ack(-1), news("b", 0, MemberState.LEFT, ""));
+    receive("liar", new MembershipMessage.Ack(-1), update("b", 0, MemberState.LEFT, ""));
     assertEquals(MemberState.SUSPECT, state("b"), "nor is a farewell taken from a third one");
-    pass(SECOND);
-    hear("a", new MembershipMessage.Ack(-1), news("a", 1, MemberState.ALIVE, ""));
-    me.receive(
-        now, "a", address("a"), START / SECOND + 1, new MembershipMessage.Ack(-1), List.of());
+    advance(SECOND_NANOS);
+    receive("a", new MembershipMessage.Ack(-1), update("a", 1, MemberState.ALIVE, ""));
+    service.receive(
+        now, "a", address("a"), START / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
     assertEquals(MemberState.ALIVE, state("a"), "it has objected");
   }
 
   @Test
-  void eachFurtherAccuserShortensTheTimeToObject() {
+  void eachFurtherAccuserShortensTheSuspicionTimeout() {
     join("a", "b", "c", "d");
-    hear("b", new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, "b"));
-    Suspicion one = new Suspicion(now, SECOND, 5, "b");
-    long alone = one.until() - now;
+    receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, "b"));
+    Suspicion one = new Suspicion(now, SECOND_NANOS, 5, "b");
+    long alone = one.deadlineNanos() - now;
     assertTrue(one.confirm("c"));
     assertFalse(one.confirm("c"), "the same voice twice");
-    long two = one.until() - now;
+    long two = one.deadlineNanos() - now;
     assertTrue(one.confirm("d"));
     assertFalse(one.confirm("e"), "more change nothing, and are not passed on");
-    long three = one.until() - now;
+    long three = one.deadlineNanos() - now;
     assertTrue(alone > two && two > three, alone + " " + two + " " + three);
-    assertEquals(one.least(), three);
+    assertEquals(one.minTimeoutNanos(), three);
     assertEquals(6 * three, alone);
   }
 
   @Test
-  void whoIsAccusedObjectsInAHigherIncarnationAndLooksToItself() {
+  void anAccusedNodeRefutesInAHigherIncarnationAndLowersItsOwnHealth() {
     join("a");
-    long before = me.incarnation();
-    hear(
+    long before = service.incarnation();
+    receive(
         "a",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 1, before, MemberState.SUSPECT, "a"));
-    assertEquals(before + 1, me.incarnation());
-    assertEquals(1, me.healthScore());
-    hear("a", new MembershipMessage.Ping(7, "me"));
+    assertEquals(before + 1, service.incarnation());
+    assertEquals(1, service.healthScore());
+    receive("a", new MembershipMessage.Ping(7, "me"));
     assertTrue(
-        last().news().contains(new MembershipUpdate("me", 1, before + 1, MemberState.ALIVE, "")));
-    hear(
+        last()
+            .updates()
+            .contains(new MembershipUpdate("me", 1, before + 1, MemberState.ALIVE, "")));
+    receive(
         "a",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 1, before, MemberState.DEAD, "a"));
-    assertEquals(before + 1, me.incarnation(), "that was answered");
-    hear(
+    assertEquals(before + 1, service.incarnation(), "that was answered");
+    receive(
         "a",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 99, before + 1, MemberState.ALIVE, ""));
-    assertEquals(before + 2, me.incarnation(), "somebody has it elsewhere");
+    assertEquals(before + 2, service.incarnation(), "somebody has it elsewhere");
   }
 
   private Sent last() {
@@ -222,25 +232,25 @@
   }
 
   @Test
-  void whoIsAccusedHereIsToldSoAtOnce() {
+  void aMemberAccusedHereIsToldAtOnce() {
     join("a", "b", "c", "d");
-    passAnswering(30 * SECOND, "d");
+    advanceAnswering(30 * SECOND_NANOS, "d");
     int at =
         sent.indexOf(
             sent.stream()
                 .filter(
                     s ->
                         s.to().equals("d")
-                            && !s.news().isEmpty()
-                            && s.news().get(0).member().equals("d")
-                            && s.news().get(0).state() == MemberState.SUSPECT)
+                            && !s.updates().isEmpty()
+                            && s.updates().get(0).member().equals("d")
+                            && s.updates().get(0).state() == MemberState.SUSPECT)
                 .findFirst()
                 .orElseThrow());
     MembershipUpdate accusation =
         changes.stream().filter(n -> n.state() == MemberState.SUSPECT).findFirst().orElseThrow();
     long accused =
-        sent.stream().filter(s -> s.news().contains(accusation)).findFirst().orElseThrow().at();
-    assertTrue(sent.get(at).at() - accused <= 2 * SECOND, "within two periods");
+        sent.stream().filter(s -> s.updates().contains(accusation)).findFirst().orElseThrow().at();
+    assertTrue(sent.get(at).at() - accused <= 2 * SECOND_NANOS, "within two periods");
     long told =
         sent.stream()
             .filter(
@@ -253,33 +263,33 @@
   }
 
   @Test
-  void nobodyIsGivenUpUnaskedAndAnObjectionStillCounts() {
+  void aSuspectIsPingedBeforeItIsHeldDeadAndARefutationStillCounts() {
     join("a", "b", "c", "d");
     for (String accuser : new String[] {"b", "c", "d"}) {
-      hear(accuser, new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, accuser));
+      receive(accuser, new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, accuser));
     }
-    pass(3 * SECOND - SECOND / 5);
+    advance(3 * SECOND_NANOS - SECOND_NANOS / 5);
     sent.clear();
-    pass(SECOND / 2);
+    advance(SECOND_NANOS / 2);
     Sent question = sent.stream().filter(s -> s.to().equals("a")).findFirst().orElseThrow();
-    assertEquals(MemberState.SUSPECT, question.news().get(0).state());
-    me.receive(
-        now, "a", address("a"), START / SECOND + 1, new MembershipMessage.Ack(-1), List.of());
-    pass(5 * SECOND);
+    assertEquals(MemberState.SUSPECT, question.updates().get(0).state());
+    service.receive(
+        now, "a", address("a"), START / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
+    advance(5 * SECOND_NANOS);
     assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
-  void theLastQuestionsGoThroughOthersToo() {
+  void theLastPingsGoThroughOthersToo() {
     join("a", "b", "c", "d");
     for (String accuser : new String[] {"b", "c", "d"}) {
-      hear(accuser, new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, accuser));
+      receive(accuser, new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, accuser));
     }
     sent.clear();
     // Whatever goes to it, or comes back from it, is lost on the way.
     Sent through = null;
     for (int i = 0; i < 80 && through == null; i++) {
-      passAnswering(SECOND / 10, "a");
+      advanceAnswering(SECOND_NANOS / 10, "a");
       through =
           sent.stream()
               .filter(
@@ -291,10 +301,10 @@
     }
     assertEquals(MemberState.SUSPECT, state("a"));
     MembershipMessage.PingRequest asked = (MembershipMessage.PingRequest) through.message();
-    hear(
+    receive(
         through.to(),
         new MembershipMessage.Ack(asked.sequenceNumber()),
-        news("a", 1, MemberState.ALIVE, ""));
+        update("a", 1, MemberState.ALIVE, ""));
     assertEquals(
         MemberState.ALIVE,
         state("a"),
@@ -302,121 +312,136 @@
   }
 
   @Test
-  void noIncarnationFromTheFutureLeavesNoNumberToObjectWith() {
+  void anIncarnationFromTheFutureIsIgnored() {
     join("a", "b");
-    hear(
+    receive(
         "b",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", 5, START / SECOND + 100, MemberState.SUSPECT, "b"));
+        new MembershipUpdate("a", 5, START / SECOND_NANOS + 100, MemberState.SUSPECT, "b"));
     assertEquals(MemberState.ALIVE, state("a"));
-    long before = me.incarnation();
-    hear(
+    long before = service.incarnation();
+    receive(
         "b",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 5, Long.MAX_VALUE, MemberState.DEAD, "b"));
-    assertEquals(before, me.incarnation());
+    assertEquals(before, service.incarnation());
   }
 
   @Test
-  void hearsayOfAnAddressYieldsToThePacketsOfItsOwn() {
-    hear(
+  void anAddressToldByOthersYieldsToTheMembersOwnPackets() {
+    receive(
         "liar",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", 666, START / SECOND, MemberState.ALIVE, ""));
-    assertEquals(666, me.member("a").address());
+        new MembershipUpdate("a", 666, START / SECOND_NANOS, MemberState.ALIVE, ""));
+    assertEquals(666, service.member("a").orElseThrow().address());
     join("a");
-    assertEquals(address("a"), me.member("a").address());
-    hear(
+    assertEquals(address("a"), service.member("a").orElseThrow().address());
+    receive(
         "liar",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", 666, START / SECOND, MemberState.ALIVE, ""));
-    assertEquals(address("a"), me.member("a").address());
+        new MembershipUpdate("a", 666, START / SECOND_NANOS, MemberState.ALIVE, ""));
+    assertEquals(address("a"), service.member("a").orElseThrow().address());
   }
 
   @Test
-  void aPlaceIsHeardOfAndItsOwnPacketsGoBeforeHearsay() {
+  void aPlaceToldByOthersFillsAGapAndTheMembersOwnPacketsTakePrecedence() {
     join("b");
-    hear(
+    receive(
         "b",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", address("a"), START / SECOND, MemberState.ALIVE, "", 0x0102));
-    assertEquals(0x0102, me.member("a").place());
-    hear(
+        new MembershipUpdate(
+            "a", address("a"), START / SECOND_NANOS, MemberState.ALIVE, "", 0x0102));
+    assertEquals(0x0102, service.member("a").orElseThrow().place());
+    receive(
         "liar",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", address("a"), START / SECOND, MemberState.ALIVE, "", 0x0309));
-    assertEquals(0x0102, me.member("a").place(), "hearsay fills a gap and moves nobody");
-    assertEquals(0, me.member("b").place());
-    me.receive(
-        now, "b", address("b"), 0x0201, START / SECOND, new MembershipMessage.Ack(-1), List.of());
-    assertEquals(0x0201, me.member("b").place());
+        new MembershipUpdate(
+            "a", address("a"), START / SECOND_NANOS, MemberState.ALIVE, "", 0x0309));
+    assertEquals(
+        0x0102, service.member("a").orElseThrow().place(), "hearsay fills a gap and moves nobody");
+    assertEquals(0, service.member("b").orElseThrow().place());
+    service.receive(
+        now,
+        "b",
+        address("b"),
+        0x0201,
+        START / SECOND_NANOS,
+        new MembershipMessage.Ack(-1),
+        List.of());
+    assertEquals(0x0201, service.member("b").orElseThrow().place());
     assertEquals("b", changes.get(changes.size() - 1).member(), "it is told like any change");
-    me.receive(
+    service.receive(
         now,
         "a",
         address("a"),
         0x0201,
-        START / SECOND + 1,
+        START / SECOND_NANOS + 1,
         new MembershipMessage.Ack(-1),
         List.of());
-    assertEquals(0x0201, me.member("a").place(), "a new life may be elsewhere");
+    assertEquals(0x0201, service.member("a").orElseThrow().place(), "a new life may be elsewhere");
   }
 
   @Test
-  void aRestartUnderAnOldIncarnationIsToldSoAndComesBack() {
+  void aRestartUnderAnOldIncarnationIsToldAndComesBack() {
     join("a", "b");
-    hear("b", new MembershipMessage.Ack(-1), news("a", 9, MemberState.ALIVE, ""));
-    hear("a", new MembershipMessage.Ping(3, "me"));
-    hear("b", new MembershipMessage.Ack(-1), news("a", 9, MemberState.SUSPECT, "b"));
+    receive("b", new MembershipMessage.Ack(-1), update("a", 9, MemberState.ALIVE, ""));
+    receive("a", new MembershipMessage.Ping(3, "me"));
+    receive("b", new MembershipMessage.Ack(-1), update("a", 9, MemberState.SUSPECT, "b"));
     sent.clear();
-    hear("a", new MembershipMessage.Ping(4, "me"));
+    receive("a", new MembershipMessage.Ping(4, "me"));
     assertEquals(
         MemberState.SUSPECT,
-        last().news().get(0).state(),
+        last().updates().get(0).state(),
         "first of all it hears that it is suspected");
-    assertEquals(START / SECOND + 9, last().news().get(0).incarnation());
-    me.receive(
-        now, "a", address("a"), START / SECOND + 10, new MembershipMessage.Ack(-1), List.of());
+    assertEquals(START / SECOND_NANOS + 9, last().updates().get(0).incarnation());
+    service.receive(
+        now,
+        "a",
+        address("a"),
+        START / SECOND_NANOS + 10,
+        new MembershipMessage.Ack(-1),
+        List.of());
     assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
-  void aFarewellOfItsOwnIsTakenAtOnceAndAnOldMessageDoesNotBringItBack() {
+  void aLeaveOfItsOwnCountsAtOnceAndAnOldUpdateDoesNotRevertIt() {
     join("a", "b");
-    me.receive(now, "a", address("a"), START / SECOND, new MembershipMessage.Leave(), List.of());
+    service.receive(
+        now, "a", address("a"), START / SECOND_NANOS, new MembershipMessage.Leave(), List.of());
     assertEquals(MemberState.LEFT, state("a"));
-    hear("b", new MembershipMessage.Ack(-1), news("a", 0, MemberState.ALIVE, ""));
+    receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.ALIVE, ""));
     assertEquals(MemberState.LEFT, state("a"));
-    passAnswering(700 * SECOND, "a");
-    assertNull(me.member("a"), "forgotten in the end");
+    advanceAnswering(700 * SECOND_NANOS, "a");
+    assertTrue(service.member("a").isEmpty(), "forgotten in the end");
   }
 
   @Test
-  void aStandstillBlamesNobodyElse() {
+  void aPauseOfThisProcessAccusesNobodyElse() {
     join("a", "b", "c");
-    pass(16 * SECOND);
-    hear("b", new MembershipMessage.Ack(-1), news("a", 0, MemberState.SUSPECT, "b"));
-    now += 20 * SECOND; // longer than any time to object
-    me.tick(now);
+    advance(16 * SECOND_NANOS);
+    receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, "b"));
+    now += 20 * SECOND_NANOS; // longer than any time to object
+    service.tick(now);
     assertEquals(MemberState.SUSPECT, state("a"), "what was said meanwhile waits on the socket");
-    assertTrue(me.healthScore() > 0);
+    assertTrue(service.healthScore() > 0);
     assertEquals(MemberState.ALIVE, state("c"));
   }
 
   @Test
-  void aRelayPassesTheQuestionAndTheAnswerOrItsNo() {
+  void aRelayForwardsThePingAndTheAckOrANack() {
     join("c", "a", "b");
     sent.clear();
-    hear("a", new MembershipMessage.PingRequest(42, "c", address("c")));
+    receive("a", new MembershipMessage.PingRequest(42, "c", address("c")));
     MembershipMessage.Ping asked = (MembershipMessage.Ping) last().message();
     assertEquals("c", last().to());
-    hear("c", new MembershipMessage.Ack(asked.sequenceNumber()));
+    receive("c", new MembershipMessage.Ack(asked.sequenceNumber()));
     assertEquals(new MembershipMessage.Ack(42), last().message());
     assertEquals("a", last().to());
-    assertEquals("c", last().news().get(0).member(), "with what it has heard from it itself");
-    hear("b", new MembershipMessage.PingRequest(43, "c", address("c")));
+    assertEquals("c", last().updates().get(0).member(), "with what it has heard from it itself");
+    receive("b", new MembershipMessage.PingRequest(43, "c", address("c")));
     for (int i = 0; i < 4; i++) {
-      pass(SECOND / 10);
+      advance(SECOND_NANOS / 10);
     }
     assertTrue(
         sent.stream()
@@ -425,32 +450,32 @@
   }
 
   @Test
-  void withoutRoomForTheQuestionNobodyIsBlamed() {
-    me = instance(90, List.of()); // not one packet fits
+  void withoutBandwidthForThePingNobodyIsAccused() {
+    service = instance(90, List.of()); // not one packet fits
     join("a", "b", "c");
-    pass(100 * SECOND);
+    advance(100 * SECOND_NANOS);
     assertEquals(0, sent.size());
-    assertEquals(4, me.size());
+    assertEquals(4, service.size());
     assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
-  void theCapHoldsInAnySecondWhateverIsAsked() {
-    me = instance(2_000, List.of());
+  void theBandwidthLimitHoldsInAnySecondWhateverIsAsked() {
+    service = instance(2_000, List.of());
     long most = 0;
     for (int i = 0; i < 600; i++) {
       for (int k = 0; k < 20; k++) {
-        hear("m" + i % 50 + "x" + k, new MembershipMessage.Ping(i, "me"));
-        hear("m" + i % 50 + "x" + k, new MembershipMessage.SyncRequest("", "", 1, List.of()));
+        receive("m" + i % 50 + "x" + k, new MembershipMessage.Ping(i, "me"));
+        receive("m" + i % 50 + "x" + k, new MembershipMessage.SyncRequest("", "", 1, List.of()));
       }
-      passAnswering(SECOND / 10);
-      long from = now - SECOND;
+      advanceAnswering(SECOND_NANOS / 10);
+      long from = now - SECOND_NANOS;
       most =
           Math.max(
               most,
               sent.stream()
                   .filter(s -> s.at() > from)
-                  .mapToLong(s -> 100 + 30 * s.news().size())
+                  .mapToLong(s -> 100 + 30 * s.updates().size())
                   .sum());
     }
     assertTrue(most <= 2_000, most + " bytes");
@@ -460,9 +485,9 @@
   }
 
   @Test
-  void whoIsAloneAsksItsSeedsAndWhoIsAskedSoTellsOfOthers() {
-    me = instance(CAP, List.of(77L));
-    pass(10 * SECOND);
+  void aLoneNodePingsItsSeedsAndAPingedSeedTellsOfOthers() {
+    service = instance(MAX_BYTES_PER_SECOND, List.of(77L));
+    advance(10 * SECOND_NANOS);
     assertTrue(
         sent.stream()
             .allMatch(
@@ -474,28 +499,28 @@
                                     ((MembershipMessage.Ping) s.message()).sequenceNumber(), ""))));
     assertTrue(sent.size() >= 3);
     join("a", "b", "c");
-    hear("new", new MembershipMessage.Ping(1, ""));
+    receive("new", new MembershipMessage.Ping(1, ""));
     MembershipMessage.SyncResponse welcome = (MembershipMessage.SyncResponse) last().message();
     assertEquals(3, welcome.updates().size());
     assertTrue(welcome.truncated());
   }
 
   @Test
-  void tablesAreComparedByMarksAndOnlyTheDifferenceIsTold() {
+  void tablesAreComparedByDigestsAndOnlyDifferencesAreSent() {
     join("a", "b", "c");
-    List<Integer> marks =
-        me.members().stream()
+    List<Integer> digests =
+        service.members().stream()
             .filter(m -> !m.name().equals("b"))
             .map(m -> MemberDigest.of(5, m))
             .toList();
-    hear("a", new MembershipMessage.SyncRequest("", "", 5, marks));
+    receive("a", new MembershipMessage.SyncRequest("", "", 5, digests));
     MembershipMessage.SyncResponse part = (MembershipMessage.SyncResponse) last().message();
     assertEquals(List.of("b"), part.updates().stream().map(MembershipUpdate::member).toList());
     assertFalse(part.truncated());
   }
 
   @Test
-  void theSameEventsGiveTheSamePackets() {
+  void theSameEventsGiveTheSameMessages() {
     List<Sent> first = script();
     assertEquals(first, script());
   }
@@ -503,9 +528,9 @@
   private List<Sent> script() {
     now = START;
     sent.clear();
-    me = instance(4_096, List.of(7L, 8L));
+    service = instance(4_096, List.of(7L, 8L));
     join("a", "b", "c", "d");
-    passAnswering(40 * SECOND, "c");
+    advanceAnswering(40 * SECOND_NANOS, "c");
     return List.copyOf(sent);
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -115,10 +115,8 @@
     }
     boolean same = held != null && (head.certificate() == null || same(held, head.certificate()));
     long wallClock = this.wallClock.getAsLong();
-    RejectionReason no =
-        guard.admit(
-            now,
-            wallClock,
+    DatagramRateLimiter.Arrival arrival =
+        new DatagramRateLimiter.Arrival(
             source,
             members.contains(source),
             held != null,
@@ -126,7 +124,7 @@
             head.sender(),
             head.time() * MILLISECOND,
             head.seq());
-    if (no != null) {
+    if (guard.admit(now, wallClock, arrival).isPresent()) {
       return null;
     }
     X509Certificate of = same ? held : certificate(head, wallClock);
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -24,6 +24,7 @@
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.membership.BandwidthLimiter;
 import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipSettings;
 import reachloom.membership.MembershipUpdate;
 import reachloom.peerreport.OutcomeWindow;
 import reachloom.peerreport.PeerReport;
@@ -93,15 +94,16 @@
     seq = loop.now(); // above all that an earlier life has used
     gossip =
         new GossipProtocol(
-            identity.name(),
-            DatagramTransport.number(settings.listen()),
-            seeds(settings),
+            new MembershipSettings(
+                identity.name(),
+                DatagramTransport.number(settings.listen()),
+                seeds(settings),
+                settings.periodNanos(),
+                settings.bytesPerSecond()),
             loop.now(),
-            settings.periodNanos(),
-            settings.bytesPerSecond(),
             seed,
             this,
-            hearsay);
+            hearsay::accept);
     if (settings.configuration().isPresent()) {
       revisions =
           new RevisionService(loop, identity.name(), settings, identity, seed, gossip, installer);
@@ -231,10 +233,8 @@
 
   @Override
   public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {
-    OutcomeWindow.Observation seen = OutcomeWindow.Observation.of(outcome, wanted);
-    if (seen != null) {
-      gossip.recordOutcome(loop.now(), engine, seen);
-    }
+    OutcomeWindow.Observation.of(outcome, wanted)
+        .ifPresent(seen -> gossip.recordOutcome(loop.now(), engine, seen));
   }
 
   // ---- What comes ----
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
 import reachloom.peerreport.OutcomeWindow;
@@ -74,14 +75,14 @@
   }
 
   void ended(long now, AttemptResult end) {
-    OutcomeWindow.Observation seen =
+    Optional<OutcomeWindow.Observation> seen =
         OutcomeWindow.Observation.of(end.outcome(), !end.queryFinished());
     Long since = engines.get(end.engine());
-    if (seen != null
+    if (seen.isPresent()
         && since != null
         && !(end.queryFinished() && end.outcome() != AttemptOutcome.SERVED)) {
-      ledger.record(now, end.engine(), since, seen);
-      courier.onObservation(seen);
+      ledger.record(now, end.engine(), since, seen.get());
+      courier.onObservation(seen.get());
     }
   }
 
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -22,6 +22,7 @@
 import reachloom.membership.Member;
 import reachloom.membership.MemberState;
 import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipSettings;
 import reachloom.membership.MembershipUpdate;
 import reachloom.peerreport.PeerReport;
 import reachloom.revision.RevisionMessage;
@@ -207,12 +208,8 @@
     int life = ++n.life;
     n.gossip =
         new GossipProtocol(
-            n.name,
-            n.address,
-            of,
+            new MembershipSettings(n.name, n.address, of, period, capOf.applyAsInt(n)),
             n.clock(),
-            period,
-            capOf.applyAsInt(n),
             random.nextLong(),
             n,
             (engine, level) -> n.hearsay.accept(engine, level));
@@ -314,8 +311,14 @@
   public int holding(Node of, MemberState state) {
     int count = 0;
     for (Node n : nodes) {
-      Member m = n.up ? n.gossip.membership().member(of.name) : null;
-      count += m != null && m.state().ordinal() >= state.ordinal() ? 1 : 0;
+      boolean holds =
+          n.up
+              && n.gossip
+                  .membership()
+                  .member(of.name)
+                  .filter(m -> m.state().ordinal() >= state.ordinal())
+                  .isPresent();
+      count += holds ? 1 : 0;
     }
     return count;
   }
--- a/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
@@ -126,7 +126,8 @@
     n.skew = -20 * SECOND; // its new incarnation is an old one
     c.start(n, 3);
     awaitAgreement(c, 60);
-    assertEquals(MemberState.ALIVE, c.nodes.get(0).gossip.membership().member(n.name).state());
+    assertEquals(
+        MemberState.ALIVE, c.nodes.get(0).gossip.membership().member(n.name).orElseThrow().state());
   }
 
   @Test
@@ -140,7 +141,7 @@
     assertFalse(
         c.nodes.stream()
             .filter(x -> x.up)
-            .anyMatch(x -> x.gossip.membership().member(n.name).state().present()));
+            .anyMatch(x -> x.gossip.membership().member(n.name).orElseThrow().state().present()));
   }
 
   @Test
--- a/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
@@ -248,7 +248,8 @@
         for (Node n : s.cluster.nodes) {
           holding +=
               n != of.get(i)
-                      && n.gossip.membership().member(of.get(i).name).incarnation() >= wanted[i]
+                      && n.gossip.membership().member(of.get(i).name).orElseThrow().incarnation()
+                          >= wanted[i]
                   ? 1
                   : 0;
         }
