--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -22,6 +22,7 @@
 import reachloom.membership.Member;
 import reachloom.membership.MemberState;
 import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipSettings;
 import reachloom.membership.MembershipUpdate;
 import reachloom.peerreport.PeerReport;
 import reachloom.revision.RevisionMessage;
@@ -93,27 +94,27 @@
     }
 
     @Override
-    public int message(String to, MembershipMessage message) {
+    public int messageBytes(String to, MembershipMessage message) {
       return GossipCodec.size(name, message, knowsMe.contains(to) ? 0 : CERTIFICATE);
     }
 
     @Override
-    public int news(MembershipUpdate news) {
+    public int updateBytes(MembershipUpdate news) {
       return GossipCodec.size(news);
     }
 
     @Override
-    public int claim(PeerReport claim) {
+    public int reportBytes(PeerReport claim) {
       return GossipCodec.size(claim);
     }
 
     @Override
-    public int word(RevisionMessage word) {
+    public int revisionMessageBytes(RevisionMessage word) {
       return GossipCodec.size(word);
     }
 
     @Override
-    public int riding(int place, List<RevisionMessage> words) {
+    public int payloadBytes(int place, List<RevisionMessage> words) {
       return GossipCodec.riding(place, words);
     }
 
@@ -207,12 +208,8 @@
     int life = ++n.life;
     n.gossip =
         new GossipProtocol(
-            n.name,
-            n.address,
-            of,
+            new MembershipSettings(n.name, n.address, of, period, capOf.applyAsInt(n)),
             n.clock(),
-            period,
-            capOf.applyAsInt(n),
             random.nextLong(),
             n,
             (engine, level) -> n.hearsay.accept(engine, level));
@@ -232,7 +229,7 @@
       n.waiting.poll().run();
     }
     n.gossip.tick(n.clock());
-    agenda.at(agenda.now() + n.gossip.membership().tickEvery(), () -> tick(n, life));
+    agenda.at(agenda.now() + n.gossip.membership().tickIntervalNanos(), () -> tick(n, life));
   }
 
   private void deliver(Node from, long at, byte[] bytes) {
@@ -314,8 +311,14 @@
   public int holding(Node of, MemberState state) {
     int count = 0;
     for (Node n : nodes) {
-      Member m = n.up ? n.gossip.membership().member(of.name) : null;
-      count += m != null && m.state().ordinal() >= state.ordinal() ? 1 : 0;
+      boolean holds =
+          n.up
+              && n.gossip
+                  .membership()
+                  .member(of.name)
+                  .filter(m -> m.state().ordinal() >= state.ordinal())
+                  .isPresent();
+      count += holds ? 1 : 0;
     }
     return count;
   }
