--- a/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
@@ -3,14 +3,12 @@
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
+import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.ClosedChannelException;
 import java.nio.channels.DatagramChannel;
 import java.security.GeneralSecurityException;
-import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
@@ -19,26 +17,32 @@
 import reachloom.gossip.wire.GossipCodec;
 
 /**
- * The UDP port: one thread reads and proves what comes, another signs and sends. What is proved
- * goes on to the loop; a flood costs these threads alone, and no more than the guard's budget.
+ * The UDP socket of gossip, with two daemon threads of its own: one receives datagrams and has them
+ * verified, the other signs and sends. Verified datagrams are handed on by the receiving thread; a
+ * flood costs these threads alone, and no more than the rate limiter lets through.
  *
- * <p>Not on Apache MINA, which keeps a session for each remote address that a datagram names: with
- * addresses made up, that is memory for whoever sends.
+ * <p>Methods may be called from any thread. Not on Apache MINA, which keeps a session for each
+ * remote address that a datagram names: with forged addresses, that is memory for whoever sends.
  */
-final class DatagramTransport {
+final class DatagramTransport implements AutoCloseable {
   private static final Logger LOG = System.getLogger(DatagramTransport.class.getName());
-  private static final int MAX_OUT = 256; // datagrams that wait to be signed
-  private static final int SOCKET_BUFFER = 256 * 1024;
 
-  private record Out(long address, byte[] unsigned) {}
+  /** Datagrams that wait to be signed; more are dropped. */
+  private static final int MAX_QUEUED = 256;
 
-  private static final Out LAST = new Out(0, new byte[0]);
+  private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
+
+  /** A datagram that waits for its signature. */
+  private record Outgoing(long address, byte[] unsigned) {}
+
+  /** Ends the sending thread. */
+  private static final Outgoing END = new Outgoing(0, new byte[0]);
 
   private final DatagramChannel channel;
-  private final DatagramVerifier doorway;
-  private final LongSupplier clock;
-  private final Consumer<DatagramVerifier.Entered> entered;
-  private final ArrayBlockingQueue<Out> out = new ArrayBlockingQueue<>(MAX_OUT);
+  private final DatagramVerifier verifier;
+  private final LongSupplier clockNanos;
+  private final Consumer<VerifiedDatagram> receiver;
+  private final ArrayBlockingQueue<Outgoing> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicLong sent = new AtomicLong();
   private final AtomicLong sentBytes = new AtomicLong();
@@ -47,146 +51,152 @@
   private final List<Thread> threads;
   private volatile NodeIdentity identity;
 
+  /**
+   * Binds the socket and starts both threads.
+   *
+   * @param listen the address to bind
+   * @param verifier verifies what is received, on the receiving thread
+   * @param identity signs what is sent
+   * @param clockNanos this process's time, read on the receiving thread
+   * @param receiver is handed each verified datagram, on the receiving thread
+   * @throws IOException if the address can't be bound
+   */
   DatagramTransport(
       InetSocketAddress listen,
-      DatagramVerifier doorway,
+      DatagramVerifier verifier,
       NodeIdentity identity,
-      LongSupplier clock,
-      Consumer<DatagramVerifier.Entered> entered)
+      LongSupplier clockNanos,
+      Consumer<VerifiedDatagram> receiver)
       throws IOException {
-    this.doorway = doorway;
+    this.verifier = verifier;
     this.identity = identity;
-    this.clock = clock;
-    this.entered = entered;
-    channel = DatagramChannel.open();
-    channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER);
-    channel.bind(listen);
-    threads = List.of(start("gossip in", this::read), start("gossip out", this::write));
+    this.clockNanos = clockNanos;
+    this.receiver = receiver;
+    channel = bind(listen);
+    threads = List.of(start("gossip in", this::receiveAll), start("gossip out", this::sendAll));
+  }
+
+  private static DatagramChannel bind(InetSocketAddress listen) throws IOException {
+    DatagramChannel channel = DatagramChannel.open();
+    try {
+      channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
+      return channel.bind(listen);
+    } catch (IOException | RuntimeException e) {
+      channel.close();
+      throw e;
+    }
   }
 
   private static Thread start(String name, Runnable work) {
-    Thread t = new Thread(work, name);
-    t.setDaemon(true);
-    t.start();
-    return t;
+    Thread thread = new Thread(work, name);
+    thread.setDaemon(true);
+    thread.start();
+    return thread;
   }
 
-  void identity(NodeIdentity next) {
+  /** Signs by another key from now on. */
+  void setIdentity(NodeIdentity next) {
     identity = next;
   }
 
-  /** Signs and sends in the order given; dropped, and counted, where too much waits. */
+  /** Signs and sends, in the order given; dropped, and counted, where too much waits. */
   void send(long address, byte[] unsigned) {
-    if (!out.offer(new Out(address, unsigned))) {
+    if (!queue.offer(new Outgoing(address, unsigned))) {
       dropped.incrementAndGet();
     }
   }
 
-  /** What went through the port so far. */
+  /** Returns what went through the socket so far. */
   GossipNode.Traffic traffic() {
     return new GossipNode.Traffic(sent.get(), sentBytes.get(), received.get(), receivedBytes.get());
   }
 
+  /** Returns how many datagrams were not sent since too many waited. */
   long dropped() {
     return dropped.get();
   }
 
-  private void read() {
-    ByteBuffer buffer =
-        ByteBuffer.allocateDirect(GossipCodec.MOST + 1); // one more shows what is too large
+  private void receiveAll() {
+    // One byte more than is allowed shows what is too large.
+    ByteBuffer buffer = ByteBuffer.allocateDirect(GossipCodec.MAX_DATAGRAM_BYTES + 1);
     while (channel.isOpen()) {
       try {
-        buffer.clear();
-        InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
-        byte[] bytes = new byte[buffer.flip().remaining()];
-        buffer.get(bytes);
-        received.incrementAndGet();
-        receivedBytes.addAndGet(bytes.length + GossipCodec.UDP);
-        DatagramVerifier.Entered e = doorway.enter(clock.getAsLong(), number(from), bytes);
-        if (e != null) {
-          entered.accept(e);
-        }
+        receive(buffer);
       } catch (ClosedChannelException e) {
         return;
-      } catch (IOException | RuntimeException e) { // one datagram must not end the reading
-        LOG.log(Level.WARNING, "a datagram could not be taken: {0}", e.toString());
+      } catch (IOException | RuntimeException e) { // one datagram must not end the thread
+        LOG.log(Level.WARNING, "failed to receive a datagram: {0}", e.toString());
       }
     }
   }
 
-  private void write() {
+  private void receive(ByteBuffer buffer) throws IOException {
+    buffer.clear();
+    InetSocketAddress source = (InetSocketAddress) channel.receive(buffer);
+    byte[] datagram = new byte[buffer.flip().remaining()];
+    buffer.get(datagram);
+    received.incrementAndGet();
+    receivedBytes.addAndGet(datagram.length + GossipCodec.UDP_HEADER_BYTES);
+    verifier
+        .verify(clockNanos.getAsLong(), PackedAddress.pack(source), datagram)
+        .ifPresent(receiver);
+  }
+
+  private void sendAll() {
     while (channel.isOpen()) {
       try {
-        Out o = out.take();
-        if (o == LAST) {
-          shut();
+        Outgoing next = queue.take();
+        if (next == END) {
+          closeChannel();
           return;
         }
-        byte[] signature = identity.sign(o.unsigned);
-        byte[] whole = Arrays.copyOf(o.unsigned, o.unsigned.length + signature.length);
-        System.arraycopy(signature, 0, whole, o.unsigned.length, signature.length);
-        channel.send(ByteBuffer.wrap(whole), address(o.address));
-        sent.incrementAndGet();
-        sentBytes.addAndGet(whole.length + GossipCodec.UDP);
-      } catch (ClosedChannelException e) {
+        signAndSend(next);
+      } catch (ClosedChannelException | InterruptedException e) {
         return;
       } catch (IOException | GeneralSecurityException | RuntimeException e) {
-        LOG.log(Level.DEBUG, "a datagram could not be sent: {0}", e.toString());
-      } catch (InterruptedException e) {
-        return;
+        LOG.log(Level.DEBUG, "failed to send a datagram: {0}", e.toString());
       }
     }
   }
 
-  /** Closes the port once what waits has gone out; where too much waits, at once. */
-  void close() {
-    if (!out.offer(LAST)) {
-      shut();
+  private void signAndSend(Outgoing next) throws IOException, GeneralSecurityException {
+    byte[] datagram = identity.seal(next.unsigned());
+    channel.send(ByteBuffer.wrap(datagram), PackedAddress.unpack(next.address()));
+    sent.incrementAndGet();
+    sentBytes.addAndGet(datagram.length + GossipCodec.UDP_HEADER_BYTES);
+  }
+
+  /** Closes the socket once what waits has been sent; where too much waits, at once. */
+  @Override
+  public void close() {
+    if (!queue.offer(END)) {
+      closeChannel();
     }
   }
 
-  /** Closes the port at once, as the end of the process would. */
+  /** Closes the socket at once, as the end of the process would. */
   void abandon() {
-    out.clear();
-    shut();
-    out.offer(LAST); // ends the thread that waits for something to sign
+    queue.clear();
+    closeChannel();
+    queue.offer(END); // ends the thread that waits for something to sign
   }
 
   /**
-   * Waits, each thread for so long at most, until the port is free again: both are done with it.
+   * Waits until both threads have ended and the address is free again.
+   *
+   * @param millis the longest wait, for each of the two
    */
-  void awaitClosed(long ms) throws InterruptedException {
-    for (Thread t : threads) {
-      t.join(ms);
+  void awaitClosed(long millis) throws InterruptedException {
+    for (Thread thread : threads) {
+      thread.join(millis);
     }
   }
 
-  private void shut() {
+  private void closeChannel() {
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "closing: {0}", e.toString());
-    }
-  }
-
-  /** An address as one number: IPv4 above 16 bits of port. */
-  static long number(InetSocketAddress a) {
-    byte[] ip = a.getAddress().getAddress();
-    long number = 0;
-    for (int i = Math.max(0, ip.length - 4); i < ip.length; i++) {
-      number = number << 8 | Byte.toUnsignedLong(ip[i]);
-    }
-    return number << 16 | a.getPort();
-  }
-
-  static InetSocketAddress address(long number) {
-    byte[] ip = {
-      (byte) (number >>> 40), (byte) (number >>> 32), (byte) (number >>> 24), (byte) (number >>> 16)
-    };
-    try {
-      return new InetSocketAddress(InetAddress.getByAddress(ip), (int) number & 0xffff);
-    } catch (UnknownHostException e) {
-      throw new IllegalStateException("four bytes are an address", e);
+      LOG.log(Level.DEBUG, "failed to close the gossip socket: {0}", e.toString());
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -3,188 +3,203 @@
 import java.security.GeneralSecurityException;
 import java.security.cert.X509Certificate;
 import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.LongSupplier;
 import reachloom.gossip.DatagramRateLimiter;
-import reachloom.gossip.Packet;
 import reachloom.gossip.RejectionReason;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.DatagramHeader;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.gossip.wire.GossipCodec.UnreadableException;
+import reachloom.gossip.wire.RejectedDatagramException;
 import reachloom.time.WallClock;
 
 /**
- * Takes datagrams in, or refuses them and counts why: first what is cheap, then the certificate,
- * then the signature, and only then the content. Belongs to the thread that reads the socket.
+ * Accepts datagrams whose sender is proved, or rejects them and counts why. Checks go by their
+ * cost: form, cluster, freshness and rate first, then the certificate, then the signature, and only
+ * then the content.
+ *
+ * <p>{@link #verify} is the receiving thread's. The event loop reads counts and certificates'
+ * checksums, and hands in identity and members; what both use is locked or volatile.
  */
 final class DatagramVerifier {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final int MAX_KNOWN = 2_048;
-
-  /** What has come whole and proved; {@code timeMs} is its sender's Unix time in milliseconds. */
-  record Entered(Packet packet, int knows, long source, long timeMs) {}
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
   private final int cluster;
-  private final DatagramRateLimiter guard;
-  private final LongSupplier wallClock;
-  private final Map<String, X509Certificate> known = new LinkedHashMap<>(16, 0.75f, true);
+  private final DatagramRateLimiter rateLimiter; // guarded by itself
+  private final LongSupplier wallClockNanos;
+  private final CertificateCache certificates = new CertificateCache();
   private volatile NodeIdentity identity;
-  private volatile Set<Long> members = Set.of();
+  private volatile Set<Long> memberAddresses = Set.of();
 
-  DatagramVerifier(String cluster, NodeIdentity identity, long period) {
-    this(cluster, identity, period, false);
+  /** Creates a verifier for an instance that passes no revisions on, by this machine's clock. */
+  DatagramVerifier(String clusterName, NodeIdentity identity, long periodNanos) {
+    this(clusterName, identity, periodNanos, false);
   }
 
-  DatagramVerifier(String cluster, NodeIdentity identity, long period, boolean revisions) {
-    this(cluster, identity, period, revisions, WallClock::unixNanos);
+  /**
+   * Creates a verifier by this machine's wall clock.
+   *
+   * @param clusterName datagrams of other clusters are rejected
+   * @param identity whom this instance trusts
+   * @param periodNanos period of gossip; members may send more where it is short
+   * @param revisions whether members pass revisions of the configuration on as well
+   */
+  DatagramVerifier(String clusterName, NodeIdentity identity, long periodNanos, boolean revisions) {
+    this(clusterName, identity, periodNanos, revisions, WallClock::unixNanos);
   }
 
-  /** The same by a wall clock handed in, in Unix nanoseconds. */
+  /** The same with a wall clock handed in, in Unix nanoseconds. */
   DatagramVerifier(
-      String cluster,
+      String clusterName,
       NodeIdentity identity,
-      long period,
+      long periodNanos,
       boolean revisions,
-      LongSupplier wallClock) {
-    guard = new DatagramRateLimiter(period, revisions);
-    this.wallClock = wallClock;
-    this.cluster = GossipCodec.cluster(cluster);
+      LongSupplier wallClockNanos) {
+    rateLimiter = new DatagramRateLimiter(periodNanos, revisions);
+    this.wallClockNanos = wallClockNanos;
+    cluster = GossipCodec.clusterChecksum(clusterName);
     this.identity = identity;
   }
 
-  /** Keys, authorities and revocations read anew: whoever is known has to pass them again. */
-  void identity(NodeIdentity next) {
+  /** Replaces keys, authorities and revocations: whoever is known has to pass them again. */
+  void setIdentity(NodeIdentity next) {
     identity = next;
-    synchronized (known) {
-      known.clear();
-    }
+    certificates.clear();
   }
 
-  /** Addresses that members are known to send from. */
-  void members(Set<Long> addresses) {
-    members = addresses;
+  /** Replaces the addresses that members are known to send from, packed. */
+  void setMemberAddresses(Set<Long> addresses) {
+    memberAddresses = addresses;
   }
 
-  /**
-   * The mark of a member's certificate as held here, so that it need not be sent again; 0 for none.
-   */
-  int knows(String member) {
-    synchronized (known) {
-      X509Certificate held = known.get(member);
-      try {
-        return held == null ? 0 : GossipCodec.mark(held.getEncoded());
-      } catch (GeneralSecurityException e) {
-        return 0;
-      }
-    }
+  /** Returns the checksum of a member's certificate as held here, 0 for none. */
+  int knownCertificate(String member) {
+    return certificates.checksum(member);
   }
 
-  /** How many were refused, by reason. */
-  Map<RejectionReason, Long> refused() {
-    synchronized (guard) {
-      return guard.rejections();
+  /** Returns how many datagrams were rejected so far, by reason; reasons without any are absent. */
+  Map<RejectionReason, Long> rejections() {
+    synchronized (rateLimiter) {
+      return rateLimiter.rejections();
     }
   }
 
   /**
-   * Takes a datagram; null where it is refused, which is counted. {@code now} is the process's own
-   * time in nanoseconds; certificates are valid by the wall clock.
+   * Verifies a datagram.
+   *
+   * @param nowNanos this process's own time; certificates are valid by the wall clock
+   * @param source the packed address that it came from
+   * @param datagram all of its bytes
+   * @return what it holds, or empty where it was rejected, which is counted
    */
-  Entered enter(long now, long source, byte[] bytes) {
-    synchronized (guard) {
+  Optional<VerifiedDatagram> verify(long nowNanos, long source, byte[] datagram) {
+    synchronized (rateLimiter) {
       try {
-        return taken(now, source, bytes);
-      } catch (UnreadableException e) {
-        guard.reject(e.why());
-        return null;
+        return check(nowNanos, source, datagram);
+      } catch (RejectedDatagramException e) {
+        rateLimiter.reject(e.reason());
+        return Optional.empty();
       }
     }
   }
 
-  private Entered taken(long now, long source, byte[] bytes) throws UnreadableException {
-    DatagramHeader head = GossipCodec.head(bytes);
-    if (head.cluster() != cluster) {
-      guard.reject(RejectionReason.CLUSTER);
-      return null;
-    }
-    X509Certificate held;
-    synchronized (known) {
-      held = known.get(head.sender());
-    }
-    boolean same = held != null && (head.certificate() == null || same(held, head.certificate()));
-    long wallClock = this.wallClock.getAsLong();
+  private Optional<VerifiedDatagram> check(long nowNanos, long source, byte[] datagram)
+      throws RejectedDatagramException {
+    DatagramHeader header = GossipCodec.decodeHeader(datagram);
+    DatagramEnvelope envelope = header.envelope();
+    String sender = header.sender();
+    if (envelope.cluster() != cluster) {
+      throw new RejectedDatagramException(RejectionReason.CLUSTER);
+    }
+    Optional<X509Certificate> known = certificates.get(sender);
+    long wallClock = wallClockNanos.getAsLong();
+    if (!admitted(nowNanos, wallClock, source, header, known.isPresent())) {
+      return Optional.empty();
+    }
+    boolean unchanged = known.isPresent() && brings(known.get(), envelope.certificate());
+    long wallClockMillis = wallClock / NANOS_PER_MILLISECOND;
+    X509Certificate certificate =
+        unchanged ? known.get() : trustedCertificate(header, wallClockMillis);
+    checkUsable(certificate, wallClockMillis);
+    checkSignature(certificate, datagram);
+    if (!rateLimiter.acceptSequenceNumber(sender, envelope.sequenceNumber())) {
+      return Optional.empty(); // a replay, counted
+    }
+    if (!unchanged) {
+      certificates.put(sender, certificate);
+    }
+    return Optional.of(
+        new VerifiedDatagram(
+            GossipCodec.decodeContent(datagram, header),
+            envelope.knownCertificate(),
+            source,
+            envelope.sentAtMillis()));
+  }
+
+  /** Whether the cheap checks let it pass; one that doesn't is counted. */
+  private boolean admitted(
+      long nowNanos, long wallClockNow, long source, DatagramHeader header, boolean known) {
+    DatagramEnvelope envelope = header.envelope();
     DatagramRateLimiter.Arrival arrival =
         new DatagramRateLimiter.Arrival(
             source,
-            members.contains(source),
-            held != null,
-            head.certificate() != null,
-            head.sender(),
-            head.time() * MILLISECOND,
-            head.seq());
-    if (guard.admit(now, wallClock, arrival).isPresent()) {
-      return null;
-    }
-    X509Certificate of = same ? held : certificate(head, wallClock);
-    if (of == null) {
-      return null;
-    }
-    NodeIdentity me = identity;
-    long ms = wallClock / MILLISECOND;
-    if (me.revoked(of)) {
-      guard.reject(RejectionReason.REVOKED);
-      return null;
-    }
-    boolean valid = ms >= of.getNotBefore().getTime() && ms <= of.getNotAfter().getTime();
-    if (!valid) {
-      guard.reject(RejectionReason.CERTIFICATE);
-      return null;
-    }
-    int signed = bytes.length - GossipCodec.SIGNATURE;
-    byte[] signature = Arrays.copyOfRange(bytes, signed, bytes.length);
-    if (!NodeIdentity.verify(of.getPublicKey(), bytes, signed, signature)) {
-      guard.reject(RejectionReason.FORGED);
-      return null;
-    }
-    if (!guard.acceptSequenceNumber(head.sender(), head.seq())) {
-      return null;
-    }
-    if (!same) {
-      keep(head.sender(), of);
-    }
-    return new Entered(GossipCodec.read(bytes, head), head.knows(), source, head.time());
+            memberAddresses.contains(source),
+            known,
+            envelope.certificate().isPresent(),
+            header.sender(),
+            envelope.sentAtMillis() * NANOS_PER_MILLISECOND,
+            envelope.sequenceNumber());
+    return rateLimiter.admit(nowNanos, wallClockNow, arrival).isEmpty();
   }
 
-  private static boolean same(X509Certificate held, byte[] bytes) {
+  /** Whether a datagram brings no other certificate than the one that is held. */
+  private static boolean brings(X509Certificate known, Optional<byte[]> brought) {
     try {
-      return Arrays.equals(held.getEncoded(), bytes);
+      return brought.isEmpty() || Arrays.equals(known.getEncoded(), brought.get());
     } catch (GeneralSecurityException e) {
       return false;
     }
   }
 
-  private X509Certificate certificate(DatagramHeader head, long wallClock) {
+  /** Reads the certificate that a datagram brings; an authority has to vouch for it. */
+  private X509Certificate trustedCertificate(DatagramHeader header, long wallClockMillis)
+      throws RejectedDatagramException {
+    byte[] encoded =
+        header
+            .envelope()
+            .certificate()
+            .orElseThrow(() -> new RejectedDatagramException(RejectionReason.UNKNOWN));
     try {
-      X509Certificate c = NodeIdentity.certificate(head.certificate());
-      if (NodeIdentity.commonName(c).equals(head.sender())
-          && identity.trusts(c, wallClock / MILLISECOND)) {
-        return c;
+      X509Certificate certificate = NodeIdentity.certificate(encoded);
+      if (NodeIdentity.commonName(certificate).equals(header.sender())
+          && identity.trusts(certificate, wallClockMillis)) {
+        return certificate;
       }
     } catch (GeneralSecurityException e) {
-      // told below
+      // can't be read: rejected below
     }
-    guard.reject(RejectionReason.CERTIFICATE);
-    return null;
+    throw new RejectedDatagramException(RejectionReason.CERTIFICATE);
   }
 
-  private void keep(String sender, X509Certificate c) {
-    synchronized (known) {
-      if (known.size() >= MAX_KNOWN) {
-        known.remove(known.keySet().iterator().next());
-      }
-      known.put(sender, c);
+  private void checkUsable(X509Certificate certificate, long wallClockMillis)
+      throws RejectedDatagramException {
+    if (identity.revoked(certificate)) {
+      throw new RejectedDatagramException(RejectionReason.REVOKED);
+    }
+    if (wallClockMillis < certificate.getNotBefore().getTime()
+        || wallClockMillis > certificate.getNotAfter().getTime()) {
+      throw new RejectedDatagramException(RejectionReason.CERTIFICATE);
+    }
+  }
+
+  private static void checkSignature(X509Certificate certificate, byte[] datagram)
+      throws RejectedDatagramException {
+    int signedBytes = datagram.length - GossipCodec.SIGNATURE_BYTES;
+    byte[] signature = Arrays.copyOfRange(datagram, signedBytes, datagram.length);
+    if (!NodeIdentity.verify(certificate.getPublicKey(), datagram, signedBytes, signature)) {
+      throw new RejectedDatagramException(RejectionReason.FORGED);
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -3,13 +3,9 @@
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.nio.charset.StandardCharsets;
-import java.security.cert.X509Certificate;
-import java.util.ArrayList;
-import java.util.Date;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
@@ -19,214 +15,252 @@
 import reachloom.gateway.EngineOutcomeListener;
 import reachloom.gateway.EventLoop;
 import reachloom.gossip.GossipProtocol;
-import reachloom.gossip.Packet;
-import reachloom.gossip.Transport;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.membership.BandwidthLimiter;
 import reachloom.membership.MembershipMessage;
+import reachloom.membership.MembershipService;
 import reachloom.membership.MembershipSettings;
-import reachloom.membership.MembershipUpdate;
 import reachloom.peerreport.OutcomeWindow;
-import reachloom.peerreport.PeerReport;
-import reachloom.peerreport.WeightedQuorum;
-import reachloom.revision.RevisionMessage;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
 import reachloom.time.WallClock;
 
 /**
- * This gateway among the others: ties the pure modules to the loop and the port. All but the port's
- * own threads runs on the loop.
+ * This instance among the others: ties {@link GossipProtocol} to the event loop's timers, to the
+ * socket and to the gateway, whose outcomes it hears as an {@link EngineOutcomeListener}.
+ *
+ * <p>Confined to the event loop's thread, but for {@link #traffic} and {@link #awaitClosed}. The
+ * socket's own threads are {@link DatagramTransport}'s; what they verify is posted to the loop.
  */
-public final class GossipNode implements EngineOutcomeListener, Transport {
+public final class GossipNode implements EngineOutcomeListener {
   private static final Logger LOG = System.getLogger(GossipNode.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final int PAGE = 900; // bytes of a page of status
-  private static final int MAX_PAGES = 200;
 
-  /** What went through the port so far; bytes count what IP and UDP add. */
+  /** What went through the socket so far; bytes count what IP and UDP add. */
   public record Traffic(long sent, long sentBytes, long received, long receivedBytes) {}
 
   private final EventLoop loop;
   private final GossipSettings settings;
-  private final DatagramVerifier doorway;
-  private final DatagramTransport port;
+  private final DatagramVerifier verifier;
+  private final DatagramTransport transport;
+  private final PacketSender sender;
   private final GossipProtocol gossip;
-  private final int cluster;
-  private final Set<String> knowsUs = new HashSet<>();
+  private final StatusResponder statusResponder;
   private final Set<String> engines = new LinkedHashSet<>();
-  private NodeIdentity identity;
 
-  /** Null where the settings give the instance no part in spreading the configuration. */
-  private RevisionService revisions;
+  /** Empty where the settings give the instance no part in spreading the configuration. */
+  private final Optional<RevisionService> revisions;
 
-  private long seq;
-  private long sent;
-  private boolean over;
+  private NodeIdentity identity;
+  private boolean stopped;
 
-  /** An instance that hears of revisions, where the settings say so, but puts none in force. */
+  /** Creates an instance that hears of revisions, where the settings say so, but applies none. */
   public GossipNode(
       EventLoop loop,
       GossipSettings settings,
       NodeIdentity identity,
       long seed,
-      BiConsumer<String, Double> hearsay)
+      BiConsumer<String, Double> peerReports)
       throws IOException, ConfigException {
-    this(loop, settings, identity, seed, hearsay, (number, document) -> "");
+    this(loop, settings, identity, seed, peerReports, (number, document) -> "");
   }
 
   /**
-   * Opens the port; {@code hearsay} hears, on the loop, of engines that others speak against,
-   * {@code installer} puts revisions of the configuration in force.
+   * Creates an instance and binds its socket; nothing is sent before {@link #start}.
+   *
+   * @param loop runs the instance
+   * @param settings addresses, files and limits
+   * @param identity key, certificate and trusted authorities
+   * @param seed of the protocol's random draws
+   * @param peerReports is told, on the loop, how far peers report an engine as faulty: 0 not at all
+   *     to 1
+   * @param installer puts revisions of the configuration in force
+   * @throws IOException if the socket can't be bound
+   * @throws ConfigException if the issuers' certificates can't be used
    */
   public GossipNode(
       EventLoop loop,
       GossipSettings settings,
       NodeIdentity identity,
       long seed,
-      BiConsumer<String, Double> hearsay,
+      BiConsumer<String, Double> peerReports,
       RevisionService.Installer installer)
       throws IOException, ConfigException {
     this.loop = loop;
     this.settings = settings;
     this.identity = identity;
-    cluster = GossipCodec.cluster(settings.cluster());
-    seq = loop.now(); // above all that an earlier life has used
+    long address = PackedAddress.pack(settings.listen());
+    verifier =
+        new DatagramVerifier(
+            settings.cluster(),
+            identity,
+            settings.periodNanos(),
+            settings.configuration().isPresent());
+    sender = new PacketSender(settings.cluster(), identity, loop::now, verifier, this::transmit);
     gossip =
         new GossipProtocol(
             new MembershipSettings(
                 identity.name(),
-                DatagramTransport.number(settings.listen()),
+                address,
                 seeds(settings),
                 settings.periodNanos(),
                 settings.bytesPerSecond()),
             loop.now(),
             seed,
-            this,
-            hearsay::accept);
-    if (settings.configuration().isPresent()) {
-      revisions =
-          new RevisionService(loop, identity.name(), settings, identity, seed, gossip, installer);
-      gossip.attachPayload(settings.configuration().get().place(), revisions);
-    }
-    doorway =
-        new DatagramVerifier(
-            settings.cluster(), identity, settings.periodNanos(), revisions != null);
-    port =
+            sender,
+            peerReports::accept);
+    statusResponder = new StatusResponder(identity.name(), address, gossip, sender, loop::now);
+    revisions = revisions(seed, installer);
+    transport =
         new DatagramTransport(
             settings.listen(),
-            doorway,
+            verifier,
             identity,
             loop::now,
-            e -> loop.post(GossipCodec.MOST, () -> entered(e)));
+            datagram -> loop.post(GossipCodec.MAX_DATAGRAM_BYTES, () -> receive(datagram)));
     LOG.log(
         Level.INFO,
-        "gossip as {0} in {1} at {2}, {3} bytes a second at most",
+        "gossip started: instance {0}, cluster {1}, listening at {2}, limit {3} bytes/s",
         identity.name(),
         settings.cluster(),
         settings.listen(),
         Integer.toString(settings.bytesPerSecond()));
   }
 
-  private static List<Long> seeds(GossipSettings s) {
-    return s.seeds().stream().map(DatagramTransport::number).toList();
+  private Optional<RevisionService> revisions(long seed, RevisionService.Installer installer)
+      throws ConfigException {
+    if (settings.configuration().isEmpty()) {
+      return Optional.empty();
+    }
+    RevisionService service =
+        new RevisionService(loop, identity.name(), settings, identity, seed, gossip, installer);
+    gossip.attachPayload(settings.configuration().get().place(), service);
+    return Optional.of(service);
   }
 
-  /** Begins to look at the clock. */
+  private void transmit(long address, byte[] unsigned) {
+    transport.send(address, unsigned);
+  }
+
+  private static List<Long> seeds(GossipSettings settings) {
+    return settings.seeds().stream().map(PackedAddress::pack).toList();
+  }
+
+  // ---- Lifecycle ----
+
+  /** Starts the protocol's timer. */
   public void start() {
     tick();
   }
 
   private void tick() {
-    if (over) {
+    if (stopped) {
       return;
     }
     gossip.tick(loop.now());
-    doorway.members(
-        gossip.membership().members().stream()
-            .map(m -> m.address())
+    MembershipService membership = gossip.membership();
+    verifier.setMemberAddresses(
+        membership.members().stream()
+            .map(member -> member.address())
             .collect(Collectors.toUnmodifiableSet()));
-    loop.deadlines().add(loop.now() + gossip.membership().tickIntervalNanos(), this::tick);
+    loop.deadlines().add(loop.now() + membership.tickIntervalNanos(), this::tick);
   }
 
-  /** Takes over keys, authorities, revocations and seeds read anew. */
+  /**
+   * Takes over keys, authorities, revocations and seeds read anew. Where they can't be used, or
+   * name another instance, those before stay in use and a warning is logged.
+   */
   public void reload(GossipSettings next) {
     try {
       NodeIdentity read = NodeIdentity.read(next);
       if (!read.name().equals(identity.name())) {
         LOG.log(
             Level.WARNING,
-            "gossip identity: {0} is another instance; it stays {1}",
+            "gossip identity not reloaded: the certificate names {0}, this instance is {1}",
             read.name(),
             identity.name());
         return;
       }
-      if (revisions != null && next.configuration().isPresent()) {
-        revisions.reload(next, read);
+      if (revisions.isPresent() && next.configuration().isPresent()) {
+        revisions.get().reload(next, read);
       }
       identity = read;
-      knowsUs.clear(); // they hold the certificate before
-      doorway.identity(read);
-      port.identity(read);
+      sender.setIdentity(read);
+      verifier.setIdentity(read);
+      transport.setIdentity(read);
       gossip.membership().setSeeds(seeds(next));
     } catch (ConfigException e) {
-      LOG.log(Level.WARNING, "gossip stays as it is: {0}", e.getMessage());
+      LOG.log(
+          Level.WARNING,
+          "gossip settings not reloaded, those before stay in use: {0}",
+          e.getMessage());
     }
   }
 
-  /** Says good-bye and closes the port. */
+  /** Tells the others that this instance leaves, and closes the socket once that is sent. */
   public void stop() {
-    if (!over) {
-      over = true;
+    if (!stopped) {
+      stopped = true;
       gossip.leave(loop.now());
-      port.close();
+      transport.close();
     }
   }
 
-  /** Closes the port without a word, as the end of the process would. */
+  /** Closes the socket and tells nobody, as the end of the process would. */
   public void abandon() {
-    over = true;
-    port.abandon();
+    stopped = true;
+    transport.abandon();
   }
 
-  /** What went through the port so far; from any thread. */
-  public Traffic traffic() {
-    return port.traffic();
+  /**
+   * Waits until what {@link #stop} sends is out and the socket is closed; from any thread but the
+   * loop's.
+   *
+   * @param millis half of the longest wait
+   */
+  public void awaitClosed(long millis) throws InterruptedException {
+    transport.awaitClosed(millis);
   }
 
-  /** Waits, twice that long at most, until the good-bye has gone out and the port is free again. */
-  public void awaitClosed(long ms) throws InterruptedException {
-    port.awaitClosed(ms);
+  /** Returns what went through the socket so far; from any thread. */
+  public Traffic traffic() {
+    return transport.traffic();
   }
 
+  /** Returns the protocol that runs here. */
   public GossipProtocol gossip() {
     return gossip;
   }
 
-  /** Revisions of the configuration; null where they are off. */
+  /**
+   * Returns this instance's part in spreading the configuration.
+   *
+   * @throws IllegalStateException if the settings give it none
+   */
   public RevisionService revisions() {
-    return revisions;
+    return revisions.orElseThrow(
+        () -> new IllegalStateException("the settings name no configuration to spread"));
   }
 
-  // ---- What the gateway sees ----
+  // ---- What the gateway learns of engines ----
 
   @Override
-  public void onEndpoints(boolean whole, List<EngineMember> members) {
-    Set<String> named = members.stream().map(m -> m.endpoint().name()).collect(Collectors.toSet());
-    if (whole) {
-      engines.stream().filter(e -> !named.contains(e)).toList().forEach(this::gone);
+  public void onEndpoints(boolean complete, List<EngineMember> members) {
+    Set<String> named =
+        members.stream().map(member -> member.endpoint().name()).collect(Collectors.toSet());
+    if (complete) {
+      engines.stream().filter(engine -> !named.contains(engine)).toList().forEach(this::remove);
     }
-    for (EngineMember m : members) {
-      if (m.endpoint().state() == EngineState.REMOVED) {
-        gone(m.endpoint().name());
+    for (EngineMember member : members) {
+      String engine = member.endpoint().name();
+      if (member.endpoint().state() == EngineState.REMOVED) {
+        remove(engine);
       } else {
-        engines.add(m.endpoint().name());
-        gossip.addEngine(m.endpoint().name(), m.endpoint().incarnation());
+        engines.add(engine);
+        gossip.addEngine(engine, member.endpoint().incarnation());
       }
     }
   }
 
-  private void gone(String engine) {
+  private void remove(String engine) {
     engines.remove(engine);
     gossip.removeEngine(engine);
   }
@@ -234,195 +268,33 @@
   @Override
   public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {
     OutcomeWindow.Observation.of(outcome, wanted)
-        .ifPresent(seen -> gossip.recordOutcome(loop.now(), engine, seen));
+        .ifPresent(observation -> gossip.recordOutcome(loop.now(), engine, observation));
   }
 
-  // ---- What comes ----
+  // ---- What the others send ----
 
-  private void entered(DatagramVerifier.Entered e) {
-    if (over) {
+  private void receive(VerifiedDatagram datagram) {
+    if (stopped) {
       return;
     }
-    Packet p = e.packet();
-    // One that still holds the certificate before has to get the new one: its mark tells.
-    if (e.knows() == GossipCodec.mark(identity.certificate())) {
-      knowsUs.add(p.sender());
-    } else {
-      knowsUs.remove(p.sender());
-    }
-    if (p.message() instanceof MembershipMessage.StatusRequest s) {
-      status(p, s, e.source(), e.timeMs());
+    sender.noteKnownCertificate(datagram.packet().sender(), datagram.knownCertificate());
+    if (datagram.packet().message() instanceof MembershipMessage.StatusRequest request) {
+      statusResponder.answer(datagram, request, status());
     } else {
-      gossip.receive(loop.now(), p);
-    }
-  }
-
-  // ---- What goes out ----
-
-  @Override
-  public int messageBytes(String to, MembershipMessage message) {
-    return GossipCodec.size(
-        identity.name(), message, knowsUs.contains(to) ? 0 : identity.certificate().length);
-  }
-
-  @Override
-  public int updateBytes(MembershipUpdate news) {
-    return GossipCodec.size(news);
-  }
-
-  @Override
-  public int reportBytes(PeerReport claim) {
-    return GossipCodec.size(claim);
-  }
-
-  @Override
-  public int revisionMessageBytes(RevisionMessage word) {
-    return GossipCodec.size(word);
-  }
-
-  @Override
-  public int payloadBytes(int place, List<RevisionMessage> words) {
-    return GossipCodec.riding(place, words);
-  }
-
-  @Override
-  public void send(String to, long address, Packet packet) {
-    send(to, address, packet, loop.now() / MILLISECOND);
-  }
-
-  private void send(String to, long address, Packet packet, long timeMs) {
-    byte[] certificate = knowsUs.contains(to) ? null : identity.certificate();
-    byte[] unsigned =
-        GossipCodec.write(cluster, packet, seq++, timeMs, certificate, doorway.knows(to));
-    sent += unsigned.length + GossipCodec.SIGNATURE + GossipCodec.UDP;
-    port.send(address, unsigned);
-  }
-
-  // ---- Status ----
-
-  /**
-   * Answers an operator with one page of the status, to where the question came from. The answer
-   * bears the time of the question: that is fresh by the clock of whoever asked, however far from
-   * this machine's.
-   */
-  private void status(Packet asked, MembershipMessage.StatusRequest s, long source, long timeMs) {
-    List<String> pages = pages();
-    if (s.page() < 0 || s.page() >= pages.size()) {
-      return;
-    }
-    MembershipMessage answer =
-        new MembershipMessage.StatusPage(s.page(), pages.size(), pages.get(s.page()));
-    int size = messageBytes(asked.sender(), answer);
-    if (gossip
-        .membership()
-        .bandwidth()
-        .hasRoom(loop.now(), BandwidthLimiter.Purpose.ANSWER, size)) {
-      gossip.membership().bandwidth().record(loop.now(), size, 0);
-      send(
-          asked.sender(),
-          source,
-          new Packet(
-              identity.name(),
-              DatagramTransport.number(settings.listen()),
-              gossip.membership().incarnation(),
-              answer,
-              List.of(),
-              List.of()),
-          timeMs);
+      gossip.receive(loop.now(), datagram.packet());
     }
   }
 
-  private List<String> pages() {
-    List<String> pages = new ArrayList<>();
-    StringBuilder page = new StringBuilder();
-    for (String line : lines()) {
-      if (page.length() + line.length() + 1 > PAGE) {
-        pages.add(page.toString());
-        page.setLength(0);
-      }
-      page.append(line).append('\n');
-    }
-    pages.add(page.toString());
-    return pages.subList(0, Math.min(MAX_PAGES, pages.size()));
-  }
-
-  private static boolean valid(X509Certificate c) {
-    Date now = Date.from(WallClock.instant());
-    return !now.before(c.getNotBefore()) && !now.after(c.getNotAfter());
-  }
-
-  /** What an operator wants to know, a line each; ASCII. */
-  List<String> lines() {
-    List<String> lines = new ArrayList<>();
-    var membership = gossip.membership();
-    long now = loop.now();
-    lines.add(
-        "instance "
-            + identity.name()
-            + " cluster "
-            + settings.cluster()
-            + " incarnation "
-            + membership.incarnation()
-            + " health "
-            + membership.healthScore()
-            + " members "
-            + membership.size());
-    lines.add(
-        "bytes sent "
-            + sent
-            + " cap "
-            + settings.bytesPerSecond()
-            + " a second, datagrams dropped "
-            + port.dropped()
-            + ", sent "
-            + port.traffic().sent()
-            + ", received "
-            + port.traffic().received()
-            + " of "
-            + port.traffic().receivedBytes()
-            + " bytes");
-    lines.add("refused " + doorway.refused());
-    if (!valid(identity.own())) {
-      lines.add(
-          "certificate of this instance is not valid by this machine's wall clock, "
-              + WallClock.instant());
-    }
-    if (revisions != null) {
-      lines.addAll(revisions.lines(now));
-    }
-    membership
-        .members()
-        .forEach(
-            m ->
-                lines.add(
-                    "member "
-                        + m.name()
-                        + " "
-                        + DatagramTransport.address(m.address()).toString().substring(1)
-                        + " "
-                        + m.state()
-                        + " incarnation "
-                        + m.incarnation()
-                        + " for "
-                        + (now - m.sinceNanos()) / (1_000 * MILLISECOND)
-                        + " s standing "
-                        + String.format("%.2f", gossip.quorum().reputation(m.name()))
-                        + " contradicted "
-                        + gossip.quorum().contradictions(m.name())));
-    for (WeightedQuorum.Assessment b : gossip.assessments()) {
-      lines.add(
-          "engine "
-              + b.engine()
-              + " level "
-              + String.format("%.2f", b.level())
-              + " accused by "
-              + String.join(",", b.accusers())
-              + " vouched for by "
-              + String.join(",", b.vouchers()));
-    }
-    lines.replaceAll(l -> l.length() > PAGE - 1 ? l.substring(0, PAGE - 1) : l);
-    lines.replaceAll(
-        l -> new String(l.getBytes(StandardCharsets.US_ASCII), StandardCharsets.US_ASCII));
-    return lines;
+  /** Returns the status as of now. */
+  StatusReport status() {
+    long nowNanos = loop.now();
+    StatusReport report =
+        new StatusReport(nowNanos)
+            .instance(identity.name(), settings.cluster(), gossip.membership())
+            .traffic(sender.sentBytes(), settings.bytesPerSecond(), transport)
+            .rejections(verifier.rejections())
+            .certificate(identity.x509Certificate(), WallClock.instant());
+    revisions.ifPresent(service -> report.lines(service.lines(nowNanos)));
+    return report.members(gossip.membership(), gossip.quorum()).assessments(gossip.assessments());
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -13,57 +13,71 @@
 import java.security.cert.X509Certificate;
 import java.security.spec.PKCS8EncodedKeySpec;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Date;
 import java.util.HexFormat;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Set;
 import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
 
 /**
  * Who this instance is, and whom it trusts: an Ed25519 key (RFC 8032), the certificate that names
- * it, the authorities whose word counts, and what has been revoked. Read from files as a whole, so
- * that it is replaced as a whole.
+ * it, the authorities that vouch for others, and the certificates that are revoked. Read from files
+ * as a whole, so that it is replaced as a whole. Immutable, any thread.
  */
 public final class NodeIdentity {
-  /** The signature of all datagrams and certificates. */
+  /** The signature algorithm of all datagrams and certificates. */
   public static final String ALGORITHM = "Ed25519";
 
+  private static final String CERTIFICATE_LABEL = "CERTIFICATE";
+
   private final String name;
   private final PrivateKey key;
-  private final byte[] certificate;
-  private final X509Certificate own;
+  private final byte[] encodedCertificate;
+  private final X509Certificate certificate;
   private final List<X509Certificate> authorities;
-  private final Set<String> revoked;
+  private final Set<String> revokedSerials;
 
   private NodeIdentity(
-      PrivateKey key, X509Certificate own, List<X509Certificate> authorities, Set<String> revoked)
+      PrivateKey key,
+      X509Certificate certificate,
+      List<X509Certificate> authorities,
+      Set<String> revokedSerials)
       throws GeneralSecurityException {
-    name = commonName(own);
+    name = commonName(certificate);
     this.key = key;
-    this.own = own;
-    certificate = own.getEncoded();
+    this.certificate = certificate;
+    encodedCertificate = certificate.getEncoded();
     this.authorities = authorities;
-    this.revoked = revoked;
+    this.revokedSerials = revokedSerials;
   }
 
-  /** Reads all files that the settings name, and checks that they belong together. */
-  public static NodeIdentity read(GossipSettings s) throws ConfigException {
+  /**
+   * Reads all files that the settings name, and checks that key and certificate belong together.
+   *
+   * @throws ConfigException if a file can't be read or used, with the file or cause
+   */
+  public static NodeIdentity read(GossipSettings settings) throws ConfigException {
     try {
-      KeyFactory keys = KeyFactory.getInstance(ALGORITHM);
-      PrivateKey key = keys.generatePrivate(new PKCS8EncodedKeySpec(Pem.readPrivate(s.keyFile())));
-      X509Certificate own = certificate(Pem.read(s.certificateFile(), "CERTIFICATE"));
+      PrivateKey key =
+          KeyFactory.getInstance(ALGORITHM)
+              .generatePrivate(new PKCS8EncodedKeySpec(Pem.readPrivate(settings.keyFile())));
+      X509Certificate certificate = readCertificate(settings.certificateFile());
       List<X509Certificate> authorities = new ArrayList<>();
-      for (Path a : s.authorityFiles()) {
-        authorities.add(certificate(Pem.read(a, "CERTIFICATE")));
+      for (Path file : settings.authorityFiles()) {
+        authorities.add(readCertificate(file));
       }
-      NodeIdentity read =
-          new NodeIdentity(key, own, List.copyOf(authorities), revoked(s.revocationFile()));
-      byte[] probe = {1};
-      if (!verify(own.getPublicKey(), probe, probe.length, read.sign(probe))) {
-        throw new ConfigException(s.keyFile() + ": is not the key of " + s.certificateFile());
+      NodeIdentity identity =
+          new NodeIdentity(
+              key, certificate, List.copyOf(authorities), readRevoked(settings.revocationFile()));
+      if (!identity.ownsKey()) {
+        throw new ConfigException(
+            settings.keyFile() + ": is not the key of " + settings.certificateFile());
       }
-      return read;
+      return identity;
     } catch (IOException e) {
       throw new ConfigException("gossip: " + e.getMessage());
     } catch (GeneralSecurityException e) {
@@ -71,11 +85,17 @@
     }
   }
 
-  private static Set<String> revoked(Path list) throws IOException {
+  private static X509Certificate readCertificate(Path file)
+      throws IOException, GeneralSecurityException {
+    return certificate(Pem.read(file, CERTIFICATE_LABEL));
+  }
+
+  /** Reads serial numbers, one a line, comments behind {@code #}; none where there is no file. */
+  private static Set<String> readRevoked(Path list) throws IOException {
     Set<String> serials = new LinkedHashSet<>();
     if (list != null && Files.exists(list)) {
       for (String line : Files.readAllLines(list)) {
-        String serial = line.replaceFirst("#.*", "").strip().toLowerCase(java.util.Locale.ROOT);
+        String serial = line.replaceFirst("#.*", "").strip().toLowerCase(Locale.ROOT);
         if (!serial.isEmpty()) {
           serials.add(serial);
         }
@@ -84,85 +104,121 @@
     return serials;
   }
 
-  /** Reads a certificate. */
-  public static X509Certificate certificate(byte[] bytes) throws GeneralSecurityException {
+  /** Whether the private key is that of the certificate: what it signs has to be verified. */
+  private boolean ownsKey() throws GeneralSecurityException {
+    byte[] sample = {1};
+    return verify(certificate.getPublicKey(), sample, sample.length, sign(sample));
+  }
+
+  /**
+   * Parses an encoded certificate (X.509, DER).
+   *
+   * @throws GeneralSecurityException if it is none
+   */
+  public static X509Certificate certificate(byte[] encoded) throws GeneralSecurityException {
     return (X509Certificate)
         CertificateFactory.getInstance("X.509")
-            .generateCertificate(new ByteArrayInputStream(bytes));
+            .generateCertificate(new ByteArrayInputStream(encoded));
   }
 
-  /** The name that a certificate gives its owner. */
-  public static String commonName(X509Certificate c) {
-    for (String part : c.getSubjectX500Principal().getName().split(",")) {
+  /** Returns the common name that a certificate gives its owner, or "" where it gives none. */
+  public static String commonName(X509Certificate certificate) {
+    for (String part : certificate.getSubjectX500Principal().getName().split(",")) {
       if (part.startsWith("CN=")) {
-        return part.substring(3);
+        return part.substring("CN=".length());
       }
     }
     return "";
   }
 
-  /** A certificate's serial number as lists of revoked ones hold it. */
-  public static String serial(X509Certificate c) {
-    return HexFormat.of().formatHex(c.getSerialNumber().toByteArray());
+  /** Returns a certificate's serial number in hexadecimal, as lists of revoked ones hold it. */
+  public static String serial(X509Certificate certificate) {
+    return HexFormat.of().formatHex(certificate.getSerialNumber().toByteArray());
   }
 
+  /** Returns this instance's name, which is its certificate's common name. */
   public String name() {
     return name;
   }
 
-  /** This instance's certificate, as bytes. */
-  public byte[] certificate() {
-    return certificate;
+  /** Returns this instance's certificate as it goes over the wire; not to be changed. */
+  public byte[] encodedCertificate() {
+    return encodedCertificate;
   }
 
-  public X509Certificate own() {
-    return own;
+  /** Returns this instance's certificate. */
+  public X509Certificate x509Certificate() {
+    return certificate;
   }
 
-  /** Signs a datagram. */
+  /**
+   * Returns the Ed25519 signature over {@code bytes}.
+   *
+   * @throws GeneralSecurityException if the key can't be used
+   */
   public byte[] sign(byte[] bytes) throws GeneralSecurityException {
-    Signature s = Signature.getInstance(ALGORITHM);
-    s.initSign(key);
-    s.update(bytes);
-    return s.sign();
+    Signature signature = Signature.getInstance(ALGORITHM);
+    signature.initSign(key);
+    signature.update(bytes);
+    return signature.sign();
+  }
+
+  /**
+   * Returns a datagram as it is sent: {@code unsigned} with its signature behind.
+   *
+   * @throws GeneralSecurityException if the key can't be used
+   */
+  public byte[] seal(byte[] unsigned) throws GeneralSecurityException {
+    byte[] signature = sign(unsigned);
+    byte[] datagram = Arrays.copyOf(unsigned, unsigned.length + signature.length);
+    System.arraycopy(signature, 0, datagram, unsigned.length, signature.length);
+    return datagram;
   }
 
   /** Whether that key's owner signed the first {@code length} bytes. */
   public static boolean verify(PublicKey key, byte[] bytes, int length, byte[] signature) {
     try {
-      Signature s = Signature.getInstance(ALGORITHM);
-      s.initVerify(key);
-      s.update(bytes, 0, length);
-      return s.verify(signature);
+      Signature verifier = Signature.getInstance(ALGORITHM);
+      verifier.initVerify(key);
+      verifier.update(bytes, 0, length);
+      return verifier.verify(signature);
     } catch (GeneralSecurityException e) {
       return false;
     }
   }
 
   /**
-   * Whether one of the authorities signed that certificate, itself valid at that time (Unix
-   * milliseconds).
+   * Whether one of the authorities signed that certificate, and both are valid at that time.
+   *
+   * @param unixMillis Unix time in milliseconds
    */
-  public boolean trusts(X509Certificate c, long time) {
-    java.util.Date at = new java.util.Date(time);
-    for (X509Certificate a : authorities) {
-      try {
-        a.checkValidity(at);
-        c.checkValidity(at);
-        boolean issuer = c.getIssuerX500Principal().equals(a.getSubjectX500Principal());
-        if (issuer && a.getBasicConstraints() >= 0 && c.getBasicConstraints() < 0) {
-          c.verify(a.getPublicKey());
-          return true;
-        }
-      } catch (GeneralSecurityException e) {
-        // not this one; another may have
+  public boolean trusts(X509Certificate candidate, long unixMillis) {
+    Date time = new Date(unixMillis);
+    return authorities.stream().anyMatch(authority -> issued(authority, candidate, time));
+  }
+
+  private static boolean issued(X509Certificate authority, X509Certificate candidate, Date time) {
+    try {
+      authority.checkValidity(time);
+      candidate.checkValidity(time);
+      boolean named =
+          candidate.getIssuerX500Principal().equals(authority.getSubjectX500Principal());
+      if (!named || !isAuthority(authority) || isAuthority(candidate)) {
+        return false;
       }
+      candidate.verify(authority.getPublicKey());
+      return true;
+    } catch (GeneralSecurityException e) {
+      return false; // another authority may have issued it
     }
-    return false;
   }
 
-  /** Whether a certificate has been taken back. */
-  public boolean revoked(X509Certificate c) {
-    return revoked.contains(serial(c));
+  private static boolean isAuthority(X509Certificate certificate) {
+    return certificate.getBasicConstraints() >= 0;
+  }
+
+  /** Whether a certificate has been revoked. */
+  public boolean revoked(X509Certificate candidate) {
+    return revokedSerials.contains(serial(candidate));
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/reachloom/gossip/net/PacketSender.java
@@ -0,0 +1,113 @@
+package reachloom.gossip.net;
+
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.LongSupplier;
+import reachloom.gossip.Packet;
+import reachloom.gossip.wire.DatagramEnvelope;
+import reachloom.gossip.wire.EncodingTransport;
+import reachloom.gossip.wire.GossipCodec;
+
+/**
+ * Encodes packets and hands them to the socket to be signed and sent. Knows which members hold this
+ * instance's certificate, so that it goes out no more often than needed. Confined to the event
+ * loop.
+ */
+final class PacketSender extends EncodingTransport {
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
+
+  /** Takes encoded datagrams that have no signature yet. */
+  interface Output {
+    /** Signs and sends, in the order given, to a packed address. */
+    void send(long address, byte[] unsigned);
+  }
+
+  private final int cluster;
+  private final LongSupplier clockNanos;
+  private final DatagramVerifier verifier;
+  private final Output output;
+  private final Set<String> certificateHolders = new HashSet<>();
+  private NodeIdentity identity;
+  private long nextSequenceNumber;
+  private long sentBytes;
+
+  /**
+   * Creates a sender.
+   *
+   * @param clusterName the cluster that datagrams are marked with
+   * @param identity who sends
+   * @param clockNanos the event loop's time; it is past all sequence numbers of earlier processes
+   * @param verifier knows which members' certificates are held here
+   * @param output takes what is to be sent
+   */
+  PacketSender(
+      String clusterName,
+      NodeIdentity identity,
+      LongSupplier clockNanos,
+      DatagramVerifier verifier,
+      Output output) {
+    cluster = GossipCodec.clusterChecksum(clusterName);
+    this.identity = identity;
+    this.clockNanos = clockNanos;
+    this.verifier = verifier;
+    this.output = output;
+    nextSequenceNumber = clockNanos.getAsLong();
+  }
+
+  /** Replaces key and certificate; members hold the certificate before, and get the new one. */
+  void setIdentity(NodeIdentity next) {
+    identity = next;
+    certificateHolders.clear();
+  }
+
+  /**
+   * Notes which certificate of this instance a member holds, by its checksum: one that still holds
+   * the certificate before has to get the new one.
+   */
+  void noteKnownCertificate(String member, int checksum) {
+    if (checksum == GossipCodec.certificateChecksum(identity.encodedCertificate())) {
+      certificateHolders.add(member);
+    } else {
+      certificateHolders.remove(member);
+    }
+  }
+
+  /** Returns the bytes of all datagrams so far, headers of IP and UDP included. */
+  long sentBytes() {
+    return sentBytes;
+  }
+
+  @Override
+  protected String sender() {
+    return identity.name();
+  }
+
+  @Override
+  protected int certificateBytes(String receiver) {
+    return certificateHolders.contains(receiver) ? 0 : identity.encodedCertificate().length;
+  }
+
+  @Override
+  public void send(String to, long address, Packet packet) {
+    send(to, address, packet, clockNanos.getAsLong() / NANOS_PER_MILLISECOND);
+  }
+
+  /** Sends a packet that bears the given time, in Unix milliseconds, as its own. */
+  void send(String to, long address, Packet packet, long sentAtMillis) {
+    Optional<byte[]> certificate =
+        certificateHolders.contains(to)
+            ? Optional.empty()
+            : Optional.of(identity.encodedCertificate());
+    DatagramEnvelope envelope =
+        new DatagramEnvelope(
+            cluster,
+            nextSequenceNumber++,
+            sentAtMillis,
+            certificate,
+            verifier.knownCertificate(to));
+    byte[] unsigned = GossipCodec.encode(envelope, packet);
+    sentBytes += unsigned.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES;
+    output.send(address, unsigned);
+  }
+}
--- a/gateway/src/main/java/reachloom/gossip/net/Pem.java
+++ b/gateway/src/main/java/reachloom/gossip/net/Pem.java
@@ -9,22 +9,31 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Files in PEM (RFC 7468), as keys and certificates are kept. */
+/** Files in PEM (RFC 7468), as keys and certificates are stored. No state, any thread. */
 public final class Pem {
-  private static final int MAX_BYTES = 64 * 1024;
+  private static final int MAX_FILE_BYTES = 64 * 1024;
   private static final int COLUMNS = 64;
+  private static final Set<PosixFilePermission> OWNER_PERMISSIONS =
+      Set.of(
+          PosixFilePermission.OWNER_READ,
+          PosixFilePermission.OWNER_WRITE,
+          PosixFilePermission.OWNER_EXECUTE);
 
   private Pem() {}
 
-  /** The bytes of the first block of that label. */
+  /**
+   * Returns the bytes of a file's first block of that label.
+   *
+   * @throws IOException if the file can't be read, is too large, or holds no such block
+   */
   public static byte[] read(Path file, String label) throws IOException {
-    if (Files.size(file) > MAX_BYTES) {
-      throw new IOException(file + ": is larger than " + MAX_BYTES + " bytes");
+    if (Files.size(file) > MAX_FILE_BYTES) {
+      throw new IOException(file + ": is larger than " + MAX_FILE_BYTES + " bytes");
     }
     String text = Files.readString(file, StandardCharsets.US_ASCII);
-    String begin = "-----BEGIN " + label + "-----";
+    String begin = begin(label);
     int from = text.indexOf(begin);
-    int to = text.indexOf("-----END " + label + "-----");
+    int to = text.indexOf(end(label));
     if (from < 0 || to < from) {
       throw new IOException(file + ": holds no " + label);
     }
@@ -35,29 +44,31 @@
     }
   }
 
-  /** A private key's bytes; refused where others than the owner may read the file. */
+  /**
+   * Returns the bytes of a private key.
+   *
+   * @throws IOException if the file can't be read, or others than its owner may use it
+   */
   public static byte[] readPrivate(Path file) throws IOException {
-    Set<PosixFilePermission> open = EnumSet.copyOf(Files.getPosixFilePermissions(file));
-    open.retainAll(
-        EnumSet.complementOf(
-            EnumSet.of(
-                PosixFilePermission.OWNER_READ,
-                PosixFilePermission.OWNER_WRITE,
-                PosixFilePermission.OWNER_EXECUTE)));
-    if (!open.isEmpty()) {
-      throw new IOException(file + ": others than its owner may use it (" + open + ")");
+    Set<PosixFilePermission> others = EnumSet.copyOf(Files.getPosixFilePermissions(file));
+    others.removeAll(OWNER_PERMISSIONS);
+    if (!others.isEmpty()) {
+      throw new IOException(file + ": others than its owner may use it (" + others + ")");
     }
     return read(file, "PRIVATE KEY");
   }
 
-  /** One block as text. */
+  /** Returns one block as text, its last line ended. */
   public static String text(String label, byte[] bytes) {
-    return "-----BEGIN "
-        + label
-        + "-----\n"
-        + Base64.getMimeEncoder(COLUMNS, new byte[] {'\n'}).encodeToString(bytes)
-        + "\n-----END "
-        + label
-        + "-----\n";
+    String base64 = Base64.getMimeEncoder(COLUMNS, new byte[] {'\n'}).encodeToString(bytes);
+    return begin(label) + "\n" + base64 + "\n" + end(label) + "\n";
+  }
+
+  private static String begin(String label) {
+    return "-----BEGIN " + label + "-----";
+  }
+
+  private static String end(String label) {
+    return "-----END " + label + "-----";
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -58,7 +58,7 @@
     reload(settings, identity);
     issuers =
         c.issuers().stream()
-            .map(i -> new Peer(i.name(), DatagramTransport.number(i.address()), 0))
+            .map(i -> new Peer(i.name(), PackedAddress.pack(i.address()), 0))
             .toList();
     boolean issuer = issuers.stream().anyMatch(i -> i.name().equals(name));
     dissemination =
--- a/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
@@ -9,100 +9,132 @@
 import java.security.GeneralSecurityException;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import reachloom.config.ConfigException;
 import reachloom.config.GossipSettings;
 import reachloom.gossip.Packet;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.membership.MembershipMessage;
 import reachloom.time.WallClock;
 
 /**
- * Asks an instance what it knows, page by page, over its gossip port; both sides prove who they
- * are.
+ * Asks an instance for its status, page by page, over its gossip address; both sides prove who they
+ * are. Blocks; one object is for one request and one thread.
  */
 public final class StatusClient {
-  private static final int TRIES = 5;
-  private static final int TIMEOUT_MS = 1_000;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final int ATTEMPTS_PER_PAGE = 5;
+  private static final int TIMEOUT_MILLIS = 1_000;
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
-  private StatusClient() {}
+  private final InetSocketAddress instance;
+  private final String clusterName;
+  private final NodeIdentity identity;
+  private final DatagramVerifier verifier;
+  private long nextSequenceNumber = WallClock.unixNanos();
 
-  /** All pages as one text. */
+  private StatusClient(InetSocketAddress instance, String clusterName, NodeIdentity identity) {
+    this.instance = instance;
+    this.clusterName = clusterName;
+    this.identity = identity;
+    verifier = new DatagramVerifier(clusterName, identity, TIMEOUT_MILLIS * NANOS_PER_MILLISECOND);
+  }
+
+  /**
+   * Returns all pages of an instance's status as one text.
+   *
+   * @param instance where the instance listens for gossip
+   * @param clusterName name of its cluster
+   * @param keyFile the operator's private key
+   * @param certificateFile the operator's certificate
+   * @param authorityFile certificate of the authority that vouches for the instance
+   * @throws IOException if a file can't be used, or no complete answer came
+   * @throws GeneralSecurityException if the key can't be used
+   */
   public static String ask(
-      InetSocketAddress at, String clusterName, Path key, Path certificate, Path authority)
+      InetSocketAddress instance,
+      String clusterName,
+      Path keyFile,
+      Path certificateFile,
+      Path authorityFile)
       throws IOException, GeneralSecurityException {
-    NodeIdentity me;
+    GossipSettings settings =
+        new GossipSettings(
+            clusterName,
+            instance,
+            0,
+            0,
+            keyFile,
+            certificateFile,
+            List.of(authorityFile),
+            null,
+            List.of());
+    NodeIdentity identity;
     try {
-      me =
-          NodeIdentity.read(
-              new GossipSettings(
-                  clusterName, at, 0, 0, key, certificate, List.of(authority), null, List.of()));
+      identity = NodeIdentity.read(settings);
     } catch (ConfigException e) {
-      throw new IOException(e.getMessage());
+      throw new IOException(e.getMessage(), e);
     }
-    DatagramVerifier doorway = new DatagramVerifier(clusterName, me, TIMEOUT_MS * MILLISECOND);
-    TreeMap<Integer, String> pages = new TreeMap<>();
-    long seq = WallClock.unixNanos();
+    return new StatusClient(instance, clusterName, identity).ask();
+  }
+
+  private String ask() throws IOException, GeneralSecurityException {
+    SortedMap<Integer, String> pages = new TreeMap<>();
     int count = 1;
     try (DatagramSocket socket = new DatagramSocket()) {
-      socket.setSoTimeout(TIMEOUT_MS);
-      for (int tries = 0; pages.size() < count && tries < TRIES * count; tries++) {
-        send(socket, at, me, clusterName, pages.size(), seq++);
-        MembershipMessage.StatusPage p = answer(socket, doorway);
-        if (p != null && p.pageCount() > 0) {
-          count = p.pageCount();
-          pages.put(p.page(), p.text());
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      for (int attempt = 0;
+          pages.size() < count && attempt < ATTEMPTS_PER_PAGE * count;
+          attempt++) {
+        send(socket, pages.size());
+        Optional<MembershipMessage.StatusPage> page = receive(socket);
+        if (page.isPresent() && page.get().pageCount() > 0) {
+          count = page.get().pageCount();
+          pages.put(page.get().page(), page.get().text());
         }
       }
     }
     if (pages.size() < count || pages.isEmpty()) {
       throw new IOException(
-          at
+          instance
               + ": no answer; is it that cluster, and is the certificate signed by an "
               + "authority that it trusts?");
     }
     return String.join("", pages.values());
   }
 
-  private static void send(
-      DatagramSocket socket,
-      InetSocketAddress at,
-      NodeIdentity me,
-      String clusterName,
-      int page,
-      long seq)
-      throws IOException, GeneralSecurityException {
-    Packet asked =
+  private void send(DatagramSocket socket, int page) throws IOException, GeneralSecurityException {
+    Packet request =
         new Packet(
-            me.name(), 0, 0, new MembershipMessage.StatusRequest(page), List.of(), List.of());
-    byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster(clusterName),
-            asked,
-            seq,
+            identity.name(), 0, 0, new MembershipMessage.StatusRequest(page), List.of(), List.of());
+    DatagramEnvelope envelope =
+        new DatagramEnvelope(
+            GossipCodec.clusterChecksum(clusterName),
+            nextSequenceNumber++,
             WallClock.unixMillis(),
-            me.certificate(),
+            Optional.of(identity.encodedCertificate()),
             0);
-    byte[] signature = me.sign(unsigned);
-    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + signature.length);
-    System.arraycopy(signature, 0, whole, unsigned.length, signature.length);
-    socket.send(new DatagramPacket(whole, whole.length, at));
+    byte[] datagram = identity.seal(GossipCodec.encode(envelope, request));
+    socket.send(new DatagramPacket(datagram, datagram.length, instance));
   }
 
-  private static MembershipMessage.StatusPage answer(
-      DatagramSocket socket, DatagramVerifier doorway) throws IOException {
-    DatagramPacket in = new DatagramPacket(new byte[GossipCodec.MOST + 1], GossipCodec.MOST + 1);
+  private Optional<MembershipMessage.StatusPage> receive(DatagramSocket socket) throws IOException {
+    byte[] buffer = new byte[GossipCodec.MAX_DATAGRAM_BYTES + 1];
+    DatagramPacket datagram = new DatagramPacket(buffer, buffer.length);
     try {
-      socket.receive(in);
+      socket.receive(datagram);
     } catch (SocketTimeoutException e) {
-      return null;
+      return Optional.empty();
     }
-    DatagramVerifier.Entered e =
-        doorway.enter(
+    return verifier
+        .verify(
             WallClock.unixNanos(),
-            DatagramTransport.number((InetSocketAddress) in.getSocketAddress()),
-            Arrays.copyOf(in.getData(), in.getLength()));
-    return e != null && e.packet().message() instanceof MembershipMessage.StatusPage p ? p : null;
+            PackedAddress.pack((InetSocketAddress) datagram.getSocketAddress()),
+            Arrays.copyOf(buffer, datagram.getLength()))
+        .map(verified -> verified.packet().message())
+        .filter(MembershipMessage.StatusPage.class::isInstance)
+        .map(MembershipMessage.StatusPage.class::cast);
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/wire/DatagramHeader.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/DatagramHeader.java
@@ -1,18 +1,14 @@
 package reachloom.gossip.wire;
 
 /**
- * What stands before the signed part's content: enough to refuse a datagram cheaply. {@code time}
- * is in Unix milliseconds; the certificate is null where the datagram brings none; {@code knowsYou}
- * tells whether the sender holds the receiver's.
+ * What stands before a datagram's sections: enough to reject it cheaply. Nothing of it is proved
+ * before the signature is verified.
+ *
+ * @param envelope cluster, sequence number, time and certificate
+ * @param sender name of the member that sent it, never empty
+ * @param address where the sender listens: IPv4 address and port in the lowest 48 bits
+ * @param incarnation incarnation of the sender
+ * @param contentOffset index of the first byte behind the header
  */
 public record DatagramHeader(
-    int cluster,
-    String sender,
-    long seq,
-    long time,
-    long address,
-    long incarnation,
-    byte[] certificate,
-    int knows,
-    int content,
-    int end) {}
+    DatagramEnvelope envelope, String sender, long address, long incarnation, int contentOffset) {}
--- a/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
@@ -22,12 +22,14 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.GossipSettings;
 import reachloom.gossip.GoldenResources;
 import reachloom.gossip.Packet;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.membership.MembershipMessage;
 
@@ -85,13 +87,14 @@
 
   private static byte[] sealed(NodeIdentity signer) throws Exception {
     byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster(CLUSTER),
-            PING,
-            SEQUENCE_NUMBER,
-            SENT_AT_MILLIS,
-            signer.certificate(),
-            0);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum(CLUSTER),
+                SEQUENCE_NUMBER,
+                SENT_AT_MILLIS,
+                Optional.ofNullable(signer.encodedCertificate()),
+                0),
+            PING);
     byte[] signature = signer.sign(unsigned);
     byte[] whole = Arrays.copyOf(unsigned, unsigned.length + signature.length);
     System.arraycopy(signature, 0, whole, unsigned.length, signature.length);
@@ -101,13 +104,13 @@
   @Test
   void storedIdentityIsReadWithTheSameNameAndCertificate() throws Exception {
     assertEquals("gateway-1", identity.name());
-    assertArrayEquals(block("gateway-1.crt", "CERTIFICATE"), identity.certificate());
-    assertEquals(certificate("gateway-1.crt"), identity.own());
+    assertArrayEquals(block("gateway-1.crt", "CERTIFICATE"), identity.encodedCertificate());
+    assertEquals(certificate("gateway-1.crt"), identity.x509Certificate());
   }
 
   @Test
   void storedCertificateHasTheSameFields() throws Exception {
-    X509Certificate own = identity.own();
+    X509Certificate own = identity.x509Certificate();
     assertEquals("gateway-1", NodeIdentity.commonName(own));
     assertEquals("054cbfcf4fd2dd4c", NodeIdentity.serial(own));
     assertEquals("CN=golden-authority", own.getIssuerX500Principal().getName());
@@ -116,7 +119,7 @@
     assertEquals(Instant.parse("2126-11-07T13:24:40Z"), own.getNotAfter().toInstant());
     assertEquals(-1, own.getBasicConstraints());
     assertEquals(231, own.getEncoded().length);
-    assertEquals(0xab31_da75, GossipCodec.mark(own.getEncoded()));
+    assertEquals(0xab31_da75, GossipCodec.certificateChecksum(own.getEncoded()));
     assertArrayEquals(block("gateway-1.pub", "PUBLIC KEY"), own.getPublicKey().getEncoded());
   }
 
@@ -184,26 +187,30 @@
   void aDatagramIsSignedToTheStoredBytes() throws Exception {
     byte[] stored = GoldenResources.hex("identity/signed-ping.hex");
     assertArrayEquals(stored, sealed(identity)); // RFC 8032: the same key and text, the same bytes
-    int signed = stored.length - GossipCodec.SIGNATURE;
+    int signed = stored.length - GossipCodec.SIGNATURE_BYTES;
     byte[] signature = Arrays.copyOfRange(stored, signed, stored.length);
-    assertTrue(NodeIdentity.verify(identity.own().getPublicKey(), stored, signed, signature));
+    assertTrue(
+        NodeIdentity.verify(identity.x509Certificate().getPublicKey(), stored, signed, signature));
     signature[0] ^= 1;
-    assertFalse(NodeIdentity.verify(identity.own().getPublicKey(), stored, signed, signature));
+    assertFalse(
+        NodeIdentity.verify(identity.x509Certificate().getPublicKey(), stored, signed, signature));
   }
 
   @Test
   void theStoredDatagramIsTakenAsItsSendersPing() throws Exception {
     long nowNanos = SENT_AT_MILLIS * MILLISECOND_NANOS;
-    DatagramVerifier doorway =
+    DatagramVerifier verifier =
         new DatagramVerifier(CLUSTER, identity, 1_000 * MILLISECOND_NANOS, false, () -> nowNanos);
-    DatagramVerifier.Entered entered =
-        doorway.enter(nowNanos, 9, GoldenResources.hex("identity/signed-ping.hex"));
-    assertNotNull(entered, () -> doorway.refused().toString());
+    VerifiedDatagram entered =
+        verifier.verify(nowNanos, 9, GoldenResources.hex("identity/signed-ping.hex")).orElse(null);
+    assertNotNull(entered, () -> verifier.rejections().toString());
     assertEquals(PING, entered.packet());
-    assertEquals(SENT_AT_MILLIS, entered.timeMs());
+    assertEquals(SENT_AT_MILLIS, entered.sentAtMillis());
     assertEquals(9, entered.source());
-    assertEquals(0, entered.knows());
-    assertEquals(GossipCodec.mark(identity.certificate()), doorway.knows("gateway-1"));
-    assertEquals(Map.of(), doorway.refused());
+    assertEquals(0, entered.knownCertificate());
+    assertEquals(
+        GossipCodec.certificateChecksum(identity.encodedCertificate()),
+        verifier.knownCertificate("gateway-1"));
+    assertEquals(Map.of(), verifier.rejections());
   }
 }
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -223,7 +223,7 @@
     play();
     String recorded = golden("members.txt");
     awaitDatagramsOf(recorded);
-    assertEquals(recorded, steady(node.lines(), recorded));
+    assertEquals(recorded, steady(node.status().lines(), recorded));
   }
 
   @Test
@@ -239,14 +239,14 @@
     gossip().tick(nowNanos);
     String recorded = golden("issuer.txt");
     awaitDatagramsOf(recorded);
-    assertEquals(recorded, steady(node.lines(), recorded));
+    assertEquals(recorded, steady(node.status().lines(), recorded));
   }
 
   @Test
   void anExpiredCertificateIsTold() throws Exception {
     open(settings("g1-expired.crt"));
     String recorded = golden("expired-certificate.txt");
-    assertEquals(recorded, steady(node.lines(), recorded));
+    assertEquals(recorded, steady(node.status().lines(), recorded));
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
@@ -124,14 +125,15 @@
   /** Encodes a packet as a whole datagram, with zeros for its signature. */
   private static byte[] encode(Packet packet, byte[] certificate) {
     byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster("golden"),
-            packet,
-            SEQUENCE_NUMBER,
-            TIME_MILLIS,
-            certificate,
-            KNOWN_CERTIFICATE_MARK);
-    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum("golden"),
+                SEQUENCE_NUMBER,
+                TIME_MILLIS,
+                Optional.ofNullable(certificate),
+                KNOWN_CERTIFICATE_MARK),
+            packet);
+    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
   }
 
   @ParameterizedTest
@@ -139,17 +141,20 @@
   void storedDatagramIsDecodedToTheSameValues(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
     Packet expected = PACKETS.get(name);
-    DatagramHeader header = GossipCodec.head(stored);
-    assertEquals(CLUSTER_CHECKSUM, header.cluster());
+    DatagramHeader header = GossipCodec.decodeHeader(stored);
+    assertEquals(CLUSTER_CHECKSUM, header.envelope().cluster());
     assertEquals("gateway-1", header.sender());
-    assertEquals(SEQUENCE_NUMBER, header.seq());
-    assertEquals(TIME_MILLIS, header.time());
+    assertEquals(SEQUENCE_NUMBER, header.envelope().sequenceNumber());
+    assertEquals(TIME_MILLIS, header.envelope().sentAtMillis());
     assertEquals(SENDER_ADDRESS, header.address());
     assertEquals(INCARNATION, header.incarnation());
-    assertEquals(KNOWN_CERTIFICATE_MARK, header.knows());
-    assertArrayEquals(certificate(name), header.certificate());
-    assertEquals(stored.length - GossipCodec.SIGNATURE, header.end());
-    Packet decoded = GossipCodec.read(stored, header);
+    assertEquals(KNOWN_CERTIFICATE_MARK, header.envelope().knownCertificate());
+    assertArrayEquals(certificate(name), header.envelope().certificate().orElse(null));
+    byte[] certificate = certificate(name);
+    assertEquals(
+        DatagramHeaderCodec.size("gateway-1", certificate == null ? 0 : certificate.length),
+        header.contentOffset());
+    Packet decoded = GossipCodec.decodeContent(stored, header);
     assertEquals(expected.sender(), decoded.sender());
     assertEquals(expected.address(), decoded.address());
     assertEquals(expected.place(), decoded.place());
@@ -165,8 +170,11 @@
   @MethodSource("names")
   void decodedDatagramIsEncodedToTheStoredBytes(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
-    DatagramHeader header = GossipCodec.head(stored);
-    byte[] encoded = encode(GossipCodec.read(stored, header), header.certificate());
+    DatagramHeader header = GossipCodec.decodeHeader(stored);
+    byte[] encoded =
+        encode(
+            GossipCodec.decodeContent(stored, header),
+            header.envelope().certificate().orElse(null));
     assertArrayEquals(stored, encoded);
   }
 
@@ -177,12 +185,12 @@
     Packet packet = PACKETS.get(name);
     byte[] certificate = certificate(name);
     int planned =
-        GossipCodec.size(
+        GossipCodec.datagramSize(
                 packet.sender(), packet.message(), certificate == null ? 0 : certificate.length)
-            + packet.updates().stream().mapToInt(GossipCodec::size).sum()
-            + packet.reports().stream().mapToInt(GossipCodec::size).sum()
-            + GossipCodec.riding(packet.place(), packet.revisionMessages());
-    assertEquals(planned, stored.length + GossipCodec.UDP);
+            + packet.updates().stream().mapToInt(GossipCodec::updateSize).sum()
+            + packet.reports().stream().mapToInt(GossipCodec::peerReportSize).sum()
+            + GossipCodec.piggybackSize(packet.place(), packet.revisionMessages());
+    assertEquals(planned, stored.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
   @Test
@@ -196,7 +204,7 @@
 
   @Test
   void clusterAndCertificateHaveTheStoredChecksums() {
-    assertEquals(CLUSTER_CHECKSUM, GossipCodec.cluster("golden"));
-    assertEquals(0x32cd_db79, GossipCodec.mark(CERTIFICATE));
+    assertEquals(CLUSTER_CHECKSUM, GossipCodec.clusterChecksum("golden"));
+    assertEquals(0x32cd_db79, GossipCodec.certificateChecksum(CERTIFICATE));
   }
 }
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,11 +10,11 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import reachloom.gossip.Packet;
 import reachloom.gossip.RejectionReason;
-import reachloom.gossip.wire.GossipCodec.UnreadableException;
 import reachloom.membership.MemberState;
 import reachloom.membership.MembershipMessage;
 import reachloom.membership.MembershipUpdate;
@@ -53,7 +52,7 @@
   private static final Revision REVISION =
       new Revision(7, CHAIN, CHAIN, 99, 1_700_000_000_000L, "c1");
   private static final Ballot BALLOT = new Ballot(3, "c2");
-  private static final Vote VOTE = new Vote("c2", new byte[GossipCodec.SIGNATURE]);
+  private static final Vote VOTE = new Vote("c2", new byte[GossipCodec.SIGNATURE_BYTES]);
   private static final List<RevisionMessage> WORDS =
       List.of(
           new RevisionMessage.Have(7, -5, 8),
@@ -94,8 +93,15 @@
 
   private static byte[] whole(Packet p, byte[] certificate, boolean knows) {
     byte[] signed =
-        GossipCodec.write(GossipCodec.cluster("east"), p, 42, 1_234, certificate, knows ? 7 : 0);
-    return Arrays.copyOf(signed, signed.length + GossipCodec.SIGNATURE);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum("east"),
+                42,
+                1_234,
+                Optional.ofNullable(certificate),
+                knows ? 7 : 0),
+            p);
+    return Arrays.copyOf(signed, signed.length + GossipCodec.SIGNATURE_BYTES);
   }
 
   @Test
@@ -103,42 +109,43 @@
     for (MembershipMessage m : MESSAGES) {
       Packet p = packet(m);
       byte[] bytes = whole(p, null, true);
-      DatagramHeader head = GossipCodec.head(bytes);
-      assertEquals(p, GossipCodec.read(bytes, head));
-      assertEquals(42, head.seq());
-      assertEquals(1_234, head.time());
-      assertEquals(GossipCodec.cluster("east"), head.cluster());
-      assertEquals(7, head.knows());
-      assertNull(head.certificate());
+      DatagramHeader head = GossipCodec.decodeHeader(bytes);
+      assertEquals(p, GossipCodec.decodeContent(bytes, head));
+      assertEquals(42, head.envelope().sequenceNumber());
+      assertEquals(1_234, head.envelope().sentAtMillis());
+      assertEquals(GossipCodec.clusterChecksum("east"), head.envelope().cluster());
+      assertEquals(7, head.envelope().knownCertificate());
+      assertTrue(head.envelope().certificate().isEmpty());
       int weight =
-          GossipCodec.size("g1", m, 0)
-              + p.updates().stream().mapToInt(GossipCodec::size).sum()
-              + GossipCodec.size(CLAIM);
-      assertEquals(weight, bytes.length + GossipCodec.UDP, m.toString());
+          GossipCodec.datagramSize("g1", m, 0)
+              + p.updates().stream().mapToInt(GossipCodec::updateSize).sum()
+              + GossipCodec.peerReportSize(CLAIM);
+      assertEquals(weight, bytes.length + GossipCodec.UDP_HEADER_BYTES, m.toString());
     }
     byte[] certificate = new byte[250];
     byte[] bytes = whole(packet(new MembershipMessage.Ack(1)), certificate, false);
-    assertArrayEquals(certificate, GossipCodec.head(bytes).certificate());
+    assertArrayEquals(
+        certificate, GossipCodec.decodeHeader(bytes).envelope().certificate().orElseThrow());
     assertEquals(
-        GossipCodec.size("g1", new MembershipMessage.Ack(1), 250)
-            + GossipCodec.size(NEWS)
-            + GossipCodec.size(new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, ""))
-            + GossipCodec.size(CLAIM),
-        bytes.length + GossipCodec.UDP);
+        GossipCodec.datagramSize("g1", new MembershipMessage.Ack(1), 250)
+            + GossipCodec.updateSize(NEWS)
+            + GossipCodec.updateSize(new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, ""))
+            + GossipCodec.peerReportSize(CLAIM),
+        bytes.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
   @Test
   void wordsAreReadAsWrittenAndWeighWhatWasSaid() throws Exception {
     for (RevisionMessage w : WORDS) {
       byte[] bytes = whole(packet(w), null, false);
-      Packet read = GossipCodec.read(bytes, GossipCodec.head(bytes));
+      Packet read = GossipCodec.decodeContent(bytes, GossipCodec.decodeHeader(bytes));
       assertEquals(0x0102, read.place());
       assertEquals(w.getClass(), read.revisionMessages().get(0).getClass());
       assertArrayEquals(bytes, whole(read, null, false), w.toString());
       assertEquals(
-          GossipCodec.size("g1", new MembershipMessage.PayloadOnly(), 0)
-              + GossipCodec.riding(0x0102, List.of(w)),
-          bytes.length + GossipCodec.UDP,
+          GossipCodec.datagramSize("g1", new MembershipMessage.PayloadOnly(), 0)
+              + GossipCodec.piggybackSize(0x0102, List.of(w)),
+          bytes.length + GossipCodec.UDP_HEADER_BYTES,
           w.toString());
     }
   }
@@ -147,18 +154,24 @@
   void aWordOfALaterKindIsSkippedAndOneWithImpossibleFiguresIsNonsense() throws Exception {
     byte[] bytes = whole(packet(new RevisionMessage.Have(1, 2, 3)), null, false);
     int kind =
-        bytes.length - GossipCodec.SIGNATURE - 5 - 3 * Long.BYTES - 1; // before a place's section
+        bytes.length
+            - GossipCodec.SIGNATURE_BYTES
+            - 5
+            - 3 * Long.BYTES
+            - 1; // before a place's section
     byte[] later = bytes.clone();
     later[kind] = 99;
-    assertEquals(List.of(), GossipCodec.read(later, GossipCodec.head(later)).revisionMessages());
+    assertEquals(
+        List.of(),
+        GossipCodec.decodeContent(later, GossipCodec.decodeHeader(later)).revisionMessages());
     byte[] negative = bytes.clone();
     negative[kind + 1] = -1;
     assertEquals(
         RejectionReason.NONSENSE,
         assertThrows(
-                UnreadableException.class,
-                () -> GossipCodec.read(negative, GossipCodec.head(negative)))
-            .why());
+                RejectedDatagramException.class,
+                () -> GossipCodec.decodeContent(negative, GossipCodec.decodeHeader(negative)))
+            .reason());
     byte[] large =
         whole(
             packet(
@@ -170,20 +183,21 @@
     assertEquals(
         RejectionReason.NONSENSE,
         assertThrows(
-                UnreadableException.class, () -> GossipCodec.read(large, GossipCodec.head(large)))
-            .why());
+                RejectedDatagramException.class,
+                () -> GossipCodec.decodeContent(large, GossipCodec.decodeHeader(large)))
+            .reason());
   }
 
   @Test
   void withoutPlaceAndWordsTheBytesAreThoseOfBefore() {
     Packet p = packet(new MembershipMessage.PayloadOnly());
     byte[] bytes = whole(p, null, false);
-    int claims = bytes.length - GossipCodec.SIGNATURE - GossipCodec.size(CLAIM) - 3;
+    int claims = bytes.length - GossipCodec.SIGNATURE_BYTES - GossipCodec.peerReportSize(CLAIM) - 3;
     assertEquals(3, bytes[claims], "the section of claims is the last one");
     assertEquals(
         1 + 3 + 6 + 8 + 1 + 3,
-        GossipCodec.size(NEWS)); // length, name, address, number, state, name
-    assertEquals(0, GossipCodec.riding(0, List.of()));
+        GossipCodec.updateSize(NEWS)); // length, name, address, number, state, name
+    assertEquals(0, GossipCodec.piggybackSize(0, List.of()));
   }
 
   private static List<byte[]> samples() {
@@ -200,9 +214,9 @@
       for (int length = 0; length < bytes.length; length++) {
         byte[] torn = Arrays.copyOf(bytes, length);
         try {
-          GossipCodec.read(torn, GossipCodec.head(torn));
-        } catch (UnreadableException e) {
-          assertTrue(e.why() == RejectionReason.FORM || e.why() == RejectionReason.NONSENSE);
+          GossipCodec.decodeContent(torn, GossipCodec.decodeHeader(torn));
+        } catch (RejectedDatagramException e) {
+          assertTrue(e.reason() == RejectionReason.FORM || e.reason() == RejectionReason.NONSENSE);
         }
       }
     }
@@ -219,15 +233,15 @@
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       }
       try {
-        Packet p = GossipCodec.read(bytes, GossipCodec.head(bytes));
+        Packet p = GossipCodec.decodeContent(bytes, GossipCodec.decodeHeader(bytes));
         assertTrue(
             p.sender().length() <= 32 && p.sender().chars().allMatch(c -> c > ' ' && c < 0x7f));
-      } catch (UnreadableException e) {
+      } catch (RejectedDatagramException e) {
         refused++;
       }
       byte[] noise = new byte[random.nextInt(1_300)];
       random.nextBytes(noise);
-      assertThrows(UnreadableException.class, () -> GossipCodec.head(noise));
+      assertThrows(RejectedDatagramException.class, () -> GossipCodec.decodeHeader(noise));
     }
     assertTrue(refused > 1_000);
   }
@@ -238,13 +252,15 @@
     assertEquals(
         RejectionReason.FORM,
         assertThrows(
-                UnreadableException.class, () -> GossipCodec.head(new byte[GossipCodec.MOST + 1]))
-            .why());
+                RejectedDatagramException.class,
+                () -> GossipCodec.decodeHeader(new byte[GossipCodec.MAX_DATAGRAM_BYTES + 1]))
+            .reason());
     bytes[2] = 2;
     assertEquals(
         RejectionReason.VERSION,
-        assertThrows(UnreadableException.class, () -> GossipCodec.head(bytes)).why());
-    assertTrue(GossipCodec.cluster("east") != GossipCodec.cluster("west"));
+        assertThrows(RejectedDatagramException.class, () -> GossipCodec.decodeHeader(bytes))
+            .reason());
+    assertTrue(GossipCodec.clusterChecksum("east") != GossipCodec.clusterChecksum("west"));
   }
 
   @Test
@@ -252,10 +268,13 @@
     Packet p = packet(new MembershipMessage.PayloadOnly());
     byte[] bytes = whole(p, null, false);
     ByteArrayOutputStream longer = new ByteArrayOutputStream();
-    longer.write(bytes, 0, bytes.length - GossipCodec.SIGNATURE);
+    longer.write(bytes, 0, bytes.length - GossipCodec.SIGNATURE_BYTES);
     longer.write(new byte[] {99, 0, 3, 1, 2, 3}); // a section of a kind not known here
-    longer.write(new byte[GossipCodec.SIGNATURE]);
-    assertEquals(p, GossipCodec.read(longer.toByteArray(), GossipCodec.head(longer.toByteArray())));
+    longer.write(new byte[GossipCodec.SIGNATURE_BYTES]);
+    assertEquals(
+        p,
+        GossipCodec.decodeContent(
+            longer.toByteArray(), GossipCodec.decodeHeader(longer.toByteArray())));
   }
 
   @Test
@@ -265,10 +284,14 @@
     Packet p =
         new Packet("g1", ADDRESS, 1, new MembershipMessage.PayloadOnly(), List.of(all), List.of());
     byte[] bytes = whole(p, null, false);
-    int at = bytes.length - GossipCodec.SIGNATURE - 3 - GossipCodec.size(all); // its length byte
+    int at =
+        bytes.length
+            - GossipCodec.SIGNATURE_BYTES
+            - 3
+            - GossipCodec.updateSize(all); // its length byte
     List<Byte> longer = new ArrayList<>();
     for (int i = 0; i < bytes.length; i++) {
-      if (i == at + GossipCodec.size(all)) {
+      if (i == at + GossipCodec.updateSize(all)) {
         longer.addAll(List.of((byte) 1, (byte) 2));
       }
       longer.add(bytes[i]);
@@ -278,7 +301,7 @@
       changed[i] = longer.get(i);
     }
     changed[at] += 2;
-    ByteBuffer.wrap(changed).putShort(at - 2, (short) (GossipCodec.size(all) + 2));
-    assertEquals(p, GossipCodec.read(changed, GossipCodec.head(changed)));
+    ByteBuffer.wrap(changed).putShort(at - 2, (short) (GossipCodec.updateSize(all) + 2));
+    assertEquals(p, GossipCodec.decodeContent(changed, GossipCodec.decodeHeader(changed)));
   }
 }
--- a/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
+++ b/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
@@ -470,7 +470,7 @@
     NodeIdentity identity = NodeIdentity.read(settings);
     assertEquals("c1", identity.name());
     long time = Instant.parse("2030-01-01T00:00:00Z").toEpochMilli();
-    X509Certificate own = identity.own();
+    X509Certificate own = identity.x509Certificate();
     X509Certificate other =
         NodeIdentity.certificate(Pem.read(KEYS.resolve("c2.crt"), "CERTIFICATE"));
     assertTrue(identity.trusts(own, time));
--- a/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
@@ -11,8 +11,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import reachloom.gossip.Packet;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.lab.rig.ProcessFleet;
 import reachloom.lab.rig.Script;
@@ -173,14 +175,15 @@
 
   private static byte[] forged(String name, long seq) {
     byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster(Installation.CLUSTER),
-            new Packet(name, 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()),
-            Long.MAX_VALUE - 1_000_000_000 + seq,
-            WallClock.unixMillis(),
-            null,
-            1);
-    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum(Installation.CLUSTER),
+                Long.MAX_VALUE - 1_000_000_000 + seq,
+                WallClock.unixMillis(),
+                Optional.empty(),
+                1),
+            new Packet(name, 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
+    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
   }
 
   /** What the first gateway tells an operator: refusals, members, and what it sent. */
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -7,6 +7,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
@@ -17,15 +18,13 @@
 import java.util.function.UnaryOperator;
 import reachloom.gossip.GossipProtocol;
 import reachloom.gossip.Packet;
-import reachloom.gossip.Transport;
+import reachloom.gossip.wire.DatagramEnvelope;
+import reachloom.gossip.wire.EncodingTransport;
 import reachloom.gossip.wire.GossipCodec;
+import reachloom.gossip.wire.RejectedDatagramException;
 import reachloom.membership.Member;
 import reachloom.membership.MemberState;
-import reachloom.membership.MembershipMessage;
 import reachloom.membership.MembershipSettings;
-import reachloom.membership.MembershipUpdate;
-import reachloom.peerreport.PeerReport;
-import reachloom.revision.RevisionMessage;
 import reachloom.standin.model.Agenda;
 
 /**
@@ -43,7 +42,7 @@
   private static final long DELAY = 2 * MILLISECOND;
 
   /** One instance. */
-  public final class Node implements Transport {
+  public final class Node extends EncodingTransport {
     public final String name;
     public final long address;
     private final Set<String> knowsMe = new LinkedHashSet<>();
@@ -94,28 +93,13 @@
     }
 
     @Override
-    public int messageBytes(String to, MembershipMessage message) {
-      return GossipCodec.size(name, message, knowsMe.contains(to) ? 0 : CERTIFICATE);
+    protected String sender() {
+      return name;
     }
 
     @Override
-    public int updateBytes(MembershipUpdate news) {
-      return GossipCodec.size(news);
-    }
-
-    @Override
-    public int reportBytes(PeerReport claim) {
-      return GossipCodec.size(claim);
-    }
-
-    @Override
-    public int revisionMessageBytes(RevisionMessage word) {
-      return GossipCodec.size(word);
-    }
-
-    @Override
-    public int payloadBytes(int place, List<RevisionMessage> words) {
-      return GossipCodec.riding(place, words);
+    protected int certificateBytes(String receiver) {
+      return knowsMe.contains(receiver) ? 0 : CERTIFICATE;
     }
 
     @Override
@@ -123,9 +107,15 @@
       Packet told = lie.apply(packet);
       byte[] certificate = knowsMe.contains(to) ? null : new byte[CERTIFICATE];
       byte[] bytesOut =
-          GossipCodec.write(
-              0, told, seq++, clock() / MILLISECOND, certificate, known.contains(to) ? 1 : 0);
-      count(bytesOut.length + GossipCodec.SIGNATURE + GossipCodec.UDP);
+          GossipCodec.encode(
+              new DatagramEnvelope(
+                  0,
+                  seq++,
+                  clock() / MILLISECOND,
+                  Optional.ofNullable(certificate),
+                  known.contains(to) ? 1 : 0),
+              told);
+      count(bytesOut.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES);
       deliver(this, at, bytesOut);
     }
 
@@ -257,24 +247,24 @@
       }
       return;
     }
-    to.receivedBytes += bytes.length + GossipCodec.SIGNATURE + GossipCodec.UDP;
+    to.receivedBytes += bytes.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES;
     to.receivedDatagrams++;
     try {
-      byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + GossipCodec.SIGNATURE);
-      var head = GossipCodec.head(whole);
-      Packet p = GossipCodec.read(whole, head);
-      if (head.certificate() == null && !to.known.contains(p.sender())) {
+      byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + GossipCodec.SIGNATURE_BYTES);
+      var head = GossipCodec.decodeHeader(whole);
+      Packet p = GossipCodec.decodeContent(whole, head);
+      if (head.envelope().certificate().isEmpty() && !to.known.contains(p.sender())) {
         return; // its sender can't be proved
       }
       to.known.add(p.sender());
-      if (head.knows() != 0) {
+      if (head.envelope().knownCertificate() != 0) {
         to.knowsMe.add(p.sender());
       } else {
         to.knowsMe.remove(p.sender());
       }
       to.gossip.receive(to.clock(), p);
-    } catch (GossipCodec.UnreadableException e) {
-      throw new IllegalStateException("an honest datagram can't be read: " + e.why(), e);
+    } catch (RejectedDatagramException e) {
+      throw new IllegalStateException("an honest datagram can't be read: " + e.reason(), e);
     }
   }
 
--- a/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
+++ b/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
@@ -8,16 +8,18 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.gossip.Packet;
 import reachloom.gossip.RejectionReason;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.lab.gossip.Installation;
 import reachloom.membership.MembershipMessage;
 
-/** What the doorway takes as time passes, with a clock handed in. */
+/** What the verifier takes as time passes, with a clock handed in. */
 class DatagramVerifierTest {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long DAY = 24 * 60 * 60 * 1_000L; // milliseconds
@@ -26,7 +28,7 @@
 
   private Installation installation;
   private NodeIdentity sender;
-  private DatagramVerifier doorway;
+  private DatagramVerifier verifier;
   private long seq = 1;
   private long wallClock;
 
@@ -36,7 +38,7 @@
     installation.instance("g1", "ca", 30);
     installation.instance("g2", "ca", 3);
     sender = identity("g2");
-    doorway =
+    verifier =
         new DatagramVerifier(
             Installation.CLUSTER, identity("g1"), 1_000 * MILLISECOND, false, () -> wallClock);
   }
@@ -48,25 +50,26 @@
 
   private byte[] datagram(long time, boolean certified) throws Exception {
     byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster(Installation.CLUSTER),
-            new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()),
-            seq++,
-            time,
-            certified ? sender.certificate() : null,
-            0);
-    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
-    System.arraycopy(sender.sign(unsigned), 0, whole, unsigned.length, GossipCodec.SIGNATURE);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum(Installation.CLUSTER),
+                seq++,
+                time,
+                certified ? Optional.of(sender.encodedCertificate()) : Optional.empty(),
+                0),
+            new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
+    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
+    System.arraycopy(sender.sign(unsigned), 0, whole, unsigned.length, GossipCodec.SIGNATURE_BYTES);
     return whole;
   }
 
-  private DatagramVerifier.Entered enter(long time, byte[] bytes) {
+  private VerifiedDatagram enter(long time, byte[] bytes) {
     return enter(time, time, bytes);
   }
 
-  private DatagramVerifier.Entered enter(long time, long wall, byte[] bytes) {
+  private VerifiedDatagram enter(long time, long wall, byte[] bytes) {
     wallClock = wall * MILLISECOND;
-    return doorway.enter(time * MILLISECOND, 7, bytes);
+    return verifier.verify(time * MILLISECOND, 7, bytes).orElse(null);
   }
 
   @Test
@@ -77,19 +80,21 @@
         enter(now, stepped, datagram(now, true)), "of a peer whose clock was not stepped");
     assertNotNull(enter(now, stepped, datagram(stepped, true)), "of a tool started after the step");
     assertNull(enter(now, stepped, datagram(now - DAY / 24, true)));
-    assertEquals(1L, doorway.refused().get(RejectionReason.TIME));
+    assertEquals(1L, verifier.rejections().get(RejectionReason.TIME));
   }
 
   @Test
   void aCertificateThatExpiresWhileRunningIsNoLongerTaken() throws Exception {
     long now = System.currentTimeMillis();
     assertNotNull(enter(now, datagram(now, true)));
-    assertTrue(doorway.knows("g2") == GossipCodec.mark(sender.certificate()));
+    assertTrue(
+        verifier.knownCertificate("g2")
+            == GossipCodec.certificateChecksum(sender.encodedCertificate()));
     assertNotNull(enter(now, datagram(now, false)), "it is known, and need not bring it again");
     long later = now + 4 * DAY;
     assertNull(enter(later, datagram(later, false)));
     assertNull(enter(later, datagram(later, true)));
-    assertEquals(2L, doorway.refused().get(RejectionReason.CERTIFICATE));
+    assertEquals(2L, verifier.rejections().get(RejectionReason.CERTIFICATE));
   }
 
   @Test
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -15,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
@@ -31,6 +32,7 @@
 import reachloom.gossip.Packet;
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.membership.MembershipMessage;
 import reachloom.scheduler.api.AttemptOutcome;
@@ -184,21 +186,22 @@
         installation.settings(name, Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
     NodeIdentity id = NodeIdentity.read(s);
     byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster(cluster),
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum(cluster),
+                seq,
+                time,
+                certified ? Optional.of(id.encodedCertificate()) : Optional.empty(),
+                0),
             new Packet(
                 name,
                 0x7f000001L << 16 | 9,
                 time / 1000,
                 new MembershipMessage.Ping(1, ""),
                 List.of(),
-                List.of()),
-            seq,
-            time,
-            certified ? id.certificate() : null,
-            0);
-    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
-    System.arraycopy(id.sign(unsigned), 0, whole, unsigned.length, GossipCodec.SIGNATURE);
+                List.of()));
+    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
+    System.arraycopy(id.sign(unsigned), 0, whole, unsigned.length, GossipCodec.SIGNATURE_BYTES);
     return whole;
   }
 
@@ -241,7 +244,7 @@
     send(one.listen, forged);
     await(x -> refused(one, "FORGED") == 1);
     byte[] unsigned = ping("g3", Installation.CLUSTER, 2, now, true);
-    Arrays.fill(unsigned, unsigned.length - GossipCodec.SIGNATURE, unsigned.length, (byte) 0);
+    Arrays.fill(unsigned, unsigned.length - GossipCodec.SIGNATURE_BYTES, unsigned.length, (byte) 0);
     send(one.listen, unsigned);
     await(x -> refused(one, "FORGED") == 2);
     send(one.listen, ping("g3", Installation.CLUSTER, 3, now - 3_600_000, true));
@@ -251,7 +254,7 @@
     await(x -> refused(one, "CLUSTER") == 1);
     send(one.listen, ping("g3", Installation.CLUSTER, 6, now, false));
     await(x -> refused(one, "UNKNOWN") == 1);
-    send(one.listen, new byte[GossipCodec.MOST + 1]);
+    send(one.listen, new byte[GossipCodec.MAX_DATAGRAM_BYTES + 1]);
     send(one.listen, new byte[] {1, 2, 3});
     await(x -> refused(one, "FORM") == 2);
     assertEquals(2, one.members(), "nothing of it made a member");
@@ -274,16 +277,17 @@
         installation.settings("g2", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
     NodeIdentity id = NodeIdentity.read(s);
     byte[] signed =
-        GossipCodec.write(
-            GossipCodec.cluster(Installation.CLUSTER),
-            new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()),
-            5,
-            System.currentTimeMillis(),
-            id.certificate(),
-            0);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum(Installation.CLUSTER),
+                5,
+                System.currentTimeMillis(),
+                Optional.ofNullable(id.encodedCertificate()),
+                0),
+            new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
     signed[signed.length - 7] = 77; // the kind of its message
-    byte[] whole = Arrays.copyOf(signed, signed.length + GossipCodec.SIGNATURE);
-    System.arraycopy(id.sign(signed), 0, whole, signed.length, GossipCodec.SIGNATURE);
+    byte[] whole = Arrays.copyOf(signed, signed.length + GossipCodec.SIGNATURE_BYTES);
+    System.arraycopy(id.sign(signed), 0, whole, signed.length, GossipCodec.SIGNATURE_BYTES);
     send(one.listen, whole);
     await(x -> refused(one, "NONSENSE") == 1);
     assertEquals(1, one.members());
--- a/lab/src/test/java/reachloom/lab/slopes/DatagramBenchmark.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DatagramBenchmark.java
@@ -6,6 +6,7 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -23,6 +24,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import reachloom.gossip.Packet;
 import reachloom.gossip.net.NodeIdentity;
+import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
 import reachloom.lab.gossip.Installation;
 import reachloom.membership.MemberState;
@@ -67,12 +69,12 @@
       packet = new Packet("g1", 1, 1, new MembershipMessage.Ping(1, "g2"), told, List.of());
       unsigned = write();
       signature = identity.sign(unsigned);
-      whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
-      System.arraycopy(signature, 0, whole, unsigned.length, GossipCodec.SIGNATURE);
+      whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
+      System.arraycopy(signature, 0, whole, unsigned.length, GossipCodec.SIGNATURE_BYTES);
     }
 
     byte[] write() {
-      return GossipCodec.write(1, packet, 1, 1, null, 1);
+      return GossipCodec.encode(new DatagramEnvelope(1, 1, 1, Optional.empty(), 1), packet);
     }
 
     @TearDown(Level.Trial)
@@ -96,11 +98,11 @@
   @Benchmark
   public boolean verify(Sender s) {
     return NodeIdentity.verify(
-        s.identity.own().getPublicKey(), s.whole, s.unsigned.length, s.signature);
+        s.identity.x509Certificate().getPublicKey(), s.whole, s.unsigned.length, s.signature);
   }
 
   @Benchmark
   public Packet read(Sender s) throws Exception {
-    return GossipCodec.read(s.whole, GossipCodec.head(s.whole));
+    return GossipCodec.decodeContent(s.whole, GossipCodec.decodeHeader(s.whole));
   }
 }
