--- a/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
@@ -95,10 +95,7 @@
                 Optional.ofNullable(signer.encodedCertificate()),
                 0),
             PING);
-    byte[] signature = signer.sign(unsigned);
-    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + signature.length);
-    System.arraycopy(signature, 0, whole, unsigned.length, signature.length);
-    return whole;
+    return signer.seal(unsigned);
   }
 
   @Test
--- a/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
+++ b/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
@@ -58,9 +58,7 @@
                 certified ? Optional.of(sender.encodedCertificate()) : Optional.empty(),
                 0),
             new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
-    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
-    System.arraycopy(sender.sign(unsigned), 0, whole, unsigned.length, GossipCodec.SIGNATURE_BYTES);
-    return whole;
+    return sender.seal(unsigned);
   }
 
   private VerifiedDatagram enter(long time, byte[] bytes) {
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -200,9 +200,7 @@
                 new MembershipMessage.Ping(1, ""),
                 List.of(),
                 List.of()));
-    byte[] whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
-    System.arraycopy(id.sign(unsigned), 0, whole, unsigned.length, GossipCodec.SIGNATURE_BYTES);
-    return whole;
+    return id.seal(unsigned);
   }
 
   @Test
@@ -286,8 +284,7 @@
                 0),
             new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
     signed[signed.length - 7] = 77; // the kind of its message
-    byte[] whole = Arrays.copyOf(signed, signed.length + GossipCodec.SIGNATURE_BYTES);
-    System.arraycopy(id.sign(signed), 0, whole, signed.length, GossipCodec.SIGNATURE_BYTES);
+    byte[] whole = id.seal(signed);
     send(one.listen, whole);
     await(x -> refused(one, "NONSENSE") == 1);
     assertEquals(1, one.members());
