--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -73,7 +73,7 @@
     reload(settings, identity);
     issuers =
         configuration.issuers().stream()
-            .map(issuer -> new Peer(issuer.name(), DatagramTransport.number(issuer.address()), 0))
+            .map(issuer -> new Peer(issuer.name(), PackedAddress.pack(issuer.address()), 0))
             .toList();
     LocalMember self =
         new LocalMember(name, configuration.place(), issuers, configuration.quorum(), seal());
@@ -134,12 +134,12 @@
   // ---- The payload of gossip ----
 
   @Override
-  public List<RevisionMessage> always() {
+  public List<RevisionMessage> messages() {
     return List.of(dissemination.have());
   }
 
   @Override
-  public void hear(long now, Peer sender, List<RevisionMessage> words) {
+  public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
     dissemination.hear(now, sender, words);
     if (consensusNode != null) {
       consensusNode.receive(now, sender, words);
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public void peers(long now, Collection<Peer> present) {
+  public void onPeers(long now, Collection<Peer> present) {
     dissemination.peers(present);
   }
 
--- a/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
@@ -72,14 +73,16 @@
     packets.put(
         "pull",
         packet(
-            new MembershipMessage.Pull(
+            new MembershipMessage.SyncRequest(
                 "gateway-1", "gateway-9", 0xcafe_babe, List.of(0, 1, 65_535))));
-    packets.put("pull-to-end", packet(new MembershipMessage.Pull("gateway-9", "", 5, List.of())));
-    packets.put("part", packet(new MembershipMessage.Part(false, ALL_STATES)));
-    packets.put("part-more", packet(new MembershipMessage.Part(true, ALL_STATES.subList(0, 1))));
+    packets.put(
+        "pull-to-end", packet(new MembershipMessage.SyncRequest("gateway-9", "", 5, List.of())));
+    packets.put("part", packet(new MembershipMessage.SyncResponse(false, ALL_STATES)));
+    packets.put(
+        "part-more", packet(new MembershipMessage.SyncResponse(true, ALL_STATES.subList(0, 1))));
     packets.put("leave", packet(new MembershipMessage.Leave()));
-    packets.put("tell", packet(new MembershipMessage.Tell()));
-    packets.put("status", packet(new MembershipMessage.Status(0x0102)));
+    packets.put("tell", packet(new MembershipMessage.PayloadOnly()));
+    packets.put("status", packet(new MembershipMessage.StatusRequest(0x0102)));
     packets.put(
         "status-page", packet(new MembershipMessage.StatusPage(1, 3, "instance g1\nrefused {}\n")));
     packets.put("section-news", packet(0, ALL_STATES, List.of(), List.of()));
@@ -105,7 +108,7 @@
         SENDER_ADDRESS,
         place,
         INCARNATION,
-        new MembershipMessage.Tell(),
+        new MembershipMessage.PayloadOnly(),
         news,
         claims,
         words);
@@ -122,14 +125,15 @@
   /** Encodes a packet as a whole datagram, with zeros for its signature. */
   private static byte[] encode(Packet packet, byte[] certificate) {
     byte[] unsigned =
-        GossipCodec.write(
-            GossipCodec.cluster("golden"),
-            packet,
-            SEQUENCE_NUMBER,
-            TIME_MILLIS,
-            certificate,
-            KNOWN_CERTIFICATE_MARK);
-    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE);
+        GossipCodec.encode(
+            new DatagramEnvelope(
+                GossipCodec.clusterChecksum("golden"),
+                SEQUENCE_NUMBER,
+                TIME_MILLIS,
+                Optional.ofNullable(certificate),
+                KNOWN_CERTIFICATE_MARK),
+            packet);
+    return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
   }
 
   @ParameterizedTest
@@ -137,25 +141,28 @@
   void storedDatagramIsDecodedToTheSameValues(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
     Packet expected = PACKETS.get(name);
-    DatagramHeader header = GossipCodec.head(stored);
-    assertEquals(CLUSTER_CHECKSUM, header.cluster());
+    DatagramHeader header = GossipCodec.decodeHeader(stored);
+    assertEquals(CLUSTER_CHECKSUM, header.envelope().cluster());
     assertEquals("gateway-1", header.sender());
-    assertEquals(SEQUENCE_NUMBER, header.seq());
-    assertEquals(TIME_MILLIS, header.time());
+    assertEquals(SEQUENCE_NUMBER, header.envelope().sequenceNumber());
+    assertEquals(TIME_MILLIS, header.envelope().sentAtMillis());
     assertEquals(SENDER_ADDRESS, header.address());
     assertEquals(INCARNATION, header.incarnation());
-    assertEquals(KNOWN_CERTIFICATE_MARK, header.knows());
-    assertArrayEquals(certificate(name), header.certificate());
-    assertEquals(stored.length - GossipCodec.SIGNATURE, header.end());
-    Packet decoded = GossipCodec.read(stored, header);
+    assertEquals(KNOWN_CERTIFICATE_MARK, header.envelope().knownCertificate());
+    assertArrayEquals(certificate(name), header.envelope().certificate().orElse(null));
+    byte[] certificate = certificate(name);
+    assertEquals(
+        DatagramHeaderCodec.size("gateway-1", certificate == null ? 0 : certificate.length),
+        header.contentOffset());
+    Packet decoded = GossipCodec.decodeContent(stored, header);
     assertEquals(expected.sender(), decoded.sender());
     assertEquals(expected.address(), decoded.address());
     assertEquals(expected.place(), decoded.place());
     assertEquals(expected.incarnation(), decoded.incarnation());
     assertEquals(expected.message(), decoded.message());
-    assertEquals(expected.news(), decoded.news());
-    assertEquals(expected.claims(), decoded.claims());
-    assertEquals(expected.words(), decoded.words());
+    assertEquals(expected.updates(), decoded.updates());
+    assertEquals(expected.reports(), decoded.reports());
+    assertEquals(expected.revisionMessages(), decoded.revisionMessages());
     assertEquals(expected, decoded);
   }
 
@@ -163,8 +170,11 @@
   @MethodSource("names")
   void decodedDatagramIsEncodedToTheStoredBytes(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
-    DatagramHeader header = GossipCodec.head(stored);
-    byte[] encoded = encode(GossipCodec.read(stored, header), header.certificate());
+    DatagramHeader header = GossipCodec.decodeHeader(stored);
+    byte[] encoded =
+        encode(
+            GossipCodec.decodeContent(stored, header),
+            header.envelope().certificate().orElse(null));
     assertArrayEquals(stored, encoded);
   }
 
@@ -175,12 +185,12 @@
     Packet packet = PACKETS.get(name);
     byte[] certificate = certificate(name);
     int planned =
-        GossipCodec.size(
+        GossipCodec.datagramSize(
                 packet.sender(), packet.message(), certificate == null ? 0 : certificate.length)
-            + packet.news().stream().mapToInt(GossipCodec::size).sum()
-            + packet.claims().stream().mapToInt(GossipCodec::size).sum()
-            + GossipCodec.riding(packet.place(), packet.words());
-    assertEquals(planned, stored.length + GossipCodec.UDP);
+            + packet.updates().stream().mapToInt(GossipCodec::updateSize).sum()
+            + packet.reports().stream().mapToInt(GossipCodec::peerReportSize).sum()
+            + GossipCodec.piggybackSize(packet.place(), packet.revisionMessages());
+    assertEquals(planned, stored.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
   @Test
@@ -194,7 +204,7 @@
 
   @Test
   void clusterAndCertificateHaveTheStoredChecksums() {
-    assertEquals(CLUSTER_CHECKSUM, GossipCodec.cluster("golden"));
-    assertEquals(0x32cd_db79, GossipCodec.mark(CERTIFICATE));
+    assertEquals(CLUSTER_CHECKSUM, GossipCodec.clusterChecksum("golden"));
+    assertEquals(0x32cd_db79, GossipCodec.certificateChecksum(CERTIFICATE));
   }
 }
