--- a/decisions/src/main/java/reachloom/membership/UpdateQueue.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateQueue.java
@@ -27,7 +27,7 @@
     }
   }
 
-  private static final Comparator<QueuedUpdate> LEAST_SENT_THEN_NEWEST =
+  private static final Comparator<QueuedUpdate> FEWEST_TRANSMISSIONS_THEN_NEWEST =
       Comparator.<QueuedUpdate>comparingInt(queued -> queued.transmissions)
           .thenComparingLong(queued -> -queued.number);
 
@@ -64,7 +64,7 @@
     String firstMember = first.map(MembershipUpdate::member).orElse("");
     int maxTransmissions = maxTransmissions(clusterSize);
     List<QueuedUpdate> order = new ArrayList<>(queue.values());
-    order.sort(LEAST_SENT_THEN_NEWEST);
+    order.sort(FEWEST_TRANSMISSIONS_THEN_NEWEST);
     for (QueuedUpdate queued : order) {
       int updateBytes = sizes.updateBytes(queued.update);
       if (updateBytes > leftBytes) {
