--- a/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
@@ -12,9 +12,11 @@
  */
 public final class LineLogger extends System.LoggerFinder {
   private static final PrintStream ERR = System.err;
-  private static final long SPAN = 1_000_000_000; // nanoseconds
+  private static final long SPAN_NANOS = 1_000_000_000; // nanoseconds
 
-  /** Lines of one class in a span: a flood of faults must not flood the log, nor cost its CPU. */
+  /**
+   * Lines of one logger in a span: a flood of faults must neither flood the log nor cost its CPU.
+   */
   private static final int MAX_LINES = 10;
 
   @Override
@@ -22,7 +24,7 @@
     return new Lines(name);
   }
 
-  /** The lines of one class. */
+  /** The lines of one logger; thread-safe. */
   private static final class Lines implements System.Logger {
     private final String name;
     private final String shortName;
@@ -64,7 +66,7 @@
 
     private synchronized boolean room() {
       long now = System.nanoTime();
-      if (now - spanFrom >= SPAN) {
+      if (now - spanFrom >= SPAN_NANOS) {
         int left = lines - MAX_LINES;
         spanFrom = now;
         lines = 0;
--- a/gateway/src/main/java/reachloom/gateway/wire/Bytes.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Bytes.java
@@ -2,14 +2,19 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A stretch of bytes as they came. */
+/**
+ * A range of a byte array, which is shared and not copied.
+ *
+ * @param from the index of the first byte
+ * @param length the number of bytes
+ */
 public record Bytes(byte[] array, int from, int length) {
-  /** All of an array. */
+  /** The whole of an array. */
   public static Bytes of(byte[] array) {
     return new Bytes(array, 0, array.length);
   }
 
-  /** The bytes as text. */
+  /** Decodes the bytes as UTF-8. */
   public String text() {
     return new String(array, from, length, StandardCharsets.UTF_8);
   }
--- a/gateway/src/main/java/reachloom/gateway/wire/Decoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Decoder.java
@@ -3,15 +3,16 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of bytes into messages. It keeps what is not whole yet, and no more than its bounds
- * allow.
+ * Decodes a stream of bytes into messages. It buffers a message that is not whole yet, within a
+ * bound. Confined to the thread that serves the sockets.
  *
  * @param <M> the messages
  */
 public interface Decoder<M> {
   /**
-   * Takes the next bytes and passes on what is whole; gives null, or what makes the stream
-   * unusable.
+   * Takes the next bytes and passes on the messages that are whole.
+   *
+   * @return null, or why the stream can't be used any more
    */
   String feed(byte[] bytes, int from, int to, Consumer<? super M> messages);
 
--- a/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
@@ -9,8 +9,9 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Puts a codec on the sockets: decodes what comes and passes it on. Whatever goes wrong ends the
- * connection that it went wrong on, and nothing else.
+ * Connects a decoder to the sockets: decodes what is received and passes it on. Whatever goes wrong
+ * closes the connection that it went wrong on, and nothing else. Called on the thread that serves
+ * the sockets, where not said otherwise.
  *
  * @param <M> the messages
  */
@@ -32,7 +33,7 @@
     this.listener = listener;
   }
 
-  /** What still comes on a connection is read and dropped from now on. */
+  /** Discards what is still received on a connection from now on; from any thread. */
   public static void readNoMore(IoSession session) {
     session.removeAttribute(DECODER);
   }
--- a/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
@@ -3,22 +3,25 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Frames of a length in four bytes, unsigned and big-endian, and as many bytes. */
+/**
+ * Cuts a stream into frames: a length in four bytes, unsigned and big-endian, then as many bytes.
+ * Memory grows with the bytes that have been received, not with the length that was announced.
+ */
 public final class FrameDecoder implements Decoder<byte[]> {
-  private static final int FIRST_SIZE = 512;
-  private static final int BYTE = 0xff;
+  private static final int INITIAL_BYTES = 512;
+  private static final int BYTE_MASK = 0xff;
 
-  private final int least;
-  private final int most;
+  private final int minBytes;
+  private final int maxBytes;
   private long length;
   private int lengthBytes;
   private byte[] frame;
-  private int have;
+  private int received;
 
-  /** A decoder of frames whose length lies within the bounds. */
-  public FrameDecoder(int least, int most) {
-    this.least = least;
-    this.most = most;
+  /** A decoder of frames whose length lies within the bounds, both included. */
+  public FrameDecoder(int minBytes, int maxBytes) {
+    this.minBytes = minBytes;
+    this.maxBytes = maxBytes;
   }
 
   @Override
@@ -31,26 +34,27 @@
     int at = from;
     while (at < to) {
       if (lengthBytes < Integer.BYTES) {
-        length = length << Byte.SIZE | bytes[at++] & BYTE;
+        length = length << Byte.SIZE | bytes[at++] & BYTE_MASK;
         if (++lengthBytes < Integer.BYTES) {
           continue;
         }
-        if (length < least || length > most) {
+        if (length < minBytes || length > maxBytes) {
           return "a frame of " + length + " bytes";
         }
-        // The length is only a promise: memory follows the bytes that have come.
-        frame = new byte[(int) Math.min(length, FIRST_SIZE)];
-        have = 0;
+        // The length is only a promise: memory follows the bytes that have been received.
+        frame = new byte[(int) Math.min(length, INITIAL_BYTES)];
+        received = 0;
       }
-      int part = (int) Math.min(to - at, length - have);
-      if (have + part > frame.length) {
+      int part = (int) Math.min(to - at, length - received);
+      if (received + part > frame.length) {
         frame =
-            Arrays.copyOf(frame, (int) Math.min(length, Math.max(have + part, 2L * frame.length)));
+            Arrays.copyOf(
+                frame, (int) Math.min(length, Math.max(received + part, 2L * frame.length)));
       }
-      System.arraycopy(bytes, at, frame, have, part);
+      System.arraycopy(bytes, at, frame, received, part);
       at += part;
-      have += part;
-      if (have == length) {
+      received += part;
+      if (received == length) {
         byte[] whole = frame;
         frame = null;
         length = 0;
--- a/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * System calls of this machine that fail for want of memory, buffers, descriptors or addresses.
- * They tell nothing of the other side, and pass: the call is made again. Counts them, and tells of
- * them once in a while.
+ * System calls that fail for lack of memory, buffers, descriptors or addresses on this machine.
+ * They say nothing about the other side, and are temporary: the call is repeated. Counts them, and
+ * logs them once in a while. Thread-safe.
  */
 final class LocalFailures {
   private static final Logger LOG = System.getLogger(LocalFailures.class.getName());
-  private static final long TOLD_EVERY = 1_000_000_000; // nanoseconds
+  private static final long LOG_INTERVAL = 1_000_000_000; // nanoseconds
 
   /**
    * So long until the next try, in milliseconds: a call that goes on failing must not take the
@@ -25,7 +25,7 @@
   private static final long PAUSE_MS = 2;
 
   /** What the system says of ENOBUFS, ENOMEM, EINTR and EAGAIN. */
-  private static final Set<String> PASSING =
+  private static final Set<String> TEMPORARY =
       Set.of(
           "No buffer space available",
           "Cannot allocate memory",
@@ -33,14 +33,14 @@
           "Resource temporarily unavailable");
 
   private final AtomicLong count = new AtomicLong();
-  private final AtomicLong toldAt = new AtomicLong(System.nanoTime() - TOLD_EVERY);
+  private final AtomicLong loggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL);
 
   /**
    * Whether a read or write failed for want of something on this machine, and the connection still
    * stands.
    */
-  static boolean passes(IOException failure) {
-    return failure.getMessage() != null && PASSING.contains(failure.getMessage());
+  static boolean isTemporary(IOException failure) {
+    return failure.getMessage() != null && TEMPORARY.contains(failure.getMessage());
   }
 
   /**
@@ -54,7 +54,7 @@
     if (failure instanceof SocketException e) {
       return e.getMessage() == null || !e.getMessage().contains("reset");
     }
-    return failure instanceof IOException e && passes(e);
+    return failure instanceof IOException e && isTemporary(e);
   }
 
   /** Notes a failure, and waits a moment, on a thread of the sockets. */
@@ -71,8 +71,8 @@
   void note(String call, Throwable failure) {
     long all = count.incrementAndGet();
     long now = System.nanoTime();
-    long last = toldAt.get();
-    if (now - last >= TOLD_EVERY && toldAt.compareAndSet(last, now)) {
+    long last = loggedAt.get();
+    if (now - last >= LOG_INTERVAL && loggedAt.compareAndSet(last, now)) {
       LOG.log(
           Level.WARNING,
           "a system call failed on this machine, and is made again: {0}: {1}; {2} so far",
--- a/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
@@ -1,12 +1,14 @@
 package reachloom.gateway.wire;
 
-/** Numbers in texts of others: what can't be read is a value, not an exception. */
+/** Parses numbers of other programs: what can't be read is a default, not an exception. */
 public final class Numbers {
   private static final int MAX_DIGITS = 18;
 
   private Numbers() {}
 
-  /** A whole number from 0 up in plain digits, else the given value. */
+  /**
+   * Parses a whole number from 0 up in plain digits; {@code otherwise} where it is none, or null.
+   */
   public static long whole(String text, long otherwise) {
     if (text == null || text.isEmpty() || text.length() > MAX_DIGITS) {
       return otherwise;
@@ -22,7 +24,7 @@
     return read;
   }
 
-  /** A finite number, else the given value. */
+  /** Parses a finite number; {@code otherwise} where it is none, or null. */
   public static double real(String text, double otherwise) {
     if (text == null || text.length() > 2 * MAX_DIGITS) {
       return otherwise;
--- a/gateway/src/main/java/reachloom/gateway/wire/Rows.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Rows.java
@@ -5,17 +5,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Rows of a result as engines write them: three columns of text, a tab between, a line feed at the
- * end.
+ * Validates the rows of a result as engines write them: three columns of UTF-8 text, separated by
+ * tabs and ended by a line feed.
  */
 public final class Rows {
   private static final int TABS = 2;
 
   private Rows() {}
 
-  /**
-   * Whether a page holds whole rows of readable text and nothing else; none at all count as whole.
-   */
+  /** Whether a page consists of whole rows of valid text; an empty page does. */
   public static boolean whole(byte[] page) {
     int tabs = 0;
     for (byte b : page) {
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -27,20 +27,23 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
-/** All sockets of a gateway, served by Apache MINA with one thread that reads and writes. */
+/**
+ * All sockets of a gateway, served by Apache MINA with one thread that reads and writes. The
+ * methods may be called from any thread.
+ */
 public final class Sockets {
   private static final int BACKLOG = 512;
-  private static final int MIN_READ = 512;
-  private static final int FIRST_READ = 2048;
-  private static final int MAX_READ = 16 * 1024;
+  private static final int MIN_READ_BYTES = 512;
+  private static final int INITIAL_READ_BYTES = 2048;
+  private static final int MAX_READ_BYTES = 16 * 1024;
 
   /** Bytes that are read from a connection in one go where so much is there. */
-  private static final int MAX_AT_ONCE = 256 * 1024;
+  private static final int MAX_READ_AT_ONCE = 256 * 1024;
 
-  private static final long CONNECT_CHECK_MS = 50;
-  private static final long FULL_PAUSE_MS = 2;
+  private static final long CONNECT_CHECK_INTERVAL_MS = 50;
+  private static final long ACCEPT_PAUSE_MS = 2;
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long LATER = 2;
+  private static final long LIBRARY_TIMEOUT_FACTOR = 2;
   private static final int END_OF_STREAM = -1;
 
   private static final AttributeKey ENDED = new AttributeKey(Sockets.class, "ended");
@@ -73,7 +76,7 @@
         return Math.max(
             0, super.write(session, buffer, length)); // interrupted: nothing was written
       } catch (IOException e) {
-        if (!LocalFailures.passes(e)) {
+        if (!LocalFailures.isTemporary(e)) {
           throw e;
         }
         failures.pause("write", e);
@@ -91,7 +94,7 @@
                 ? 0
                 : read; // interrupted: the platform tells that by other numbers
       } catch (IOException e) {
-        if (!LocalFailures.passes(e)) {
+        if (!LocalFailures.isTemporary(e)) {
           throw e;
         }
         failures.pause("read", e);
@@ -99,7 +102,7 @@
       }
       if (read == END_OF_STREAM) {
         session.setAttribute(ENDED);
-      } else if (!buffer.hasRemaining() && buffer.capacity() < MAX_AT_ONCE) {
+      } else if (!buffer.hasRemaining() && buffer.capacity() < MAX_READ_AT_ONCE) {
         buffer.expand(buffer.capacity()); // the library goes on while there is room
       }
       return read;
@@ -138,8 +141,8 @@
    * Sockets of which at most that many are held for clients; further ones wait in the system's
    * queue.
    */
-  public Sockets(int mostClients) {
-    acceptor = new BoundedAcceptor(mostClients);
+  public Sockets(int maxClients) {
+    acceptor = new BoundedAcceptor(maxClients);
   }
 
   /**
@@ -148,20 +151,20 @@
    * reach engines with.
    */
   private final class BoundedAcceptor extends NioSocketAcceptor {
-    private final int most;
+    private final int maxHeld;
     private final AtomicInteger held = new AtomicInteger();
     private final Set<IoSession> holders = ConcurrentHashMap.newKeySet();
 
-    BoundedAcceptor(int most) {
+    BoundedAcceptor(int maxHeld) {
       super(threads, processor);
-      this.most = most;
+      this.maxHeld = maxHeld;
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> of, ServerSocketChannel channel)
         throws Exception {
-      if (held.get() >= most) {
-        Thread.sleep(FULL_PAUSE_MS); // this thread does nothing else
+      if (held.get() >= maxHeld) {
+        Thread.sleep(ACCEPT_PAUSE_MS); // this thread does nothing else
         return null;
       }
       NioSession session = acceptOrWait(of, channel);
@@ -227,18 +230,18 @@
     NioSocketConnector connector = new NioSocketConnector(threads, processor);
     connectors.add(connector);
     connector.setHandler(handler);
-    connector.setConnectTimeoutCheckInterval(CONNECT_CHECK_MS);
+    connector.setConnectTimeoutCheckInterval(CONNECT_CHECK_INTERVAL_MS);
     connector.setConnectTimeoutMillis(
-        LATER * Math.max(CONNECT_CHECK_MS, dialTimeout / MILLISECOND));
+        LIBRARY_TIMEOUT_FACTOR * Math.max(CONNECT_CHECK_INTERVAL_MS, dialTimeout / MILLISECOND));
     configure(connector.getSessionConfig());
     return connector;
   }
 
   private static void configure(SocketSessionConfig config) {
     config.setTcpNoDelay(true);
-    config.setMinReadBufferSize(MIN_READ);
-    config.setReadBufferSize(FIRST_READ);
-    config.setMaxReadBufferSize(MAX_READ);
+    config.setMinReadBufferSize(MIN_READ_BYTES);
+    config.setReadBufferSize(INITIAL_READ_BYTES);
+    config.setMaxReadBufferSize(MAX_READ_BYTES);
     // The library measures it on the wall clock, and ends all that wait to write once that goes
     // forward.
     // Who takes nothing is ended by bounds of the gateway: on unsent answers and on rest.
--- a/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
@@ -3,7 +3,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the messages of clients: Thrift's strict binary protocol, one message in a frame. */
+/**
+ * Reads the messages of clients: Thrift's strict binary protocol, one message in a frame. Fields
+ * that are not known are skipped. A frame that can't be read is a value, {@link ClientCall.Broken},
+ * never an exception; neither depth nor size of what it announces costs more than its bytes.
+ */
 public final class ThriftReader {
   static final int VERSION = 0x8001;
   static final int CALL = 1;
@@ -25,21 +29,21 @@
   static final int LIST = 15;
 
   private static final int MAX_NESTING = 32;
-  private static final int MAX_NAME = 64;
+  private static final int MAX_NAME_BYTES = 64;
   private static final int MAX_FIELDS = 64;
-  private static final int LOW_BYTE = 0xff;
+  private static final int BYTE_MASK = 0xff;
 
   private final byte[] frame;
   private int at;
 
-  /** What makes the frame unreadable; once set, all further reads give nothing. */
+  /** Why the frame can't be read; null while it can. Once set, all further reads give nothing. */
   private String fault;
 
   private ThriftReader(byte[] frame) {
     this.frame = frame;
   }
 
-  /** The message in a frame. */
+  /** Reads the message in a frame. */
   public static ClientCall read(byte[] frame) {
     return new ThriftReader(frame).message();
   }
@@ -49,7 +53,7 @@
     if (fault == null && head >>> Short.SIZE != VERSION) {
       fault = "no strict binary message";
     }
-    int type = head & LOW_BYTE;
+    int type = head & BYTE_MASK;
     String method = name();
     int seq = i32();
     if (fault == null && type != CALL && type != ONEWAY) {
@@ -116,7 +120,7 @@
     return new ClientCall.Unusable(seq, method, PROTOCOL_ERROR, why);
   }
 
-  /** A map of texts; null where it is a map of anything else, or of more than a request has. */
+  /** Reads a map of texts; null where it is another map, or larger than a request's may be. */
   private Map<String, String> strings() {
     int keys = u8();
     int values = u8();
@@ -181,7 +185,7 @@
 
   private String name() {
     Bytes name = binary();
-    if (fault == null && name.length() > MAX_NAME) {
+    if (fault == null && name.length() > MAX_NAME_BYTES) {
       fault = "a method name of " + name.length() + " bytes";
     }
     return fault == null ? name.text() : "";
@@ -196,7 +200,7 @@
 
   private int u8() {
     int from = at;
-    return move(Byte.BYTES) ? frame[from] & LOW_BYTE : STOP;
+    return move(Byte.BYTES) ? frame[from] & BYTE_MASK : STOP;
   }
 
   private int i16() {
--- a/gateway/src/main/java/reachloom/gateway/wire/ThriftWriter.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ThriftWriter.java
@@ -4,24 +4,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes answers to clients, each as one whole frame. */
+/** Writes responses to clients, each as one whole frame that is ready to be sent. */
 public final class ThriftWriter {
   private static final int REPLY = 2;
   private static final int EXCEPTION = 3;
   private static final byte[] EXECUTE = "execute".getBytes(StandardCharsets.UTF_8);
   private static final byte[] CHECK = "check".getBytes(StandardCharsets.UTF_8);
-  private static final int HEAD = 4 * Integer.BYTES;
-  private static final int FIELD = 1 + Short.BYTES;
-  private static final int EMPTY_MAP = FIELD + 2 + Integer.BYTES;
+  private static final int HEADER_BYTES = 4 * Integer.BYTES;
+  private static final int FIELD_BYTES = 1 + Short.BYTES;
+  private static final int EMPTY_MAP_BYTES = FIELD_BYTES + 2 + Integer.BYTES;
 
   private ThriftWriter() {}
 
-  /** A served query: all pages in order. */
+  /** The result of a served request: all pages in order. */
   public static ByteBuffer answer(int seq, List<Bytes> pages) {
     return answer(EXECUTE, seq, pages, true);
   }
 
-  /** Whether the gateway is ready. */
+  /** The response to {@code check}: whether the gateway is ready. */
   public static ByteBuffer check(int seq, boolean good) {
     return answer(CHECK, seq, List.of(), good);
   }
@@ -33,7 +33,15 @@
             method,
             REPLY,
             seq,
-            FIELD + FIELD + Integer.BYTES + body + EMPTY_MAP + FIELD + 1 + 1 + 1);
+            FIELD_BYTES
+                + FIELD_BYTES
+                + Integer.BYTES
+                + body
+                + EMPTY_MAP_BYTES
+                + FIELD_BYTES
+                + 1
+                + 1
+                + 1);
     field(out, ThriftReader.STRUCT, 0);
     field(out, ThriftReader.STRING, 1);
     out.putInt(body);
@@ -44,25 +52,25 @@
     return end(out);
   }
 
-  /** A refused query: trying again is harmless. */
+  /** A rejected request, which was never forwarded: a retry is harmless. */
   public static ByteBuffer busy(int seq) {
     return declared(seq, 1);
   }
 
-  /** A failed query. */
+  /** A failed request, which may have run. */
   public static ByteBuffer failed(int seq) {
     return declared(seq, 2);
   }
 
   /** One of the exceptions that the service declares: a struct of an empty map. */
   private static ByteBuffer declared(int seq, int id) {
-    ByteBuffer out = head(EXECUTE, REPLY, seq, FIELD + EMPTY_MAP + 1 + 1);
+    ByteBuffer out = head(EXECUTE, REPLY, seq, FIELD_BYTES + EMPTY_MAP_BYTES + 1 + 1);
     field(out, ThriftReader.STRUCT, id);
     emptyMap(out, 1);
     return end(out);
   }
 
-  /** An application exception: the call could be read but not served. */
+  /** An application exception, for a call that could be read but not served. */
   public static ByteBuffer exception(ClientCall.Unusable call) {
     byte[] why = call.why().getBytes(StandardCharsets.UTF_8);
     byte[] method = call.method().getBytes(StandardCharsets.UTF_8);
@@ -71,7 +79,7 @@
             method,
             EXCEPTION,
             call.seq(),
-            FIELD + Integer.BYTES + why.length + FIELD + Integer.BYTES + 1);
+            FIELD_BYTES + Integer.BYTES + why.length + FIELD_BYTES + Integer.BYTES + 1);
     field(out, ThriftReader.STRING, 1);
     out.putInt(why.length).put(why);
     field(out, ThriftReader.I32, 2);
@@ -80,7 +88,7 @@
   }
 
   private static ByteBuffer head(byte[] method, int type, int seq, int rest) {
-    int length = HEAD - Integer.BYTES + method.length + rest;
+    int length = HEADER_BYTES - Integer.BYTES + method.length + rest;
     return ByteBuffer.allocate(Integer.BYTES + length)
         .putInt(length)
         .putInt(ThriftReader.VERSION << Short.SIZE | type)
--- a/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
@@ -24,9 +24,9 @@
 
   @Test
   void aConnectionThatHasEndedDoesNotPass() {
-    assertTrue(LocalFailures.passes(new IOException("No buffer space available")));
-    assertFalse(LocalFailures.passes(new IOException("Connection reset by peer")));
-    assertFalse(LocalFailures.passes(new IOException("Broken pipe")));
-    assertFalse(LocalFailures.passes(new IOException((String) null)));
+    assertTrue(LocalFailures.isTemporary(new IOException("No buffer space available")));
+    assertFalse(LocalFailures.isTemporary(new IOException("Connection reset by peer")));
+    assertFalse(LocalFailures.isTemporary(new IOException("Broken pipe")));
+    assertFalse(LocalFailures.isTemporary(new IOException((String) null)));
   }
 }
