--- a/gateway/src/main/java/reachloom/Main.java
+++ b/gateway/src/main/java/reachloom/Main.java
@@ -11,6 +11,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.HelpFormatter;
@@ -19,36 +20,42 @@
 import org.apache.commons.cli.ParseException;
 import reachloom.config.ConfigException;
 import reachloom.config.GatewayConfig;
+import reachloom.config.GossipSettings;
 import reachloom.config.LocalSettings;
 import reachloom.gateway.lifecycle.GatewayServer;
 import reachloom.simulator.SimulatorAdapter;
 
-/** Entry point: picks what is to be run by its sub-command. */
+/** The command line: runs the sub-command that it names. */
 public final class Main {
   private static final int OK = 0;
   private static final int BAD_USE = 2;
   private static final int COLUMNS = 100;
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  /** What only operators use, with the libraries that takes, stays out of the gateway's jar. */
-  private static final String TOOLS = "reachloom-tools.jar";
+  /** Commands that only operators use, with their libraries, stay out of the gateway's jar. */
+  private static final String TOOLS_JAR = "reachloom-tools.jar";
 
-  private static final Map<String, String> TOOL =
+  private static final Map<String, String> TOOL_CLASSES =
       Map.of("gossip", "reachloom.tools.GossipTool", "revision", "reachloom.tools.RevisionTool");
+
+  /** Former names of commands, which still work. */
+  private static final Map<String, String> DEPRECATED_COMMANDS =
+      Map.of("benchlink", "simulator-adapter", "rehearse", "warm-up");
+
   private static final String COMMANDS =
       String.join(
           System.lineSeparator(),
           "",
           "commands:",
           "  serve               one gateway on sockets, configured by the file that LB_CONFIG names",
-          "  benchlink           decide for many gateways on the simulator's wire (standard input and output)",
+          "  simulator-adapter   decide for many gateways on the simulator's wire (standard input and output)",
           "  check-config FILE   read a configuration (JSON) or settings (XML) and say what is wrong with it",
-          "  rehearse            start with a made-up configuration on loopback, then stop (see deploy)",
+          "  warm-up             start with a made-up configuration on loopback, then stop (see deploy)",
           "  gossip COMMAND      keys, certificates and status of gossip; needs "
-              + TOOLS
+              + TOOLS_JAR
               + " beside this jar",
           "  revision COMMAND    an issuer of the configuration, and documents for it; needs "
-              + TOOLS
+              + TOOLS_JAR
               + " too",
           "  version             print the version",
           "",
@@ -63,90 +70,101 @@
     System.exit(status);
   }
 
+  /** Runs one sub-command and returns its exit status. */
   static int run(String[] args, PrintStream out, PrintStream err)
       throws IOException, InterruptedException {
-    String tool = args.length == 0 ? null : TOOL.get(args[0]);
+    String tool = args.length == 0 ? null : TOOL_CLASSES.get(args[0]);
     if (tool != null) {
-      return tools(tool, Arrays.copyOfRange(args, 1, args.length), out, err);
+      return runTool(tool, Arrays.copyOfRange(args, 1, args.length), out, err);
     }
-    Options options =
-        new Options()
-            .addOption("h", "help", false, "print this text")
-            .addOption(
-                Option.builder()
-                    .longOpt("settings")
-                    .hasArg()
-                    .argName("FILE")
-                    .desc(
-                        "serve with the settings of an installation (XML); else those that "
-                            + LocalSettings.VARIABLE
-                            + " names")
-                    .build());
-    CommandLine line;
+    Options options = options();
     try {
-      line = new DefaultParser().parse(options, args);
+      return run(new DefaultParser().parse(options, args), options, out, err);
     } catch (ParseException e) {
       err.println("reachloom: " + e.getMessage());
-      usage(options, err);
+      printUsage(options, err);
+      return BAD_USE;
+    } catch (ConfigException e) {
+      err.println("reachloom: " + e.getMessage());
       return BAD_USE;
     }
+  }
+
+  private static Options options() {
+    return new Options()
+        .addOption("h", "help", false, "print this text")
+        .addOption(
+            Option.builder()
+                .longOpt("settings")
+                .hasArg()
+                .argName("FILE")
+                .desc(
+                    "serve with the settings of an installation (XML); else those that "
+                        + LocalSettings.VARIABLE
+                        + " names")
+                .build());
+  }
+
+  private static int run(CommandLine line, Options options, PrintStream out, PrintStream err)
+      throws IOException, InterruptedException, ConfigException {
     List<String> words = line.getArgList();
     String command = words.isEmpty() ? "" : words.get(0);
-    int expected = command.equals("check-config") ? 2 : 1;
     if (line.hasOption("help") || command.equals("help")) {
-      usage(options, out);
+      printUsage(options, out);
       return OK;
     }
+    int expected = command.equals("check-config") ? 2 : 1;
     if (words.size() != expected) {
-      usage(options, err);
+      printUsage(options, err);
       return BAD_USE;
     }
-    try {
-      switch (command) {
-        case "serve" -> {
-          Map<String, String> environment = System.getenv();
-          return new GatewayServer(
-                  GatewayConfig.fromEnvironment(environment),
-                  environment,
-                  line.getOptionValue("settings"))
-              .run();
-        }
-        case "rehearse" -> {
-          return new GatewayServer(GatewayConfig.sample(), Map.of(), null).rehearse();
-        }
-        case "benchlink" -> {
-          return new SimulatorAdapter(err).serve(System.in, out);
-        }
-        case "check-config" -> {
-          out.println(words.get(1) + ": good; " + checked(words.get(1)));
-          return OK;
-        }
-        case "version" -> {
-          String version = Main.class.getPackage().getImplementationVersion();
-          out.println("reachloom " + (version == null ? "unpackaged" : version));
-          return OK;
-        }
-        default -> {
-          usage(options, err);
-          return BAD_USE;
-        }
-      }
-    } catch (ConfigException e) {
-      err.println("reachloom: " + e.getMessage());
-      return BAD_USE;
+    switch (currentName(command, err)) {
+      case "serve":
+        return serve(Optional.ofNullable(line.getOptionValue("settings")));
+      case "warm-up":
+        return new GatewayServer(GatewayConfig.sample(), Map.of(), Optional.empty()).warmUp();
+      case "simulator-adapter":
+        return new SimulatorAdapter(err).serve(System.in, out);
+      case "check-config":
+        out.println(words.get(1) + ": good; " + describe(words.get(1)));
+        return OK;
+      case "version":
+        String version = Main.class.getPackage().getImplementationVersion();
+        out.println("reachloom " + (version == null ? "unpackaged" : version));
+        return OK;
+      default:
+        printUsage(options, err);
+        return BAD_USE;
+    }
+  }
+
+  /** The present name of a command; one line on standard error tells of it where it has changed. */
+  static String currentName(String command, PrintStream err) {
+    String name = DEPRECATED_COMMANDS.get(command);
+    if (name == null) {
+      return command;
     }
+    err.println("reachloom: the command '" + command + "' is deprecated; use '" + name + "'");
+    return name;
+  }
+
+  private static int serve(Optional<String> settingsFile)
+      throws InterruptedException, ConfigException {
+    Map<String, String> environment = System.getenv();
+    GatewayConfig config = GatewayConfig.fromEnvironment(environment);
+    return new GatewayServer(config, environment, settingsFile).run();
   }
 
-  /** Runs a tool of the jar beside this one, or of the build's folder. */
-  private static int tools(String tool, String[] args, PrintStream out, PrintStream err)
+  /** Runs a tool of the jar beside this one, or of the build's directory. */
+  private static int runTool(String tool, String[] args, PrintStream out, PrintStream err)
       throws IOException {
     try {
       Path here = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-      Path beside = here.resolveSibling(TOOLS);
-      Path built = here.resolve("../../../tools/target").resolve(TOOLS).normalize();
+      Path beside = here.resolveSibling(TOOLS_JAR);
+      Path built = here.resolve("../../../tools/target").resolve(TOOLS_JAR).normalize();
       Path jar = Files.exists(beside) ? beside : built;
       if (!Files.exists(jar)) {
-        err.println("reachloom: " + TOOLS + " is not beside " + here);
+        err.println("reachloom: " + TOOLS_JAR + " is not beside " + here);
         return BAD_USE;
       }
       try (URLClassLoader loader =
@@ -157,39 +175,39 @@
                 .invoke(null, args, out, err);
       }
     } catch (URISyntaxException | ReflectiveOperationException e) {
-      err.println("reachloom: " + TOOLS + " can't be used: " + e);
+      err.println("reachloom: " + TOOLS_JAR + " can't be used: " + e);
       return BAD_USE;
     }
   }
 
-  /**
-   * What a file of either form tells; XML by its ending, since neither form can be taken for the
-   * other.
-   */
-  private static String checked(String file) throws ConfigException {
-    if (file.endsWith(".xml")) {
-      LocalSettings local = LocalSettings.read(file, Map.of());
-      String idle =
-          local.clientIdleTimeoutNanos().isEmpty()
-              ? ""
-              : ", clients idle for "
-                  + local.clientIdleTimeoutNanos().getAsLong() / MILLISECOND
-                  + " ms are closed";
-      return local
-              .gossip()
-              .map(
-                  g ->
-                      "gossip on at "
-                          + g.listen()
-                          + ", cluster "
-                          + g.cluster()
-                          + ", "
-                          + g.seeds().size()
-                          + " seeds")
-              .orElse("gossip off")
-          + idle;
-    }
-    GatewayConfig config = GatewayConfig.fromFile(Path.of(file), Map.of());
+  /** Describes a valid file: settings if its name ends in {@code .xml}, else a configuration. */
+  private static String describe(String file) throws ConfigException {
+    return file.endsWith(".xml")
+        ? describe(LocalSettings.read(file, Map.of()))
+        : describe(GatewayConfig.fromFile(Path.of(file), Map.of()));
+  }
+
+  private static String describe(LocalSettings settings) {
+    String idle =
+        settings.clientIdleTimeoutNanos().isEmpty()
+            ? ""
+            : ", clients idle for "
+                + settings.clientIdleTimeoutNanos().getAsLong() / MILLISECOND
+                + " ms are closed";
+    return settings.gossip().map(Main::describe).orElse("gossip off") + idle;
+  }
+
+  private static String describe(GossipSettings gossip) {
+    return "gossip on at "
+        + gossip.listen()
+        + ", cluster "
+        + gossip.cluster()
+        + ", "
+        + gossip.seeds().size()
+        + " seeds";
+  }
+
+  private static String describe(GatewayConfig config) {
     return config.name()
         + " at "
         + config.listen()
@@ -200,7 +218,7 @@
         + " classes";
   }
 
-  private static void usage(Options options, PrintStream to) {
+  private static void printUsage(Options options, PrintStream to) {
     PrintWriter writer = new PrintWriter(to);
     HelpFormatter help = new HelpFormatter();
     help.printHelp(writer, COLUMNS, "reachloom COMMAND", COMMANDS, options, 1, 2, "");
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/ConfigurationReloader.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/ConfigurationReloader.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -14,10 +13,13 @@
 import reachloom.config.MergePatch;
 
 /**
- * The configuration that a gateway runs under: its own file, and over it the newest revision that
- * the whole installation was issued. Read anew off the loop; what can't be used leaves the one
- * before in force. All changes pass through here one after another, so that never an older revision
- * follows a newer one.
+ * The configuration that a gateway runs under: its own file, with the newest revision that was
+ * issued to the whole installation merged over it. What can't be used leaves the one before in
+ * force.
+ *
+ * <p>Thread-safe: files are read on the calling thread, never on the event loop's. All changes are
+ * made one after another under this object's lock, so that never an older revision follows a newer
+ * one.
  */
 final class ConfigurationReloader {
   private static final Logger LOG = System.getLogger(ConfigurationReloader.class.getName());
@@ -25,38 +27,46 @@
   private final GatewayConfig atStart;
   private final Map<String, String> environment;
   private final String settingsFile;
-  private final BiConsumer<GatewayConfig, LocalSettings> takeOver;
+  private final BiConsumer<GatewayConfig, LocalSettings> consumer;
   private LocalSettings local;
-  private long number;
+  private long revisionNumber;
+
+  /** Merges the revision in force over a file. */
   private UnaryOperator<JsonNode> revision = UnaryOperator.identity();
 
-  /** {@code takeOver} is given each configuration that is to be in force from now on. */
+  /**
+   * Reads the settings of the installation; the configuration of the start is in force.
+   *
+   * @param settingsFile null for the file that the environment names, if any
+   * @param consumer receives each configuration, with the settings, that is in force from now on;
+   *     called under the lock
+   * @throws ConfigException if the settings can't be used
+   */
   ConfigurationReloader(
       GatewayConfig atStart,
       Map<String, String> environment,
       String settingsFile,
-      BiConsumer<GatewayConfig, LocalSettings> takeOver)
+      BiConsumer<GatewayConfig, LocalSettings> consumer)
       throws ConfigException {
     this.atStart = atStart;
     this.environment = environment;
     this.settingsFile = settingsFile;
-    this.takeOver = takeOver;
+    this.consumer = consumer;
     local = LocalSettings.read(settingsFile, environment);
   }
 
-  /** The installation's settings as last read. */
+  /** The settings of the installation, as read last. */
   synchronized LocalSettings local() {
     return local;
   }
 
-  /** Reads the gateway's own files again; the revision in force stays over them. */
+  /** Reads the gateway's own files again; the revision in force stays merged over them. */
   synchronized void reload() {
     try {
       GatewayConfig next = GatewayConfig.fromEnvironment(environment, revision);
       LocalSettings nextLocal = LocalSettings.read(settingsFile, environment);
-      List<String> waiting = waiting(next);
-      waiting.addAll(local.changesNeedingRestart(nextLocal));
-      tellWaiting(waiting);
+      logAwaitingRestart(atStart.changesNeedingRestart(next));
+      logAwaitingRestart(local.changesNeedingRestart(nextLocal));
       LOG.log(
           Level.INFO,
           "the configuration is read again: changelog {0}, known up to event {1}",
@@ -70,47 +80,49 @@
             String.join(", ", taken));
       }
       local = nextLocal;
-      takeOver.accept(next, nextLocal);
+      consumer.accept(next, nextLocal);
     } catch (ConfigException | RuntimeException e) { // a file in any state must not end the gateway
       LOG.log(Level.WARNING, "the configuration stays as it is: {0}", e.getMessage());
     }
   }
 
-  /** Puts a revision in force; gives "", or why it can't be, and then the one before stays. */
-  synchronized String put(long next, byte[] document) {
-    if (next <= number) {
-      return "revision " + number + " is in force, which is newer";
+  /**
+   * Puts a revision in force. One that can't be used leaves the one before in force.
+   *
+   * @param number has to exceed that of the revision in force
+   * @param document a JSON merge patch
+   * @return an empty string, or why the revision can't be put in force
+   */
+  synchronized String put(long number, byte[] document) {
+    if (number <= revisionNumber) {
+      return "revision " + revisionNumber + " is in force, which is newer";
     }
     try {
       UnaryOperator<JsonNode> patch = MergePatch.read(document)::applyTo;
-      GatewayConfig read = GatewayConfig.fromEnvironment(environment, patch);
-      tellWaiting(waiting(read));
-      number = next;
+      GatewayConfig next = GatewayConfig.fromEnvironment(environment, patch);
+      logAwaitingRestart(atStart.changesNeedingRestart(next));
+      revisionNumber = number;
       revision = patch;
       LOG.log(
           Level.INFO,
           "revision {0} is in force: changelog {1}, known up to event {2}",
-          Long.toString(next),
-          read.changeLog(),
-          Long.toString(read.lastEventNumber()));
-      takeOver.accept(read, local);
+          Long.toString(number),
+          next.changeLog(),
+          Long.toString(next.lastEventNumber()));
+      consumer.accept(next, local);
       return "";
     } catch (ConfigException | RuntimeException e) { // whatever is in it must not end the gateway
       LOG.log(
           Level.WARNING,
           "revision {0} is refused, {1} stays in force: {2}",
-          Long.toString(next),
           Long.toString(number),
+          Long.toString(revisionNumber),
           e.getMessage());
       return String.valueOf(e.getMessage());
     }
   }
 
-  private List<String> waiting(GatewayConfig next) {
-    return new ArrayList<>(atStart.changesNeedingRestart(next));
-  }
-
-  private static void tellWaiting(List<String> keys) {
+  private static void logAwaitingRestart(List<String> keys) {
     for (String key : keys) {
       LOG.log(Level.WARNING, "{0}: has changed, which takes effect at the next start only", key);
     }
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import reachloom.config.ConfigException;
@@ -19,123 +20,126 @@
 import reachloom.gossip.net.GossipNode;
 import reachloom.gossip.net.NodeIdentity;
 import reachloom.scheduler.QueryScheduler;
+import reachloom.scheduler.api.QueryClass;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Runs one gateway from its start to its end. */
+/**
+ * Runs one gateway as a process: start, readiness, SIGHUP, SIGTERM and graceful shutdown.
+ *
+ * <p>{@link #run} turns the calling thread into the event loop's, which owns all state of this
+ * class but the latches and the exit status. Signals, the warm-up and the shutdown hook have
+ * threads of their own and post to the loop.
+ */
 public final class GatewayServer {
   private static final Logger LOG = System.getLogger(GatewayServer.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final int BAD_CONFIGURATION = 2;
 
-  /** New connections and requests may come for so long after SIGTERM. */
-  private static final long TAKING = 700 * MILLISECOND;
+  /** New connections and requests are admitted for this long after SIGTERM. */
+  private static final long MIN_DRAIN_TIME = 700 * MILLISECOND;
 
   /**
-   * All is answered by then: SIGKILL comes no sooner than the longest deadline and 0.7 s after
-   * SIGTERM.
+   * All requests have a response by the longest deadline, or this time if shorter, and {@link
+   * #RESPONSE_MARGIN} after SIGTERM: SIGKILL comes no sooner than that deadline and 0.7 s after it.
    */
-  private static final long LONGEST_DEADLINE = 3_000 * MILLISECOND;
+  private static final long MAX_DEADLINE = 3_000 * MILLISECOND;
 
-  private static final long ANSWERING = 400 * MILLISECOND;
-  private static final int BAD_CONFIGURATION = 2;
-  private static final long CHECK = 10 * MILLISECOND;
+  private static final long RESPONSE_MARGIN = 400 * MILLISECOND;
+
+  /** How often a shutdown looks whether its next step may follow. */
+  private static final long SHUTDOWN_POLL_INTERVAL = 10 * MILLISECOND;
 
   /**
-   * Connections stay open for so long after the last answer: a client that asks again at once on
-   * one already closed draws a reset, which takes the answers with it that it has not read yet. It
-   * makes restarts longer.
+   * Connections stay open for this long after the last response: a client that sends at once on one
+   * already closed draws a reset, which destroys the responses that it has not read yet. It makes
+   * restarts longer.
    */
-  private static final long LINGER = 120 * MILLISECOND;
+  private static final long CLOSE_DELAY = 120 * MILLISECOND;
 
-  /** ... and clients have so long to close theirs once the gateway has shut its output. */
-  private static final long FLUSH = 100 * MILLISECOND;
+  /** Clients may take this long to close their connections once the gateway has shut its output. */
+  private static final long MAX_CLOSE_TIME = 100 * MILLISECOND;
 
   /**
-   * Between looks at the configuration file where no signal tells of a new one; 4 s are allowed.
+   * Between polls of the configuration file where no signal tells of a new one; 4 s are allowed.
    */
-  private static final long LOOK_MS = 1_000;
+  private static final long FILE_POLL_INTERVAL_MS = 1_000;
 
   private final GatewayConfig config;
   private final Map<String, String> environment;
   private final ConfigurationReloader configuration;
   private final EventLoop loop = new EventLoop();
   private final CountDownLatch stopped = new CountDownLatch(1);
-  private final CountDownLatch open = new CountDownLatch(1);
+
+  /** Opens once clients are admitted. */
+  private final CountDownLatch listening = new CountDownLatch(1);
+
+  private final long startedAtNanos = loop.now();
   private GatewayService gateway;
 
   /** Null where gossip is off; then none of its classes is loaded. */
   private GossipNode gossip;
 
-  private final long begun = loop.now();
   private boolean ready;
   private boolean stopping;
-  private volatile int status;
-  private boolean endWhenReady;
-  private long openUntil;
+  private boolean stopWhenReady;
+  private volatile int exitStatus;
+
+  /** When a request was last seen open during the shutdown. */
+  private long lastOpenAtNanos;
 
   /**
-   * A server that has not started. The environment names the file that SIGHUP reads again; the
-   * settings of the installation are in the given file, else in the one that the environment names,
-   * else all at their defaults.
+   * A server that has not started.
+   *
+   * @param environment names the configuration file that SIGHUP reads again
+   * @param settingsFile the settings of the installation; if absent, those that the environment
+   *     names, else the defaults
+   * @throws ConfigException if the settings can't be used
    */
-  public GatewayServer(GatewayConfig config, Map<String, String> environment, String settingsFile)
+  public GatewayServer(
+      GatewayConfig config, Map<String, String> environment, Optional<String> settingsFile)
       throws ConfigException {
     this.config = config;
     this.environment = environment;
-    configuration = new ConfigurationReloader(config, environment, settingsFile, this::takeOver);
+    configuration =
+        new ConfigurationReloader(config, environment, settingsFile.orElse(null), this::apply);
   }
 
-  /** Serves until SIGTERM; gives the exit status. */
+  /** Serves until SIGTERM; returns the exit status. */
   public int run() throws InterruptedException {
     gateway = new GatewayService(config, loop, QueryScheduler::new);
     gateway.setClientIdleTimeout(configuration.local().clientIdleTimeoutNanos());
-    GossipSettings others = configuration.local().gossip().orElse(null);
-    if (others != null && !joinOthers(others)) {
+    GossipSettings gossipSettings = configuration.local().gossip().orElse(null);
+    if (gossipSettings != null && !startGossip(gossipSettings)) {
       return BAD_CONFIGURATION;
     }
-    // Without a handler the virtual machine ends on SIGHUP; each signal comes on a thread of its
-    // own.
-    if (Signal.handle(new Signal("HUP"), s -> configuration.reload()) == SignalHandler.SIG_IGN) {
-      lookAtTheFile();
-    }
-    Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "stop"));
+    reloadOnSignal();
+    Runtime.getRuntime().addShutdownHook(new Thread(this::onTerminate, "stop"));
     loop.post(
         0,
         () -> {
-          loop.deadlines().add(begun + EndpointWatch.LATEST_READY, this::ready);
-          gateway.start(this::open);
+          loop.deadlines().add(startedAtNanos + EndpointWatch.LATEST_READY, this::onReady);
+          gateway.start(this::listen);
         });
-    Thread rehearsal =
-        new Thread(
-            () -> {
-              new WarmUp(config, QueryScheduler::new).run(open);
-              loop.post(0, this::ready);
-            },
-            "rehearsal");
-    rehearsal.setDaemon(true);
-    rehearsal.start();
+    startWarmUp();
     loop.run();
     stopped.countDown();
-    return status;
+    return exitStatus;
   }
 
-  /** Lets clients in: only now, since what the change log had to tell counts as known. */
-  private void open() {
-    if (stopping) {
-      return;
-    }
-    try {
-      gateway.listen();
-      open.countDown();
-    } catch (IOException e) {
-      LOG.log(Level.ERROR, "listen: {0} can''t be bound: {1}", config.listen(), e.getMessage());
-      status = 1;
-      loop.end();
-    }
+  /**
+   * Starts, and stops again once ready: for a virtual machine that archives the classes which that
+   * loads. Returns the exit status.
+   */
+  public int warmUp() throws InterruptedException {
+    stopWhenReady = true;
+    return run();
   }
 
-  /** Takes up gossip with other instances; false where the settings can't be used. */
-  private boolean joinOthers(GossipSettings settings) {
+  // ---- Start ----
+
+  /** Starts gossip with other instances; false where the settings can't be used. */
+  private boolean startGossip(GossipSettings settings) {
     try {
       gossip =
           new GossipNode(
@@ -154,22 +158,40 @@
     }
   }
 
-  /**
-   * Starts, and stops again once ready: for a virtual machine that keeps the classes which that
-   * took.
-   */
-  public int rehearse() throws InterruptedException {
-    endWhenReady = true;
-    return run();
+  private void startWarmUp() {
+    Thread thread =
+        new Thread(
+            () -> {
+              new WarmUp(config, QueryScheduler::new).run(listening);
+              loop.post(0, this::onReady);
+            },
+            "warm-up");
+    thread.setDaemon(true);
+    thread.start();
   }
 
-  private void ready() {
+  /** Admits clients: only once the change log has told what it holds. */
+  private void listen() {
+    if (stopping) {
+      return;
+    }
+    try {
+      gateway.listen();
+      listening.countDown();
+    } catch (IOException e) {
+      LOG.log(Level.ERROR, "listen: {0} can''t be bound: {1}", config.listen(), e.getMessage());
+      exitStatus = 1;
+      loop.end();
+    }
+  }
+
+  private void onReady() {
     if (ready) {
       return;
     }
     ready = true;
-    if (endWhenReady) {
-      stop();
+    if (stopWhenReady) {
+      shutDown();
     } else if (!stopping) {
       gateway.setReady(true);
       LOG.log(
@@ -181,11 +203,24 @@
     }
   }
 
+  // ---- New configurations ----
+
+  /**
+   * Reads the configuration again on SIGHUP; without a handler the virtual machine would end. Each
+   * signal is handled on a thread of its own.
+   */
+  private void reloadOnSignal() {
+    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> configuration.reload());
+    if (before == SignalHandler.SIG_IGN) {
+      pollConfigurationFile();
+    }
+  }
+
   /**
    * Where whoever started this process had SIGHUP ignored, as nohup does, the virtual machine
-   * leaves that so, and nothing would tell of a new configuration: its file is looked at instead.
+   * leaves that so, and nothing would tell of a new configuration: its file is polled instead.
    */
-  private void lookAtTheFile() {
+  private void pollConfigurationFile() {
     String file = environment.get("LB_CONFIG");
     if (file == null) {
       return;
@@ -194,40 +229,39 @@
         Level.WARNING,
         "SIGHUP is ignored in this process: {0} is looked at each second instead",
         file);
-    Thread look =
-        new Thread(
-            () -> {
-              String last = state(Path.of(file));
-              try {
-                while (stopped.getCount() > 0) {
-                  Thread.sleep(LOOK_MS);
-                  String now = state(Path.of(file));
-                  if (!now.equals(last)) {
-                    last = now;
-                    configuration.reload();
-                  }
-                }
-              } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-              }
-            },
-            "configuration");
-    look.setDaemon(true);
-    look.start();
+    Thread thread = new Thread(() -> reloadOnChange(Path.of(file)), "configuration");
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  private void reloadOnChange(Path file) {
+    String last = fingerprint(file);
+    try {
+      while (stopped.getCount() > 0) {
+        Thread.sleep(FILE_POLL_INTERVAL_MS);
+        String present = fingerprint(file);
+        if (!present.equals(last)) {
+          last = present;
+          configuration.reload();
+        }
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
   }
 
   /** What tells a file that was replaced or written from the one before. */
-  private static String state(Path file) {
+  private static String fingerprint(Path file) {
     try {
-      BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-      return a.lastModifiedTime() + " " + a.size() + " " + a.fileKey();
+      BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+      return attributes.lastModifiedTime() + " " + attributes.size() + " " + attributes.fileKey();
     } catch (IOException e) {
       return "";
     }
   }
 
-  /** A configuration, with the settings of the installation, is in force from now on. */
-  private void takeOver(GatewayConfig next, LocalSettings nextLocal) {
+  /** Applies a configuration and settings that are in force from now on; from any thread. */
+  private void apply(GatewayConfig next, LocalSettings nextLocal) {
     loop.post(
         0,
         () -> {
@@ -239,53 +273,58 @@
         });
   }
 
+  // ---- Shutdown ----
+
   /**
    * On SIGTERM: the process goes on until the loop has ended, then exits as one that stopped well.
    */
-  private void terminate() {
-    loop.post(0, this::stop);
+  private void onTerminate() {
+    loop.post(0, this::shutDown);
     try {
       boolean clean = stopped.await(1, TimeUnit.MINUTES);
       System.err.flush();
-      Runtime.getRuntime().halt(clean ? status : 1);
+      Runtime.getRuntime().halt(clean ? exitStatus : 1);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void stop() {
+  /** Is no longer ready, and goes on admitting and serving for a while. */
+  private void shutDown() {
     if (stopping) {
       return;
     }
     stopping = true;
     long now = loop.now();
-    long longest =
-        config.settings().classes().stream().mapToLong(c -> c.deadlineNanos()).max().orElse(0);
-    long by = now + Math.min(longest, LONGEST_DEADLINE) + ANSWERING;
+    long longestDeadline =
+        config.settings().classes().stream().mapToLong(QueryClass::deadlineNanos).max().orElse(0);
+    long respondBy = now + Math.min(longestDeadline, MAX_DEADLINE) + RESPONSE_MARGIN;
     LOG.log(Level.INFO, "{0} stops with {1} requests open", config.name(), gateway.openRequests());
     gateway.setReady(false);
     if (gossip != null) {
       gossip.stop();
     }
-    gateway.setLatestDeadline(by);
-    loop.deadlines().add(by, gateway::expireOpenRequests);
-    loop.deadlines().add(now + TAKING, this::finish);
+    gateway.setLatestDeadline(respondBy);
+    loop.deadlines().add(respondBy, gateway::expireOpenRequests);
+    loop.deadlines().add(now + MIN_DRAIN_TIME, this::closeOnceDrained);
   }
 
-  private void finish() {
+  private void closeOnceDrained() {
     long now = loop.now();
-    openUntil = gateway.openRequests() > 0 ? now : openUntil;
-    if (now < openUntil + LINGER) {
-      loop.deadlines().add(now + CHECK, this::finish);
+    if (gateway.openRequests() > 0) {
+      lastOpenAtNanos = now;
+    }
+    if (now < lastOpenAtNanos + CLOSE_DELAY) {
+      loop.deadlines().add(now + SHUTDOWN_POLL_INTERVAL, this::closeOnceDrained);
       return;
     }
     gateway.close();
-    drain(now + FLUSH);
+    endOnceClosed(now + MAX_CLOSE_TIME);
   }
 
-  private void drain(long until) {
-    if (gateway.closingConnections() > 0 && loop.now() < until) {
-      loop.deadlines().add(loop.now() + CHECK, () -> drain(until));
+  private void endOnceClosed(long latestNanos) {
+    if (gateway.closingConnections() > 0 && loop.now() < latestNanos) {
+      loop.deadlines().add(loop.now() + SHUTDOWN_POLL_INTERVAL, () -> endOnceClosed(latestNanos));
       return;
     }
     LOG.log(Level.INFO, "{0} has stopped", config.name());
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -24,13 +24,13 @@
 import reachloom.gateway.wire.Bytes;
 import reachloom.gateway.wire.ClientCall;
 import reachloom.gateway.wire.EngineCommandWriter;
+import reachloom.gateway.wire.EngineResponse;
 import reachloom.gateway.wire.EngineResponseDecoder;
 import reachloom.gateway.wire.TableGroup;
 import reachloom.gateway.wire.ThriftReader;
 import reachloom.gateway.wire.ThriftWriter;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
-import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.LoadReport;
 import reachloom.scheduler.api.ProgressKind;
 import reachloom.scheduler.api.ProgressReport;
@@ -39,61 +39,84 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * Plays made-up queries through a decision module of its own and through the codecs, and asks the
- * gateway's own address whether it is there. A virtual machine compiles code while it first runs:
- * without this, the first clients would pay for it.
+ * Warms the virtual machine up, which compiles code while it first runs: plays made-up queries
+ * through a scheduler of its own and through the codecs, then sends {@code check} calls to the
+ * gateway's own address. Without it, the first clients would pay for the compilation.
+ *
+ * <p>Runs on a thread of its own and shares nothing with the gateway that starts beside it.
  */
 final class WarmUp implements SchedulerActions {
   private static final Logger LOG = System.getLogger(WarmUp.class.getName());
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long LONGEST =
-      800 * MILLISECOND; // on the machine's clock; a restart waits for it
-
-  /** Playing takes turns with the gateway's own threads, also where only one may run at once. */
-  private static final long TURN = 10 * MILLISECOND;
-
-  private static final long PAUSE = MILLISECOND / 10;
-  private static final long STEP = MILLISECOND / 4; // between queries, in the time that is played
-  private static final int OUT_AT_ONCE = 64;
-  private static final int NOTE_EACH = 8; // attempts of which one tells a note
-  private static final int CHECKS = 4_000;
-  private static final int CHECKS_AT_ONCE = 16;
+
+  /** On the machine's clock: a restart waits for it. */
+  private static final long MAX_TIME = 800 * MILLISECOND;
+
+  /** Queries are played for this time, and pause for that, also where one thread runs at once. */
+  private static final long TURN_TIME = 10 * MILLISECOND;
+
+  private static final long PAUSE_TIME = MILLISECOND / 10;
+
+  /** Between queries, in simulated time. */
+  private static final long QUERY_INTERVAL = MILLISECOND / 4;
+
+  private static final int MAX_ATTEMPTS_IN_FLIGHT = 64;
+
+  /** One attempt in so many reports its progress. */
+  private static final int PROGRESS_EACH = 8;
+
+  private static final int MAX_CHECKS = 4_000;
+  private static final int CHECKS_PER_CONNECTION = 16;
   private static final int CHECK_TIMEOUT_MS = 2_000;
-  private static final int PAGE = 1_500;
+  private static final int MAX_CALL_BYTES = 2_048;
+  private static final int PAGE_BYTES = 1_500;
+  private static final byte[] LINE_END = {'\r', '\n'};
+  private static final String ROW = "a\tb\tc\n";
+  private static final byte[] PAGE =
+      ROW.repeat(PAGE_BYTES / ROW.length()).getBytes(StandardCharsets.UTF_8);
   private static final String STATEMENT =
       "select a.id, a.state /* sales_1.x */ from sales_17.orders a "
           + "join staging.parts p on p.id = a.id where a.name = 'it''s from sales_2.y' -- sales_3.z";
 
-  private record Sent(String query, int attempt, String engine, long at) {}
+  private record ForwardedAttempt(String query, int attempt, String engine, long sentAtNanos) {}
 
   private final GatewayConfig config;
-  private final SchedulerEvents module;
-  private final ArrayDeque<Sent> out = new ArrayDeque<>();
+  private final SchedulerEvents scheduler;
+  private final ArrayDeque<ForwardedAttempt> inFlight = new ArrayDeque<>();
   private final Map<String, Integer> attempts = new LinkedHashMap<>();
   private final DeadlineQueue timers = new DeadlineQueue();
   private final EngineResponseDecoder decoder = new EngineResponseDecoder();
+
+  /** The simulated time. */
   private long now;
-  private int answered;
 
-  WarmUp(GatewayConfig config, Function<SchedulerActions, SchedulerEvents> factory) {
+  private int served;
+
+  /**
+   * A warm-up for that configuration.
+   *
+   * @param scheduler makes the scheduler that it plays to
+   */
+  WarmUp(GatewayConfig config, Function<SchedulerActions, SchedulerEvents> scheduler) {
     this.config = config;
-    module = factory.apply(this);
+    this.scheduler = scheduler.apply(this);
   }
 
   /**
-   * Plays until the time is up; the gateway lets clients in while it does, which is told by that
-   * latch.
+   * Plays until the time is up.
+   *
+   * @param listening opens once the gateway admits clients
    */
-  void run(CountDownLatch open) {
+  void run(CountDownLatch listening) {
     long start = System.nanoTime();
     try {
-      play(() -> System.nanoTime() - start < LONGEST * 2 / 3);
-    } catch (RuntimeException e) { // it is no more than a rehearsal
-      LOG.log(Level.WARNING, "the rehearsal ended early", e);
+      play(() -> System.nanoTime() - start < MAX_TIME * 2 / 3);
+    } catch (RuntimeException e) { // no client depends on it
+      LOG.log(Level.WARNING, "the warm-up ended early", e);
     }
     int checks = 0;
     try {
-      if (open.await(LONGEST, TimeUnit.NANOSECONDS)) {
+      if (listening.await(MAX_TIME, TimeUnit.NANOSECONDS)) {
         checks = check(config.listen(), start);
       }
     } catch (InterruptedException e) {
@@ -103,119 +126,124 @@
     }
     LOG.log(
         Level.INFO,
-        "rehearsed {0} queries and {1} checks in {2} ms",
-        answered,
+        "warmed up with {0} queries and {1} checks in {2} ms",
+        served,
         checks,
         (System.nanoTime() - start) / MILLISECOND);
   }
 
-  /** Plays one query after the other for as long as that says; gives how many were served. */
+  // ---- Queries to a scheduler ----
+
+  /** Plays one query after the other while the condition holds; returns how many were served. */
   int play(BooleanSupplier goOn) {
     now = MILLISECOND;
-    List<EngineEndpoint> engines =
-        config.knownEngines().stream().map(EngineMember::endpoint).toList();
-    module.onStart(now, config.seed(), config.settings());
-    module.onEndpoints(now, true, engines);
-    byte[] page = "a\tb\tc\n".repeat(PAGE / 6).getBytes(StandardCharsets.UTF_8);
+    scheduler.onStart(now, config.seed(), config.settings());
+    scheduler.onEndpoints(
+        now, true, config.knownEngines().stream().map(EngineMember::endpoint).toList());
     long turn = System.nanoTime();
     for (int i = 0; goOn.getAsBoolean(); i++) {
-      if (System.nanoTime() - turn > TURN) { // the gateway is there already, and clients may be
-        LockSupport.parkNanos(PAUSE);
+      if (System.nanoTime() - turn > TURN_TIME) { // clients may be there already
+        LockSupport.parkNanos(PAUSE_TIME);
         turn = System.nanoTime();
       }
-      now += STEP;
+      now += QUERY_INTERVAL;
       for (Runnable due = timers.poll(now); due != null; due = timers.poll(now)) {
         due.run();
       }
       arrive(i);
-      while (out.size() > OUT_AT_ONCE) {
-        end(out.poll(), i, page);
+      while (inFlight.size() > MAX_ATTEMPTS_IN_FLIGHT) {
+        end(inFlight.poll(), i);
       }
     }
-    return answered;
+    return served;
   }
 
-  private void arrive(int i) {
-    String id = String.format("%016x", i);
-    int queryClass = i % config.names().classes().size();
-    byte[] frame =
-        execute(
-            i,
-            Map.of(
-                "verb",
-                config.names().classes().get(queryClass),
-                "txn",
-                id,
-                "limit",
-                "1500",
-                "team",
-                "t",
-                "unique",
-                id + id));
-    if (ThriftReader.read(frame) instanceof ClientCall.Execute call) {
+  private void arrive(int number) {
+    String id = String.format("%016x", number);
+    int queryClass = number % config.names().classes().size();
+    Map<String, String> fields =
+        Map.of(
+            "verb",
+            config.names().classes().get(queryClass),
+            "txn",
+            id,
+            "limit",
+            "1500",
+            "team",
+            "t",
+            "unique",
+            id + id);
+    if (ThriftReader.read(execute(number, fields)) instanceof ClientCall.Execute call) {
       attempts.put(id, 0);
-      // All the time of its class: one that can't end in its time is refused, and rehearses
-      // nothing.
-      long time = config.settings().classes().get(queryClass).deadlineNanos();
-      module.onQuery(
-          now,
-          new Query(id, queryClass, 0, null, time, 0, 0, TableGroup.of(call.statement()), false));
+      // All the time of its class: one that can't end in its time is rejected at once.
+      long timeLeft = config.settings().classes().get(queryClass).deadlineNanos();
+      int group = TableGroup.of(call.statement());
+      scheduler.onQuery(now, new Query(id, queryClass, 0, null, timeLeft, 0, 0, group, false));
     }
   }
 
-  private void end(Sent s, int i, byte[] page) {
-    if (i % NOTE_EACH == 0) {
-      module.onProgress(
-          now, new ProgressReport(s.query(), s.attempt(), s.engine(), ProgressKind.PROGRESS, 0.5));
+  private void end(ForwardedAttempt attempt, int number) {
+    if (number % PROGRESS_EACH == 0) {
+      scheduler.onProgress(
+          now,
+          new ProgressReport(
+              attempt.query(), attempt.attempt(), attempt.engine(), ProgressKind.PROGRESS, 0.5));
     }
+    byte[] answer = answer(attempt.query());
+    decoder.feed(answer, 0, answer.length, page -> served(attempt, number, page));
+  }
+
+  /** An engine's answer to a query: its head and one page. */
+  private static byte[] answer(String query) {
     byte[] head =
-        (s.query() + " OK fetches=1,effort=40,high=64 " + page.length + "\r\n")
+        (query + " OK fetches=1,effort=40,high=64 " + PAGE.length + "\r\n")
             .getBytes(StandardCharsets.ISO_8859_1);
-    byte[] bytes =
-        ByteBuffer.allocate(head.length + page.length + 2)
-            .put(head)
-            .put(page)
-            .put((byte) '\r')
-            .put((byte) '\n')
-            .array();
-    decoder.feed(
-        bytes,
-        0,
-        bytes.length,
-        a -> {
-          ThriftWriter.answer(i, List.of(Bytes.of(a.body())));
-          answered++;
-          attempts.remove(a.id());
-          module.onAttemptEnded(
-              now,
-              new AttemptResult(
-                  a.id(),
-                  s.attempt(),
-                  s.engine(),
-                  AttemptOutcome.SERVED,
-                  now - s.at(),
-                  true,
-                  40,
-                  64,
-                  null));
-        });
+    return ByteBuffer.allocate(head.length + PAGE.length + LINE_END.length)
+        .put(head)
+        .put(PAGE)
+        .put(LINE_END)
+        .array();
   }
 
-  /** A call as clients write it. */
-  static byte[] execute(int seq, Map<String, String> fields) {
-    ByteBuffer out = ByteBuffer.allocate(2048).putInt(0x80010001);
-    text(out, "execute")
-        .putInt(seq)
-        .put((byte) 13)
-        .putShort((short) 1)
-        .put((byte) 11)
-        .put((byte) 11)
-        .putInt(fields.size());
-    fields.forEach((k, v) -> text(text(out, k), v));
+  private void served(ForwardedAttempt attempt, int number, EngineResponse page) {
+    ThriftWriter.answer(number, List.of(Bytes.of(page.body())));
+    served++;
+    attempts.remove(page.id());
+    scheduler.onAttemptEnded(
+        now,
+        new AttemptResult(
+            page.id(),
+            attempt.attempt(),
+            attempt.engine(),
+            AttemptOutcome.SERVED,
+            now - attempt.sentAtNanos(),
+            true,
+            40,
+            64,
+            null));
+  }
+
+  // ---- Calls as clients write them ----
+
+  /** A message that executes the statement, without the length of its frame. */
+  private static byte[] execute(int seq, Map<String, String> fields) {
+    ByteBuffer out = head(ByteBuffer.allocate(MAX_CALL_BYTES), "execute", seq);
+    out.put((byte) 13).putShort((short) 1).put((byte) 11).put((byte) 11).putInt(fields.size());
+    fields.forEach((name, value) -> text(text(out, name), value));
     text(out.put((byte) 11).putShort((short) 2), STATEMENT).put((byte) 0).flip();
-    byte[] frame = new byte[out.remaining()];
-    out.get(frame);
-    return frame;
+    return bytes(out);
+  }
+
+  /** A whole frame that asks whether the gateway is ready. */
+  private static byte[] check() {
+    ByteBuffer out = head(ByteBuffer.allocate(MAX_CALL_BYTES).putInt(0), "check", 1);
+    out.put((byte) 2).putShort((short) 1).put((byte) 1).put((byte) 0).flip();
+    out.putInt(0, out.remaining() - Integer.BYTES);
+    return bytes(out);
+  }
+
+  private static ByteBuffer head(ByteBuffer out, String method, int seq) {
+    return text(out.putInt(0x80010001), method).putInt(seq);
   }
 
   private static ByteBuffer text(ByteBuffer out, String text) {
@@ -223,31 +251,28 @@
     return out.putInt(bytes.length).put(bytes);
   }
 
-  /** Asks the gateway on its own socket, as clients do. */
+  private static byte[] bytes(ByteBuffer out) {
+    byte[] bytes = new byte[out.remaining()];
+    out.get(bytes);
+    return bytes;
+  }
+
+  // ---- Checks of the gateway itself ----
+
   private static int check(InetSocketAddress address, long start) throws IOException {
-    ByteBuffer call = ByteBuffer.allocate(32).putInt(0).putInt(0x80010001);
-    text(call, "check")
-        .putInt(1)
-        .put((byte) 2)
-        .putShort((short) 1)
-        .put((byte) 1)
-        .put((byte) 0)
-        .flip();
-    call.putInt(0, call.remaining() - Integer.BYTES);
-    byte[] bytes = new byte[call.remaining()];
-    call.get(bytes);
+    byte[] call = check();
     int done = 0;
-    while (done < CHECKS && System.nanoTime() - start < LONGEST) {
-      try (Socket socket = new Socket()) { // a new one each time: clients, too, come and go
+    while (done < MAX_CHECKS && System.nanoTime() - start < MAX_TIME) {
+      try (Socket socket = new Socket()) { // a new one each time: clients come and go, too
         socket.connect(address, CHECK_TIMEOUT_MS);
         socket.setSoTimeout(CHECK_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         OutputStream to = socket.getOutputStream();
         DataInputStream from = new DataInputStream(socket.getInputStream());
-        for (int i = 0; i < CHECKS_AT_ONCE; i++) {
-          to.write(bytes);
+        for (int i = 0; i < CHECKS_PER_CONNECTION; i++) {
+          to.write(call);
         }
-        for (int i = 0; i < CHECKS_AT_ONCE; i++) {
+        for (int i = 0; i < CHECKS_PER_CONNECTION; i++) {
           from.skipNBytes(from.readInt());
           done++;
         }
@@ -256,12 +281,12 @@
     return done;
   }
 
-  // ---- What the module does ----
+  // ---- Actions of the scheduler ----
 
   @Override
   public void forward(String query, String engine, long timeout) {
     int number = attempts.merge(query, 1, Integer::sum) - 1;
-    out.add(new Sent(query, number, engine, now));
+    inFlight.add(new ForwardedAttempt(query, number, engine, now));
     EngineCommandWriter.ask(
         query, "a", 1, query, 1, Bytes.of(STATEMENT.getBytes(StandardCharsets.UTF_8)));
   }
@@ -286,14 +311,13 @@
 
   @Override
   public void setTimer(long delay, long token) {
-    timers.add(now + delay, () -> module.onTimer(now, token));
+    timers.add(now + delay, () -> scheduler.onTimer(now, token));
   }
 
   @Override
   public void checkHealth(String engine) {
-    timers.add(
-        now + MILLISECOND,
-        () -> module.onHealthCheck(now, engine, true, new LoadReport(0.5, 0, 0.5, 0.5)));
+    LoadReport report = new LoadReport(0.5, 0, 0.5, 0.5);
+    timers.add(now + MILLISECOND, () -> scheduler.onHealthCheck(now, engine, true, report));
   }
 
   @Override
--- a/gateway/src/test/java/reachloom/MainTest.java
+++ b/gateway/src/test/java/reachloom/MainTest.java
@@ -1,6 +1,7 @@
 package reachloom;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
@@ -10,6 +11,8 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** Sub-commands, their output and exit status. */
 class MainTest {
@@ -32,7 +35,23 @@
   @Test
   void helpPrintsUsageOnStandardOutput() throws IOException, InterruptedException {
     assertEquals(0, run("--help"));
-    assertTrue(out.toString().contains("benchlink"));
+    assertTrue(out.toString().contains("simulator-adapter"));
+    assertTrue(out.toString().contains("warm-up"));
+    assertFalse(out.toString().contains("benchlink"), "former names are hidden");
+    assertFalse(out.toString().contains("rehearse"));
+    assertEquals(0, err.size());
+  }
+
+  @ParameterizedTest
+  @CsvSource({"benchlink, simulator-adapter", "rehearse, warm-up"})
+  void formerNamesOfCommandsStillWorkAndSaySoOnStandardErrorAlone(String former, String present) {
+    PrintStream errors = new PrintStream(err, true);
+    assertEquals(present, Main.currentName(former, errors));
+    assertEquals(
+        "reachloom: the command '" + former + "' is deprecated; use '" + present + "'\n",
+        err.toString());
+    err.reset();
+    assertEquals(present, Main.currentName(present, errors));
     assertEquals(0, err.size());
   }
 
--- a/gateway/src/test/java/reachloom/gateway/ServeTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ServeTest.java
@@ -19,6 +19,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import reachloom.standin.ChangeLogStandIn;
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.NodeStandIn;
@@ -449,12 +451,17 @@
     assertTrue(gateway.alive());
   }
 
-  @Test
-  void rehearsingStartsAndEndsWellByItself() throws Exception {
-    Path log = folder.resolve("rehearsal.log");
-    Process rehearsal = GatewayProcess.start(folder.resolve("none.json"), log, "rehearse");
-    assertEnds(rehearsal, 0);
-    assertTrue(Files.readString(log).contains("sample has stopped"));
+  @ParameterizedTest
+  @ValueSource(strings = {"warm-up", "rehearse"})
+  void warmingUpStartsAndEndsByItselfAlsoUnderItsFormerName(String command) throws Exception {
+    Path log = folder.resolve("warm-up.log");
+    Process process = GatewayProcess.start(folder.resolve("none.json"), log, command);
+    assertEnds(process, 0);
+    List<String> lines = Files.readAllLines(log);
+    assertTrue(lines.stream().anyMatch(line -> line.contains("sample has stopped")));
+    assertEquals(
+        command.equals("warm-up") ? 0 : 1,
+        lines.stream().filter(line -> line.contains("is deprecated; use 'warm-up'")).count());
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
@@ -29,9 +29,9 @@
             Files.writeString(
                 folder.resolve("config.json"),
                 text.replace("\"goalTime\":500000000", "\"goalTime\":" + aim));
-        WarmUp rehearsal = new WarmUp(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
+        WarmUp warmUp = new WarmUp(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
         int[] left = {QUERIES};
-        int served = rehearsal.play(() -> left[0]-- > 0);
+        int served = warmUp.play(() -> left[0]-- > 0);
         assertTrue(served > QUERIES / 2, served + " of " + QUERIES + " served with aims of " + aim);
       }
     }
