--- a/gateway/src/main/java/reachloom/simulator/ActionWriter.java
+++ b/gateway/src/main/java/reachloom/simulator/ActionWriter.java
@@ -5,7 +5,7 @@
 import java.io.UncheckedIOException;
 import reachloom.scheduler.api.SchedulerActions;
 
-/** Writes the actions of one instance into the reply that is being put together. */
+/** Writes the actions of one gateway instance into the reply to the present batch. */
 final class ActionWriter implements SchedulerActions {
   private final String instance;
   private JsonGenerator out;
@@ -14,6 +14,7 @@
     this.instance = instance;
   }
 
+  /** Sets the reply that actions are written to from now on. */
   void writeTo(JsonGenerator reply) {
     out = reply;
   }
@@ -90,7 +91,7 @@
     write("JournalLine", () -> out.writeStringField("words", line));
   }
 
-  /** A message to another instance. */
+  /** Sends a message to another instance. */
   void publish(int peer, byte[] message) {
     write(
         "Publish",
@@ -100,6 +101,7 @@
         });
   }
 
+  /** Reports that the instance has failed and ended. */
   void bailOut(String cause) {
     write("BailOut", () -> out.writeStringField("words", cause));
   }
@@ -116,6 +118,7 @@
     }
   }
 
+  /** Writes the fields of one action. */
   private interface Fields {
     void write() throws IOException;
   }
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -19,39 +19,48 @@
 import reachloom.scheduler.api.EngineState;
 import reachloom.scheduler.api.SchedulerEvents;
 
-/** Carries shared evidence over the simulator's messages between instances; decides nothing. */
+/**
+ * Exchanges peer reports between the gateway instances of a simulation, in the messages that its
+ * wire carries: reports what one instance has seen of engines, and tells its scheduler what others
+ * report. The decisions are those of {@link ReportScheduler} and {@link WeightedQuorum}.
+ */
 final class PeerReportExchange {
-  private static final int MAX_BYTES = 256; // of a message, as the wire has it
-  private static final int CLAIM = 4 + 2 + 2 + 2; // bytes: engine, failed, lost, age
+  /** The largest message that the wire allows. */
+  private static final int MAX_MESSAGE_BYTES = 256;
+
+  /** The bytes of one report: the engine's fingerprint, failures, losses and age. */
+  private static final int REPORT_BYTES = Integer.BYTES + 3 * Short.BYTES;
+
   private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long REVIEW = 250 * MILLISECOND;
+  private static final long REVIEW_INTERVAL = 250 * MILLISECOND;
 
-  private final SchedulerEvents module;
+  private final SchedulerEvents scheduler;
   private final ActionWriter actions;
-  private final OutcomeWindow ledger = new OutcomeWindow();
-  private final WeightedQuorum corroboration = new WeightedQuorum(ledger);
-  private final ReportScheduler courier;
+  private final OutcomeWindow outcomes = new OutcomeWindow();
+  private final WeightedQuorum quorum = new WeightedQuorum(outcomes);
+  private final ReportScheduler reports;
   private final Map<String, Long> engines = new LinkedHashMap<>();
-  private final Map<Integer, String> byMark = new LinkedHashMap<>();
-  private final Map<String, Double> told = new LinkedHashMap<>();
+  private final Map<Integer, String> engineByFingerprint = new LinkedHashMap<>();
+  private final Map<String, Double> reportedLevels = new LinkedHashMap<>();
   private long nextReview;
 
   PeerReportExchange(
-      SchedulerEvents module,
+      SchedulerEvents scheduler,
       ActionWriter actions,
-      int self,
+      int selfIndex,
       int instances,
       double price,
       long seed) {
-    this.module = module;
+    this.scheduler = scheduler;
     this.actions = actions;
-    courier = new ReportScheduler(self, instances, price, new SplittableRandom(seed));
+    reports = new ReportScheduler(selfIndex, instances, price, new SplittableRandom(seed));
   }
 
-  void engines(boolean whole, List<EngineEndpoint> entries) {
-    if (whole) {
+  /** Takes over news of the engines; {@code complete} removes those not named. */
+  void onEndpoints(boolean complete, List<EngineEndpoint> entries) {
+    if (complete) {
       engines.clear();
-      byMark.clear();
+      engineByFingerprint.clear();
     }
     for (EngineEndpoint e : entries) {
       Long old =
@@ -59,35 +68,37 @@
               ? engines.remove(e.name())
               : engines.put(e.name(), e.incarnation());
       if (old != null) { // a process that has started anew inherits nothing of the one before
-        byMark.remove(mark(e.name(), old));
+        engineByFingerprint.remove(fingerprint(e.name(), old));
       }
       if (e.state() != EngineState.REMOVED) {
-        byMark.put(mark(e.name(), e.incarnation()), e.name());
+        engineByFingerprint.put(fingerprint(e.name(), e.incarnation()), e.name());
       }
     }
   }
 
-  private static int mark(String engine, long since) {
+  /** Names a process of an engine in four bytes: the wire leaves no room for its name. */
+  private static int fingerprint(String engine, long since) {
     CRC32C sum = new CRC32C();
     sum.update(engine.getBytes(StandardCharsets.UTF_8));
     sum.update(ByteBuffer.allocate(Long.BYTES).putLong(since).flip());
     return (int) sum.getValue();
   }
 
-  void ended(long now, AttemptResult end) {
+  /** Counts the outcome of an attempt. */
+  void onAttemptEnded(long now, AttemptResult end) {
     OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(end.outcome(), !end.queryFinished());
     Long since = engines.get(end.engine());
     if (seen != null
         && since != null
         && !(end.queryFinished() && end.outcome() != AttemptOutcome.SERVED)) {
-      ledger.note(now, end.engine(), since, seen);
-      courier.seen(seen);
+      outcomes.note(now, end.engine(), since, seen);
+      reports.seen(seen);
     }
   }
 
-  /** Time has passed: tells others, and the module what others told. */
-  void look(long now) {
-    List<Integer> receivers = courier.receivers(now);
+  /** Sends reports that are due, and tells the scheduler what others report. */
+  void exchange(long now) {
+    List<Integer> receivers = reports.receivers(now);
     if (!receivers.isEmpty()) {
       byte[] message = message(now);
       if (message.length > 0) {
@@ -97,30 +108,30 @@
     if (now < nextReview) {
       return;
     }
-    nextReview = now + REVIEW;
+    nextReview = now + REVIEW_INTERVAL;
     Map<String, Double> levels = new LinkedHashMap<>();
-    for (Belief b : corroboration.review(now, engines)) {
+    for (Belief b : quorum.review(now, engines)) {
       levels.put(b.engine(), b.level());
     }
-    for (String engine : new ArrayList<>(told.keySet())) {
+    for (String engine : new ArrayList<>(reportedLevels.keySet())) {
       if (!levels.containsKey(engine)) {
-        told.remove(engine);
-        module.onPeerReport(now, engine, 0);
+        reportedLevels.remove(engine);
+        scheduler.onPeerReport(now, engine, 0);
       }
     }
     levels.forEach(
         (engine, level) -> {
-          if (!level.equals(told.put(engine, level))) {
-            module.onPeerReport(now, engine, level);
+          if (!level.equals(reportedLevels.put(engine, level))) {
+            scheduler.onPeerReport(now, engine, level);
           }
         });
   }
 
   private byte[] message(long now) {
-    ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
-    for (PeerReport c : ledger.tell(now, MAX_BYTES / CLAIM)) {
-      if (c.served() == 0) { // trouble alone is worth its price
-        out.putInt(mark(c.engine(), c.since()))
+    ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
+    for (PeerReport c : outcomes.tell(now, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
+      if (c.served() == 0) { // only faults are worth the price of a message
+        out.putInt(fingerprint(c.engine(), c.since()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.failed()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.lost()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.age() / MILLISECOND));
@@ -131,11 +142,12 @@
     return message;
   }
 
-  void heard(long now, int from, byte[] message) {
+  /** Takes in a message of another instance. */
+  void onMessage(long now, int from, byte[] message) {
     ByteBuffer in = ByteBuffer.wrap(message);
     List<PeerReport> claims = new ArrayList<>();
-    while (in.remaining() >= CLAIM) {
-      String engine = byMark.get(in.getInt());
+    while (in.remaining() >= REPORT_BYTES) {
+      String engine = engineByFingerprint.get(in.getInt());
       int failed = in.getShort();
       int lost = in.getShort();
       long age = in.getShort() * MILLISECOND;
@@ -143,6 +155,6 @@
         claims.add(new PeerReport(engine, engines.get(engine), 0, failed, lost, age));
       }
     }
-    corroboration.hear(now, Integer.toString(from), claims);
+    quorum.hear(now, Integer.toString(from), claims);
   }
 }
--- a/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
@@ -18,6 +18,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import reachloom.config.SchedulerSettingsReader;
 import reachloom.scheduler.QueryScheduler;
@@ -32,8 +33,15 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 
-/** The simulator's wire: batches of events in, one reply each out, for many instances at once. */
+/**
+ * The adapter between the simulator's wire and schedulers: reads batches of events as JSON lines,
+ * and replies to each with the actions that its events led to, for many gateway instances at once.
+ * The names of fields and commands are the wire's.
+ *
+ * <p>Not thread-safe: one thread serves.
+ */
 public final class SimulatorAdapter {
+  /** Outcomes of attempts by their names on the wire. */
   private static final Map<String, AttemptOutcome> OUTCOMES =
       Map.of(
           "S",
@@ -52,38 +60,52 @@
           AttemptOutcome.CANCELLED,
           "N",
           AttemptOutcome.NOT_SENT);
+
+  /** States of engines by their names on the wire. */
   private static final Map<String, EngineState> STATES =
       Map.of(
           "up", EngineState.UP, "draining", EngineState.DRAINING, "removed", EngineState.REMOVED);
 
   private final ObjectMapper mapper =
       new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
-  private final Map<Integer, List<EngineEndpoint>> sheets = new HashMap<>();
+
+  /** Lists of engines by the numbers under which the wire defines them, for all instances. */
+  private final Map<Integer, List<EngineEndpoint>> engineLists = new HashMap<>();
+
   private final Map<String, Instance> instances = new HashMap<>();
   private final Set<String> unknownEvents = new HashSet<>();
-  private final Factory factory;
+  private final SchedulerFactory schedulers;
   private final PrintStream err;
 
-  /** Makes the decision module of an instance. */
-  interface Factory {
+  /** Makes the scheduler of an instance. */
+  interface SchedulerFactory {
     SchedulerEvents create(SchedulerActions actions);
   }
 
-  /** Neighbours are null where instances may not talk. */
+  /**
+   * A gateway instance of the simulation.
+   *
+   * @param peerReports empty where instances may not exchange messages
+   */
   private record Instance(
-      SchedulerEvents events, ActionWriter actions, PeerReportExchange neighbours) {}
+      SchedulerEvents events, ActionWriter actions, Optional<PeerReportExchange> peerReports) {}
 
-  /** A link whose instances each hold a {@link QueryScheduler}. */
+  /** An adapter whose instances are each decided for by a {@link QueryScheduler}. */
   public SimulatorAdapter(PrintStream err) {
     this(err, QueryScheduler::new);
   }
 
-  SimulatorAdapter(PrintStream err, Factory factory) {
+  SimulatorAdapter(PrintStream err, SchedulerFactory schedulers) {
     this.err = err;
-    this.factory = factory;
+    this.schedulers = schedulers;
   }
 
-  /** Answers batches until the input ends; returns the exit status. */
+  /**
+   * Replies to batches until the input ends. A line that the wire does not allow ends it with one
+   * message on standard error.
+   *
+   * @return the exit status
+   */
   public int serve(InputStream in, OutputStream out) throws IOException {
     BufferedReader reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
     long last = -1;
@@ -92,7 +114,7 @@
       try {
         batch = parse(line, last);
         last = batch.path("batch").asLong();
-        String reply = answer(batch);
+        String reply = reply(batch);
         out.write(reply.getBytes(StandardCharsets.UTF_8));
         out.flush();
       } catch (MalformedBatchException e) {
@@ -125,23 +147,23 @@
     return batch;
   }
 
-  private String answer(JsonNode batch) throws IOException, MalformedBatchException {
+  private String reply(JsonNode batch) throws IOException, MalformedBatchException {
     long now = batch.path("moment").asLong();
     long index = batch.path("batch").asLong();
     StringWriter text = new StringWriter();
-    try (JsonGenerator reply = mapper.createGenerator(text)) {
-      reply.writeStartObject();
-      reply.writeNumberField("batch", index);
-      reply.writeArrayFieldStart("actions");
+    try (JsonGenerator out = mapper.createGenerator(text)) {
+      out.writeStartObject();
+      out.writeNumberField("batch", index);
+      out.writeArrayFieldStart("actions");
       for (JsonNode item : batch.path("items")) {
         try {
-          dispatch(now, item, reply);
+          dispatch(now, item, out);
         } catch (MalformedBatchException e) {
           throw new MalformedBatchException("batch " + index + ": " + e.getMessage());
         }
       }
-      reply.writeEndArray();
-      reply.writeEndObject();
+      out.writeEndArray();
+      out.writeEndObject();
     }
     return text.append('\n').toString();
   }
@@ -150,30 +172,35 @@
       throws MalformedBatchException {
     String name = text(item, "cmd", "an item");
     if (name.equals("DefineList")) {
-      sheets.put(item.path("sheet").asInt(), entries(item));
+      engineLists.put(item.path("sheet").asInt(), entries(item));
       return;
     }
     String id = text(item, "gatewayId", name);
-    Instance instance = instances.get(id);
     if (name.equals("PowerOff")) {
       instances.remove(id);
       return;
     }
     if (name.equals("NewInstance")) {
-      ActionWriter writer = new ActionWriter(id);
-      instance = instance(item, factory.create(writer), writer);
-      instances.put(id, instance);
+      ActionWriter actions = new ActionWriter(id);
+      instances.put(id, instance(item, schedulers.create(actions), actions));
     }
-    if (instance == null) {
-      return;
+    Instance instance = instances.get(id);
+    if (instance != null) {
+      deliver(now, name, item, instance, reply);
     }
+  }
+
+  /** Delivers an event; an instance that fails on it ends, and the simulator is told. */
+  private void deliver(long now, String name, JsonNode item, Instance instance, JsonGenerator reply)
+      throws MalformedBatchException {
     instance.actions().writeTo(reply);
     try {
-      deliver(now, name, item, instance.events(), instance.neighbours());
-      if (instance.neighbours() != null && name.equals("DeadlineHit")) {
-        instance.neighbours().look(now);
+      deliver(now, name, item, instance);
+      if (name.equals("DeadlineHit")) {
+        instance.peerReports().ifPresent(reports -> reports.exchange(now));
       }
     } catch (RuntimeException e) {
+      String id = item.path("gatewayId").asText();
       err.println("reachloom: " + id + " failed on " + name);
       e.printStackTrace(err);
       instances.remove(id);
@@ -183,29 +210,30 @@
 
   private static Instance instance(JsonNode item, SchedulerEvents events, ActionWriter writer) {
     JsonNode info = item.path("bootInfo");
-    PeerReportExchange others =
-        !info.path("limits").path("peers").asBoolean()
-            ? null
-            : new PeerReportExchange(
-                events,
-                writer,
-                info.path("selfIndex").asInt(),
-                info.path("balancers").asInt(),
-                info.path("deductions").path("peer").asDouble(),
-                item.path("entropy").asLong());
-    return new Instance(events, writer, others);
+    if (!info.path("limits").path("peers").asBoolean()) {
+      return new Instance(events, writer, Optional.empty());
+    }
+    PeerReportExchange peerReports =
+        new PeerReportExchange(
+            events,
+            writer,
+            info.path("selfIndex").asInt(),
+            info.path("balancers").asInt(),
+            info.path("deductions").path("peer").asDouble(),
+            item.path("entropy").asLong());
+    return new Instance(events, writer, Optional.of(peerReports));
   }
 
-  private void deliver(
-      long now, String name, JsonNode item, SchedulerEvents events, PeerReportExchange others)
+  private void deliver(long now, String name, JsonNode item, Instance instance)
       throws MalformedBatchException {
+    SchedulerEvents events = instance.events();
     switch (name) {
       case "NewInstance" ->
           events.onStart(
               now,
               item.path("entropy").asLong(),
               SchedulerSettingsReader.read(item.path("bootInfo")));
-      case "BackendsChanged" -> engines(now, item, events, others);
+      case "BackendsChanged" -> engines(now, item, instance);
       case "Order" -> events.onQuery(now, query(item, name));
       case "Started" ->
           events.onStreaming(now, text(item, "handle", name), item.path("sendNo").asInt());
@@ -220,9 +248,7 @@
                   item.path("amount").asDouble()));
       case "Finished" -> {
         AttemptResult end = attemptEnd(item, name);
-        if (others != null) {
-          others.ended(now, end);
-        }
+        instance.peerReports().ifPresent(reports -> reports.onAttemptEnded(now, end));
         events.onAttemptEnded(now, end);
       }
       case "Left" -> events.onClientGone(now, text(item, "handle", name));
@@ -233,7 +259,7 @@
               text(item, "node", name),
               "S".equals(item.path("ending").asText()),
               report(item.path("telemetry")));
-      case "NeighbourSays" -> neighbourSays(now, item, others);
+      case "NeighbourSays" -> receive(now, item, instance);
       default -> {
         if (unknownEvents.add(name)) {
           err.println("reachloom: event '" + name + "' is not known and skipped");
@@ -242,31 +268,32 @@
     }
   }
 
-  private static void neighbourSays(long now, JsonNode item, PeerReportExchange others) {
+  /** Delivers a message of another instance. */
+  private static void receive(long now, JsonNode item, Instance instance) {
+    if (instance.peerReports().isEmpty()) {
+      return;
+    }
     try {
-      if (others != null) {
-        others.heard(now, item.path("neighbour").asInt(), item.path("raw").binaryValue());
-      }
+      byte[] message = item.path("raw").binaryValue();
+      instance.peerReports().get().onMessage(now, item.path("neighbour").asInt(), message);
     } catch (IOException e) {
       throw new IllegalArgumentException("'raw' is not base64", e);
     }
   }
 
-  private void engines(long now, JsonNode item, SchedulerEvents events, PeerReportExchange others)
-      throws MalformedBatchException {
+  private void engines(long now, JsonNode item, Instance instance) throws MalformedBatchException {
     String how = text(item, "how", "BackendsChanged");
     if (how.equals("unavailable")) {
-      events.onEndpointsUnavailable(now);
+      instance.events().onEndpointsUnavailable(now);
       return;
     }
-    List<EngineEndpoint> entries = sheets.get(item.path("sheet").asInt());
+    List<EngineEndpoint> entries = engineLists.get(item.path("sheet").asInt());
     if (entries == null) {
       throw new MalformedBatchException("list " + item.path("sheet") + " was never defined");
     }
-    if (others != null) {
-      others.engines(!how.equals("update"), entries);
-    }
-    events.onEndpoints(now, !how.equals("update"), entries);
+    boolean complete = !how.equals("update");
+    instance.peerReports().ifPresent(reports -> reports.onEndpoints(complete, entries));
+    instance.events().onEndpoints(now, complete, entries);
   }
 
   private static List<EngineEndpoint> entries(JsonNode list) throws MalformedBatchException {
--- a/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
@@ -50,7 +50,8 @@
         + "\",\"qos\":0,\"patienceLeft\":5000000000,\"novel\":{}}";
   }
 
-  private String[] serve(SimulatorAdapter.Factory factory, String... batches) throws IOException {
+  private String[] serve(SimulatorAdapter.SchedulerFactory factory, String... batches)
+      throws IOException {
     String input = String.join("", batches);
     status =
         new SimulatorAdapter(new PrintStream(err, true), factory)
