--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -23,8 +22,8 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * A gateway in this process, on real connections, with a module that the test hands in; and what
- * brings about one order of events: its loop can be held while bytes are sent, and is let go once
+ * A gateway in this process, on real connections, with a scheduler that the test hands in; and what
+ * brings about one order of events: its loop can be held while bytes are sent, and is released once
  * they are read.
  */
 abstract class GatewayHarness {
@@ -95,7 +94,7 @@
   }
 
   @AfterEach
-  void endLoop() throws IOException {
+  void endLoop() {
     loop.post(
         0,
         () -> {
@@ -121,7 +120,7 @@
   }
 
   static void await(BooleanSupplier wanted) throws InterruptedException {
-    for (int i = 0; i < 2_000 && !wanted.getAsBoolean(); i++) {
+    for (int i = 0; i < 4_000 && !wanted.getAsBoolean(); i++) {
       Thread.sleep(5);
     }
     assertTrue(wanted.getAsBoolean());
@@ -129,11 +128,17 @@
 
   /** Holds the loop until the latch opens; returns once it is held. */
   CountDownLatch hold() throws InterruptedException {
+    return holdAfter(() -> {});
+  }
+
+  /** Does something on the loop and holds it within the same turn, as a busy one is held. */
+  CountDownLatch holdAfter(Runnable action) throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
     loop.post(
         0,
         () -> {
+          action.run();
           held.countDown();
           try {
             go.await(20, TimeUnit.SECONDS);
--- a/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
+++ b/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
@@ -6,44 +6,30 @@
 
 import java.io.IOException;
 import java.lang.reflect.Field;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import reachloom.config.GatewayConfig;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
  * A gateway on its loop, for tests that bring about an order of events: its module is the one
  * handed in, or one that notes what it is told and sends where the test says.
  */
-final class OrdersGateway implements AutoCloseable {
+final class OrdersGateway extends GatewayHarness implements AutoCloseable {
   static final String ENGINE = "s-00000001";
   static final String OTHER = "s-00000002";
 
-  final EventLoop loop = new EventLoop();
-  final GatewayConfig config;
-  final GatewayService gateway;
-  final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-  SchedulerActions actions;
-
   /** Where the noting module sends each query as it arrives; null for nowhere. */
   volatile Function<Query, String> sendTo = q -> null;
 
@@ -68,19 +54,8 @@
   /** A gateway with a module of its own. */
   OrdersGateway(Path folder, String text, Function<SchedulerActions, SchedulerEvents> module)
       throws Exception {
-    config =
-        GatewayConfig.fromFile(Files.writeString(folder.resolve("config.json"), text), Map.of());
-    gateway =
-        new GatewayService(
-            config,
-            loop,
-            a -> {
-              actions = a;
-              return module == null ? new Noting() : module.apply(a);
-            });
-    gateway.listen();
-    loop.post(0, gateway::start);
-    NodeStandIn.daemon(loop);
+    this.folder = folder;
+    serve(text, module == null ? actions -> new Noting() : module);
   }
 
   private final class Noting extends FrontsTest.Recorder {
@@ -124,53 +99,6 @@
     }
   }
 
-  <T> T next(Class<T> type) throws InterruptedException {
-    Object event = told.poll(20, TimeUnit.SECONDS);
-    assertTrue(type.isInstance(event), "told " + event + " for " + type.getSimpleName());
-    return type.cast(event);
-  }
-
-  void act(Runnable action) {
-    loop.post(0, action);
-  }
-
-  int held(String table) {
-    CompletableFuture<Integer> held = new CompletableFuture<>();
-    loop.post(0, () -> held.complete(gateway.tableSizes().get(table)));
-    return held.join();
-  }
-
-  static void await(BooleanSupplier wanted) throws InterruptedException {
-    for (int i = 0; i < 4_000 && !wanted.getAsBoolean(); i++) {
-      Thread.sleep(5);
-    }
-    assertTrue(wanted.getAsBoolean());
-  }
-
-  /** Holds the loop until the latch opens; returns once it is held. */
-  CountDownLatch hold() throws InterruptedException {
-    return holdAfter(() -> {});
-  }
-
-  /** Does something on the loop and holds it within the same turn, as a busy one is held. */
-  CountDownLatch holdAfter(Runnable action) throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    loop.post(
-        0,
-        () -> {
-          action.run();
-          held.countDown();
-          try {
-            go.await(20, TimeUnit.SECONDS);
-          } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-          }
-        });
-    assertTrue(held.await(10, TimeUnit.SECONDS));
-    return go;
-  }
-
   private Object ofLoop(String name) throws ReflectiveOperationException {
     Field field = EventLoop.class.getDeclaredField(name);
     field.setAccessible(true);
@@ -196,21 +124,6 @@
     assertEquals(wanted, queue.size());
   }
 
-  /**
-   * While the loop is held: what was sent before has been read by the thread of the sockets. It
-   * goes round all connections: once a second message has been read, the round in which the first
-   * one was is over.
-   */
-  void allHasBeenRead() throws Exception {
-    for (int i = 0; i < 2; i++) {
-      try (ThriftClient fence = new ThriftClient(config.listen())) {
-        int before = loop.queuedBytes();
-        fence.execute("x".repeat(1_000), "verb", "strange");
-        await(() -> loop.queuedBytes() >= before + 1_000);
-      }
-    }
-  }
-
   /**
    * While the loop runs: what was sent to the gateway before has been read and dealt with, and what
    * it had handed to connections before is written as far as they take it.
@@ -241,11 +154,6 @@
 
   @Override
   public void close() {
-    loop.post(
-        0,
-        () -> {
-          gateway.close();
-          loop.end();
-        });
+    endLoop();
   }
 }
