--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -1,1276 +1,231 @@
 package reachloom.scheduler;
 
-// Types, events and actions of this module: decisions/src/main/java/reachloom/scheduler/api.
+// Events, actions and settings: decisions/src/main/java/reachloom/scheduler/api.
 
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
-import java.util.function.Predicate;
-import java.util.stream.Stream;
-import reachloom.balancing.EngineOrder;
-import reachloom.balancing.EngineSubset;
-import reachloom.balancing.PoolShareEstimator;
-import reachloom.balancing.SlotRotation;
-import reachloom.discovery.IncarnationTimes;
-import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
-import reachloom.scheduler.api.DeduplicationScope;
-import reachloom.scheduler.api.EngineCapabilities;
 import reachloom.scheduler.api.EngineEndpoint;
-import reachloom.scheduler.api.EngineKind;
-import reachloom.scheduler.api.EngineState;
-import reachloom.scheduler.api.Idempotency;
 import reachloom.scheduler.api.LoadReport;
-import reachloom.scheduler.api.ProgressKind;
 import reachloom.scheduler.api.ProgressReport;
 import reachloom.scheduler.api.Query;
-import reachloom.scheduler.api.QueryClass;
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.scheduler.api.SchedulingRules;
-import reachloom.scheduler.state.Attempt;
-import reachloom.scheduler.state.ClassRecord;
-import reachloom.scheduler.state.Engine;
-import reachloom.scheduler.state.KeyQueue;
-import reachloom.scheduler.state.QueryRecord;
-import reachloom.scheduler.state.SlidingWindowSum;
-import reachloom.scheduler.state.TokenBucket;
 
 /**
- * Decides for one gateway: admits a query at arrival on a prediction, holds it for a short while,
- * releases the oldest first to the less loaded of two drawn engines, and keeps the rules. The
- * methods stand in the order in which a query lives; docs/design.md gives the reasons and the
- * conditions of each exception.
+ * Schedules the queries of one gateway: admits or rejects a query at arrival, queues it for a short
+ * time if necessary, forwards it to the less loaded of two engines, and retries failed attempts.
+ * This class passes each event to the parts of the scheduler, in order, and has no rules of its
+ * own; docs/design.md has the reasons for each rule.
+ *
+ * <p>Not thread-safe: all events have to come on one thread. Deterministic: time comes with the
+ * events and random numbers from the seed, so that the same events lead to the same actions. Before
+ * {@link #onStart}, events about queries and engines are ignored, since none is known.
  */
 public final class QueryScheduler implements SchedulerEvents {
-  private static final double SECOND = 1e9; // nanoseconds
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-
-  // The bound.
-  private static final double BOUND_THREADS = 8; // threads a core at the start, given by the design
-  private static final double BUSY_FLOOR =
-      2; // threads a core; an engine does its most at one to two
-  private static final double SLOW_FLOOR =
-      1.5; // ... and where its answers are slow, no more than that
-  private static final double BOUND_CUT = 0.85; // a cut under pressure: halved in about four steps
-  private static final double BOUND_GROWTH = 1.05; // regained more slowly than lost
-  private static final long BOUND_PAUSE =
-      250 * MILLISECOND; // between changes, so that each can show
-  private static final double SLOW = 0.6; // share of its aim that a query takes: slow from here on
-  private static final double CALM = 0.4; // ... and calm up to here
-  private static final double BUSY =
-      0.9; // share of cores, memory or disks in use that a report calls busy
-  private static final double DENSE =
-      1.5; // worth for work, against the usual, that goes ahead of others
-  private static final double DENSE_ROOM =
-      1.5; // bound of such classes: little work, so little harm
-  private static final long PRESSURE_HOLD = 2_000 * MILLISECOND; // the bound binds on after a sign
-  private static final double MEMORY_ROOM = 0.95; // share of an engine's memory that is planned for
-  private static final long REPORT_AGE =
-      2_000 * MILLISECOND; // an older report tells nothing of now
-  private static final double POOL_SIGNS =
-      0.5; // share of the latest signs that tell of a pressed pool
-  private static final double CALM_SIGNS = 0.1; // ... and of a calm one
-  private static final double SIGN_WEIGHT =
-      0.1; // of the newest sign: a gateway sees a few a second
-  private static final long FULL_REST =
-      500 * MILLISECOND; // a full refusal counts as pressure for so long
-
-  // The estimate.
-  private static final double STRAIN_WEIGHT =
-      0.2; // of the newest answer in what share of aims is taken
-  private static final double LEARN_WEIGHT = 0.02; // of a class's newest query, after the first few
-  private static final double UNKNOWN_COST =
-      0.25; // share of the deadline; high, for cold engines' sake
-  private static final double GRANT_MARGIN =
-      1.2; // grant over the need expected: a spill costs more
-
-  // Holding.
-  private static final double HOLD_SHARE = 0.1; // of the query's time; "a small part" in the design
-  private static final int FRONT =
-      8; // held queries looked at on each event; all of them on each tick
-  private static final long TICK =
-      25 * MILLISECOND; // between looks at the line, engines and attempts
-
-  // Health.
-  private static final double ERROR_WEIGHT =
-      0.2; // of the newest outcome in an engine's share of errors
-  private static final double ERRORS_BAD =
-      0.35; // share of errors that rests an engine: three in a row
-  private static final double ERROR_LOAD = 3; // load for each unit of the share of errors
-  private static final long REST =
-      1_000 * MILLISECOND; // first rest, doubled with each further trouble
-  private static final int REST_DOUBLINGS = 3; // so that a healed engine is back within eight rests
-  private static final long ONE_BREAK =
-      20 * MILLISECOND; // resets so close together are one connection's
-  private static final double LOST_NOTES =
-      1.5; // note periods without a sign of an attempt: it is lost
-  private static final double SILENT_NOTES =
-      2.5; // note periods without a sign of an engine: silence
-  private static final double CLOCK_SHARE =
-      2; // engines for each query taken lately that a clock may probe
-  private static final double PROBE_SHARE = 2; // probes for each query taken, at most: each costs
-  private static final double PROBE_POINTS =
-      0.05; // ... and no more than so much of all worth in all
-  private static final long ASK_WAIT = 20 * MILLISECOND; // for the reports of two drawn engines
-  private static final long PROBE_GAP = 500 * MILLISECOND; // between probes of one engine
-  private static final long CALM_GAP =
-      2_000 * MILLISECOND; // ... while the pool is calm: each costs
-  private static final double HEARSAY_LOAD =
-      3; // load for each unit of what others say: as for own errors
-  private static final double HEARSAY_TEST =
-      0.5; // accused by several: one query at a time tests it
-  private static final double BAD_PLAN =
-      4; // times the predicted time that the share done points to
-  private static final double RESEND_GAIN =
-      2; // a new attempt must be so much faster than what remains
-
-  // Guards.
-  private static final int COLD_SLOTS =
-      2; // in the rule's time; a query too large for one goes to none
-  private static final double COLD_MARGIN = 0.65; // of the budget: a window touches one slot more
-  private static final int COLD_SHARERS =
-      5; // of a slot: one gateway alone has few queries, and little room
-  private static final double COLD_FIRST = 0.5; // of a slot is its owner's, for long queries
-  private static final double BUSY_CORES = 0.85; // share of busy cores that the rule calls capacity
-  private static final int LOAD_LINE =
-      2; // loads of one group at one engine; those that stand hold memory
-  private static final int KEEP =
-      8; // engines that a gateway keeps to: two draws find room, some at rest
-  private static final double KEEP_SHARE =
-      0.2; // ... and more of them where it has more of one's cores out
-  private static final double CROSS_WEIGHT =
-      15; // load share for each unit of the price of crossing
-  private static final long LOAD_MARK =
-      5_000 * MILLISECOND; // a group counts as held so long: a usual load
-  private static final double TENANT_LEAST = 5; // queries of a tenant at once, or those of a second
   private static final long TICK_TOKEN = 0;
   private static final long WATCH_TOKEN = 1;
+  private static final long WATCH_RETRY_NANOS = 1_000 * Nanoseconds.PER_MILLISECOND;
 
   private final SchedulerActions actions;
-  private SchedulerSettings settings;
-  private SplittableRandom random;
-  private long startedAt;
-  private int self;
-  private long lastTick;
-  private long stalledUntil;
-  private long taken;
-  private int widest;
-  private double probeCredit;
-  private double meanWorth;
-  private PoolShareEstimator share;
-  private final IncarnationTimes startTimes = new IncarnationTimes();
-  private final LatencyRatios ratios = new LatencyRatios();
-
-  /** Engines that are up, in this gateway's own order; it changes with the list alone. */
-  private EngineOrder order;
-
-  /**
-   * Of these, those that may still be cold; the others on which a tick has something to look at.
-   */
-  private final Set<Engine> cold = new LinkedHashSet<>();
+  private boolean subscribesToEndpoints;
 
-  private final Set<Engine> watched = new LinkedHashSet<>();
+  /** Null before the start. */
+  private SchedulerParts parts;
 
-  /**
-   * Engines that the list has dropped, until nothing is out there; those that others speak against.
-   */
-  private final Set<Engine> gone = new LinkedHashSet<>();
-
-  private final Set<Engine> accused = new LinkedHashSet<>();
-  private long listed;
-  private double fleet; // gateways like this one that make up the fleet
-  private final Engine pool =
-      new Engine(""); // the pool as one engine: all that is out, our share, its bound
-  private double poolSigns = POOL_SIGNS; // nothing known: neither pressed nor calm
-  private final Map<String, Engine> engines = new LinkedHashMap<>();
-  private final Map<String, QueryRecord> queries = new LinkedHashMap<>();
-  private final TreeMap<Long, QueryRecord> held = new TreeMap<>();
-  private final Map<String, KeyQueue> keyLines = new LinkedHashMap<>();
-  private final List<ClassRecord> classes = new ArrayList<>();
-  private final List<TokenBucket> tenants = new ArrayList<>();
-  private final SlidingWindowSum takenLately = new SlidingWindowSum(REPORT_AGE);
-  private SlidingWindowSum takenInSpan;
-  private SlidingWindowSum extrasInSpan;
-
-  /** A module that acts through the given front. */
+  /** Creates a scheduler that acts through the given front; {@link #onStart} starts it. */
   public QueryScheduler(SchedulerActions actions) {
     this.actions = actions;
   }
 
-  // ---- The gateway and its engines ----
-
   @Override
-  public void onStart(long now, long seed, SchedulerSettings s) {
-    settings = s;
-    share = new PoolShareEstimator(s.gateways());
-    startedAt = now;
-    random = new SplittableRandom(seed);
-    self =
-        s.selfIndex() >= 0
-            ? s.selfIndex()
-            : random.nextInt(s.gateways()); // where it is not told, by chance
-    order = new EngineOrder(new EngineSubset(self));
-    fleet = s.gateways();
-    s.classes().forEach(c -> classes.add(new ClassRecord(c)));
-    s.tenants()
-        .forEach(
-            t -> tenants.add(new TokenBucket(t.quotaPerSecond() / s.gateways(), TENANT_LEAST)));
-    widest = s.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
-    meanWorth = s.classes().stream().mapToDouble(QueryClass::priorityWeight).average().orElse(0);
-    takenInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() - 2 * s.tickNanos());
-    extrasInSpan = new SlidingWindowSum(s.rules().retryBudgetWindowNanos() + 2 * s.tickNanos());
-    if (s.subscribe()) {
+  public void onStart(long nowNanos, long seed, SchedulerSettings settings) {
+    parts = new SchedulerParts(actions, nowNanos, seed, settings);
+    subscribesToEndpoints = settings.subscribe();
+    if (subscribesToEndpoints) {
       actions.watchEndpoints();
     }
-    lastTick = now;
-    actions.setTimer(TICK, TICK_TOKEN);
-  }
-
-  @Override
-  public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
-    Set<String> named = new LinkedHashSet<>();
-    for (EngineEndpoint entry : entries) {
-      named.add(entry.name());
-      Engine old = engines.get(entry.name());
-      if (old == null || entry.incarnation() > old.info.incarnation()) {
-        Engine started = started(now, entry, !complete);
-        started.number = old == null ? listed++ : old.number;
-        engines.put(entry.name(), started); // nothing known of the old process holds
-        if (old != null) {
-          forget(old);
-          List.copyOf(old.out).forEach(a -> lose(now, a, false));
-        }
-      }
-      Engine e = engines.get(entry.name());
-      e.info = entry;
-      tell(now, e, entry.state());
-    }
-    if (complete) {
-      engines.values().stream()
-          .filter(e -> !named.contains(e.name))
-          .forEach(e -> tell(now, e, EngineState.REMOVED));
-    }
-    List<Engine> up = order.all();
-    ratios.up(up);
-    pool.cores = up.stream().mapToDouble(e -> e.cores).sum();
-    pool.memoryMb = up.stream().mapToDouble(e -> e.memoryMb).sum();
-    pool.bound = pool.bound > 0 ? Math.min(pool.bound, mostThreads(pool)) : mostThreads(pool);
-    release(now, true);
-  }
-
-  /** The list tells in what state an engine is. */
-  private void tell(long now, Engine e, EngineState state) {
-    e.state = state;
-    if (state != EngineState.UP) {
-      forget(e);
-    } else {
-      order.add(e);
-      gone.remove(e);
-    }
-    if (state == EngineState.UP && now < e.coldUntil) {
-      cold.add(e);
-    }
-    if (state == EngineState.REMOVED) {
-      gone.add(e);
-    }
-  }
-
-  /** An engine is not in use any more; what is out there goes on. */
-  private void forget(Engine e) {
-    order.remove(e);
-    cold.remove(e);
-    accused.remove(e);
+    actions.setTimer(TickClock.INTERVAL_NANOS, TICK_TOKEN);
   }
 
-  private Engine started(long now, EngineEndpoint entry, boolean asChange) {
-    Engine e = new Engine(entry.name());
-    EngineKind kind =
-        entry.kind() < settings.kinds().size()
-            ? settings.kinds().get(entry.kind())
-            : new EngineKind(0, 0);
-    e.cores = kind.cores() > 0 ? kind.cores() : Math.max(1, entry.weight());
-    e.memoryMb = kind.memoryMb();
-    e.bound = mostThreads(e);
-    e.boundChangedAt = now;
-    e.lastSign = now;
-    e.startedAt =
-        entry.incarnation() > 0 ? startTimes.ownTime(now, entry.incarnation(), asChange) : 0;
-    e.coldUntil = entry.incarnation() > 0 ? e.startedAt + settings.rules().slowStartNanos() : 0;
-    return e;
-  }
-
-  private double mostThreads(Engine e) {
-    return Math.max(widest, e.cores * BOUND_THREADS / fleet);
-  }
+  // ---- Engines ----
 
   @Override
-  public void onEndpointsUnavailable(long now) {
-    if (settings.subscribe()) {
-      actions.setTimer((long) SECOND, WATCH_TOKEN);
-    }
+  public void onEndpoints(long nowNanos, boolean complete, List<EngineEndpoint> endpoints) {
+    List<EngineRecord> replaced = parts.engines.update(nowNanos, complete, endpoints);
+    replaced.forEach(engine -> parts.monitor.abandonAll(nowNanos, engine));
+    parts.dispatcher.releaseAll(nowNanos);
   }
 
-  // ---- Arrival ----
-
   @Override
-  public void onQuery(long now, Query query) {
-    QueryClass kind = settings.classes().get(query.queryClass());
-    long time = Math.min(kind.deadlineNanos(), query.remainingNanos());
-    QueryRecord q = new QueryRecord(query, kind, taken++, now, now + time);
-    queries.put(query.id(), q);
-    takenInSpan.add(now, 1);
-    takenLately.add(now, 1);
-    probeCredit = Math.min(probeCredit + probeShare(), 2 * engines.size());
-    q.beyondShare = query.tenant() < tenants.size() && !tenants.get(query.tenant()).take(now);
-    learnCost(q);
-    if (kind.ordered() && query.key() != null) {
-      q.keyLine = keyLines.computeIfAbsent(query.key(), KeyQueue::new);
-      q.keyLine.queries.addLast(q);
-    }
-    q.heldUntil = holdUntil(now, q);
-    boolean itsTurn = itsTurn(now, q);
-    if (itsTurn && seconds(time - 2 * TICK) > estimate(q, ratios.mean()) && ask(now, q)) {
-      held.put(q.number, q); // until the reports are in
-      return;
-    }
-    Engine engine = itsTurn ? pick(now, q) : null;
-    if (engine != null && seconds(time) >= estimate(q, ratios.of(engine))) {
-      send(now, q, engine);
-    } else if (waitsLonger(now, q, seconds(time) - estimate(q, ratios.mean()))
-        || itsTurn && q.beyondShare) {
-      giveUp(now, q);
-    } else {
-      held.put(q.number, q);
+  public void onEndpointsUnavailable(long nowNanos) {
+    if (subscribesToEndpoints) {
+      actions.setTimer(WATCH_RETRY_NANOS, WATCH_TOKEN);
     }
   }
 
-  /** Whether a query that does not fit would wait for longer than that, in seconds. */
-  private boolean waitsLonger(long now, QueryRecord q, double seconds) {
-    double ratio = ratios.mean();
-    double left = seconds - keyWait(q, ratio);
-    double work = heldWork(now, ratio);
-    if (left < 0 || work <= 0) {
-      return left < 0;
+  @Override
+  public void onHealthCheck(long nowNanos, String engineName, boolean answered, LoadReport report) {
+    EngineRecord engine = findEngine(engineName);
+    if (engine != null) {
+      parts.healthChecks.onChecked(engine);
+      parts.outcomes.recordReport(nowNanos, engine, answered ? report : null);
+      parts.dispatcher.releaseOldest(nowNanos);
     }
-    // With that much of a bound it would not; so the engines need not all be looked at.
-    return work / boundUpTo(now, q, left > 0 ? work / left : Double.MAX_VALUE) > left;
-  }
-
-  /**
-   * Held time times threads over the total bound: the wait of a query that does not fit, in
-   * seconds.
-   */
-  private double predictedWait(long now, QueryRecord q) {
-    double ratio = ratios.mean();
-    double work = heldWork(now, ratio);
-    return (work <= 0 ? 0 : work / boundUpTo(now, q, Double.MAX_VALUE)) + keyWait(q, ratio);
-  }
-
-  private double heldWork(long now, double ratio) {
-    return held.values().stream()
-        .filter(h -> itsTurn(now, h))
-        .mapToDouble(h -> estimate(h, ratio) * h.kind.threads())
-        .sum();
   }
 
-  /** The bound of all engines that are open to the query, counted until it is enough. */
-  private double boundUpTo(long now, QueryRecord q, double enough) {
-    double bound = 0;
-    for (Engine e : engines.values()) {
-      bound += open(now, q, e) ? e.bound : 0;
-      if (bound >= enough) {
-        break;
+  @Override
+  public void onPeerReport(long nowNanos, String engineName, double level) {
+    EngineRecord engine = findEngine(engineName);
+    if (engine != null) {
+      parts.peerReports.record(engine, level);
+      if (parts.peerReports.isSuspected(engine)) {
+        parts.healthChecks.onSuspected(nowNanos, engine);
       }
     }
-    bound = now < pool.pressedUntil ? Math.min(bound, pool.bound) : bound;
-    return Math.max(bound, q.kind.threads());
-  }
-
-  /** The time that the earlier queries of its key still need. */
-  private double keyWait(QueryRecord q, double ratio) {
-    return q.keyLine == null
-        ? 0
-        : q.keyLine.queries.stream()
-            .filter(h -> h != q)
-            .mapToDouble(h -> estimate(h, ratio) * (1 - h.done()))
-            .sum();
-  }
-
-  // ---- The estimate ----
-
-  /** Seconds that the query takes on an engine of that ratio. */
-  private double estimate(QueryRecord q, double ratio) {
-    ClassRecord c = classes.get(q.query.queryClass());
-    return (q.query.estimatedCostNanos() > 0
-            ? seconds(q.query.estimatedCostNanos()) * c.factor
-            : c.time.value)
-        * ratio;
-  }
-
-  /** Seconds of work of all its threads, as far as it is known. */
-  private double cost(QueryRecord q) {
-    return q.query.estimatedCostNanos() > 0 ? seconds(q.query.estimatedCostNanos()) : usualCost(q);
-  }
-
-  private double usualCost(QueryRecord q) {
-    ClassRecord c = classes.get(q.query.queryClass());
-    return c.cost.count > 0 ? c.cost.value : seconds(c.kind.deadlineNanos()) * UNKNOWN_COST;
-  }
-
-  private double memory(QueryRecord q) {
-    ClassRecord c = classes.get(q.query.queryClass());
-    double need =
-        q.query.estimatedMemoryMb() > 0
-            ? q.query.estimatedMemoryMb() * c.memoryFactor.value
-            : c.memory.value;
-    return settings.traits().memoryGrants() ? need * GRANT_MARGIN : need;
-  }
-
-  /** Whether it is the process of that name that the list tells of now, and in use. */
-  private boolean isUp(Engine e) {
-    return e.state == EngineState.UP && engines.get(e.name) == e;
-  }
-
-  private void learnCost(QueryRecord q) {
-    ClassRecord c = classes.get(q.query.queryClass());
-    if (q.query.estimatedCostNanos() > 0) {
-      c.cost.add(seconds(q.query.estimatedCostNanos()), LEARN_WEIGHT);
-      c.factor =
-          c.served.count > 0
-              ? c.factor
-              : c.kind.latencyObjectiveNanos() / SECOND / c.cost.value; // the design's start
-    }
-  }
-
-  /** Learns from an answer what its class takes and how its engine compares. */
-  private void learn(long now, Attempt a, AttemptResult end) {
-    QueryRecord q = a.query;
-    ClassRecord c = classes.get(q.query.queryClass());
-    Engine e = a.engine;
-    double time = seconds(end.elapsedNanos());
-    if (end.costMs() > 0 && q.query.estimatedCostNanos() <= 0) {
-      c.cost.add(end.costMs() / 1e3, LEARN_WEIGHT);
-    }
-    if (end.memoryMb() > 0) {
-      c.memory.add(end.memoryMb(), LEARN_WEIGHT);
-      c.memoryFactor.add(
-          q.query.estimatedMemoryMb() > 0 ? end.memoryMb() / q.query.estimatedMemoryMb() : 1,
-          LEARN_WEIGHT);
-    }
-    c.time.add(time / ratios.of(e), LEARN_WEIGHT);
-    c.served.add(cost(q), LEARN_WEIGHT);
-    c.factor = c.time.value / c.served.value;
-    ratios.answered(e, isUp(e), time, a.predicted);
-    double work = end.costMs() > 0 ? end.costMs() / 1e3 : cost(q);
-    double aim =
-        seconds(c.kind.latencyObjectiveNanos())
-            + c.kind.latencyObjectiveStretch() * work / c.kind.threads();
-    noteStrain(e, time / aim, work);
-  }
-
-  // ---- The bound, and whether it binds ----
-
-  /** Averages what share of its aim a query took; long queries tell more than short ones. */
-  private void noteStrain(Engine e, double strain, double work) {
-    double usual = classes.stream().mapToDouble(c -> c.cost.value).average().orElse(0);
-    double weight = STRAIN_WEIGHT * Math.min(1, work / Math.max(usual, 1e-3));
-    e.strain += weight * (strain - e.strain);
-    pool.strain += weight * (strain - pool.strain);
-  }
-
-  /** Cuts the bound towards what is out there under pressure, lets it grow back when calm. */
-  private void moveBound(long now, Engine e, boolean pressed) {
-    if (pressed) {
-      e.pressedUntil = now + PRESSURE_HOLD;
-    }
-    if (now - e.boundChangedAt < BOUND_PAUSE) {
-      return;
-    }
-    if (pressed) {
-      double floor = e.strain > SLOW ? SLOW_FLOOR : BUSY_FLOOR;
-      double least = Math.max(widest, e.cores * floor / fleet);
-      e.bound = Math.max(least, Math.min(e.bound, e.threads + 1) * BOUND_CUT);
-      e.boundChangedAt = now;
-    } else if (e.strain < CALM && e.bound < mostThreads(e)) {
-      e.boundChangedAt = now;
-      e.bound = Math.min(mostThreads(e), e.bound * BOUND_GROWTH);
-    }
-  }
-
-  /** Hardly a sign of pressure anywhere: looking around costs more than it earns. */
-  private boolean calm() {
-    return poolSigns < CALM_SIGNS && pool.strain < CALM;
-  }
-
-  /**
-   * A sign from any engine tells of the pool: a gateway with few queries learns too little of each
-   * one.
-   */
-  private void notePool(boolean pressed) {
-    poolSigns += SIGN_WEIGHT * ((pressed ? 1 : 0) - poolSigns);
-  }
-
-  /** The three signs of pressure: slow latency, a busy report, a full refusal. */
-  private boolean pressed(long now, Engine e) {
-    return e.strain > SLOW || now < e.fullUntil || busy(now, e);
-  }
-
-  private static boolean busy(long now, Engine e) {
-    LoadReport r = now - e.reportAt < REPORT_AGE ? e.report : null;
-    return r != null
-        && (r.utilization() > BUSY
-            || r.queueLength() >= 1
-            || r.memoryShare() > BUSY
-            || r.diskShare() > BUSY);
-  }
-
-  /** Open, and with room; none where the query would stand still behind loads, or pile up there. */
-  private boolean hasRoom(long now, QueryRecord q, Engine e) {
-    return open(now, q, e)
-        && loadsThere(now, q, e) < (q.kind.loadsTables() ? LOAD_LINE : 1)
-        && fits(now, q, e);
-  }
-
-  /**
-   * The bound, that of the whole pool, too, binds only under pressure; memory counts as room
-   * besides.
-   */
-  private boolean fits(long now, QueryRecord q, Engine e) {
-    boolean pressed = now < e.pressedUntil;
-    if (e == pool && !pressed) {
-      return true;
-    }
-    if (busy(now, e) && e.threads + q.kind.threads() > e.cores * BUSY_FLOOR / fleet) {
-      return false; // it says itself that it is full, and our part of it holds no further query
-    }
-    boolean memory =
-        e.memoryMb <= 0
-            || e.out.isEmpty()
-            || e.memory + memory(q) <= e.memoryMb * MEMORY_ROOM / fleet;
-    return memory && (!pressed || e.threads + 1 <= e.bound * (dense(q) ? DENSE_ROOM : 1));
-  }
-
-  // ---- The choice of engine ----
-
-  /** Whether the rules and the engine's health leave it open to the query. */
-  private boolean open(long now, QueryRecord q, Engine e) {
-    return e.state == EngineState.UP
-        && now >= e.restUntil
-        && (q.kind.engineKinds().isEmpty() || q.kind.engineKinds().contains(e.info.kind()))
-        && (q.kind.zones().isEmpty() || q.kind.zones().contains(e.info.zone()))
-        && repeatAllowed(now, q, e)
-        && (e.hearsay < HEARSAY_TEST || e.out.isEmpty())
-        && (now >= e.coldUntil || coldAllowed(now, q, e));
-  }
-
-  /**
-   * The time since an engine's start is cut into slots, each shared by a few gateways, in turn by
-   * number: one has half of its work, so that a long query finds room, others equal parts of the
-   * rest. What is not used lapses. So all gateways together keep the budget, whatever their traffic
-   * and without talking. One that started within a slot may have used its part before.
-   */
-  private boolean coldAllowed(long now, QueryRecord q, Engine e) {
-    long slot = coldSlot(now, e);
-    if (e.coldSlot != slot) {
-      e.coldSlot = slot;
-      e.coldPart = e.startedAt + slot * coldSlotTime() >= startedAt ? coldPart(slot, e) : 0;
-      e.coldSpent = 0;
-    }
-    return e.coldPart > 0 && e.coldSpent + coldCost(q) <= e.coldPart * coldBudget(now, e);
-  }
-
-  /** This gateway's part of a slot's work. */
-  private double coldPart(long slot, Engine e) {
-    int gateways = settings.gateways();
-    int sharers = Math.min(COLD_SHARERS, gateways);
-    int place = SlotRotation.place(e.name, slot, sharers, gateways, self % gateways);
-    double rest = sharers == 1 ? 0 : (1 - COLD_FIRST) / (sharers - 1);
-    return place < 0 ? 0 : place > 0 ? rest : 1 - rest * (sharers - 1);
-  }
-
-  private long coldSlot(long now, Engine e) {
-    return Math.floorDiv(now - e.startedAt, coldSlotTime());
-  }
-
-  private long coldSlotTime() {
-    return Math.max(1, settings.rules().overloadWindowNanos() / COLD_SLOTS);
-  }
-
-  /**
-   * Work that may be sent to a cold engine within one slot; the engine is taken to warm up late.
-   */
-  private double coldBudget(long now, Engine e) {
-    SchedulingRules r = settings.rules();
-    double age = Math.max(0, 1 - (double) (e.coldUntil - now) / r.slowStartNanos());
-    double share = r.slowStartShare() + (1 - r.slowStartShare()) * age * age;
-    return COLD_MARGIN
-        * r.overloadMultiple()
-        * share
-        * BUSY_CORES
-        * e.cores
-        * seconds(coldSlotTime());
-  }
-
-  /**
-   * The rule weighs a query by the usual work of its class; its own estimate counts where it is
-   * higher.
-   */
-  private double coldCost(QueryRecord q) {
-    return Math.max(usualCost(q), cost(q));
-  }
-
-  /** Whether a further attempt there keeps the rule on effects; a first one always does. */
-  private boolean repeatAllowed(long now, QueryRecord q, Engine e) {
-    if (q.firstRunAt < 0 || q.kind.idempotency() == Idempotency.IDEMPOTENT) {
-      return true;
-    }
-    boolean inGroup =
-        switch (q.kind.deduplicationScope()) {
-          case ALL -> true;
-          case ZONE -> e.info.zone() == q.firstRunOn.info.zone();
-          case CELL -> e.info.cell() == q.firstRunOn.info.cell();
-        };
-    return q.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-        && inGroup
-        && now < q.firstRunAt + q.kind.idempotencyWindowNanos() - 2 * settings.tickNanos();
-  }
-
-  /**
-   * Asks two drawn engines for reports, two others where both are full; few queries keep none
-   * fresh.
-   */
-  private boolean ask(long now, QueryRecord q) {
-    boolean found = q.asked.stream().anyMatch(e -> hasRoom(now, q, e));
-    if (found || reportsKept(now) || spared(q) || !fits(now, q, pool) || probeCredit < 2) {
-      return false;
-    }
-    q.asked.clear();
-    q.asked.addAll(drawTwo(now, candidates(now, q)));
-    q.asked.forEach(e -> probe(now, e));
-    q.askedUntil = now + ASK_WAIT;
-    return !q.asked.isEmpty();
-  }
-
-  private boolean reportsTold() {
-    return settings.limits().healthChecks() && settings.traits().loadReports();
-  }
-
-  /**
-   * Whether our traffic pays for fresh reports of all engines; where probes are dear, within their
-   * share.
-   */
-  private boolean reportsKept(long now) {
-    double dear = PROBE_SHARE / probeShare();
-    return !reportsTold() || takenLately.sum(now) * CLOCK_SHARE >= engines.size() * dear * dear;
-  }
-
-  /**
-   * Probes that a query pays for: few where each is dear. What one gateway asks, all of them do.
-   */
-  private double probeShare() {
-    return Math.min(PROBE_SHARE, PROBE_POINTS / Math.max(settings.healthCheckPrice(), 1e-9));
-  }
-
-  /** Where a query can't pay for both its reports, those worth more than most go first. */
-  private boolean spared(QueryRecord q) {
-    return (calm() || probeShare() < PROBE_SHARE / 2) && q.kind.priorityWeight() < meanWorth;
-  }
-
-  /** The less loaded of two drawn engines with room; null where none has. */
-  private Engine pick(long now, QueryRecord q) {
-    List<Engine> open = fits(now, q, pool) ? candidates(now, q) : List.of();
-    List<Engine> asked =
-        open.stream() // one that has not answered since is busy, or worse
-            .filter(e -> q.asked.contains(e) && e.reportAt >= q.askedUntil - ASK_WAIT)
-            .toList();
-    List<Engine> drawn = asked.isEmpty() ? drawTwo(now, open) : asked;
-    return drawn.stream()
-        .min(
-            Comparator.<Engine>comparingDouble(e -> load(now, q, e))
-                .thenComparing(e -> e.hasAnswered))
-        .orElse(null); // of two alike, the one not known yet
-  }
-
-  private List<Engine> candidates(long now, QueryRecord q) {
-    double meanCores = pool.cores / Math.max(1, engines.size());
-    int wanted = (int) Math.max(KEEP, Math.ceil(pool.threads / (meanCores * KEEP_SHARE)));
-    // Where another one has room, it goes neither where it was nor where others speak against the
-    // engine.
-    Predicate<Engine> best = e -> e.hearsay < HEARSAY_TEST && !q.triedOn(e) && hasRoom(now, q, e);
-    List<Engine> draw = first(now, wanted + 1, best);
-    if (draw.size() <= wanted) {
-      Set<Engine> few = new LinkedHashSet<>(draw);
-      draw =
-          few.isEmpty()
-              ? second(now, q, wanted)
-              : few.stream().sorted(Comparator.comparingLong(e -> e.number)).toList();
-    }
-    return preferred(
-        draw.size() > wanted ? draw.subList(0, wanted) : draw, e -> loadsThere(now, q, e) == 0);
-  }
-
-  /** So many in this gateway's own order, cold ones first: few others may use a cold one's slot. */
-  private List<Engine> first(long now, int count, Predicate<Engine> wanted) {
-    cold.removeIf(e -> now >= e.coldUntil);
-    return Stream.concat(cold.stream(), order.stream().filter(e -> now >= e.coldUntil))
-        .filter(wanted)
-        .limit(count)
-        .toList();
-  }
-
-  /**
-   * Where none is as good as wanted: those with room where it was already, or that others speak
-   * against.
-   */
-  private List<Engine> second(long now, QueryRecord q, int wanted) {
-    List<Engine> draw =
-        Stream.concat(q.attempts.stream().map(a -> a.engine), accused.stream())
-            .distinct()
-            .filter(e -> isUp(e) && hasRoom(now, q, e))
-            .sorted(Comparator.comparingLong(e -> e.number))
-            .toList();
-    draw = preferred(preferred(draw, e -> !q.triedOn(e)), e -> e.hearsay < HEARSAY_TEST);
-    return draw.size() <= wanted ? draw : first(now, wanted, new LinkedHashSet<>(draw)::contains);
-  }
-
-  /**
-   * Two by chance; a cold one with room is one of them, since its slot is short and few have part
-   * in it.
-   */
-  private List<Engine> drawTwo(long now, List<Engine> draw) {
-    if (draw.size() <= 2) {
-      return draw;
-    }
-    List<Engine> cold = draw.stream().filter(e -> now < e.coldUntil).toList();
-    int first =
-        cold.isEmpty()
-            ? random.nextInt(draw.size())
-            : draw.indexOf(cold.get(random.nextInt(cold.size())));
-    int second = random.nextInt(draw.size() - 1);
-    return List.of(draw.get(first), draw.get(second < first ? second : second + 1));
   }
 
-  private static List<Engine> preferred(List<Engine> engines, Predicate<Engine> wanted) {
-    List<Engine> some = engines.stream().filter(wanted).toList();
-    return some.isEmpty() ? engines : some;
-  }
-
-  private double load(long now, QueryRecord q, Engine e) {
-    double threads = (e.threads + q.kind.threads()) * fleet;
-    double trouble = 1 + ERROR_LOAD * e.errors + HEARSAY_LOAD * e.hearsay;
-    double load = trouble * (1 + threads / e.cores) * ratios.of(e);
-    if (e.report != null && now - e.reportAt < REPORT_AGE) {
-      load *= 1 + e.report.utilization() + e.report.queueLength() / e.cores;
-    }
-    if (e.info.zone() != settings.zone()) {
-      load *= 1 + settings.crossZonePrice() * CROSS_WEIGHT;
-    }
-    return load;
-  }
-
-  /**
-   * Loads known at the engine that hold the query up: our own, and one of others while a mark
-   * lasts.
-   */
-  private int loadsThere(long now, QueryRecord q, Engine e) {
-    int group = q.query.tableGroup();
-    return !q.kind.loadsTables() && !q.kind.waitsForTableLoads()
-        ? 0
-        : e.loads.getOrDefault(group, 0) + (e.heldGroups.getOrDefault(group, 0L) > now ? 1 : 0);
-  }
+  // ---- Queries ----
 
-  // ---- Sending ----
-
-  private void send(long now, QueryRecord q, Engine e) {
-    held.remove(q.number);
-    Attempt a = new Attempt(q, q.attempts.size(), e, now);
-    a.threads = q.kind.threads();
-    a.memory = memory(q);
-    a.predicted = estimate(q, 1);
-    if (a.number > 0) {
-      extrasInSpan.add(now, 1);
-    }
-    setTerms(q);
-    actions.forward(q.query.id(), e.name, 0);
-    q.attempts.add(a);
-    q.out++;
-    q.asked.clear();
-    e.add(a);
-    pool.add(a);
-    watch(now, e);
-    if (now < e.coldUntil) {
-      e.coldSpent += coldCost(q);
-    }
-    e.lastSign = e.out.size() == 1 ? now : e.lastSign;
-    e.restUntil =
-        e.troubles > 0 ? now + REST : e.restUntil; // one query at a time until one is served
-  }
-
-  /** Grant and priority, where the engines heed them. */
-  private void setTerms(QueryRecord q) {
-    EngineCapabilities traits = settings.traits();
-    int priority = dense(q) ? 3 : 1;
-    ClassRecord c = classes.get(q.query.queryClass());
-    double grant = traits.memoryGrants() && c.memory.count > 0 ? memory(q) : 0;
-    if (traits.priorities() && priority != 1 || grant > 0) {
-      actions.setResources(q.query.id(), grant, priority);
-    }
-  }
-
-  /** True for the classes that earn clearly more for their work than the usual query. */
-  private boolean dense(QueryRecord q) {
-    double cost = classes.stream().mapToDouble(c -> c.cost.value).average().orElse(0);
-    ClassRecord c = classes.get(q.query.queryClass());
-    return c.cost.value > 0
-        && c.kind.priorityWeight() / c.cost.value > DENSE * meanWorth / Math.max(cost, 1e-9);
+  @Override
+  public void onQuery(long nowNanos, Query query) {
+    QueryRecord added = parts.queries.add(nowNanos, query);
+    parts.retryBudget.onQuery(nowNanos);
+    parts.healthChecks.onQuery(nowNanos);
+    parts.quotas.onQuery(nowNanos, added);
+    parts.estimator.onQuery(added);
+    parts.keyOrdering.onQuery(added);
+    parts.pending.restartQueueTime(nowNanos, added);
+    parts.dispatcher.apply(nowNanos, added, parts.admission.decide(nowNanos, added));
   }
 
-  /** What may have changed while the attempt waited for its connection. */
   @Override
-  public boolean mayStart(long now, String query, int attempt) {
-    QueryRecord q = queries.get(query);
-    if (q == null || q.over || attempt >= q.attempts.size()) {
-      return false;
+  public void onClientGone(long nowNanos, String id) {
+    QueryRecord query = findQuery(id);
+    if (query != null) {
+      parts.pending.remove(query);
+      query.finish();
+      query.attempts().forEach(parts.canceller::cancel);
+      parts.queries.removeIfDone(nowNanos, query);
+      parts.dispatcher.releaseOldest(nowNanos);
     }
-    Attempt a = q.attempts.get(attempt);
-    Engine e = a.engine;
-    boolean cold = now < e.coldUntil;
-    return !a.ended
-        && !a.abandoned
-        && e.state == EngineState.UP
-        && engines.get(e.name) == e
-        && (!cold || coldSlot(a.sentAt, e) == coldSlot(now, e))
-        && repeatAllowed(now, q, e);
   }
 
-  // ---- While an attempt is out ----
+  // ---- Attempts ----
 
   @Override
-  public void onStreaming(long now, String query, int attempt) {
-    QueryRecord q = queries.get(query);
-    if (q != null) {
-      q.streaming = true;
-    }
+  public boolean mayStart(long nowNanos, String id, int number) {
+    AttemptRecord attempt = findAttempt(id, number);
+    return attempt != null
+        && !attempt.query.isFinished()
+        && !attempt.isEnded()
+        && !attempt.isCancelled()
+        && attempt.engine.isUp()
+        && parts.slowStart.mayStillStart(nowNanos, attempt)
+        && parts.retryPolicy.isSafeOn(nowNanos, attempt.query, attempt.engine);
   }
 
   @Override
-  public void onProgress(long now, ProgressReport note) {
-    QueryRecord q = queries.get(note.queryId());
-    if (q == null || note.attempt() >= q.attempts.size()) {
-      return;
-    }
-    Attempt a = q.attempts.get(note.attempt());
-    a.engine.lastSign = now;
-    a.lastNote = now;
-    a.inLine = note.kind() == ProgressKind.MEMORY_WAIT;
-    a.engine.fullUntil =
-        a.inLine ? now + FULL_REST : a.engine.fullUntil; // as good as a full refusal
-    if (note.kind() == ProgressKind.LOAD_WAIT) {
-      a.engine.heldGroups.put(q.query.tableGroup(), now + LOAD_MARK);
-      if (canMove(now, a)) {
-        cancel(a); // it has done nothing yet, and a load takes long
-      }
-    } else if (note.kind() == ProgressKind.PROGRESS) {
-      a.share = note.amount();
-      if (a.query.kind.idempotency() == Idempotency.IDEMPOTENT
-          && badPlan(now, a)
-          && canMove(now, a)) {
-        cancel(a);
-      }
+  public void onStreaming(long nowNanos, String id, int number) {
+    QueryRecord query = findQuery(id);
+    if (query != null) {
+      query.startStreaming();
     }
   }
 
-  /** A bad plan shows as a share far behind; the engine's own ratio tells a slow engine apart. */
-  private boolean badPlan(long now, Attempt a) {
-    if (a.share <= 0 || a.share >= 1 || a.predicted <= 0) {
-      return false;
-    }
-    double spent = seconds(now - a.sentAt);
-    double whole = spent / a.share;
-    double usual = estimate(a.query, Math.max(ratios.of(a.engine), ratios.mean()));
-    return a.query.query.estimatedCostNanos() > 0
-        && whole > BAD_PLAN * usual
-        && whole - spent > RESEND_GAIN * usual
-        && now + (long) (usual * SECOND) < a.query.deadline;
-  }
-
-  /** Gives up an attempt of a query that is over, or that may go elsewhere or be answered. */
-  private void cancel(Attempt a) {
-    QueryRecord q = a.query;
-    boolean free = q.over || !q.streaming && q.kind.idempotency() != Idempotency.NOT_IDEMPOTENT;
-    if (free && !a.ended && !a.abandoned && settings.limits().cancel()) {
-      a.abandoned = true;
-      actions.cancelAttempt(q.query.id(), a.number);
+  @Override
+  public void onProgress(long nowNanos, ProgressReport progress) {
+    AttemptRecord attempt = findAttempt(progress.queryId(), progress.attempt());
+    if (attempt != null) {
+      parts.monitor.onProgress(nowNanos, attempt, progress);
+      parts.bulkLoads.onProgress(nowNanos, attempt, progress);
+      parts.migration.onProgress(nowNanos, attempt, progress);
     }
   }
 
-  /** True where another engine can take the query now, within the rules. */
-  private boolean canMove(long now, Attempt a) {
-    QueryRecord q = a.query;
-    return furtherAllowed(now, q)
-        && candidates(now, q).stream().anyMatch(e -> e != a.engine && loadsThere(now, q, e) == 0);
-  }
-
-  /** The rule on further attempts, and the most attempts of one query. */
-  private boolean furtherAllowed(long now, QueryRecord q) {
-    SchedulingRules r = settings.rules();
-    return q.attempts.size() < settings.limits().maxAttempts()
-        && (r.retryBudgetWindowNanos() <= 0
-            || extrasInSpan.sum(now) + 1
-                <= r.retryBudgetBase() + r.retryBudgetPerQuery() * takenInSpan.sum(now));
-  }
-
-  // ---- The end of an attempt ----
-
   @Override
-  public void onAttemptEnded(long now, AttemptResult end) {
-    QueryRecord q = queries.get(end.queryId());
-    if (q == null || end.attempt() >= q.attempts.size()) {
+  public void onAttemptEnded(long nowNanos, AttemptResult result) {
+    AttemptRecord attempt = findAttempt(result.queryId(), result.attempt());
+    if (attempt == null) {
       return;
     }
-    Attempt a = q.attempts.get(end.attempt());
-    watch(now, a.engine);
-    settle(now, q, a, end);
-    judge(now, a, end);
-    q.over |= end.queryFinished();
-    if (!q.over && q.out == 0) {
-      goOn(now, q);
-    }
-    forget(now, q);
-    release(now, false);
-  }
-
-  private void settle(long now, QueryRecord q, Attempt a, AttemptResult end) {
-    a.ended = true;
-    q.out--;
-    a.engine.remove(a);
-    pool.remove(a);
-    if (end.outcome().mayHaveRun) {
-      q.mayHaveRun(a);
-    }
-    if (q.keyLine != null && end.outcome().mayRunOn) {
-      q.keyLine.restUntil =
-          Math.max(q.keyLine.restUntil, now + settings.rules().orderSettleNanos());
-    }
-    noteReport(now, a.engine, end.loadReport());
-  }
-
-  /** Health by symptom: errors, resets and failed connects are trouble, an answer ends it. */
-  private void judge(long now, Attempt a, AttemptResult end) {
-    Engine e = a.engine;
-    boolean reset = end.outcome() == AttemptOutcome.RESET && now - e.resetAt >= ONE_BREAK;
-    e.resetAt = reset ? now : e.resetAt;
-    a.erred = end.outcome() == AttemptOutcome.ERROR && !end.queryFinished();
-    if (end.outcome() == AttemptOutcome.ERROR && !a.erred
-        || reset
-        || end.outcome() == AttemptOutcome.UNREACHED) {
-      noteTrouble(now, e, ERRORS_BAD);
-    } else if (end.outcome() == AttemptOutcome.SERVED) {
-      noteErrors(now, a.query, true);
-      e.errors -= ERROR_WEIGHT * e.errors;
-      e.lastSign = now;
-      e.troubles = e.errors <= ERRORS_BAD ? 0 : e.troubles;
-      notePool(false);
-      learn(now, a, end);
-    } else if (end.outcome() == AttemptOutcome.FULL) {
-      e.fullUntil = now + FULL_REST;
-      e.restUntil = Math.max(e.restUntil, e.fullUntil); // also one that hangs is full after a while
-      e.bound = Math.max(widest, Math.min(e.bound, e.threads) * BOUND_CUT);
-      notePool(true);
-    } else if (end.outcome() == AttemptOutcome.TIMEOUT) {
-      noteStrain(e, 1, cost(a.query));
-    }
-  }
-
-  /**
-   * An error counts once its query is done: what errs at several engines and runs at none is a bad
-   * query.
-   */
-  private void noteErrors(long now, QueryRecord q, boolean served) {
-    List<Engine> erred =
-        q.attempts.stream().filter(a -> a.erred).map(a -> a.engine).distinct().toList();
-    erred.stream()
-        .filter(e -> served || erred.size() == 1)
-        .forEach(e -> noteTrouble(now, e, ERRORS_BAD));
-  }
-
-  /** The engine rests where its share of errors passes the given one. */
-  private void noteTrouble(long now, Engine e, double bad) {
-    e.errors += ERROR_WEIGHT * (1 - e.errors);
-    if (e.errors > bad && now >= e.restUntil) {
-      e.restUntil = now + (REST << Math.min(e.troubles, REST_DOUBLINGS));
-      e.troubles++;
-    }
-  }
-
-  /** After a failed attempt: elsewhere at once, else held as at arrival, else the final answer. */
-  private void goOn(long now, QueryRecord q) {
-    boolean late = now + (long) (estimate(q, ratios.mean()) * SECOND) > q.deadline;
-    boolean nowhere =
-        engines.values().stream()
-            .noneMatch(e -> e.state == EngineState.UP && repeatAllowed(now, q, e));
-    if (late || nowhere || !furtherAllowed(now, q)) {
-      giveUp(now, q);
-      return;
+    QueryRecord query = attempt.query;
+    query.end(attempt);
+    parts.limiter.activate(nowNanos, attempt.engine);
+    parts.limiter.release(attempt);
+    parts.retryPolicy.onEnded(attempt, result.outcome());
+    parts.keyOrdering.onEnded(nowNanos, query, result.outcome());
+    parts.outcomes.recordResult(nowNanos, attempt, result);
+    if (result.queryFinished()) {
+      query.finish();
     }
-    q.heldUntil = holdUntil(now, q);
-    held.put(q.number, q); // the release that follows sends it at once where it can
-  }
-
-  // ---- The held line ----
-
-  /** Releases held queries, oldest first; a query that waits for its key holds up nobody else. */
-  private void release(long now, boolean all) {
-    noteStall(now);
-    boolean blocked = false;
-    double ratio = ratios.mean();
-    for (QueryRecord q : held.values().stream().limit(all ? held.size() : FRONT).toList()) {
-      boolean itsTurn = itsTurn(now, q);
-      if (!itsTurn) { // the wait for its key is no wait for room
-        q.heldUntil = holdUntil(now, q);
-      }
-      // Bound queries wait for other engines than the front, those that have asked waited only for
-      // reports.
-      boolean own =
-          !q.asked.isEmpty() || !q.kind.engineKinds().isEmpty() || !q.kind.zones().isEmpty();
-      double left = estimate(q, ratio) + (itsTurn ? 0 : keyWait(q, ratio));
-      boolean late =
-          now + (long) (left * SECOND) + 2 * TICK > q.deadline; // the next look may come after it
-      boolean asking = now < q.askedUntil && q.asked.stream().anyMatch(e -> e.probing);
-      if (!late && (asking || itsTurn && now < q.heldUntil && !q.asked.isEmpty() && ask(now, q))) {
-        continue;
-      }
-      Engine e = !late && itsTurn && (!blocked || own) ? pick(now, q) : null;
-      if (e != null && (q.attempts.isEmpty() || furtherAllowed(now, q))) {
-        send(now, q, e);
-      } else if (late || itsTurn && now >= q.heldUntil) {
-        giveUp(now, q);
-      } else {
-        blocked |= itsTurn && !own;
-      }
+    if (!query.isFinished() && !query.isInFlight()) {
+      retryOrReject(nowNanos, query);
     }
+    parts.queries.removeIfDone(nowNanos, query);
+    parts.dispatcher.releaseOldest(nowNanos);
   }
 
-  private long holdUntil(long now, QueryRecord q) {
-    return now + (long) ((q.deadline - now) * HOLD_SHARE);
-  }
-
-  private boolean itsTurn(long now, QueryRecord q) {
-    return q.keyLine == null || q.keyLine.queries.peekFirst() == q && now >= q.keyLine.restUntil;
-  }
-
-  // ---- The final answer ----
-
-  /** Refuses where the rules let us promise that trying again is harmless, else fails. */
-  private void giveUp(long now, QueryRecord q) {
-    held.remove(q.number);
-    q.over = true;
-    noteErrors(now, q, false);
-    boolean harmless =
-        q.firstRunAt < 0 && q.out == 0
-            || q.kind.idempotency() == Idempotency.IDEMPOTENT
-            || q.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                && q.kind.deduplicationScope() == DeduplicationScope.ALL;
-    if (harmless) {
-      long retryAfter =
-          !settings.limits().retryAfter()
-              ? 0
-              : (long) Math.max(1, Math.ceil(predictedWait(now, q))) * (long) SECOND;
-      actions.reject(q.query.id(), retryAfter);
+  /** Queues a query for its next attempt, or rejects it if none is possible. */
+  private void retryOrReject(long nowNanos, QueryRecord query) {
+    if (parts.retryPolicy.shouldRetry(nowNanos, query)) {
+      parts.pending.restartQueueTime(nowNanos, query);
+      parts.pending.add(query);
     } else {
-      actions.fail(q.query.id());
-    }
-    forget(now, q);
-  }
-
-  @Override
-  public void onClientGone(long now, String query) {
-    QueryRecord q = queries.get(query);
-    if (q == null) {
-      return;
-    }
-    held.remove(q.number);
-    q.over = true;
-    q.attempts.forEach(this::cancel);
-    forget(now, q);
-    release(now, false);
-  }
-
-  private void forget(long now, QueryRecord q) {
-    if (!q.over || q.out > 0) {
-      return;
-    }
-    queries.remove(q.query.id());
-    if (q.keyLine != null) {
-      q.keyLine.queries.remove(q);
-      if (q.keyLine.queries.isEmpty() && now >= q.keyLine.restUntil) {
-        keyLines.remove(q.keyLine.key);
-      }
+      parts.rejector.reject(nowNanos, query);
     }
   }
 
   // ---- Time ----
 
   @Override
-  public void onTimer(long now, long token) {
+  public void onTimer(long nowNanos, long token) {
     if (token == WATCH_TOKEN) {
       actions.watchEndpoints();
       return;
     }
-    noteStall(now);
-    lastTick = now;
-    share.running(now, pool.memory);
-    fleet = share.fleet(pool.memoryMb);
-    keyLines.values().removeIf(k -> k.queries.isEmpty() && now >= k.restUntil);
-    removeGone();
-    for (Engine e : List.copyOf(watched)) {
-      watchOver(now, e);
-      moveBound(now, e, pressed(now, e));
-      if (e.out.isEmpty() && restsAsItIs(now, e)) {
-        watched.remove(e);
-      }
-    }
-    probeByClock(now);
-    moveBound(now, pool, pool.strain > SLOW || poolSigns > POOL_SIGNS);
-    release(now, true);
-    actions.setTimer(TICK, TICK_TOKEN);
+    parts.dispatcher.extendAfterStall(nowNanos);
+    parts.clock.tick(nowNanos);
+    parts.limiter.updateFleetSize(nowNanos);
+    parts.keyOrdering.forgetIdle(nowNanos);
+    parts.engines.forgetRemoved();
+    parts.monitor.onTick(nowNanos, parts.limiter.activeEngines());
+    parts.limiter.adjustEngines(nowNanos);
+    parts.healthChecks.onTick(nowNanos);
+    parts.limiter.adjustPool(nowNanos);
+    parts.dispatcher.releaseAll(nowNanos);
+    actions.setTimer(TickClock.INTERVAL_NANOS, TICK_TOKEN);
   }
 
-  /** Whether ticks would change nothing of an engine on which nothing is out. */
-  private boolean restsAsItIs(long now, Engine e) {
-    boolean forgotten = engines.get(e.name) != e;
-    return forgotten || !pressed(now, e) && (e.strain >= CALM || e.bound >= mostThreads(e));
-  }
+  // ---- Lookup ----
 
-  /**
-   * After a stall all has aged unseen: holding and silence count anew, the pile-up's reports are
-   * old.
-   */
-  private void noteStall(long now) {
-    long stall = now - lastTick - 2 * TICK;
-    if (stall > 0) {
-      held.values().forEach(q -> q.heldUntil += stall);
-      stalledUntil = now;
-      lastTick = now;
-    }
+  private EngineRecord findEngine(String name) {
+    return parts == null ? null : parts.engines.find(name);
   }
 
-  /** An attempt without a sign is lost: its room is free again, its query goes elsewhere. */
-  private void lose(long now, Attempt a, boolean silent) {
-    a.engine.remove(a);
-    pool.remove(a);
-    noteTrouble(
-        now,
-        a.engine,
-        silent ? 0 : 1); // one that answers the rest is drawn less, but need not rest
-    cancel(a);
-  }
-
-  /** Finds silent engines. */
-  private void watchOver(long now, Engine e) {
-    double period = settings.traits().progressPeriodNanos();
-    long lastSign = Math.max(e.lastSign, stalledUntil);
-    boolean silent = now - lastSign > SILENT_NOTES * period;
-    boolean talks = now - lastSign < period;
-    for (Attempt a : period > 0 ? new ArrayList<>(e.out) : List.<Attempt>of()) {
-      long quiet = now - Math.max(stalledUntil, Math.max(a.sentAt, a.lastNote));
-      // An engine may lose single queries while it answers the rest: each attempt is judged by its
-      // own notes.
-      // One that waits for memory tells so once and is then quiet until it runs.
-      if (quiet > (talks ? LOST_NOTES : SILENT_NOTES) * period && !(talks && a.inLine)) {
-        lose(now, a, silent);
-      }
-    }
+  private QueryRecord findQuery(String id) {
+    return parts == null ? null : parts.queries.find(id);
   }
 
-  /** Keeps the reports of all engines fresh, where this gateway's traffic pays for it. */
-  private void probeByClock(long now) {
-    if (reportsTold() && reportsKept(now)) {
-      long gap = calm() ? CALM_GAP : PROBE_GAP;
-      engines.values().stream()
-          .filter(e -> e.state == EngineState.UP && now - e.probedAt >= gap)
-          .forEach(e -> probe(now, e));
-    }
+  private AttemptRecord findAttempt(String id, int number) {
+    return parts == null ? null : parts.queries.findAttempt(id, number);
   }
 
-  /** Forgets engines that the list has dropped, once nothing is out there. */
-  private void removeGone() {
-    for (Engine e : List.copyOf(gone)) {
-      if (e.out.isEmpty()) {
-        gone.remove(e);
-        engines.remove(e.name, e);
-      }
-    }
-  }
+  // ---- Diagnostics ----
 
-  /** Has the ticks look at an engine, whose bound has grown meanwhile where all was calm. */
-  private void watch(long now, Engine e) {
-    if (watched.add(e) && e.strain < CALM) {
-      double steps = Math.max(0, (double) (now - e.boundChangedAt) / BOUND_PAUSE);
-      e.bound =
-          Math.min(Math.max(e.bound, mostThreads(e)), e.bound * Math.pow(BOUND_GROWTH, steps));
-    }
+  /** The names of the engines that the scheduler knows, for diagnostics. */
+  public Set<String> engineNames() {
+    return parts == null ? Set.of() : parts.engines.names();
   }
 
-  private void probe(long now, Engine e) {
-    if (!e.probing) {
-      probeCredit--;
-      e.probing = true;
-      e.probedAt = now;
-      actions.checkHealth(e.name);
-    }
-  }
-
-  @Override
-  public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
-    Engine e = engines.get(engine);
-    if (e == null) {
-      return;
-    }
-    e.probing = false;
-    noteReport(now, e, answered ? report : null);
-    release(now, false);
-  }
-
-  /**
-   * Hearsay makes an engine drawn less and tested sooner; it never rests one, nor draws anything to
-   * one.
-   */
-  @Override
-  public void onPeerReport(long now, String engine, double level) {
-    Engine e = engines.get(engine);
-    if (e != null) {
-      e.hearsay = level;
-      if (level >= HEARSAY_TEST && isUp(e)) {
-        accused.add(e);
-      } else {
-        accused.remove(e);
-      }
-      if (level >= HEARSAY_TEST && e.state == EngineState.UP && reportsTold() && probeCredit >= 1) {
-        probe(now, e);
-      }
-    }
-  }
-
-  private void noteReport(long now, Engine e, LoadReport report) {
-    if (report != null && now > stalledUntil) {
-      watch(now, e);
-      e.report = report;
-      e.reportAt = now;
-      notePool(busy(now, e));
-      share.reported(report.memoryShare());
-    }
+  /** The ids of the queries that are not finished or have attempts in flight, for diagnostics. */
+  public Set<String> queryIds() {
+    return parts == null ? Set.of() : parts.queries.ids();
   }
 
-  private static double seconds(long time) {
-    return time / SECOND;
+  /** The ids of the queries that are queued, for diagnostics. */
+  public Set<String> pendingQueryIds() {
+    return parts == null ? Set.of() : parts.pending.ids();
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
@@ -1,7 +1,6 @@
 package reachloom.gateway;
 
 import java.lang.System.Logger;
-import reachloom.gateway.state.AttemptProgress;
 import reachloom.gateway.state.ClientRequest;
 import reachloom.gateway.state.EngineAttempt;
 import reachloom.gateway.wire.Bytes;
@@ -29,7 +28,7 @@
   private static final long CANCEL_LINGER = 5 * MILLISECOND;
 
   private final EventLoop loop;
-  private final EngineConnectionPool engines;
+  private final EngineClient engines;
   private final RequestRegistry requests;
   private final ResponseWriter responses;
   private final SchedulerEvents scheduler;
@@ -38,7 +37,7 @@
 
   AttemptLifecycle(
       EventLoop loop,
-      EngineConnectionPool engines,
+      EngineClient engines,
       RequestRegistry requests,
       ResponseWriter responses,
       SchedulerEvents scheduler,
@@ -76,7 +75,8 @@
     if (attempt.number > 0) {
       RequestLog.retried(request, attempt, now);
     }
-    attempt.timeout = loop.deadlines().add(until, () -> finish(attempt, attempt.reach().expired));
+    attempt.timeout =
+        loop.deadlines().add(until, () -> finish(attempt, attempt.progress().outcomeIfTimedOut));
     engines.send(attempt);
   }
 
@@ -89,7 +89,7 @@
     long now = loop.now();
     return !request.closed
         && !attempt.ended
-        && now < attempt.until
+        && now < attempt.deadlineNanos
         && scheduler.mayStart(now, request.id, attempt.number);
   }
 
@@ -107,7 +107,7 @@
       request.priority = priority;
       request.attempts.stream()
           .filter(attempt -> !attempt.ended)
-          .forEach(attempt -> engines.priority(attempt, priority));
+          .forEach(attempt -> engines.setPriority(attempt, priority));
     }
   }
 
@@ -121,7 +121,7 @@
     }
     attempt.ended = true;
     loop.deadlines().cancel(attempt.timeout);
-    boolean engineMayRunOn = outcome.mayRunOn && attempt.reach != AttemptProgress.NOT_CONNECTED;
+    boolean engineMayRunOn = outcome.mayRunOn && attempt.isConnected();
     engines.withdraw(attempt);
     if (outcome == AttemptOutcome.SERVED && !attempt.request.closed) {
       responses.respond(
@@ -141,18 +141,18 @@
     request.attemptsInFlight--;
     long now = loop.now();
     boolean served = outcome == AttemptOutcome.SERVED;
-    RequestLog.ended(attempt, outcome, now - attempt.sentAt);
+    RequestLog.ended(attempt, outcome, now - attempt.sentAtNanos);
     AttemptResult result =
         new AttemptResult(
             request.id,
             attempt.number,
             attempt.engine,
             outcome,
-            now - attempt.sentAt,
+            now - attempt.sentAtNanos,
             request.closed,
             served ? attempt.costMs : 0,
             served ? attempt.memoryMb : 0,
-            attempt.report);
+            attempt.loadReport);
     attempt.pages.clear();
     outcomeListener.onAttemptEnded(attempt.engine, outcome, served || !request.closed);
     scheduler.onAttemptEnded(now, result);
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -5,6 +5,7 @@
 import java.lang.System.Logger.Level;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Function;
 import reachloom.config.EngineMember;
@@ -26,13 +27,14 @@
  * translates, keeps time and enforces bounds; the scheduler decides. It connects the parts that do
  * the work: {@link ClientConnections} accepts and closes clients, {@link RequestHandler} carries
  * out their calls, {@link RequestRegistry} holds open requests, {@link AttemptLifecycle} follows
- * attempts, {@link ResponseWriter} writes responses, {@link EngineConnectionPool} connects to
- * engines and {@link ChangeLogClient} follows the list of engines.
+ * attempts, {@link ResponseWriter} writes responses, {@link EngineClient} connects to engines and
+ * {@link ChangeLogClient} follows the list of engines.
  *
  * <p>Confined to the thread of its {@link EventLoop} from {@link #start()} on; only the sockets'
  * thread runs beside it, and hands everything it reads to the loop.
  */
-public final class GatewayService implements SchedulerActions, EngineConnectionPool.Watcher {
+public final class GatewayService
+    implements SchedulerActions, AttemptListener, ChangeLogClient.Subscriber {
   /**
    * The parts of the front log under one name: operators filter on it, and the logger bounds the
    * lines of a name in a second.
@@ -70,7 +72,7 @@
   private final RequestRegistry requests;
   private final RequestHandler handler;
   private final AttemptLifecycle attempts;
-  private final EngineConnectionPool engines;
+  private final EngineClient engines;
   private final ChangeLogClient changeLog;
   private EngineOutcomeListener listener = NO_LISTENER;
 
@@ -88,7 +90,7 @@
     int maxArriving = maxClients / ARRIVING_PART;
     sockets = new Sockets(maxClients + maxArriving);
     closing = new LingeringClose(loop, sockets, config.transport().dialTimeoutNanos(), maxArriving);
-    engines = engineConnections(config.maxSockets() / SOCKET_PARTS);
+    engines = engineClient(config.maxSockets() / SOCKET_PARTS);
     clientTable = new ClientConnectionTable(maxClients + maxArriving);
     requests = new RequestRegistry(loop, clientTable, config.transport().maxOpenRequests());
     ResponseWriter responses = new ResponseWriter(loop, clientTable, requests);
@@ -97,32 +99,17 @@
         new AttemptLifecycle(loop, engines, requests, responses, this.scheduler, maxAttempts);
     handler = new RequestHandler(config, loop, requests, responses, attempts, this.scheduler);
     clients = new ClientConnections(loop, sockets, closing, clientTable, maxClients, handler);
-    changeLog = changeLogClient();
+    changeLog = new ChangeLogClient(loop, sockets, closing, config, this);
   }
 
-  private EngineConnectionPool engineConnections(int maxConnections) {
-    return new EngineConnectionPool(
+  private EngineClient engineClient(int maxConnections) {
+    boolean loadReports = config.settings().traits().loadReports();
+    return new EngineClient(
         loop,
         sockets,
         closing,
         this,
-        config.transport(),
-        config.settings().traits().loadReports(),
-        maxConnections);
-  }
-
-  private ChangeLogClient changeLogClient() {
-    return new ChangeLogClient(
-        loop,
-        sockets,
-        closing,
-        config.changeLog(),
-        config.lastEventNumber(),
-        config.seed(),
-        config.names().zones().size(),
-        config.names().kinds().size(),
-        this::onEngineListChange,
-        this::onChangeLogUnavailable);
+        new EngineClient.Options(config.transport(), loadReports, maxConnections));
   }
 
   // ---- Start and shutdown ----
@@ -163,7 +150,7 @@
 
   /** Takes over from a new configuration what may change without a restart. */
   public void reload(GatewayConfig next) {
-    changeLog.follow(next.changeLog(), next.lastEventNumber(), next.knownEngines());
+    changeLog.reconfigure(next);
   }
 
   /**
@@ -224,11 +211,11 @@
         "statements",
         (int) requests.statementBytes(),
         "engines",
-        engines.known(),
+        engines.engineCount(),
         "connections",
-        engines.connections(),
+        engines.connectionCount(),
         "unhanded",
-        engines.unhanded(),
+        engines.unsentAttempts(),
         "deadlines",
         loop.deadlines().size());
   }
@@ -236,7 +223,7 @@
   private void sweep() {
     long now = loop.now();
     clients.sweep();
-    engines.sweep();
+    engines.closeStalledConnections();
     logWallClockStep();
     loop.deadlines().add(now + SWEEP_INTERVAL, this::sweep);
   }
@@ -253,17 +240,19 @@
 
   // ---- What happens to engines ----
 
-  private void onEngineListChange(EndpointListEvent change) {
-    engines.update(change.whole(), change.members());
-    scheduler.onEndpoints(loop.now(), change.whole(), endpoints(change.members()));
-    listener.onEndpoints(change.whole(), change.members());
+  @Override
+  public void onEvent(EndpointListEvent change) {
+    engines.update(change.isComplete(), change.members());
+    scheduler.onEndpoints(loop.now(), change.isComplete(), endpoints(change.members()));
+    listener.onEndpoints(change.isComplete(), change.members());
   }
 
   private static List<EngineEndpoint> endpoints(List<EngineMember> members) {
     return members.stream().map(EngineMember::endpoint).toList();
   }
 
-  private void onChangeLogUnavailable() {
+  @Override
+  public void onUnavailable() {
     if (config.settings().subscribe()) {
       scheduler.onEndpointsUnavailable(loop.now());
     }
@@ -284,20 +273,20 @@
   }
 
   @Override
-  public void ended(EngineAttempt attempt, AttemptOutcome outcome) {
+  public void onAttemptEnded(EngineAttempt attempt, AttemptOutcome outcome) {
     attempts.finish(attempt, outcome);
   }
 
   @Override
-  public void noted(EngineAttempt attempt, ProgressKind kind, double amount) {
+  public void onProgress(EngineAttempt attempt, ProgressKind kind, double amount) {
     scheduler.onProgress(
         loop.now(),
         new ProgressReport(attempt.request.id, attempt.number, attempt.engine, kind, amount));
   }
 
   @Override
-  public void probed(String engine, boolean answered, LoadReport report) {
-    scheduler.onHealthCheck(loop.now(), engine, answered, report);
+  public void onHealthCheck(String engine, boolean answered, Optional<LoadReport> report) {
+    scheduler.onHealthCheck(loop.now(), engine, answered, report.orElse(null));
   }
 
   // ---- Actions of the scheduler ----
@@ -339,7 +328,7 @@
 
   @Override
   public void checkHealth(String engine) {
-    engines.probe(engine);
+    engines.checkHealth(engine);
   }
 
   /**
--- a/gateway/src/main/java/reachloom/gateway/RequestLog.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestLog.java
@@ -28,7 +28,7 @@
         request.queryClass,
         Integer.toString(attempt.number + 1),
         attempt.engine,
-        milliseconds(nowNanos - request.attempts.get(0).sentAt));
+        milliseconds(nowNanos - request.attempts.get(0).sentAtNanos));
   }
 
   /** An attempt has ended after so many nanoseconds; one that was served needs no line. */
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -287,7 +287,7 @@
   public void forward(String query, String engine, long timeout) {
     int number = attempts.merge(query, 1, Integer::sum) - 1;
     inFlight.add(new ForwardedAttempt(query, number, engine, now));
-    EngineCommandWriter.ask(
+    EngineCommandWriter.run(
         query, "a", 1, query, 1, Bytes.of(STATEMENT.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
 import reachloom.peerreport.OutcomeWindow;
 import reachloom.peerreport.PeerReport;
 import reachloom.peerreport.ReportScheduler;
 import reachloom.peerreport.WeightedQuorum;
-import reachloom.peerreport.WeightedQuorum.Belief;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -86,13 +86,14 @@
 
   /** Counts the outcome of an attempt. */
   void onAttemptEnded(long now, AttemptResult end) {
-    OutcomeWindow.Seen seen = OutcomeWindow.Seen.of(end.outcome(), !end.queryFinished());
+    Optional<OutcomeWindow.Observation> seen =
+        OutcomeWindow.Observation.of(end.outcome(), !end.queryFinished());
     Long since = engines.get(end.engine());
-    if (seen != null
+    if (seen.isPresent()
         && since != null
         && !(end.queryFinished() && end.outcome() != AttemptOutcome.SERVED)) {
-      outcomes.note(now, end.engine(), since, seen);
-      reports.seen(seen);
+      outcomes.record(now, end.engine(), since, seen.get());
+      reports.onObservation(seen.get());
     }
   }
 
@@ -110,7 +111,7 @@
     }
     nextReview = now + REVIEW_INTERVAL;
     Map<String, Double> levels = new LinkedHashMap<>();
-    for (Belief b : quorum.review(now, engines)) {
+    for (WeightedQuorum.Assessment b : quorum.assess(now, engines)) {
       levels.put(b.engine(), b.level());
     }
     for (String engine : new ArrayList<>(reportedLevels.keySet())) {
@@ -129,12 +130,12 @@
 
   private byte[] message(long now) {
     ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
-    for (PeerReport c : outcomes.tell(now, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
+    for (PeerReport c : outcomes.reportsToSend(now, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
       if (c.served() == 0) { // only faults are worth the price of a message
-        out.putInt(fingerprint(c.engine(), c.since()))
+        out.putInt(fingerprint(c.engine(), c.incarnation()))
             .putShort((short) Math.min(Short.MAX_VALUE, c.failed()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.lost()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.age() / MILLISECOND));
+            .putShort((short) Math.min(Short.MAX_VALUE, c.timedOut()))
+            .putShort((short) Math.min(Short.MAX_VALUE, c.ageNanos() / MILLISECOND));
       }
     }
     byte[] message = new byte[out.position()];
@@ -155,6 +156,6 @@
         claims.add(new PeerReport(engine, engines.get(engine), 0, failed, lost, age));
       }
     }
-    quorum.hear(now, Integer.toString(from), claims);
+    quorum.onReports(now, Integer.toString(from), claims);
   }
 }
