--- a/decisions/src/main/java/reachloom/membership/MemberMessenger.java
+++ b/decisions/src/main/java/reachloom/membership/MemberMessenger.java
@@ -82,11 +82,11 @@
         .filter(
             member ->
                 member.state != MemberState.ALIVE
-                    || message instanceof MembershipMessage.Ack && isKnownByHearsay(member))
+                    || message instanceof MembershipMessage.Ack && isKnownIndirectly(member))
         .map(Member::toUpdate);
   }
 
-  private static boolean isKnownByHearsay(Member member) {
+  private static boolean isKnownIndirectly(Member member) {
     return member.incarnation > 0 && member.heardAtNanos == 0;
   }
 
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -38,7 +38,7 @@
   private static final long NEAR = 200_000; // nanoseconds, one way
   private static final long FAR = Plan.MILLISECOND;
   private static final long PROBE_TIMEOUT = 250 * Plan.MILLISECOND;
-  private static final long FAREWELL = 5 * Plan.MILLISECOND;
+  private static final long CANCEL_LINGER = 5 * Plan.MILLISECOND;
 
   /** The front in front of the gateways learns so late that one has died. */
   private static final long FRONT_NOTICE = Plan.SECOND;
@@ -47,9 +47,9 @@
   private static final long HEARD = 100 * Plan.MILLISECOND;
 
   /** Time-outs come so long before the deadline, or a part of its time, as on sockets. */
-  private static final long AHEAD = 80 * Plan.MILLISECOND;
+  private static final long DEADLINE_MARGIN = 80 * Plan.MILLISECOND;
 
-  private static final int AHEAD_PART = 10;
+  private static final int DEADLINE_MARGIN_PART = 10;
 
   /** A connection that the engine closes at once. */
   private static final long CLOSED = -1;
@@ -402,7 +402,7 @@
       tell(
           life,
           () -> finish(o, place, AttemptOutcome.TIMEOUT, 0, 0),
-          deadline - Math.min(AHEAD, (deadline - a.at()) / AHEAD_PART) - time.now());
+          deadline - Math.min(DEADLINE_MARGIN, (deadline - a.at()) / DEADLINE_MARGIN_PART) - time.now());
       int engineZone = plan.zoneOfEngine(e.id);
       World.Link link = world.link(zone, engineZone);
       long way = way(link, engineZone);
@@ -552,7 +552,7 @@
       Open o = open.get(query);
       if (o != null && !o.tries.get(attempt).over) {
         quit(o, o.tries.get(attempt));
-        tell(life, () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0), FAREWELL);
+        tell(life, () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0), CANCEL_LINGER);
       }
     }
 
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -66,7 +66,7 @@
     public boolean liar;
 
     /** Hears of engines that others speak against. */
-    public BiConsumer<String, Double> hearsay = (engine, level) -> {};
+    public BiConsumer<String, Double> peerReports = (engine, level) -> {};
 
     public long mostBytes;
 
@@ -202,7 +202,7 @@
             n.clock(),
             random.nextLong(),
             n,
-            (engine, level) -> n.hearsay.accept(engine, level));
+            (engine, level) -> n.peerReports.accept(engine, level));
     starts.accept(n);
     tick(n, life);
   }
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -101,7 +101,7 @@
     for (VirtualCluster.Node n : cluster.nodes) {
       Front f = new Front(n, seeds.nextLong());
       fronts.add(f);
-      n.hearsay =
+      n.peerReports =
           gossip
               ? (e, level) -> f.choice.onPeerReport(cluster.agenda.now(), e, level)
               : (e, level) -> {};
