--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -15,8 +15,8 @@
  * Issuers that find one revision after another, under all that a network and machines do to them.
  */
 class ConsensusNodeTest {
-  private static final long MILLISECOND = Issuers.MILLISECOND;
-  private static final long SECOND = Issuers.SECOND;
+  private static final long MILLISECOND = SimulatedIssuers.MILLISECOND;
+  private static final long SECOND = SimulatedIssuers.SECOND;
   private static final int SEEDS = 300;
   private static final int LONG_SEEDS = 150; // of those that go through many steps each
 
@@ -31,7 +31,7 @@
   /**
    * A result that was told holds: what is called issued is in the log, and nothing else of it is.
    */
-  private static void told(Issuers net, String document, List<ProposalResult> results) {
+  private static void told(SimulatedIssuers net, String document, List<ProposalResult> results) {
     long in = net.log.values().stream().filter(r -> r.describes(document.getBytes())).count();
     for (ProposalResult r : results) {
       if (r.kind() == Kind.ISSUED) {
@@ -47,7 +47,7 @@
 
   @Test
   void oneDocumentIsIssuedAndTheNextFollows() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     List<ProposalResult> first = net.node(1).propose("{\"a\":1}");
     assertTrue(net.await(SECOND, () -> over(first)));
     assertEquals(new ProposalResult(Kind.ISSUED, 1, "issued as revision 1"), first.get(0));
@@ -61,7 +61,7 @@
 
   @Test
   void oneIssuerAloneIssuesAtOnce() {
-    Issuers net = new Issuers(1, 1);
+    SimulatedIssuers net = new SimulatedIssuers(1, 1);
     assertEquals(Kind.ISSUED, last(net.node(1).propose("x")));
     assertEquals(Kind.ISSUED, last(net.node(1).propose("y")));
     assertEquals(2, net.node(1).number());
@@ -70,7 +70,7 @@
   @Test
   void twoSourcesAtOnceComeInOneOrderAndBothEndsKnow() {
     for (int seed = 0; seed < SEEDS; seed++) {
-      Issuers net = new Issuers(5, seed);
+      SimulatedIssuers net = new SimulatedIssuers(5, seed);
       net.loss = seed % 3 * 0.1;
       net.copies = 0.1;
       net.refusing = seed % 2 * 0.1;
@@ -90,7 +90,7 @@
   @Test
   void tenInARowIssueTheNewestAndSayWhichWereSkipped() {
     for (int seed = 0; seed < SEEDS / 10; seed++) {
-      Issuers net = new Issuers(5, seed);
+      SimulatedIssuers net = new SimulatedIssuers(5, seed);
       net.delay = 50 * MILLISECOND;
       net.loss = 0.05;
       List<List<ProposalResult>> all = new ArrayList<>();
@@ -114,7 +114,7 @@
     int finished = 0;
     int dropped = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
-      Issuers net = new Issuers(5, seed);
+      SimulatedIssuers net = new SimulatedIssuers(5, seed);
       net.loss = seed % 4 * 0.1;
       net.delay = 20 * MILLISECOND;
       net.node(1).propose("half");
@@ -140,7 +140,7 @@
 
   @Test
   void killedBeforeAnyAcceptedIsNeverProved() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     net.node(1).suppressed = w -> w instanceof RevisionMessage.Propose;
     net.node(1).propose("half");
     net.pass(SECOND);
@@ -158,7 +158,7 @@
 
   @Test
   void killedAfterOneAcceptedIsFinishedByTheNextWhoHearsOfIt() {
-    Issuers net = new Issuers(3, 1);
+    SimulatedIssuers net = new SimulatedIssuers(3, 1);
     net.node(1).suppressed = w -> w instanceof RevisionMessage.Notice;
     net.node(3).suppressed =
         w -> w instanceof RevisionMessage.Accepted || w instanceof RevisionMessage.Promise;
@@ -178,7 +178,7 @@
   @Test
   void killedAfterAMajorityAcceptedIsFinishedWithoutANewDocument() {
     for (int seed = 0; seed < 20; seed++) {
-      Issuers net = new Issuers(5, seed);
+      SimulatedIssuers net = new SimulatedIssuers(5, seed);
       for (int i = 2; i <= 5; i++) {
         net.node(i).suppressed = w -> w instanceof RevisionMessage.Accepted;
       }
@@ -203,7 +203,7 @@
   @Test
   void oneThatStoodStillCannotIssueWhatItHad() {
     for (int seed = 0; seed < 50; seed++) {
-      Issuers net = new Issuers(5, seed);
+      SimulatedIssuers net = new SimulatedIssuers(5, seed);
       net.delay = 40 * MILLISECOND;
       List<ProposalResult> old = net.node(1).propose("old");
       net.pass(net.random.nextLong(60) * MILLISECOND);
@@ -224,7 +224,7 @@
 
   @Test
   void oneAloneThatStoodStillDoesNotProposeWhatWaited() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     net.nodes.values().forEach(n -> n.suppressed = w -> w instanceof RevisionMessage.Promise);
     List<ProposalResult> old = net.node(1).propose("old");
     net.pass(100 * MILLISECOND);
@@ -240,7 +240,7 @@
 
   @Test
   void withOneOrTwoOfFiveLostIssuesGoOn() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     net.node(5).crash();
     List<ProposalResult> one = net.node(1).propose("one");
     assertTrue(net.await(SECOND, () -> over(one)));
@@ -260,7 +260,7 @@
 
   @Test
   void withThreeOfFiveLostItSaysSoAndGoesOnOnceTheyAreBack() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     for (int i = 3; i <= 5; i++) {
       net.node(i).crash();
     }
@@ -281,7 +281,7 @@
 
   @Test
   void whatWasProposedBeforeTheMajorityWasLostIsToldTwice() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     for (int i = 2; i <= 5; i++) {
       net.node(i).suppressed = w -> w instanceof RevisionMessage.Accepted;
     }
@@ -297,7 +297,7 @@
 
   @Test
   void aStoreThatCannotBeWrittenGivesNoVote() {
-    Issuers net = new Issuers(3, 1);
+    SimulatedIssuers net = new SimulatedIssuers(3, 1);
     net.node(2).disk.broken = true;
     net.node(3).disk.broken = true;
     List<ProposalResult> none = net.node(1).propose("none");
@@ -320,7 +320,7 @@
 
   @Test
   void theLargestDocumentIsIssuedAndOneByteMoreIsNot() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     List<ProposalResult> over = net.node(1).propose(new byte[Revision.MAX_DOCUMENT_BYTES + 1]);
     assertEquals(Kind.BAD_SIZE, last(over));
     assertTrue(over.get(0).text().contains("16385 bytes"), over.get(0).text());
@@ -335,7 +335,7 @@
 
   @Test
   void oneThatLostItsStoreVotesOnlyAfterWhatItMayHaveForgotten() {
-    Issuers net = new Issuers(3, 1);
+    SimulatedIssuers net = new SimulatedIssuers(3, 1);
     assertTrue(issue(net, 1, "one"));
     net.node(3).crash();
     net.node(3).disk.state = null;
@@ -357,14 +357,14 @@
     assertEquals(4, net.node(1).number());
   }
 
-  private static boolean issue(Issuers net, int at, String document) {
+  private static boolean issue(SimulatedIssuers net, int at, String document) {
     List<ProposalResult> results = net.node(at).propose(document);
     return net.await(5 * SECOND, () -> over(results)) && last(results) == Kind.ISSUED;
   }
 
   @Test
   void oneThatWasFarBehindCatchesUpBeforeItProposes() {
-    Issuers net = new Issuers(5, 1);
+    SimulatedIssuers net = new SimulatedIssuers(5, 1);
     net.node(5).crash();
     for (int i = 1; i <= 6; i++) {
       assertTrue(issue(net, 1, "document " + i));
@@ -377,7 +377,7 @@
 
   @Test
   void aRoundOutOfReachAndAForeignBallotAreNotPromised() {
-    Issuers net = new Issuers(3, 1);
+    SimulatedIssuers net = new SimulatedIssuers(3, 1);
     Peer c2 = net.node(2).peer();
     net.node(1)
         .consensus
@@ -397,7 +397,7 @@
 
   @Test
   void votesOfAnotherBallotAndForgedOnesDoNotCount() {
-    Issuers net = new Issuers(3, 1);
+    SimulatedIssuers net = new SimulatedIssuers(3, 1);
     net.node(2).suppressed = w -> w instanceof RevisionMessage.Accepted;
     net.node(3).suppressed = w -> w instanceof RevisionMessage.Accepted;
     net.node(1).propose("one");
@@ -434,17 +434,17 @@
   }
 
   private static SignatureScheme signer() {
-    return Issuers.seal("c2");
+    return SimulatedIssuers.seal("c2");
   }
 
   @Test
   void issuersThatLoseTheirStoresOneAfterAnotherBringNoFork() {
     int back = 0;
     for (int seed = 0; seed < LONG_SEEDS / 4; seed++) {
-      Issuers net = new Issuers(3 + 2 * (seed % 2), seed);
+      SimulatedIssuers net = new SimulatedIssuers(3 + 2 * (seed % 2), seed);
       SplittableRandom chance = new SplittableRandom(seed);
       int count = net.nodes.size();
-      Issuers.Node lost = null;
+      SimulatedIssuers.Node lost = null;
       for (int step = 0; step < 8; step++) {
         net.loss = chance.nextDouble() * 0.3;
         net.delay = (1 + chance.nextInt(100)) * MILLISECOND;
@@ -452,7 +452,7 @@
           net.node(1 + chance.nextInt(count)).propose("document " + step + " " + i);
           net.pass(chance.nextInt(150) * MILLISECOND);
         }
-        Issuers.Node n = net.node(1 + chance.nextInt(count));
+        SimulatedIssuers.Node n = net.node(1 + chance.nextInt(count));
         boolean others = net.nodes.values().stream().allMatch(o -> o.disk.takesPart());
         n.crash();
         n.disk.state = others ? null : n.disk.state;
@@ -467,7 +467,7 @@
       }
       net.loss = 0;
       net.pass(65 * SECOND);
-      Issuers.Node sound =
+      SimulatedIssuers.Node sound =
           net.nodes.values().stream().filter(n -> n.disk.takesPart()).findFirst().orElseThrow();
       List<ProposalResult> end = sound.propose("the end");
       assertTrue(
@@ -479,9 +479,9 @@
   @Test
   void ofWhatOthersHaveAcceptedTheOneOfTheHighestBallotIsTakenUp() {
     for (boolean turned : new boolean[] {false, true}) {
-      Issuers net = new Issuers(5, 1);
+      SimulatedIssuers net = new SimulatedIssuers(5, 1);
       net.loss = 1;
-      Issuers.Node n = net.node(1);
+      SimulatedIssuers.Node n = net.node(1);
       n.propose("own");
       Ballot mine = n.disk.state.promised();
       Revision older = draft(n, "older");
@@ -499,7 +499,7 @@
     }
   }
 
-  private static Revision draft(Issuers.Node at, String document) {
+  private static Revision draft(SimulatedIssuers.Node at, String document) {
     Revision r = Revision.after(null, document.getBytes(), 1, "c4");
     at.draft(r, document.getBytes());
     return r;
@@ -507,10 +507,10 @@
 
   @Test
   void aLowerBallotIsRefusedInBothPhases() {
-    Issuers net = new Issuers(3, 1);
+    SimulatedIssuers net = new SimulatedIssuers(3, 1);
     ConsensusState high = ConsensusState.initial().withPromised(new Ballot(9, "c2"));
     net.node(1).disk.state = high;
-    Acceptor a = new Acceptor("c1", Issuers.seal("c1"), net.node(1).disk);
+    Acceptor a = new Acceptor("c1", SimulatedIssuers.seal("c1"), net.node(1).disk);
     Ballot low = new Ballot(8, "c3");
     Revision r = draft(net.node(1), "low");
     assertEquals(
@@ -553,7 +553,7 @@
   void withTheMembersOwnPartTwoSourcesDocumentsAreIssuedUnderLoss() {
     int issued = 0;
     for (int seed = 0; seed < 40; seed++) {
-      Issuers net = new Issuers(5, seed, true);
+      SimulatedIssuers net = new SimulatedIssuers(5, seed, true);
       boolean large = seed % 2 == 0;
       net.loss = large ? 0.02 : 0.3;
       net.delay = 60 * MILLISECOND;
@@ -578,7 +578,7 @@
   void whateverHappensNoNumberHasTwoChains() {
     int issued = 0;
     for (int seed = 0; seed < LONG_SEEDS; seed++) {
-      Issuers net = new Issuers(seed % 2 == 0 ? 5 : 3, seed);
+      SimulatedIssuers net = new SimulatedIssuers(seed % 2 == 0 ? 5 : 3, seed);
       SplittableRandom chance = new SplittableRandom(seed);
       int count = net.nodes.size();
       net.copies = 0.1;
@@ -586,7 +586,7 @@
       for (int step = 0; step < 40; step++) {
         net.loss = chance.nextDouble() * 0.4;
         net.delay = (1 + chance.nextInt(150)) * MILLISECOND;
-        Issuers.Node n = net.node(1 + chance.nextInt(count));
+        SimulatedIssuers.Node n = net.node(1 + chance.nextInt(count));
         switch (chance.nextInt(8)) {
           case 0 -> n.crash();
           case 1 -> {
--- a/decisions/src/test/java/reachloom/revision/DeltaTest.java
+++ b/decisions/src/test/java/reachloom/revision/DeltaTest.java
@@ -26,8 +26,8 @@
     byte[] repetitive = new byte[30];
     byte[] longer = new byte[50];
     assertArrayEquals(longer, Delta.apply(repetitive, Delta.encode(repetitive, longer)));
-    byte[] one = Net.document(9_000, 1);
-    byte[] other = Net.document(9_000, 2);
+    byte[] one = SimulatedNetwork.document(9_000, 1);
+    byte[] other = SimulatedNetwork.document(9_000, 2);
     assertEquals(9, Delta.encode(one, other).length);
   }
 
--- a/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -19,17 +19,17 @@
   private static final double OBJECTIVE_SECONDS = 10; // until a revision is in force everywhere
 
   /** A network in which a first revision is in force at all members. */
-  private static Net converged(long seed, int members, double loss) {
-    Net net = new Net(seed, members, loss);
+  private static SimulatedNetwork converged(long seed, int members, double loss) {
+    SimulatedNetwork net = new SimulatedNetwork(seed, members, loss);
     net.run(3);
-    net.issue(0, Net.document(DOCUMENT_BYTES, 1));
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 1));
     net.run(12);
     assertEquals(members, net.countInForce(1));
     return net;
   }
 
   private static void assertInForceEverywhere(
-      Net net, long sinceNanos, long number, double withinSeconds) {
+      SimulatedNetwork net, long sinceNanos, long number, double withinSeconds) {
     double[] seconds = net.secondsUntilInForce(sinceNanos, number);
     assertTrue(
         seconds[0] >= 0 && seconds[seconds.length - 1] <= withinSeconds,
@@ -39,10 +39,10 @@
 
   @Test
   void changesAreInForceOnAllMembersWithinTheObjectives() {
-    Net net = converged(1, 580, 0.02);
+    SimulatedNetwork net = converged(1, 580, 0.02);
     for (int k = 2; k <= 4; k++) {
       long at = net.now;
-      net.issue(k % 5, Net.document(DOCUMENT_BYTES, k));
+      net.issue(k % 5, SimulatedNetwork.document(DOCUMENT_BYTES, k));
       net.run(6);
       assertInForceEverywhere(net, at, k, 5);
       assertEquals(580, net.knownInForce(net.nodes.get(k % 5), k), "known to be in force");
@@ -54,18 +54,18 @@
 
   @Test
   void largestDocumentReachesMembersThatHoldNone() {
-    Net net = new Net(2, 580, 0.02);
+    SimulatedNetwork net = new SimulatedNetwork(2, 580, 0.02);
     net.run(3);
     long at = net.now;
-    net.issue(3, Net.document(Revision.MAX_DOCUMENT_BYTES, 1));
+    net.issue(3, SimulatedNetwork.document(Revision.MAX_DOCUMENT_BYTES, 1));
     net.run(OBJECTIVE_SECONDS);
     assertInForceEverywhere(net, at, 1, OBJECTIVE_SECONDS);
   }
 
   @Test
   void documentOneByteOverTheLimitIsRejectedByTheIssuer() {
-    Net net = converged(3, 20, 0);
-    net.issue(0, Net.document(Revision.MAX_DOCUMENT_BYTES + 1, 2));
+    SimulatedNetwork net = converged(3, 20, 0);
+    net.issue(0, SimulatedNetwork.document(Revision.MAX_DOCUMENT_BYTES + 1, 2));
     net.run(5);
     assertEquals(20, net.countInForce(1));
     assertEquals(1, net.nodes.get(0).alarms.size());
@@ -74,10 +74,10 @@
 
   @Test
   void toleratesThirtyPercentPacketLoss() {
-    Net net = converged(4, 120, 0.3);
+    SimulatedNetwork net = converged(4, 120, 0.3);
     for (int k = 2; k <= 5; k++) {
       long at = net.now;
-      net.issue(k % 5, Net.document(DOCUMENT_BYTES, k));
+      net.issue(k % 5, SimulatedNetwork.document(DOCUMENT_BYTES, k));
       net.run(OBJECTIVE_SECONDS);
       assertInForceEverywhere(net, at, k, OBJECTIVE_SECONDS);
     }
@@ -87,24 +87,25 @@
 
   @Test
   void toleratesAOneWayPartitionBetweenRegions() {
-    Net net = converged(5, 60, 0.02);
+    SimulatedNetwork net = converged(5, 60, 0.02);
     net.cut = (from, to) -> net.region(from) == 1 && net.region(to) == 2;
     long at = net.now;
-    net.issue(0, Net.document(DOCUMENT_BYTES, 2)); // in region 1
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 2)); // in region 1
     net.run(OBJECTIVE_SECONDS);
     assertInForceEverywhere(net, at, 2, OBJECTIVE_SECONDS);
   }
 
   @Test
   void forkIsRejectedAndRaisesOneAlarm() {
-    Net net = converged(6, 30, 0);
+    SimulatedNetwork net = converged(6, 30, 0);
     Revision first = net.nodes.get(0).dissemination.newest().orElseThrow().revision();
-    RevisionMessage.Notice sameNumber = net.certify(null, Net.document(DOCUMENT_BYTES, 66));
+    RevisionMessage.Notice sameNumber =
+        net.certify(null, SimulatedNetwork.document(DOCUMENT_BYTES, 66));
     RevisionMessage.Notice nextOfOther =
-        net.certify(sameNumber.revision(), Net.document(DOCUMENT_BYTES, 67));
+        net.certify(sameNumber.revision(), SimulatedNetwork.document(DOCUMENT_BYTES, 67));
     RevisionMessage.Notice afterThat =
-        net.certify(nextOfOther.revision(), Net.document(DOCUMENT_BYTES, 68));
-    Net.Node forking = net.members().get(0);
+        net.certify(nextOfOther.revision(), SimulatedNetwork.document(DOCUMENT_BYTES, 68));
+    SimulatedNetwork.Node forking = net.members().get(0);
     for (int again = 0; again < 3; again++) {
       net.members().stream()
           .skip(1)
@@ -124,15 +125,15 @@
                   n.dissemination.lines(net.now).stream()
                       .anyMatch(l -> l.startsWith("fork: another revision 1 ")));
             });
-    net.issue(0, Net.document(DOCUMENT_BYTES, 2));
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 2));
     net.run(5);
     assertEquals(30, net.countInForce(2));
   }
 
   @Test
   void corruptedChunksAndInvalidVotesAreRejected() {
-    Net net = new Net(7, 40, 0.02);
-    List<Net.Node> corrupting = net.members().subList(0, 5);
+    SimulatedNetwork net = new SimulatedNetwork(7, 40, 0.02);
+    List<SimulatedNetwork.Node> corrupting = net.members().subList(0, 5);
     corrupting.forEach(
         node ->
             node.tamper =
@@ -140,7 +141,7 @@
     net.run(3);
     for (int k = 1; k <= 4; k++) {
       long at = net.now;
-      net.issue(0, Net.document(DOCUMENT_BYTES, k));
+      net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, k));
       net.run(OBJECTIVE_SECONDS);
       assertInForceEverywhere(net, at, k, OBJECTIVE_SECONDS); // each host compares the digest
     }
@@ -178,8 +179,8 @@
 
   @Test
   void peerWithUnprovenClaimsIsBackedOff() {
-    Net net = converged(8, 30, 0);
-    Net.Node claiming = net.members().get(0);
+    SimulatedNetwork net = converged(8, 30, 0);
+    SimulatedNetwork.Node claiming = net.members().get(0);
     int[] asked = new int[1];
     net.nodes.stream()
         .filter(node -> node != claiming)
@@ -198,7 +199,7 @@
     net.run(60);
     assertTrue(asked[0] <= 34 * 6, asked[0] + " questions of 34 in a minute");
     long at = net.now;
-    net.issue(0, Net.document(DOCUMENT_BYTES, 2));
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 2));
     net.run(5);
     assertInForceEverywhere(net, at, 2, 5);
     assertTrue(
@@ -208,12 +209,12 @@
 
   @Test
   void memberThatWasPausedCatchesUpWithoutBlamingPeers() {
-    Net net = converged(9, 30, 0.02);
-    Net.Node paused = net.members().get(4);
-    paused.pausedUntilNanos = net.now + 20 * Net.SECOND;
+    SimulatedNetwork net = converged(9, 30, 0.02);
+    SimulatedNetwork.Node paused = net.members().get(4);
+    paused.pausedUntilNanos = net.now + 20 * SimulatedNetwork.SECOND;
     for (int k = 2; k <= 4; k++) {
       net.run(5);
-      net.issue(k % 5, Net.document(DOCUMENT_BYTES, k));
+      net.issue(k % 5, SimulatedNetwork.document(DOCUMENT_BYTES, k));
     }
     net.run(4);
     assertEquals(29, net.countInForce(4));
@@ -227,10 +228,10 @@
 
   @Test
   void newestOfTenRapidRevisionsIsInForce() {
-    Net net = converged(10, 60, 0.02);
+    SimulatedNetwork net = converged(10, 60, 0.02);
     for (int k = 2; k <= 11; k++) {
       net.run(0.2);
-      net.issue(0, Net.document(DOCUMENT_BYTES, k));
+      net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, k));
     }
     long at = net.now;
     net.run(OBJECTIVE_SECONDS);
@@ -247,7 +248,7 @@
 
   @Test
   void membersRestartedWithoutStateFetchTheNewest() {
-    Net net = converged(11, 200, 0.02);
+    SimulatedNetwork net = converged(11, 200, 0.02);
     net.members()
         .forEach(
             n -> {
@@ -261,33 +262,36 @@
 
   @Test
   void revisionRejectedByTheHostLeavesThePreviousInForce() {
-    Net net = converged(12, 30, 0.02);
+    SimulatedNetwork net = converged(12, 30, 0.02);
     net.members().stream().limit(4).forEach(n -> n.rejecting = true);
-    net.issue(0, Net.document(DOCUMENT_BYTES, 2));
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 2));
     net.run(5);
     assertEquals(26, net.countInForce(2));
     assertEquals(4, net.countInForce(1));
     List<RevisionMessage.Census> told = net.nodes.get(2).dissemination.censuses();
     assertEquals(4, told.stream().mapToInt(RevisionMessage.Census::refused).sum());
     assertEquals(26, told.stream().mapToInt(RevisionMessage.Census::inForce).sum());
-    Net.Node one = net.members().get(0);
+    SimulatedNetwork.Node one = net.members().get(0);
     assertEquals(2, one.applied, "it is not tried again");
     assertTrue(one.dissemination.lines(net.now).contains("revision 2 refused: key x: not known"));
     net.members().forEach(n -> n.rejecting = false);
-    net.issue(0, Net.document(DOCUMENT_BYTES, 3));
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 3));
     net.run(5);
     assertEquals(30, net.countInForce(3));
   }
 
   @Test
   void healedPartitionConvergesToTheNewest() {
-    Net net = converged(13, 90, 0.02);
+    SimulatedNetwork net = converged(13, 90, 0.02);
     net.cut = (from, to) -> (net.region(from) == 3) != (net.region(to) == 3);
     net.sees = (one, other) -> !net.cut.test(one, other);
     net.updatePresence();
     for (int k = 2; k <= 4; k++) {
       net.run(30);
-      net.issue(0, Net.document(DOCUMENT_BYTES, k)); // a majority of the issuers is on that side
+      net.issue(
+          0,
+          SimulatedNetwork.document(
+              DOCUMENT_BYTES, k)); // a majority of the issuers is on that side
     }
     net.run(5);
     assertEquals(90 - 27, net.countInForce(4));
@@ -295,7 +299,7 @@
     net.cut = (from, to) -> false; // presence is not updated before the objective is over
     long at = net.now;
     net.run(OBJECTIVE_SECONDS);
-    assertInForceEverywhere(net, at - 100 * Net.SECOND, 4, 100 + OBJECTIVE_SECONDS);
+    assertInForceEverywhere(net, at - 100 * SimulatedNetwork.SECOND, 4, 100 + OBJECTIVE_SECONDS);
     assertEquals(
         4,
         net.nodes.get(2).dissemination.newest().orElseThrow().revision().number(),
@@ -305,11 +309,11 @@
 
   @Test
   void withoutIssuersRestartedMembersFetchTheNewestFromPeers() {
-    Net net = converged(14, 30, 0.02);
+    SimulatedNetwork net = converged(14, 30, 0.02);
     net.nodes.stream().filter(n -> n.issuer).forEach(n -> n.up = false);
     net.updatePresence();
     net.run(30);
-    Net.Node one = net.members().get(3);
+    SimulatedNetwork.Node one = net.members().get(3);
     one.start();
     net.run(5);
     assertEquals(30, net.countInForce(1));
@@ -323,8 +327,8 @@
 
   @Test
   void proposalsAreFetchedFromTheirProposerOnlyAndNotPutInForce() {
-    Net net = converged(15, 20, 0.02);
-    byte[] document = Net.document(DOCUMENT_BYTES, 2);
+    SimulatedNetwork net = converged(15, 20, 0.02);
+    byte[] document = SimulatedNetwork.document(DOCUMENT_BYTES, 2);
     Revision draft =
         Revision.after(
             net.nodes.get(0).dissemination.newest().orElseThrow().revision(), document, 1, "i0");
@@ -341,10 +345,10 @@
 
   @Test
   void formerAggregatorsDoNotDisplaceTheElectedOnes() {
-    Net net = new Net(18, 100, 0.02);
+    SimulatedNetwork net = new SimulatedNetwork(18, 100, 0.02);
     net.sees = (one, other) -> one.issuer; // each member holds itself for the only one of its place
     net.run(3);
-    net.issue(0, Net.document(DOCUMENT_BYTES, 1));
+    net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 1));
     net.run(3);
     net.sees = (one, other) -> true;
     net.updatePresence();
--- a/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
@@ -15,7 +15,7 @@
   private static final long NOW_NANOS = 1_000;
 
   private static byte[] document(int variant) {
-    return Net.document(DOCUMENT_BYTES, variant);
+    return SimulatedNetwork.document(DOCUMENT_BYTES, variant);
   }
 
   private static Revision next(Revision before, int variant) {
--- a/decisions/src/test/java/reachloom/revision/Issuers.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
@@ -22,7 +22,7 @@
  * node, a store that a test may break or take away, and a repository that asks and answers over the
  * same network.
  */
-final class Issuers {
+final class SimulatedIssuers {
   static final long MILLISECOND = 1_000_000;
   static final long SECOND = 1_000 * MILLISECOND;
   static final long START = 1_700_000_000L * SECOND;
@@ -348,12 +348,12 @@
   double refusing;
   long delay = 5 * MILLISECOND;
 
-  Issuers(int count, long seed) {
+  SimulatedIssuers(int count, long seed) {
     this(count, seed, false);
   }
 
   /** With {@code real}, the members' own part is played by {@link RevisionDissemination}. */
-  Issuers(int count, long seed, boolean real) {
+  SimulatedIssuers(int count, long seed, boolean real) {
     this.real = real;
     random = new SplittableRandom(seed);
     for (int i = 1; i <= count; i++) {
--- a/decisions/src/test/java/reachloom/revision/Net.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
@@ -17,7 +17,7 @@
  * the test; packets are counted against a budget of bytes per second; the same seed gives the same
  * run.
  */
-final class Net {
+final class SimulatedNetwork {
   static final long MILLISECOND = 1_000_000; // nanoseconds
   static final long SECOND = 1_000 * MILLISECOND;
 
@@ -255,7 +255,7 @@
   private boolean presenceUpdateScheduled;
 
   /** Five issuers over three regions, and so many members over ten zones of these. */
-  Net(long seed, int members, double loss) {
+  SimulatedNetwork(long seed, int members, double loss) {
     random = new SplittableRandom(seed);
     this.loss = loss;
     for (int i = 0; i < ISSUERS; i++) {
--- a/decisions/src/test/java/reachloom/ChoiceTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
@@ -1,15 +1,15 @@
-package reachloom;
+package reachloom.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reachloom.Bench.KEYED;
-import static reachloom.Bench.LONG;
-import static reachloom.Bench.MS;
-import static reachloom.Bench.QUICK;
-import static reachloom.Bench.SECOND;
-import static reachloom.Bench.engine;
-import static reachloom.Bench.up;
+import static reachloom.scheduler.SchedulerHarness.KEYED;
+import static reachloom.scheduler.SchedulerHarness.LONG;
+import static reachloom.scheduler.SchedulerHarness.MS;
+import static reachloom.scheduler.SchedulerHarness.QUICK;
+import static reachloom.scheduler.SchedulerHarness.SECOND;
+import static reachloom.scheduler.SchedulerHarness.engine;
+import static reachloom.scheduler.SchedulerHarness.up;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -30,14 +30,14 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /** The decisions, by scripted events and asserted actions; no bench is needed. */
-class ChoiceTest {
+class QuerySchedulerTest {
 
   private static long count(List<String> actions, String start) {
     return actions.stream().filter(a -> a.startsWith(start)).count();
   }
 
   /** Presses an engine by a busy report until its bound has sunk to the floor. */
-  private static void press(Bench b, String... engines) {
+  private static void press(SchedulerHarness b, String... engines) {
     for (int i = 0; i < 60; i++) {
       for (String e : engines) {
         b.report(e, 1);
@@ -49,14 +49,14 @@
 
   @Test
   void sendsAtOnceWhatFits() {
-    Bench b = new Bench().start(up("a"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"));
     b.arrive("q", QUICK, 0.1);
     assertEquals(List.of("send q a"), b.take());
   }
 
   @Test
   void anEngineThatHasAnsweredNothingYetIsAskedBesideOneThatHas() {
-    Bench b = new Bench().start(up("a"), up("b"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
     Map<String, Integer> asked = new TreeMap<>();
     for (int i = 0; i < 1_000; i++) {
       b.arrive("q" + i, QUICK, 0);
@@ -71,7 +71,7 @@
 
   @Test
   void refusesAtArrivalWhatCannotFinishInTime() {
-    Bench b = new Bench().start(up("a"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 20; i++) { // a class's factor starts at its aim over its usual cost
       b.arrive("usual" + i, LONG, 1);
     }
@@ -82,13 +82,13 @@
 
   @Test
   void bindsOnlyUnderPressure() {
-    Bench calm = new Bench().start(up("a"));
+    SchedulerHarness calm = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 100; i++) {
       calm.arrive("q" + i, QUICK, 0.1);
     }
     assertEquals(100, count(calm.take(), "send"));
 
-    Bench busy = new Bench();
+    SchedulerHarness busy = new SchedulerHarness();
     busy.reports = true;
     busy.start(up("a"));
     press(busy, "a");
@@ -101,7 +101,7 @@
 
   @Test
   void holdsShortlyThenRefuses() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
     press(b, "a");
@@ -123,7 +123,7 @@
 
   @Test
   void releasesOldestFirst() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
     press(b, "a");
@@ -147,7 +147,7 @@
 
   @Test
   void sendsNothingToDrainingOrMissingEngines() {
-    Bench b = new Bench().start(up("a"), up("b"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
     b.list(engine("a", EngineState.DRAINING, 0, 0), up("b"));
     for (int i = 0; i < 20; i++) {
       b.arrive("d" + i, QUICK, 0.1);
@@ -160,7 +160,7 @@
 
   @Test
   void keepsThePlacementWithAllAllowedEnginesGone() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.longKinds = List.of(1);
     b.start(up("a"), engine("b", EngineState.UP, 1, 0));
     b.arrive("q", LONG, 1);
@@ -173,7 +173,7 @@
 
   @Test
   void keepsTheOrderOfAKey() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.ordered = true;
     b.orderSettle = 500 * MS;
     b.start(up("a"), up("b"));
@@ -194,7 +194,7 @@
 
   @Test
   void repeatsAKeyedQueryOnlyWithinItsWindow() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.start(up("a"), up("b"));
     b.arrive("early", KEYED, 0.1);
     b.arrive("late", KEYED, 0.1);
@@ -209,9 +209,9 @@
 
   @Test
   void aRepeatWhoseWindowEndsWhileItWaitsForItsConnectionDoesNotBegin() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.start(pool(3, 0));
-    b.arrive("q", Bench.KEYED, 0.1, 0, "k");
+    b.arrive("q", SchedulerHarness.KEYED, 0.1, 0, "k");
     String first = b.take().get(0).split(" ")[2];
     b.end("q", 0, first, AttemptOutcome.RESET, 0.1, false);
     assertEquals(1, count(b.take(), "send q"));
@@ -222,7 +222,7 @@
 
   @Test
   void neverRepeatsOrRefusesWhatMayHaveRunOnce() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.longEffect = Idempotency.NOT_IDEMPOTENT;
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 1);
@@ -237,7 +237,7 @@
 
   @Test
   void failsRatherThanRefusesWhereOnlyACellDropsRepeats() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.scope = DeduplicationScope.CELL;
     b.start(up("a"), up("b"));
     b.arrive("q", KEYED, 1);
@@ -249,7 +249,7 @@
 
   @Test
   void answersAfterTheTimeOutAtTheDeadline() {
-    Bench b = new Bench().start(up("a"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"));
     b.arrive("q", QUICK, 0.1);
     b.take();
     b.pass(5 * SECOND);
@@ -261,7 +261,7 @@
 
   @Test
   void rationsFurtherAttempts() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.lookBack = 10 * SECOND;
     b.extraFree = 1;
     b.start(up("a"), up("b"));
@@ -276,7 +276,7 @@
 
   @Test
   void keepsTheBudgetOfAColdEngine() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.start();
     b.list(engine("a", EngineState.UP, 0, b.now - SECOND));
     for (int i = 0; i < 200; i++) {
@@ -295,7 +295,7 @@
 
   @Test
   void quickErrorsDoNotDrawQueries() {
-    Bench b = new Bench().start(up("a"), up("b"), up("c"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 40; i++) {
       b.arrive("q" + i, QUICK, 0.1);
       String on = b.take().get(0).substring(("send q" + i + " ").length());
@@ -311,7 +311,7 @@
 
   @Test
   void aQueryThatErrsEverywhereBlackensNoEngine() {
-    Bench b = new Bench().start(up("a"), up("b"), up("c"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 20; i++) { // bad queries, each an error wherever it is tried
       b.arrive("bad" + i, QUICK, 0.1);
       for (int n = 0; n < 5; n++) {
@@ -332,7 +332,7 @@
 
   @Test
   void anEngineRestsOnceOthersServeWhatItFailed() {
-    Bench b = new Bench().start(up("a"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"));
     List<String> ids = IntStream.range(0, 3).mapToObj(i -> "q" + i).toList();
     ids.forEach(id -> b.arrive(id, QUICK, 0.1));
     b.list(up("a"), up("b"));
@@ -350,7 +350,7 @@
 
   @Test
   void theResetsOfOneConnectionCountOnce() {
-    Bench b = new Bench().start(up("a"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 10; i++) {
       b.arrive("q" + i, QUICK, 0.1);
     }
@@ -367,7 +367,7 @@
 
   @Test
   void movesAnAttemptThatItsEngineLost() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
     b.arrive("lost", LONG, 1);
@@ -392,7 +392,7 @@
 
   @Test
   void restsASilentEngine() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 1);
@@ -407,7 +407,7 @@
 
   @Test
   void forgetsWhatARestartedProcessRan() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"));
     b.arrive("q", LONG, 1);
@@ -418,7 +418,7 @@
 
   @Test
   void resendsABadPlanButNotOnASlowEngine() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
     for (int i = 0; i < 30; i++) { // learn that the class takes its cost
@@ -437,7 +437,7 @@
 
   @Test
   void aStallOfTheGatewayDoesNotRefuseTheBacklogTogether() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
     press(b, "a");
@@ -453,7 +453,7 @@
 
   @Test
   void aTenantBeyondItsShareGivesWayUnderPressure() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.tenants = List.of(new TenantQuota(2), new TenantQuota(50));
     b.start(up("a"));
@@ -469,7 +469,7 @@
 
   @Test
   void loadsOfAGroupDoNotPileUpAtAnEngine() {
-    Bench b = new Bench().start(up("a"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 6; i++) {
       b.arrive("l" + i, KEYED, 0.5);
     }
@@ -480,7 +480,7 @@
 
   @Test
   void movesAQueryThatStandsBehindALoad() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 0.5);
     String on = b.take().get(0).substring("send q ".length());
@@ -492,7 +492,7 @@
 
   @Test
   void aWaitForMemoryBindsTheBoundAndIsNoLoss() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"));
     for (int i = 0; i < 40; i++) {
@@ -513,7 +513,7 @@
 
   @Test
   void memoryIsRoom() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.memoryMb = 1000;
     b.start(up("a"));
     for (int i = 0; i < 20; i++) {
@@ -524,7 +524,7 @@
 
   @Test
   void aBusyReportBindsARestartedGatewayAtOnce() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
     b.arrive("first", LONG, 1);
@@ -547,7 +547,7 @@
   @Test
   void ourShareOfThePoolBindsWhereThatOfEachEngineHoldsAQuery() {
     for (int gateways : new int[] {1, 3, 300}) {
-      Bench b = new Bench();
+      SchedulerHarness b = new SchedulerHarness();
       b.gateways = gateways;
       b.start(pool(30, 0));
       for (int i = 0; i < 20; i++) {
@@ -565,7 +565,7 @@
 
   @Test
   void asksTwoEnginesWhereReportsCannotBeKeptAndTakesTheOneThatAnswers() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.reports = true;
     b.start(pool(30, 0));
@@ -581,8 +581,8 @@
     assertEquals(List.of("send q " + probes.get(1).substring("probe ".length())), b.take());
   }
 
-  private static Bench fleetWithProbesAt(double price) {
-    Bench b = new Bench();
+  private static SchedulerHarness fleetWithProbesAt(double price) {
+    SchedulerHarness b = new SchedulerHarness();
     b.gateways = 100;
     b.reports = true;
     b.probePrice = price;
@@ -592,7 +592,7 @@
   @Test
   void asksOnlyForQueriesThatEarnMoreByItThanItCosts() {
     for (double price : new double[] {0.01, 0.08}) {
-      Bench b = fleetWithProbesAt(price);
+      SchedulerHarness b = fleetWithProbesAt(price);
       int[] probes = new int[2];
       for (int i = 0; i < 40; i++) {
         b.pass(SECOND); // too few queries for a clock
@@ -634,7 +634,7 @@
   @Test
   void theClockOfProbesRunsOnlyWhereItsPriceIsEarned() {
     for (double price : new double[] {0.01, 0.08}) {
-      Bench b = fleetWithProbesAt(price);
+      SchedulerHarness b = fleetWithProbesAt(price);
       int probes = 0;
       for (int i = 0; i < 400; i++) {
         b.arrive("q" + i, QUICK, 0.1);
@@ -657,7 +657,7 @@
 
   @Test
   void doesNotAskForAQueryWithHardlyAnyTimeLeft() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.reports = true;
     b.start(pool(30, 0));
@@ -673,7 +673,7 @@
 
   @Test
   void asksTwoOthersWhereBothAreFull() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.reports = true;
     b.start(up("a"));
@@ -696,7 +696,7 @@
     for (int gateways : new int[] {1, 3, 300}) {
       double work = 0;
       for (int g = 0; g < gateways; g++) {
-        Bench b = new Bench();
+        SchedulerHarness b = new SchedulerHarness();
         b.gateways = gateways;
         b.seed = g;
         b.self = g;
@@ -713,7 +713,7 @@
 
   @Test
   void aFewQueriesAtOnceAreNotBeyondATenantsShare() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.tenants = List.of(new TenantQuota(60));
     b.start();
@@ -726,7 +726,7 @@
 
   @Test
   void afterAStallNothingIsSilentYet() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 1);
@@ -740,7 +740,7 @@
 
   @Test
   void aFullEngineIsLeftAloneForAWhile() {
-    Bench b = new Bench().start(up("a"), up("b"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
     b.arrive("q", QUICK, 0.1);
     String full = b.take().get(0).substring("send q ".length());
     b.end("q", 0, full, AttemptOutcome.FULL, 0, false);
@@ -752,31 +752,32 @@
 
   @Test
   void hearsayMakesAnEngineDrawnLessAndTestedOneByOneButNeverRestsIt() {
-    Bench b = new Bench().start(Bench.up("a"), Bench.up("b"));
+    SchedulerHarness b =
+        new SchedulerHarness().start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
     b.choice.onPeerReport(b.now, "a", 0.9);
     for (int i = 0; i < 3; i++) {
-      b.arrive("q" + i, Bench.QUICK, 0.2);
+      b.arrive("q" + i, SchedulerHarness.QUICK, 0.2);
     }
     assertEquals(List.of("send q0 b", "send q1 b", "send q2 b"), b.take());
-    b.list(Bench.up("a"), Bench.engine("b", EngineState.DRAINING, 0, 0));
-    b.arrive("alone", Bench.QUICK, 0.2);
+    b.list(SchedulerHarness.up("a"), SchedulerHarness.engine("b", EngineState.DRAINING, 0, 0));
+    b.arrive("alone", SchedulerHarness.QUICK, 0.2);
     assertEquals(List.of("send alone a"), b.take(), "the last one left is used all the same");
-    b.arrive("second", Bench.QUICK, 0.2);
+    b.arrive("second", SchedulerHarness.QUICK, 0.2);
     assertEquals(List.of(), b.take(), "one at a time");
     b.served("alone", "a", 0.2);
     assertEquals(List.of("send second a"), b.take());
     b.choice.onPeerReport(b.now, "a", 0);
-    b.arrive("third", Bench.QUICK, 0.2);
+    b.arrive("third", SchedulerHarness.QUICK, 0.2);
     assertEquals(List.of("send third a"), b.take());
     b.choice.onPeerReport(b.now, "nobody", 1);
   }
 
   @Test
   void anAccusedEngineIsProbedWhereEnginesReport() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
-    b.start(Bench.up("a"), Bench.up("b"));
-    b.arrive("q", Bench.QUICK, 0.2); // a probe costs, and is paid for by queries
+    b.start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
+    b.arrive("q", SchedulerHarness.QUICK, 0.2); // a probe costs, and is paid for by queries
     b.take();
     b.choice.onPeerReport(b.now, "a", 0.4);
     assertEquals(List.of(), b.take());
@@ -792,7 +793,7 @@
   }
 
   private static List<String> script() {
-    Bench b = new Bench().start(up("a"), up("b"), up("c"));
+    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 120; i++) {
       b.arrive("q" + i, i % 3, 0.2 + i % 5);
       b.pass(30 * MS);
@@ -807,7 +808,7 @@
     // has a fiftieth or, the second time, a tenth.
     int[] sent = new int[2];
     for (int hot = 0; hot < 2; hot++) {
-      Bench b = new Bench();
+      SchedulerHarness b = new SchedulerHarness();
       b.reports = true;
       b.gateways = 50;
       b.memoryMb = 80_000; // enough that it binds nobody
@@ -837,7 +838,7 @@
 
   @Test
   void aGatewayKeepsToSomeOfManyEngines() {
-    Bench b = new Bench();
+    SchedulerHarness b = new SchedulerHarness();
     b.gateways = 100;
     b.start(IntStream.range(0, 60).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
     List<String> met = new ArrayList<>();
--- a/decisions/src/test/java/reachloom/Bench.java
+++ b/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
@@ -1,8 +1,7 @@
-package reachloom;
+package reachloom.scheduler;
 
 import java.util.ArrayList;
 import java.util.List;
-import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.DeduplicationScope;
@@ -26,7 +25,7 @@
 /**
  * One gateway on a scripted clock: events go in by short calls, actions are kept as lines of text.
  */
-final class Bench implements SchedulerActions {
+final class SchedulerHarness implements SchedulerActions {
   static final long MS = 1_000_000;
   static final long SECOND = 1000 * MS;
   static final int QUICK = 0;
@@ -57,7 +56,7 @@
   double memoryMb;
   private long ticksDue;
 
-  Bench start(EngineEndpoint... engines) {
+  SchedulerHarness start(EngineEndpoint... engines) {
     List<QueryClass> classes =
         List.of(
             new QueryClass(
--- a/decisions/src/test/java/reachloom/ColdSlotsTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
@@ -1,11 +1,11 @@
-package reachloom;
+package reachloom.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reachloom.Bench.MS;
-import static reachloom.Bench.QUICK;
-import static reachloom.Bench.SECOND;
+import static reachloom.scheduler.SchedulerHarness.MS;
+import static reachloom.scheduler.SchedulerHarness.QUICK;
+import static reachloom.scheduler.SchedulerHarness.SECOND;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,22 +16,22 @@
 import reachloom.scheduler.api.EngineState;
 
 /** What a fleet of gateways that do not talk sends to a cold engine, all together. */
-class ColdSlotsTest {
+class SlowStartTest {
   private static final double WORK = 0.1; // core-seconds of each query
   private static final long STEP = 25 * MS;
   private static final long COLD = 10 * SECOND;
 
   /** Plays a fleet before one cold engine; gives the times at which it was sent something. */
   private static List<Long> play(int gateways, int tellNumber, boolean skewed, boolean restarts) {
-    List<Bench> fleet = new ArrayList<>();
-    long start = new Bench().now;
+    List<SchedulerHarness> fleet = new ArrayList<>();
+    long start = new SchedulerHarness().now;
     for (int g = 0; g < gateways; g++) {
       fleet.add(made(g, gateways, tellNumber, start, start));
     }
     List<Long> sent = new ArrayList<>();
     for (long at = start; at < start + COLD - STEP; at += STEP) {
       for (int g = 0; g < gateways; g++) {
-        Bench b = fleet.get(g);
+        SchedulerHarness b = fleet.get(g);
         if (restarts && (at - start) / STEP % 12 == g % 12) { // each three times a second and more
           fleet.set(g, made(g, gateways, tellNumber, start, at));
           b = fleet.get(g);
@@ -58,13 +58,14 @@
     return sent;
   }
 
-  private static Bench made(int number, int gateways, int tellNumber, long engineStart, long now) {
-    Bench b = new Bench();
+  private static SchedulerHarness made(
+      int number, int gateways, int tellNumber, long engineStart, long now) {
+    SchedulerHarness b = new SchedulerHarness();
     b.now = now;
     b.gateways = gateways;
     b.self = tellNumber < 0 ? -1 : number;
     b.seed = 1000 + number;
-    return b.start(Bench.engine("a", EngineState.UP, 0, engineStart));
+    return b.start(SchedulerHarness.engine("a", EngineState.UP, 0, engineStart));
   }
 
   /** The most over any window of the rule's time, as a share of N + 2 x root of N + 2. */
@@ -84,7 +85,7 @@
 
   @Test
   void allTogetherKeepTheBudgetWhateverTheirNumberTrafficAndRestarts() {
-    long start = new Bench().now;
+    long start = new SchedulerHarness().now;
     for (int gateways : new int[] {1, 4, 20, 30}) {
       for (boolean skewed : new boolean[] {false, true}) {
         for (boolean restarts : new boolean[] {false, true}) {
@@ -107,16 +108,16 @@
   @Test
   void theThinTrafficOfManyGatewaysFillsAColdEngine() {
     int gateways = 100;
-    List<Bench> fleet = new ArrayList<>();
+    List<SchedulerHarness> fleet = new ArrayList<>();
     for (int g = 0; g < gateways; g++) {
-      Bench b = new Bench();
+      SchedulerHarness b = new SchedulerHarness();
       b.gateways = gateways;
       b.self = g;
       b.seed = 1000 + g;
       List<EngineEndpoint> engines =
-          new ArrayList<>(List.of(Bench.engine("a", EngineState.UP, 0, b.now)));
+          new ArrayList<>(List.of(SchedulerHarness.engine("a", EngineState.UP, 0, b.now)));
       for (char name = 'b'; name <= 'j'; name++) {
-        engines.add(Bench.up(String.valueOf(name)));
+        engines.add(SchedulerHarness.up(String.valueOf(name)));
       }
       fleet.add(b.start(engines.toArray(EngineEndpoint[]::new)));
     }
@@ -128,7 +129,7 @@
         fleet.get(Integer.parseInt(end[0])).served(end[1], end[2], 0.5);
       }
       for (int g = 0; g < gateways; g++) {
-        Bench b = fleet.get(g);
+        SchedulerHarness b = fleet.get(g);
         if ((at - start) / STEP % 10 == g % 10) {
           b.arrive("q" + at, QUICK, WORK);
         }
@@ -154,13 +155,13 @@
   void withoutNumbersOfTheirOwnGatewaysTakeSlotsByChance() {
     List<Long> sent = play(20, -1, false, false);
     assertTrue(sent.size() > 200);
-    double most = most(sent, new Bench().now);
+    double most = most(sent, new SchedulerHarness().now);
     assertTrue(most <= 2, most + ": a slot may have two owners then, or three, or none");
   }
 
   @Test
   void anAttemptWhoseSlotIsOverMayNoLongerBegin() {
-    Bench b = made(0, 2, 0, new Bench().now, new Bench().now);
+    SchedulerHarness b = made(0, 2, 0, new SchedulerHarness().now, new SchedulerHarness().now);
     String id = null;
     for (int i = 0; id == null; i++) {
       b.arrive("q" + i, QUICK, WORK);
@@ -179,13 +180,13 @@
 
   @Test
   void whatMayNoLongerBeginIsAskedOfTheModuleAndGoesElsewhere() {
-    Bench b = new Bench();
-    b.start(Bench.up("a"), Bench.up("b"));
+    SchedulerHarness b = new SchedulerHarness();
+    b.start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
     b.arrive("q", QUICK, WORK);
     String first = b.take().get(0).split(" ")[2];
     assertTrue(b.choice.mayStart(b.now, "q", 0));
     String other = first.equals("a") ? "b" : "a";
-    b.list(Bench.engine(first, EngineState.DRAINING, 0, 0), Bench.up(other));
+    b.list(SchedulerHarness.engine(first, EngineState.DRAINING, 0, 0), SchedulerHarness.up(other));
     assertFalse(b.choice.mayStart(b.now, "q", 0), "its engine is leaving");
     b.end("q", 0, first, AttemptOutcome.NOT_SENT, 0, false);
     assertEquals(List.of("send q " + other), b.take());
@@ -198,9 +199,11 @@
    * What a gateway does before a warm engine and one that is told as just started, at that time.
    */
   private static List<String> told(long startedBefore) {
-    Bench b = new Bench().start(Bench.up("w"));
+    SchedulerHarness b = new SchedulerHarness().start(SchedulerHarness.up("w"));
     b.choice.onEndpoints(
-        b.now, false, List.of(Bench.engine("c", EngineState.UP, 0, b.now - startedBefore)));
+        b.now,
+        false,
+        List.of(SchedulerHarness.engine("c", EngineState.UP, 0, b.now - startedBefore)));
     List<String> actions = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       b.arrive("q" + i, QUICK, WORK);
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfClientsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reachloom.gateway.OrdersGateway.ENGINE;
-import static reachloom.gateway.OrdersGateway.OTHER;
-import static reachloom.gateway.OrdersGateway.await;
+import static reachloom.gateway.OrderingHarness.ENGINE;
+import static reachloom.gateway.OrderingHarness.OTHER;
+import static reachloom.gateway.OrderingHarness.await;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -31,19 +31,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import reachloom.scheduler.api.Query;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
-import reachloom.standin.ThriftWords;
-import reachloom.standin.ThriftWords.Reply;
+import reachloom.standin.ThriftMessages;
+import reachloom.standin.ThriftMessages.Reply;
 
 /**
  * Clients that send much and go, in pieces of one byte or all in one, or slowly, and none at all
  * for a while, on real connections. See docs/design/endings.md.
  */
 @Timeout(60)
-class OrdersOfClientsTest {
+class ClientConnectionOrderingTest {
   private static final long MILLISECOND = 1_000_000;
   private static final int MAX_OPEN = 32;
 
@@ -56,18 +56,18 @@
 
   @TempDir Path folder;
 
-  private NotingEngine engine;
-  private NodeStandIn other;
-  private ChangeLogStandIn changeLog;
-  private OrdersGateway gateway;
+  private RecordingEngine engine;
+  private FakeEngine other;
+  private FakeChangeLog changeLog;
+  private OrderingHarness gateway;
 
   @BeforeEach
   void start() throws Exception {
-    engine = new NotingEngine(HELD);
-    other = new NodeStandIn();
-    changeLog = new ChangeLogStandIn(1);
+    engine = new RecordingEngine(HELD);
+    other = new FakeEngine();
+    changeLog = new FakeChangeLog(1);
     gateway =
-        new OrdersGateway(
+        new OrderingHarness(
             folder,
             GatewayProcess.config(
                     GatewayProcess.freeAddress(),
@@ -93,7 +93,7 @@
 
   private static byte[] execute(int seq, String id, String verb, String statement) {
     return bytes(
-        ThriftWords.execute(
+        ThriftMessages.execute(
             seq, Map.of("verb", verb, "txn", id, "limit", "20000", "team", "one"), statement));
   }
 
@@ -122,12 +122,12 @@
     gateway.sendTo = q -> q.queryClass() == 0 ? OTHER : ENGINE;
     AtomicBoolean over = new AtomicBoolean();
     CompletableFuture<Integer> meanwhile = new CompletableFuture<>();
-    NodeStandIn.daemon(
+    FakeEngine.daemon(
         () -> {
           try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
             int served = 0;
             for (; !over.get() || served == 0; served++) {
-              assertEquals(NodeStandIn.ROW, c.run("select 1", "limit", "20000").body());
+              assertEquals(FakeEngine.ROW, c.run("select 1", "limit", "20000").body());
             }
             meanwhile.complete(served);
           } catch (IOException | AssertionError e) {
@@ -173,10 +173,10 @@
     gateway.sendTo = q -> ENGINE;
     CountDownLatch go = gateway.hold();
     CompletableFuture<Void> filled = new CompletableFuture<>();
-    NodeStandIn.daemon(
+    FakeEngine.daemon(
         () -> {
           try (ThriftClient filler = new ThriftClient(gateway.config.listen())) {
-            byte[] words = bytes(ThriftWords.interrupt(1, 1)); // of nothing: owed no answer
+            byte[] words = bytes(ThriftMessages.interrupt(1, 1)); // of nothing: owed no answer
             byte[] many = new byte[words.length * 10_000];
             for (int at = 0; at < many.length; at += words.length) {
               System.arraycopy(words, 0, many, at, words.length);
@@ -212,9 +212,9 @@
     return List.of(
         execute(1, String.format("%016x", ids), "quick", "select 1 /* pages */ from sales_1.a"),
         execute(2, String.format("%016x", ids + 1), HELD, "select 2"),
-        bytes(ThriftWords.interrupt(3, 2)),
-        bytes(ThriftWords.check(4)),
-        bytes(ThriftWords.unknown(5)),
+        bytes(ThriftMessages.interrupt(3, 2)),
+        bytes(ThriftMessages.check(4)),
+        bytes(ThriftMessages.unknown(5)),
         execute(6, String.format("%016x", ids + 2), "strange", "select 3"));
   }
 
@@ -238,7 +238,7 @@
       whole = replies(c, 4);
     }
     assertEquals(Set.of(1, 4, 5, 6), whole.keySet(), "what was given up is owed nothing");
-    assertEquals(NodeStandIn.ROW.repeat(6), whole.get(1).body());
+    assertEquals(FakeEngine.ROW.repeat(6), whole.get(1).body());
     try (ThriftClient c = new ThriftClient(gateway.config.listen());
         ThriftClient fence = new ThriftClient(gateway.config.listen())) {
       for (byte[] message : words(0x200)) {
@@ -264,7 +264,7 @@
       }
       c.raw(piece.toByteArray());
       Map<Integer, Reply> replies = replies(c, 40);
-      long served = replies.values().stream().filter(r -> r.body().equals(NodeStandIn.ROW)).count();
+      long served = replies.values().stream().filter(r -> r.body().equals(FakeEngine.ROW)).count();
       long refused = replies.values().stream().filter(r -> r.kind().equals("BUSY")).count();
       assertTrue(served >= MAX_OPEN, served + " served");
       assertEquals(
@@ -273,14 +273,14 @@
       for (int i = 41; i <= 80; i++) {
         piece.write(
             i % 5 == 0
-                ? bytes(ThriftWords.check(i))
+                ? bytes(ThriftMessages.check(i))
                 : execute(i, String.format("%016x", i), "quick", "select 1"));
       }
       c.raw(piece.toByteArray());
       replies = replies(c, 40);
       assertEquals(8, replies.values().stream().filter(r -> r.body().isEmpty()).count());
       assertEquals(
-          32, replies.values().stream().filter(r -> r.body().equals(NodeStandIn.ROW)).count());
+          32, replies.values().stream().filter(r -> r.body().equals(FakeEngine.ROW)).count());
     }
   }
 
@@ -299,7 +299,7 @@
             assertEquals("ANSWER", c.run("select 1", "limit", "20000").kind());
           }
         }
-        assertEquals(NodeStandIn.ROW, slow.reply().body());
+        assertEquals(FakeEngine.ROW, slow.reply().body());
         answered = true;
       } catch (IOException e) {
         // One that takes 2 s for its words is closed: then this machine was too busy to tell.
@@ -312,7 +312,7 @@
   @Test
   void aClientThatReadsSlowlyGetsAllOfItsAnswersAndTakesNobodysTime() throws Exception {
     gateway.sendTo = q -> q.queryClass() == 0 ? ENGINE : OTHER;
-    String result = NotingEngine.PAGE.repeat(NotingEngine.PAGES);
+    String result = RecordingEngine.PAGE.repeat(RecordingEngine.PAGES);
     try (Socket slow = new Socket();
         ThriftClient c = new ThriftClient(gateway.config.listen())) {
       slow.setReceiveBufferSize(4 * 1024); // so that little is on its way unread
@@ -327,7 +327,7 @@
         }
       }
       for (int i = 0; i < 100; i++) {
-        assertEquals(NodeStandIn.ROW, c.run("select 1", "verb", HELD, "limit", "20000").body());
+        assertEquals(FakeEngine.ROW, c.run("select 1", "verb", HELD, "limit", "20000").body());
       }
       Set<Integer> answered = new HashSet<>();
       DataInputStream in = new DataInputStream(slow.getInputStream());
@@ -336,10 +336,10 @@
         for (int at = 0; at < frame.length; at += 997) {
           in.readFully(frame, at, Math.min(997, frame.length - at));
         }
-        Reply reply = ThriftWords.reply(frame);
+        Reply reply = ThriftMessages.reply(frame);
         assertEquals(result, reply.body());
         answered.add(reply.seq());
-        assertEquals(NodeStandIn.ROW, c.run("select 1", "verb", HELD, "limit", "20000").body());
+        assertEquals(FakeEngine.ROW, c.run("select 1", "verb", HELD, "limit", "20000").body());
       }
       assertEquals(asked, answered.size());
     }
@@ -354,8 +354,8 @@
    */
   @Test
   void aGatewayThatHadNothingToDoServesABurstAtOnce() throws Exception {
-    try (NodeStandIn late = new NodeStandIn();
-        ChangeLogStandIn log = new ChangeLogStandIn(1)) {
+    try (FakeEngine late = new FakeEngine();
+        FakeChangeLog log = new FakeChangeLog(1)) {
       log.speaksEach(100);
       String text =
           GatewayProcess.config(GatewayProcess.freeAddress(), log, other)
@@ -367,12 +367,11 @@
     }
   }
 
-  private void serveAfterIdling(String text, ChangeLogStandIn log, NodeStandIn late)
-      throws Exception {
+  private void serveAfterIdling(String text, FakeChangeLog log, FakeEngine late) throws Exception {
     Path own = Files.createDirectory(folder.resolve("idle"));
     try (GatewayProcess process = new GatewayProcess(own, text);
         ThriftClient resting = process.ready()) {
-      for (byte b : bytes(ThriftWords.check(1))) {
+      for (byte b : bytes(ThriftMessages.check(1))) {
         resting.raw(new byte[] {b});
       }
       assertTrue(resting.reply().good());
--- a/gateway/src/test/java/reachloom/gateway/EndingsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import reachloom.gateway.HeldPeer.Connection;
+import reachloom.gateway.PausedPeer.Connection;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -33,16 +33,16 @@
  * docs/design/endings.md.
  */
 @Timeout(60)
-class EndingsTest extends GatewayHarness {
+class ConnectionCloseTest extends GatewayHarness {
   private static final String ENGINE = "s-00000001";
   private static final String OTHER = "s-00000002";
 
   /** Statements so long that a few of them fill a connection which takes nothing. */
   private static final String LONG = "select '" + "x".repeat(60_000) + "'";
 
-  private HeldPeer engine;
-  private NodeStandIn other;
-  private ChangeLogStandIn changeLog;
+  private PausedPeer engine;
+  private FakeEngine other;
+  private FakeChangeLog changeLog;
 
   /** How a client goes. */
   enum Leaving {
@@ -63,9 +63,9 @@
 
   @BeforeEach
   void start() throws Exception {
-    engine = new HeldPeer();
-    other = new NodeStandIn();
-    changeLog = new ChangeLogStandIn(1);
+    engine = new PausedPeer();
+    other = new FakeEngine();
+    changeLog = new FakeChangeLog(1);
     String text =
         GatewayProcess.config(
                 GatewayProcess.freeAddress(),
@@ -120,7 +120,7 @@
           "told when the list tells, not when the dial comes up");
       allowed = true;
       act(() -> actions.forward(q.id(), OTHER, 0));
-      assertEquals(NodeStandIn.ROW, c.reply().body());
+      assertEquals(FakeEngine.ROW, c.reply().body());
       engine.releaseDials();
       act(() -> actions.checkHealth(ENGINE));
       assertEquals(List.of("INFO p0"), engine.accept().linesUpTo("INFO"));
@@ -257,7 +257,7 @@
       Connection connection = engine.accept();
       assertTrue(connection.request().startsWith("ASK"));
       CountDownLatch go = hold();
-      NodeStandIn.daemon(
+      FakeEngine.daemon(
           () -> {
             try {
               connection.say("nonsense\r\n" + "x".repeat(500_000));
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfListTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
@@ -17,12 +17,12 @@
 import reachloom.config.EngineMember;
 import reachloom.config.GatewayConfig;
 import reachloom.discovery.EndpointWatch;
-import reachloom.gateway.HeldPeer.Connection;
+import reachloom.gateway.PausedPeer.Connection;
 import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.EngineState;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -31,18 +31,18 @@
  * falls silent.
  */
 @Timeout(60)
-class OrdersOfListTest extends GatewayHarness {
-  private NodeStandIn drains;
-  private NodeStandIn stays;
-  private HeldPeer log;
+class EndpointListOrderingTest extends GatewayHarness {
+  private FakeEngine drains;
+  private FakeEngine stays;
+  private PausedPeer log;
   private Connection watch;
   private ThriftClient client;
 
   @BeforeEach
   void start() throws Exception {
-    drains = new NodeStandIn();
-    stays = new NodeStandIn();
-    log = new HeldPeer();
+    drains = new FakeEngine();
+    stays = new FakeEngine();
+    log = new PausedPeer();
     observer =
         new EngineOutcomeListener() {
           @Override
@@ -76,7 +76,7 @@
     log.close();
   }
 
-  private String text(InetSocketAddress listen, HeldPeer changeLog) {
+  private String text(InetSocketAddress listen, PausedPeer changeLog) {
     return GatewayProcess.config(listen, changeLog.address(), drains.address(), stays.address());
   }
 
@@ -136,7 +136,7 @@
   @EnumSource(First.class)
   void nothingNewGoesToAnEngineThatDrainsAsTheLogIsMovedWhicheverIsFirst(First first)
       throws Exception {
-    try (HeldPeer moved = new HeldPeer()) {
+    try (PausedPeer moved = new PausedPeer()) {
       GatewayConfig next = config(text(config.listen(), moved));
       CountDownLatch go = hold();
       for (int i = 0; i < 20; i++) {
--- a/gateway/src/test/java/reachloom/gateway/DialsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EngineConnectTest.java
@@ -12,7 +12,7 @@
 import reachloom.gateway.wire.Sockets;
 
 /** Dials that come up late, in the very moment in which they are given up. */
-class DialsTest {
+class EngineConnectTest {
   private static final long LONG = TimeUnit.SECONDS.toNanos(10);
 
   @Test
@@ -20,9 +20,9 @@
     CountDownLatch begun = new CountDownLatch(1);
     CountDownLatch goOn = new CountDownLatch(1);
     Sockets sockets = new Sockets(4);
-    try (HeldPeer any = new HeldPeer();
-        HeldPeer late = new HeldPeer();
-        HeldPeer next = new HeldPeer()) {
+    try (PausedPeer any = new PausedPeer();
+        PausedPeer late = new PausedPeer();
+        PausedPeer next = new PausedPeer()) {
       sockets
           .connector(
               new IoHandlerAdapter() {
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfPeersTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reachloom.gateway.OrdersGateway.ENGINE;
-import static reachloom.gateway.OrdersGateway.OTHER;
-import static reachloom.gateway.OrdersGateway.await;
+import static reachloom.gateway.OrderingHarness.ENGINE;
+import static reachloom.gateway.OrderingHarness.OTHER;
+import static reachloom.gateway.OrderingHarness.await;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -25,14 +25,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.gateway.HeldPeer.Connection;
+import reachloom.gateway.PausedPeer.Connection;
 import reachloom.scheduler.QueryScheduler;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.Query;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -41,15 +41,15 @@
  * docs/design/endings.md.
  */
 @Timeout(60)
-class OrdersOfPeersTest {
+class EngineConnectionOrderingTest {
   private static final int CHANGES = 2;
 
   @TempDir Path folder;
 
-  private HeldPeer engine;
-  private NodeStandIn other;
-  private HeldPeer changeLog;
-  private OrdersGateway gateway;
+  private PausedPeer engine;
+  private FakeEngine other;
+  private PausedPeer changeLog;
+  private OrderingHarness gateway;
 
   /** How a peer ends that has read nothing. */
   enum Kill {
@@ -62,7 +62,7 @@
      */
     NEVER_TAKEN;
 
-    void of(HeldPeer peer) throws IOException {
+    void of(PausedPeer peer) throws IOException {
       if (this == RESET) {
         peer.accept().socket.setSoLinger(true, 0);
       } else if (this == CLOSE) {
@@ -74,9 +74,9 @@
 
   @BeforeEach
   void start() throws IOException {
-    engine = new HeldPeer();
-    other = new NodeStandIn();
-    changeLog = new HeldPeer();
+    engine = new PausedPeer();
+    other = new FakeEngine();
+    changeLog = new PausedPeer();
   }
 
   @AfterEach
@@ -97,7 +97,7 @@
    * latter.
    */
   private Connection started() throws Exception {
-    gateway = new OrdersGateway(folder, config(engine.address(), other.address()));
+    gateway = new OrderingHarness(folder, config(engine.address(), other.address()));
     return asked(changeLog.accept());
   }
 
@@ -154,7 +154,7 @@
       assertEquals(AttemptOutcome.UNREACHED, nextEnd().outcome());
       gateway.act(() -> gateway.actions.forward(q.id(), OTHER, 0));
       assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
-      assertEquals(NodeStandIn.ROW, c.reply().body());
+      assertEquals(FakeEngine.ROW, c.reply().body());
       gateway.nothingMore(AttemptResult.class);
     }
   }
@@ -183,7 +183,7 @@
   @CsvSource({"once,FAILED,0", "quick,ANSWER,1", "keyed,ANSWER,1"})
   void whatWasWrittenToAnEngineThatIsKilledUnreadEndsByTheRuleOfItsClass(
       String verb, String kind, int asks) throws Exception {
-    gateway = new OrdersGateway(folder, config(engine.address()), QueryScheduler::new);
+    gateway = new OrderingHarness(folder, config(engine.address()), QueryScheduler::new);
     Connection log = asked(changeLog.accept());
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       c.execute("select 1", "verb", verb, "unique", "k1", "limit", "20000");
@@ -200,7 +200,7 @@
 
   @Test
   void aChangeLogThatIsKilledBehindItsAcceptsIsDialledAgainEachTime() throws Exception {
-    gateway = new OrdersGateway(folder, config(engine.address(), other.address()));
+    gateway = new OrderingHarness(folder, config(engine.address(), other.address()));
     InetSocketAddress address = changeLog.address();
     long start = System.nanoTime();
     for (int i = 0; i < 3; i++) {
@@ -316,7 +316,7 @@
   @Test
   void halfALineOnARestingConnectionDoesNotReachWhatIsSentAfterTheGatewaysClose() throws Exception {
     gateway =
-        new OrdersGateway(
+        new OrderingHarness(
             folder,
             config(engine.address(), other.address())
                 .replace("\"keepalive\":30000000000", "\"keepalive\":500000000"));
--- a/gateway/src/test/java/reachloom/gateway/FaultyCallsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/FaultyCallsTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.FaultyCalls;
 import reachloom.standin.FaultyCalls.Shares;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -30,17 +30,17 @@
 
   @TempDir Path folder;
 
-  private ChangeLogStandIn changeLog;
-  private NodeStandIn one;
-  private NodeStandIn other;
+  private FakeChangeLog changeLog;
+  private FakeEngine one;
+  private FakeEngine other;
   private FaultyCalls calls;
   private GatewayProcess gateway;
 
   @BeforeEach
   void start() throws Exception {
-    changeLog = new ChangeLogStandIn(1);
-    one = new NodeStandIn();
-    other = new NodeStandIn();
+    changeLog = new FakeChangeLog(1);
+    one = new FakeEngine();
+    other = new FakeEngine();
     calls = new FaultyCalls(folder, 7);
     String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, one, other);
     gateway = new GatewayProcess(folder, text, calls.environment());
--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -18,7 +18,7 @@
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
-import reachloom.standin.NodeStandIn;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -62,12 +62,12 @@
     }
     gateway.listen();
     loop.post(0, gateway::start);
-    NodeStandIn.daemon(loop);
+    FakeEngine.daemon(loop);
   }
 
   /** A module that notes what it is told and does little by itself: as the two fields say. */
   SchedulerEvents scripted() {
-    return new FrontsTest.Recorder(told) {
+    return new GatewayServiceTest.Recorder(told) {
       @Override
       public boolean mayStart(long now, String query, int attempt) {
         return allowed;
--- a/gateway/src/test/java/reachloom/gateway/FrontsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
@@ -23,21 +23,21 @@
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.simulator.SimulatorAdapterProbe;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
-import reachloom.standin.ThriftWords;
+import reachloom.standin.ThriftMessages;
 
 /**
  * What the front on sockets tells the module: the same as the simulator's front, in the same units.
  */
-class FrontsTest extends GatewayHarness {
+class GatewayServiceTest extends GatewayHarness {
   /** The table group of queries that the module fails on. */
   private static final int BROKEN = 666;
 
-  private NodeStandIn node;
-  private ChangeLogStandIn changeLog;
+  private FakeEngine node;
+  private FakeChangeLog changeLog;
 
   /** A module that notes what it is told, and does nothing by itself. */
   static class Recorder implements SchedulerEvents {
@@ -108,8 +108,8 @@
 
   @BeforeEach
   void start() throws Exception {
-    node = new NodeStandIn();
-    changeLog = new ChangeLogStandIn(1);
+    node = new FakeEngine();
+    changeLog = new FakeChangeLog(1);
     serve(
         GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node),
         a -> new Recorder(told));
@@ -125,7 +125,7 @@
       int other = c.execute("select 1 from sales_1.a");
       Query second = next(Query.class);
       loop.post(0, () -> actions.reject(second.id(), 0));
-      ThriftWords.Reply reply = c.reply();
+      ThriftMessages.Reply reply = c.reply();
       assertEquals(other, reply.seq());
       assertEquals("BUSY", reply.kind());
       reply = c.reply();
--- a/gateway/src/test/java/reachloom/gateway/IdleTimeoutTest.java
+++ b/gateway/src/test/java/reachloom/gateway/IdleTimeoutTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -51,8 +51,8 @@
         Files.writeString(
             Files.createDirectory(folder.resolve("usual")).resolve("settings.xml"),
             "<reachloom xmlns=\"urn:reachloom:settings:1\"/>");
-    try (NodeStandIn node = new NodeStandIn();
-        ChangeLogStandIn changeLog = new ChangeLogStandIn(1);
+    try (FakeEngine node = new FakeEngine();
+        FakeChangeLog changeLog = new FakeChangeLog(1);
         GatewayProcess gateway =
             new GatewayProcess(
                 folder,
@@ -69,13 +69,12 @@
           ThriftClient restsToo = new ThriftClient(usual.listen)) {
         assertTrue(rests.check());
         long from = System.nanoTime();
-        assertEquals(NodeStandIn.ROW, restsToo.run("select 1").body());
+        assertEquals(FakeEngine.ROW, restsToo.run("select 1").body());
         assertTrue(restsToo.ended(), "ended in order: a reset would be an exception");
         long rested = System.nanoTime() - from;
         assertTrue(rested >= USUAL - LOOKS / 2 && rested < USUAL + 4 * LOOKS, rested + " ns");
         rest(from, USUAL + LOOKS);
-        assertEquals(
-            NodeStandIn.ROW, rests.run("select 1").body(), "its connection is still there");
+        assertEquals(FakeEngine.ROW, rests.run("select 1").body(), "its connection is still there");
         settings("<clients idleTimeoutMs=\"1000\"/>");
         from = System.nanoTime();
         gateway.hangUp();
@@ -83,7 +82,7 @@
         assertTrue(System.nanoTime() - from >= SECOND / 2, "not before its time");
       }
       try (ThriftClient next = new ThriftClient(gateway.listen)) {
-        assertEquals(NodeStandIn.ROW, next.run("select 1").body());
+        assertEquals(FakeEngine.ROW, next.run("select 1").body());
         long from = System.nanoTime();
         assertTrue(next.ended());
         long rested = System.nanoTime() - from;
@@ -95,8 +94,8 @@
   @Test
   void aBadSettingReadAnewLeavesTheOldOneInForce() throws Exception {
     Path file = settings("<clients idleTimeoutMs=\"2000\"/>");
-    try (NodeStandIn node = new NodeStandIn();
-        ChangeLogStandIn changeLog = new ChangeLogStandIn(1);
+    try (FakeEngine node = new FakeEngine();
+        FakeChangeLog changeLog = new FakeChangeLog(1);
         GatewayProcess gateway =
             new GatewayProcess(
                 folder,
--- a/gateway/src/test/java/reachloom/gateway/LongDayTest.java
+++ b/gateway/src/test/java/reachloom/gateway/LongDayTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.GatewayConfig;
 import reachloom.scheduler.QueryScheduler;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /** Engines, connections and ids are new all day: what is kept for them goes with them. */
@@ -43,8 +43,8 @@
 
   @Test
   void whatIsKeptGoesWithItsOwner() throws Exception {
-    try (NodeStandIn node = new NodeStandIn();
-        ChangeLogStandIn changeLog = new ChangeLogStandIn(1)) {
+    try (FakeEngine node = new FakeEngine();
+        FakeChangeLog changeLog = new FakeChangeLog(1)) {
       Path file =
           Files.writeString(
               folder.resolve("config.json"),
@@ -54,7 +54,7 @@
           new GatewayService(config, loop, a -> module = new QueryScheduler(a));
       gateway.listen();
       loop.post(0, gateway::start);
-      NodeStandIn.daemon(loop);
+      FakeEngine.daemon(loop);
       int served = 0;
       for (int i = 1; i <= ROUNDS; i++) { // each engine is followed by another one at its address
         changeLog.add(i + 1, node, 0);
--- a/gateway/src/test/java/reachloom/gateway/OrdersGateway.java
+++ b/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
@@ -26,7 +26,7 @@
  * A gateway on its loop, for tests that bring about an order of events: its module is the one
  * handed in, or one that notes what it is told and sends where the test says.
  */
-final class OrdersGateway extends GatewayHarness implements AutoCloseable {
+final class OrderingHarness extends GatewayHarness implements AutoCloseable {
   static final String ENGINE = "s-00000001";
   static final String OTHER = "s-00000002";
 
@@ -45,20 +45,20 @@
   final Set<String> begunTooLate = ConcurrentHashMap.newKeySet();
 
   /** A gateway with the noting module. */
-  OrdersGateway(Path folder, String text) throws Exception {
+  OrderingHarness(Path folder, String text) throws Exception {
     this(folder, text, null);
     assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof SchedulerSettings);
     assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof List);
   }
 
   /** A gateway with a module of its own. */
-  OrdersGateway(Path folder, String text, Function<SchedulerActions, SchedulerEvents> module)
+  OrderingHarness(Path folder, String text, Function<SchedulerActions, SchedulerEvents> module)
       throws Exception {
     this.folder = folder;
     serve(text, module == null ? actions -> new Noting() : module);
   }
 
-  private final class Noting extends FrontsTest.Recorder {
+  private final class Noting extends GatewayServiceTest.Recorder {
     private final Set<String> left = new HashSet<>();
 
     Noting() {
--- a/gateway/src/test/java/reachloom/gateway/HeldPeer.java
+++ b/gateway/src/test/java/reachloom/gateway/PausedPeer.java
@@ -17,7 +17,7 @@
  * bytes are read, and what is said. Dials are held by a full queue of the system's, and so are late
  * as late dials are.
  */
-final class HeldPeer implements AutoCloseable {
+final class PausedPeer implements AutoCloseable {
   private static final int SMALL = 64 * 1024;
   private final ServerSocket server;
   private final List<Socket> fillers = new ArrayList<>();
@@ -90,7 +90,7 @@
     }
   }
 
-  HeldPeer() throws IOException {
+  PausedPeer() throws IOException {
     server = new ServerSocket();
     server.setReceiveBufferSize(SMALL); // so that little is on its way unread
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
--- a/gateway/src/test/java/reachloom/gateway/NotingEngine.java
+++ b/gateway/src/test/java/reachloom/gateway/RecordingEngine.java
@@ -9,14 +9,14 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
-import reachloom.standin.NodeStandIn;
+import reachloom.standin.FakeEngine;
 import reachloom.time.MonotonicClock;
 
 /**
  * An engine that notes each line with the time at which it was read, and serves what it is not to
  * hold.
  */
-final class NotingEngine implements AutoCloseable {
+final class RecordingEngine implements AutoCloseable {
   static final int PAGES = 8;
   static final String PAGE = "x".repeat(5_990) + "\tb\tc\n";
 
@@ -30,9 +30,9 @@
   private final MonotonicClock clock = new MonotonicClock();
 
   /** An engine that never answers that class, and all others with {@link #PAGES} pages. */
-  NotingEngine(String heldClass) throws IOException {
+  RecordingEngine(String heldClass) throws IOException {
     this.heldClass = heldClass;
-    NodeStandIn.daemon(this::accept);
+    FakeEngine.daemon(this::accept);
   }
 
   InetSocketAddress address() {
@@ -48,7 +48,7 @@
       while (true) {
         Socket s = server.accept();
         sockets.add(s);
-        NodeStandIn.daemon(() -> serve(s));
+        FakeEngine.daemon(() -> serve(s));
       }
     } catch (IOException e) {
       // closed
@@ -57,7 +57,7 @@
 
   private void serve(Socket s) {
     try (s) {
-      HeldPeer.Connection connection = new HeldPeer.Connection(s);
+      PausedPeer.Connection connection = new PausedPeer.Connection(s);
       s.setSoTimeout(0);
       s.setTcpNoDelay(true);
       for (String line = connection.request(); line != null; line = connection.request()) {
@@ -74,7 +74,7 @@
     }
   }
 
-  private static void page(HeldPeer.Connection connection, String head) throws IOException {
+  private static void page(PausedPeer.Connection connection, String head) throws IOException {
     connection.say(head + " " + PAGE.length() + "\r\n" + PAGE + "\r\n");
   }
 
--- a/gateway/src/test/java/reachloom/gateway/ServeTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ServeTest.java
@@ -21,26 +21,26 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
-import reachloom.standin.ThriftWords;
+import reachloom.standin.ThriftMessages;
 
 /** Starts the program and speaks to it over sockets, as its clients, engines and operators do. */
 class ServeTest {
   @TempDir Path folder;
 
-  private NodeStandIn node;
-  private NodeStandIn other;
-  private ChangeLogStandIn changeLog;
+  private FakeEngine node;
+  private FakeEngine other;
+  private FakeChangeLog changeLog;
   private GatewayProcess gateway;
 
   @BeforeEach
   void start() throws IOException, InterruptedException {
-    node = new NodeStandIn();
-    other = new NodeStandIn();
-    changeLog = new ChangeLogStandIn(1);
+    node = new FakeEngine();
+    other = new FakeEngine();
+    changeLog = new FakeChangeLog(1);
     gateway = new GatewayProcess(folder, changeLog, GatewayProcess.freeAddress(), node);
     gateway.ready().close();
   }
@@ -63,8 +63,8 @@
   @Test
   void queriesAreServedRefusedOrFailedAndEachOnItsOwn() throws Exception {
     try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertEquals(NodeStandIn.ROW, c.run("select 1 from sales_1.a").body());
-      String three = NodeStandIn.ROW.repeat(6);
+      assertEquals(FakeEngine.ROW, c.run("select 1 from sales_1.a").body());
+      String three = FakeEngine.ROW.repeat(6);
       assertEquals(three, c.run("select 1 /* pages */ from sales_1.a").body(), "pages in order");
       await(() -> node.count("FREE") == 1);
       String ask = "ASK [0-9a-f]{16} queue=quick,budget=\\d+ \\d+";
@@ -192,7 +192,7 @@
         int hanging = c.execute("select 1 /* hang */", "verb", "once", "limit", "10000");
         long start = System.nanoTime();
         int bad = c.execute("select 1 /* " + spoilt + " */", "verb", "once", "limit", "10000");
-        List<ThriftWords.Reply> replies = List.of(c.reply(), c.reply());
+        List<ThriftMessages.Reply> replies = List.of(c.reply(), c.reply());
         long ms = (System.nanoTime() - start) / 1_000_000;
         assertEquals(Set.of(hanging, bad), Set.of(replies.get(0).seq(), replies.get(1).seq()));
         replies.forEach(r -> assertEquals("FAILED", r.kind(), spoilt));
@@ -206,7 +206,7 @@
     try (ThriftClient c = new ThriftClient(gateway.listen)) {
       for (int i = 0; i < 5; i++) {
         assertEquals(
-            NodeStandIn.ROW.repeat(6), c.run("select 1 /* copies */", "verb", "once").body());
+            FakeEngine.ROW.repeat(6), c.run("select 1 /* copies */", "verb", "once").body());
       }
       assertEquals(5, node.count("ASK"));
       assertEquals(1, node.connections());
@@ -309,7 +309,7 @@
   @Test
   void hangingUpMovesTheChangeLogAndDisturbsNoRequest() throws Exception {
     try (ThriftClient c = new ThriftClient(gateway.listen);
-        ChangeLogStandIn moved = new ChangeLogStandIn(1)) {
+        FakeChangeLog moved = new FakeChangeLog(1)) {
       await(() -> changeLog.hellos.contains(1L));
       int late = c.execute("select 1 /* late */");
       gateway.configure(GatewayProcess.config(gateway.listen, moved, node));
@@ -368,7 +368,7 @@
     long before = node.count("ASK");
     try (GatewayProcess late =
         new GatewayProcess(own, GatewayProcess.config(address, changeLog, node))) {
-      ThriftWords.Reply reply = null;
+      ThriftMessages.Reply reply = null;
       for (long end = System.nanoTime() + 20_000_000_000L;
           reply == null && System.nanoTime() < end; ) {
         try (ThriftClient early =
@@ -390,7 +390,7 @@
     String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node);
     Path own = Files.createDirectory(folder.resolve("deaf"));
     List<String> ignoring = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
-    try (ChangeLogStandIn moved = new ChangeLogStandIn(1);
+    try (FakeChangeLog moved = new FakeChangeLog(1);
         GatewayProcess deaf = new GatewayProcess(own, text, ignoring, List.of())) {
       deaf.ready().close();
       deaf.configure(
@@ -414,7 +414,7 @@
         assertFalse(second.check(), "no new clients are wanted");
         assertEquals("ANSWER", second.run("select 1").kind());
       }
-      ThriftWords.Reply first = c.reply();
+      ThriftMessages.Reply first = c.reply();
       assertEquals(late, first.seq());
       assertEquals("ANSWER", first.kind());
       assertEquals(hanging, c.reply().seq());
--- a/gateway/src/test/java/reachloom/gateway/OrdersOfStopTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import reachloom.gateway.HeldPeer.Connection;
+import reachloom.gateway.PausedPeer.Connection;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
-import reachloom.standin.ThriftWords;
+import reachloom.standin.ThriftMessages;
 
 /**
  * Requests that meet the end of a connection which this side wants: at the shutdown, and where a
@@ -34,13 +34,13 @@
  * end in order.
  */
 @Timeout(60)
-class OrdersOfStopTest extends GatewayHarness {
+class ShutdownOrderingTest extends GatewayHarness {
   private static final String ENGINE = "s-00000001";
   private static final String SERVED =
-      " OK fetches=1 " + NodeStandIn.ROW.length() + "\r\n" + NodeStandIn.ROW + "\r\n";
+      " OK fetches=1 " + FakeEngine.ROW.length() + "\r\n" + FakeEngine.ROW + "\r\n";
 
-  private HeldPeer engine;
-  private ChangeLogStandIn changeLog;
+  private PausedPeer engine;
+  private FakeChangeLog changeLog;
 
   /** The gateway's one connection to its engine; it tells what was sent on, and in which order. */
   private Connection sentOn;
@@ -49,8 +49,8 @@
 
   @BeforeEach
   void start() throws Exception {
-    engine = new HeldPeer();
-    changeLog = new ChangeLogStandIn(1);
+    engine = new PausedPeer();
+    changeLog = new FakeChangeLog(1);
     String text =
         GatewayProcess.config(GatewayProcess.freeAddress(), changeLog.address(), engine.address())
             .replace("\"dialTimeout\":250000000", "\"dialTimeout\":9000000000")
@@ -163,7 +163,7 @@
       }
       all.add(half);
       nothingSentOn();
-      all.forEach(OrdersOfStopTest::assertNoReset);
+      all.forEach(ShutdownOrderingTest::assertNoReset);
     } finally {
       for (ThriftClient c : all) {
         c.close();
@@ -175,7 +175,7 @@
   @Test
   void whatIsOnItsWayWhenSigtermComesIsAnswered() throws Exception {
     Path own = Files.createDirectory(folder.resolve("process"));
-    try (NodeStandIn node = new NodeStandIn();
+    try (FakeEngine node = new FakeEngine();
         GatewayProcess process =
             new GatewayProcess(own, changeLog, GatewayProcess.freeAddress(), node);
         ThriftClient open = process.ready();
@@ -194,10 +194,10 @@
         await(() -> stopping(process));
         half.finish();
         assertEquals("ANSWER", half.reply().kind());
-        ThriftWords.Reply first = open.reply();
+        ThriftMessages.Reply first = open.reply();
         assertEquals(plain, first.seq());
         assertEquals("ANSWER", first.kind());
-        ThriftWords.Reply second = open.reply();
+        ThriftMessages.Reply second = open.reply();
         assertEquals(hanging, second.seq());
         assertTrue(Set.of("BUSY", "FAILED").contains(second.kind()));
         assertTrue(open.ended() && half.ended() && late.ended(), "no reset");
--- a/gateway/src/test/java/reachloom/gateway/SteppedClockTest.java
+++ b/gateway/src/test/java/reachloom/gateway/SteppedClockTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.gateway.HeldPeer.Connection;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.gateway.PausedPeer.Connection;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.SteppedClock;
 import reachloom.standin.ThriftClient;
-import reachloom.standin.ThriftWords.Reply;
+import reachloom.standin.ThriftMessages.Reply;
 
 /**
  * The program as a process whose wall clock is stepped while it serves: windows, deadlines and
@@ -35,14 +35,14 @@
   @TempDir Path folder;
 
   private SteppedClock clock;
-  private ChangeLogStandIn changeLog;
-  private NodeStandIn engine;
+  private FakeChangeLog changeLog;
+  private FakeEngine engine;
 
   @BeforeEach
   void start() throws Exception {
     clock = new SteppedClock(folder);
-    changeLog = new ChangeLogStandIn(1);
-    engine = new NodeStandIn();
+    changeLog = new FakeChangeLog(1);
+    engine = new FakeEngine();
   }
 
   @AfterEach
@@ -71,7 +71,7 @@
 
   @Test
   void aKeyedRequestIsNotRepeatedPastItsWindowAfterTheClockWentBack() throws Exception {
-    try (HeldPeer peer = new HeldPeer();
+    try (PausedPeer peer = new PausedPeer();
         GatewayProcess gateway = gateway(peer.address());
         ThriftClient client = gateway.ready()) {
       client.execute("load", "verb", "keyed", "unique", "key-1", "limit", "15000");
@@ -81,7 +81,7 @@
       }
       clock.step(STEP.negated());
       AtomicInteger repeats = new AtomicInteger();
-      NodeStandIn.daemon(() -> answerAllThatComes(peer, repeats));
+      FakeEngine.daemon(() -> answerAllThatComes(peer, repeats));
       Thread.sleep(
           STEP.toMillis()
               + 200); // the wall clock shows the time of the first send again, and 0.2 s
@@ -94,7 +94,7 @@
   }
 
   /** Counts what is asked on further connections, and answers it at once. */
-  private static void answerAllThatComes(HeldPeer peer, AtomicInteger asked) {
+  private static void answerAllThatComes(PausedPeer peer, AtomicInteger asked) {
     try {
       while (true) {
         Connection c = peer.accept();
@@ -131,14 +131,14 @@
       client.execute("select 1 /* late */", "limit", "10000"); // its answer takes 300 ms
       awaitAsk();
       clock.step(HOUR);
-      assertEquals(NodeStandIn.ROW, client.reply().body());
+      assertEquals(FakeEngine.ROW, client.reply().body());
     }
   }
 
   @Test
   void aClientThatReadsLateStillGetsAllItsAnswersAfterTheClockWentForward() throws Exception {
     long wanted = 100; // of 48 KB: more than the system's own buffers hold
-    try (NotingEngine pages = new NotingEngine("none");
+    try (RecordingEngine pages = new RecordingEngine("none");
         GatewayProcess gateway = gateway(pages.address());
         ThriftClient client = gateway.ready()) {
       int asked = 0;
--- a/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.GatewayConfig;
-import reachloom.gateway.HeldPeer.Connection;
+import reachloom.gateway.PausedPeer.Connection;
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.SchedulerSettings;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 
 /**
@@ -79,14 +79,15 @@
         .stream().map(e -> ((EngineEndpoint) e).name().substring(9)).sorted().toList();
   }
 
-  private EventLoop start(HeldPeer log) throws Exception {
+  private EventLoop start(PausedPeer log) throws Exception {
     String text = GatewayProcess.config(GatewayProcess.freeAddress(), log.address());
     GatewayConfig config =
         GatewayConfig.fromFile(Files.writeString(folder.resolve("config.json"), text), Map.of());
     EventLoop loop = new EventLoop();
-    GatewayService gateway = new GatewayService(config, loop, a -> new FrontsTest.Recorder(told));
+    GatewayService gateway =
+        new GatewayService(config, loop, a -> new GatewayServiceTest.Recorder(told));
     loop.post(0, gateway::start);
-    NodeStandIn.daemon(loop);
+    FakeEngine.daemon(loop);
     assertTrue(told.poll(10, TimeUnit.SECONDS) instanceof SchedulerSettings);
     assertEquals(List.of(), names());
     return loop;
@@ -94,7 +95,7 @@
 
   @Test
   void aWatchThatFallsSilentIsDialledAgainAndNoLongerListenedTo() throws Exception {
-    try (HeldPeer log = new HeldPeer()) {
+    try (PausedPeer log = new PausedPeer()) {
       EventLoop loop = start(log);
       Connection first = log.accept();
       assertEquals(1, first.number());
@@ -117,7 +118,7 @@
 
   @Test
   void eventsThatAreLeftOutLeadToTheWholeListAndNothingIsTakenBeforeItIsThere() throws Exception {
-    try (HeldPeer log = new HeldPeer()) {
+    try (PausedPeer log = new PausedPeer()) {
       EventLoop loop = start(log);
       Connection first = log.accept();
       assertEquals(1, first.number());
@@ -141,7 +142,7 @@
   @Test
   void restartedGatewaysAreReadyInTimeThoughTheChangeLogIsAway() throws Exception {
     List<GatewayProcess> fleet = new ArrayList<>();
-    try (HeldPeer log = new HeldPeer()) {
+    try (PausedPeer log = new PausedPeer()) {
       log.holdDials();
       long start = System.nanoTime();
       for (int i = 0; i < 5; i++) {
@@ -163,8 +164,8 @@
   @Test
   void idleClientsMayTakeTheDescriptorsWhileTheChangeLogIsAway() throws Exception {
     List<ThriftClient> idle = new ArrayList<>();
-    try (HeldPeer log = new HeldPeer();
-        NodeStandIn engine = new NodeStandIn()) {
+    try (PausedPeer log = new PausedPeer();
+        FakeEngine engine = new FakeEngine()) {
       log.holdDials();
       String text =
           GatewayProcess.config(GatewayProcess.freeAddress(), log.address())
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.config.GatewayConfig;
 import reachloom.scheduler.QueryScheduler;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 
 class WarmUpTest {
   private static final int QUERIES = 300;
@@ -21,8 +21,8 @@
 
   @Test
   void queriesAreServedAlsoWhereTheirAimsAreLong() throws Exception {
-    try (ChangeLogStandIn changeLog = new ChangeLogStandIn(1);
-        NodeStandIn node = new NodeStandIn()) {
+    try (FakeChangeLog changeLog = new FakeChangeLog(1);
+        FakeEngine node = new FakeEngine()) {
       String text = GatewayProcess.config(new InetSocketAddress("127.0.0.1", 1), changeLog, node);
       for (String aim : new String[] {"500000000", "2000000000"}) {
         Path file =
--- a/lab/src/main/java/reachloom/lab/Demo.java
+++ b/lab/src/main/java/reachloom/lab/Demo.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.Fault;
+import reachloom.lab.cluster.FaultSchedule;
+import reachloom.lab.cluster.HistoryChecker;
+import reachloom.lab.cluster.ProcessFleet;
 import reachloom.lab.command.Arguments;
 import reachloom.lab.command.Command;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.ProcessFleet;
-import reachloom.lab.rig.Script;
-import reachloom.lab.rig.Trouble;
-import reachloom.lab.rig.Truth;
 
 /**
  * A first run to look at: one gateway, six engine stand-ins, a change log and clients, all on
@@ -36,12 +36,12 @@
   @Override
   public int run(CommandLine line) throws Exception {
     int seconds = Arguments.number(line, "seconds", 20, 4, 600);
-    Plan plan = new Plan(1, ENGINES, 1, seconds, LOAD, 0, 0, 1, 1);
-    Trouble hang =
-        new Trouble(
+    ClusterPlan plan = new ClusterPlan(1, ENGINES, 1, seconds, LOAD, 0, 0, 1, 1);
+    Fault hang =
+        new Fault(
             seconds / 2.0,
-            Trouble.Who.ENGINES,
-            Trouble.Kind.HANG,
+            Fault.Who.ENGINES,
+            Fault.Kind.HANG,
             1.0 / ENGINES,
             -1,
             -1,
@@ -58,7 +58,7 @@
               + " s one of "
               + ENGINES
               + " engines hangs");
-      fleet.play(new Script("demo", List.of(hang)));
+      fleet.play(new FaultSchedule("demo", List.of(hang)));
       print(fleet.rows(0));
     } finally {
       clear(folder);
@@ -66,7 +66,7 @@
     return 0;
   }
 
-  private static void print(List<Truth.Row> rows) {
+  private static void print(List<HistoryChecker.Row> rows) {
     System.out.printf(
         "%-8s %8s %8s %8s %8s %8s %9s %9s%n",
         "class", "asked", "in time", "late", "refused", "failed", "p50 ms", "p99 ms");
--- a/lab/src/main/java/reachloom/lab/rig/Clients.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Clients.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -16,8 +16,8 @@
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.FrameDecoder;
 import reachloom.gateway.wire.Listener;
-import reachloom.lab.rig.Workload.Arrival;
-import reachloom.standin.ThriftWords;
+import reachloom.lab.cluster.Workload.Arrival;
+import reachloom.standin.ThriftMessages;
 
 /**
  * Clients of the fleet: they send each query when it is due, whatever has become of those before.
@@ -28,7 +28,7 @@
   private static final int SOCKET_THREADS = 2;
 
   /** A query that crosses the end of its connection within this time is sent again, once. */
-  private static final long CROSSES = 50 * Plan.MILLISECOND;
+  private static final long CROSSES = 50 * ClusterPlan.MILLISECOND;
 
   private static final AttributeKey OF = new AttributeKey(Clients.class, "of");
 
@@ -59,8 +59,8 @@
     }
   }
 
-  private final World world;
-  private final Truth truth;
+  private final ClusterModel world;
+  private final HistoryChecker truth;
   private final List<InetSocketAddress> gateways;
   private final IntPredicate killed;
   private final NioSocketConnector connector = new NioSocketConnector(SOCKET_THREADS);
@@ -70,7 +70,11 @@
    * Clients of gateways at these addresses; the predicate tells of those whose process has been
    * ended.
    */
-  Clients(World world, Truth truth, List<InetSocketAddress> gateways, IntPredicate killed) {
+  Clients(
+      ClusterModel world,
+      HistoryChecker truth,
+      List<InetSocketAddress> gateways,
+      IntPredicate killed) {
     this.world = world;
     this.truth = truth;
     this.gateways = gateways;
@@ -105,7 +109,7 @@
   }
 
   private ByteBuffer call(Arrival a, int seq) {
-    long left = (a.at() + a.of().deadline() - world.time.now()) / Plan.MILLISECOND;
+    long left = (a.at() + a.of().deadline() - world.time.now()) / ClusterPlan.MILLISECOND;
     Map<String, String> fields = new LinkedHashMap<>();
     fields.put("verb", a.of().name());
     fields.put("txn", a.id());
@@ -114,7 +118,7 @@
     if (a.key() >= 0) {
       fields.put("unique", "k" + a.number());
     }
-    return ThriftWords.execute(seq, fields, statement(a));
+    return ThriftMessages.execute(seq, fields, statement(a));
   }
 
   /** Sends a query to a gateway that is up. */
@@ -184,7 +188,7 @@
     public void received(IoSession session, byte[] frame, int bytes) {
       Conn c = (Conn) session.getAttribute(OF);
       long now = world.time.now();
-      ThriftWords.Reply reply = ThriftWords.reply(frame);
+      ThriftMessages.Reply reply = ThriftMessages.reply(frame);
       world.time.at(
           0,
           () -> {
@@ -193,9 +197,9 @@
               truth.answered(
                   q.arrival.number(),
                   switch (reply.kind()) {
-                    case "ANSWER" -> Truth.Answer.SERVED;
-                    case "BUSY" -> Truth.Answer.REFUSED;
-                    default -> Truth.Answer.FAILED;
+                    case "ANSWER" -> HistoryChecker.Answer.SERVED;
+                    case "BUSY" -> HistoryChecker.Answer.REFUSED;
+                    default -> HistoryChecker.Answer.FAILED;
                   },
                   now);
             }
--- a/lab/src/main/java/reachloom/lab/rig/World.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,13 +9,13 @@
 import java.util.function.Predicate;
 import reachloom.standin.model.EngineModel;
 import reachloom.standin.model.EngineModel.Mood;
-import reachloom.standin.model.Timeline;
+import reachloom.standin.model.Scheduler;
 
 /**
  * What lies around the gateways: engines, the list of them as each part of the fleet is told it,
  * and the links between zones. One thread, that of the timeline, touches it.
  */
-public final class World {
+public final class ClusterModel {
   static final int READY = 0;
   static final int DRAINING = 1;
 
@@ -23,13 +23,13 @@
   public static final int GONE = 2;
 
   /** From a drain to the end of the process: longer than most queries take. */
-  private static final long DRAIN = 4 * Plan.SECOND;
+  private static final long DRAIN = 4 * ClusterPlan.SECOND;
 
   /** The list learns so long after it that a process has ended by itself. */
-  private static final long NOTICE = 2 * Plan.SECOND;
+  private static final long NOTICE = 2 * ClusterPlan.SECOND;
 
   /** An engine that fell over is back so long after it. */
-  private static final long REPAIR = 10 * Plan.SECOND;
+  private static final long REPAIR = 10 * ClusterPlan.SECOND;
 
   /**
    * An engine as the list has it: ready, draining or gone, and the Unix millisecond of a late
@@ -134,8 +134,8 @@
     void accept(View view, Event event);
   }
 
-  final Plan plan;
-  public final Timeline time;
+  final ClusterPlan plan;
+  public final Scheduler time;
   public final Map<Integer, EngineModel> engines = new LinkedHashMap<>();
   final Map<Integer, Listed> list = new LinkedHashMap<>();
   public final List<View> views = new ArrayList<>();
@@ -152,7 +152,7 @@
   private Consumer<EngineModel> ended = e -> {};
 
   /** A world with the plan's engines, all well, on that timeline. */
-  public World(Plan plan, Timeline time) {
+  public ClusterModel(ClusterPlan plan, Scheduler time) {
     this.plan = plan;
     this.time = time;
     random = new SplittableRandom(plan.seed() * 31 + 5);
@@ -245,7 +245,7 @@
   private void back(EngineModel e) {
     e.restart();
     added.accept(e);
-    announce(new Listed(e.id, READY, time.now() / Plan.MILLISECOND));
+    announce(new Listed(e.id, READY, time.now() / ClusterPlan.MILLISECOND));
   }
 
   // ---- Troubles ----
@@ -321,7 +321,7 @@
           time.now() + within * i / of.size(),
           () -> {
             announce(new Listed(e.id, DRAINING, list.get(e.id).startedMs));
-            Listed fresh = add(time.now() / Plan.MILLISECOND);
+            Listed fresh = add(time.now() / ClusterPlan.MILLISECOND);
             EngineModel other = engines.get(fresh.id);
             other.restart();
             added.accept(other);
--- a/lab/src/main/java/reachloom/lab/rig/Plan.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterPlan.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +12,7 @@
  * gateways' clocks are up to {@code clocksApart} off either way; reports are older by {@code
  * reportAge}; both in nanoseconds.
  */
-public record Plan(
+public record ClusterPlan(
     int gateways,
     int engines,
     int zones,
@@ -39,7 +39,7 @@
   private static final double SPEED_SPREAD = 0.1;
 
   /** A plan whose clocks agree and whose reports are as old as usual. */
-  public Plan(
+  public ClusterPlan(
       int gateways,
       int engines,
       int zones,
--- a/lab/src/main/java/reachloom/lab/rig/EngineCommand.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineCommand.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 /**
  * What a gateway says to an engine: a word, an id or tag, what follows on the line, and the body of
--- a/lab/src/main/java/reachloom/lab/rig/EngineCommandDecoder.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineCommandDecoder.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/lab/src/main/java/reachloom/lab/rig/Hosts.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -27,11 +27,11 @@
  * cut comes once it is well again, as it would by TCP, where the connection has not been given up
  * meanwhile.
  */
-public final class Hosts implements AutoCloseable {
+public final class EngineHosts implements AutoCloseable {
   private static final int SOCKET_THREADS = 3;
   private static final int BACKLOG = 1_024;
   private static final int READ = 2_048;
-  private static final AttributeKey OF = new AttributeKey(Hosts.class, "of");
+  private static final AttributeKey OF = new AttributeKey(EngineHosts.class, "of");
   private static final String ROW = "a\tb\tc\n";
 
   /** A connection of a gateway: to which engine, from which zone. */
@@ -39,7 +39,7 @@
     private final IoSession session;
     private final EngineModel engine;
     private final int zone;
-    private final Map<String, Truth.Try> open = new HashMap<>();
+    private final Map<String, HistoryChecker.Try> open = new HashMap<>();
 
     Conn(IoSession session, EngineModel engine, int zone) {
       this.session = session;
@@ -48,20 +48,20 @@
     }
   }
 
-  private final World world;
-  private final Truth truth;
+  private final ClusterModel world;
+  private final HistoryChecker truth;
   private final int port;
   private final NioSocketAcceptor engines = new NioSocketAcceptor(SOCKET_THREADS);
   private final List<ListServer> lists = new ArrayList<>();
   private final Map<InetSocketAddress, EngineModel> byAddress = new HashMap<>();
   private final Set<Conn> conns = new HashSet<>();
-  private final Map<World.Link, ArrayDeque<Runnable>> held = new HashMap<>();
+  private final Map<ClusterModel.Link, ArrayDeque<Runnable>> held = new HashMap<>();
   private long accepted;
   private int most;
   private long probes;
 
   /** Engines that listen, and change logs where they are wanted here. */
-  Hosts(World world, Truth truth, boolean withLists) throws IOException {
+  EngineHosts(ClusterModel world, HistoryChecker truth, boolean withLists) throws IOException {
     this.world = world;
     this.truth = truth;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -72,7 +72,7 @@
       bind(e);
     }
     if (withLists) {
-      for (World.View v : world.views) {
+      for (ClusterModel.View v : world.views) {
         ListServer server = new ListServer(world.time, world.plan, port, () -> v.log);
         v.hear(e -> server.tell());
         server.bind(listAddress(v.zone));
@@ -161,7 +161,7 @@
     }
   }
 
-  private void reach(World.View v) throws IOException {
+  private void reach(ClusterModel.View v) throws IOException {
     if (v.isDown()) {
       lists.get(v.zone).unbind();
     } else {
@@ -171,12 +171,12 @@
 
   // ---- Engines ----
 
-  private World.Link link(Conn c) {
+  private ClusterModel.Link link(Conn c) {
     return world.link(c.zone, world.plan.zoneOfEngine(c.engine.id));
   }
 
   /** Does what a message brings about once it has come over that way; in order on each way. */
-  private void over(World.Link link, boolean cut, Runnable arrival) {
+  private void over(ClusterModel.Link link, boolean cut, Runnable arrival) {
     if (cut || held.containsKey(link)) {
       held.computeIfAbsent(link, l -> new ArrayDeque<>()).addLast(arrival);
       if (held.get(link).size() == 1) {
@@ -190,9 +190,9 @@
   }
 
   /** What was held up comes once the way is well, in its order. */
-  private void heal(World.Link link) {
+  private void heal(ClusterModel.Link link) {
     world.time.at(
-        world.time.now() + 20 * Plan.MILLISECOND,
+        world.time.now() + 20 * ClusterPlan.MILLISECOND,
         () -> {
           if (link.cutIn || link.cutOut) {
             heal(link);
@@ -291,7 +291,7 @@
     String id = command.id();
     Workload.Arrival a = Clients.read(command);
     EngineModel e = c.engine;
-    Truth.Try[] mine = new Truth.Try[1];
+    HistoryChecker.Try[] mine = new HistoryChecker.Try[1];
     boolean runs =
         e.mood() != Mood.DOWN
             && e.ask(
--- a/lab/src/main/java/reachloom/lab/rig/Trouble.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Fault.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 /**
  * One line of a script: at that time, in seconds, it begins for a share of those it may meet, in
@@ -7,7 +7,7 @@
  * machines lost, changes of configuration issued one after another, seconds that a wall clock is
  * stepped by. Times are in seconds.
  */
-public record Trouble(
+public record Fault(
     double at,
     Who who,
     Kind kind,
@@ -64,7 +64,7 @@
   }
 
   private static long nanos(double seconds) {
-    return (long) (seconds * Plan.SECOND);
+    return (long) (seconds * ClusterPlan.SECOND);
   }
 
   /** Whether it steps wall clocks, which only processes have. */
--- a/lab/src/main/java/reachloom/lab/rig/Director.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +9,7 @@
 import reachloom.standin.model.EngineModel.Mood;
 
 /** Plays a script: brings each trouble about in its time, and ends it. */
-public final class Director {
+public final class FaultInjector {
   /** What can be done to gateways. */
   public interface Gateways {
     /** Ends it at once, without a word. */
@@ -35,16 +35,17 @@
     }
   }
 
-  private final World world;
+  private final ClusterModel world;
   private final int count;
-  private final Consumer<Trouble> others;
+  private final Consumer<Fault> others;
   private final Gateways gateways;
   private final Workload workload;
-  private final Truth truth;
+  private final HistoryChecker truth;
   private final SplittableRandom random;
 
   /** A director over that world; what it does to gateways is done by others. */
-  public Director(World world, Gateways gateways, Workload workload, Truth truth) {
+  public FaultInjector(
+      ClusterModel world, Gateways gateways, Workload workload, HistoryChecker truth) {
     this(
         world,
         world.plan.gateways(),
@@ -57,13 +58,13 @@
   }
 
   /** The same over so many gateways; what meets none of these things is brought about by others. */
-  public Director(
-      World world,
+  public FaultInjector(
+      ClusterModel world,
       int count,
       Gateways gateways,
       Workload workload,
-      Truth truth,
-      Consumer<Trouble> others) {
+      HistoryChecker truth,
+      Consumer<Fault> others) {
     this.world = world;
     this.count = count;
     this.others = others;
@@ -74,8 +75,8 @@
   }
 
   /** Plans all of it, from that time on, as long as the run goes on. */
-  public void play(Script script, long start, BooleanSupplier goesOn) {
-    for (Trouble t : script.troubles()) {
+  public void play(FaultSchedule script, long start, BooleanSupplier goesOn) {
+    for (Fault t : script.troubles()) {
       world.time.at(
           start + t.start(),
           () -> {
@@ -90,7 +91,7 @@
     world.time.at(world.time.now() + wait, action);
   }
 
-  private void begin(Trouble t) {
+  private void begin(Fault t) {
     switch (t.who()) {
       case GATEWAYS -> gateways(t);
       case ENGINES -> engines(t, world.draw(t.share(), t.zone()));
@@ -105,7 +106,7 @@
   }
 
   /** All at once, or one after another over the time given. */
-  private void gateways(Trouble t) {
+  private void gateways(Fault t) {
     List<Integer> some = drawGateways(t.share(), t.zone());
     for (int i = 0; i < some.size(); i++) {
       int g = some.get(i);
@@ -126,7 +127,7 @@
                 later(t.length(), () -> gateways.failCalls(g, 0));
               }
               case CLOCK_FORWARD, CLOCK_BACK -> {
-                gateways.stepClock(g, t.kind() == Trouble.Kind.CLOCK_BACK ? -t.by() : t.by());
+                gateways.stepClock(g, t.kind() == Fault.Kind.CLOCK_BACK ? -t.by() : t.by());
                 if (t.length() > 0) {
                   later(t.length(), () -> gateways.stepClock(g, 0));
                 }
@@ -160,7 +161,7 @@
     return all;
   }
 
-  private void engines(Trouble t, List<EngineModel> some) {
+  private void engines(Fault t, List<EngineModel> some) {
     switch (t.kind()) {
       case HANG -> world.upset(some, Mood.HANGS, 0, t.length());
       case ERR -> world.upset(some, Mood.ERRS, t.by(), t.length());
@@ -171,7 +172,7 @@
     }
   }
 
-  private void links(Trouble t) {
+  private void links(Fault t) {
     for (int g = 0; g < world.plan.zones(); g++) {
       for (int e = 0; e < world.plan.zones(); e++) {
         // From one zone, to another one; without a far zone, between the zone and all others, both
@@ -180,10 +181,10 @@
             t.far() >= 0
                 ? g == t.zone() && e == t.far()
                 : t.zone() < 0 || (g == t.zone()) != (e == t.zone());
-        if (meant && t.kind() == Trouble.Kind.RESET) {
+        if (meant && t.kind() == Fault.Kind.RESET) {
           world.reset(g, e);
         } else if (meant) {
-          World.Link link = world.link(g, e);
+          ClusterModel.Link link = world.link(g, e);
           set(link, t, true);
           truth.impaired(g, e, true);
           int from = g;
@@ -199,9 +200,9 @@
     }
   }
 
-  private static void set(World.Link link, Trouble t, boolean now) {
+  private static void set(ClusterModel.Link link, Fault t, boolean now) {
     switch (t.kind()) {
-      case DELAY -> link.delay = now ? (long) (t.by() * Plan.MILLISECOND) : 0;
+      case DELAY -> link.delay = now ? (long) (t.by() * ClusterPlan.MILLISECOND) : 0;
       case CUT_OUT -> link.cutOut = now;
       case CUT_IN -> link.cutIn = now;
       default -> {
@@ -211,12 +212,12 @@
     }
   }
 
-  private void views(Trouble t) {
-    for (World.View v : world.views) {
+  private void views(Fault t) {
+    for (ClusterModel.View v : world.views) {
       if (t.zone() < 0 || v.zone == t.zone()) {
         switch (t.kind()) {
           case LATE -> {
-            v.late((long) (t.by() * Plan.MILLISECOND));
+            v.late((long) (t.by() * ClusterPlan.MILLISECOND));
             later(t.length(), () -> v.late(0));
           }
           case STALE -> {
--- a/lab/src/main/java/reachloom/lab/rig/Script.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -19,7 +19,7 @@
 import org.xml.sax.SAXParseException;
 
 /** A script of troubles, in XML that {@code script.xsd} describes. */
-public record Script(String name, List<Trouble> troubles) {
+public record FaultSchedule(String name, List<Fault> troubles) {
   /** Scripts that the program brings along. */
   public static final List<String> NAMED =
       List.of(
@@ -43,7 +43,7 @@
           "clocks",
           "calls");
 
-  static final Script NONE = new Script("none", List.of());
+  static final FaultSchedule NONE = new FaultSchedule("none", List.of());
 
   /** A script that can't be used: the text names the line, and what is wrong there. */
   public static final class Unusable extends Exception {
@@ -55,9 +55,10 @@
   }
 
   /** The script of that name, or in the file of that name. */
-  public static Script of(String nameOrFile) throws Unusable {
+  public static FaultSchedule of(String nameOrFile) throws Unusable {
     if (NAMED.contains(nameOrFile)) {
-      try (InputStream in = Script.class.getResourceAsStream("script-" + nameOrFile + ".xml")) {
+      try (InputStream in =
+          FaultSchedule.class.getResourceAsStream("script-" + nameOrFile + ".xml")) {
         return read(in, nameOrFile);
       } catch (IOException e) {
         throw new Unusable(nameOrFile + ": " + e.getMessage());
@@ -75,8 +76,8 @@
   }
 
   /** Reads a script; the name stands for it in complaints. */
-  public static Script read(InputStream in, String name) throws IOException, Unusable {
-    try (InputStream schema = Script.class.getResourceAsStream("script.xsd")) {
+  public static FaultSchedule read(InputStream in, String name) throws IOException, Unusable {
+    try (InputStream schema = FaultSchedule.class.getResourceAsStream("script.xsd")) {
       DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
       factory.setNamespaceAware(true);
       factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
@@ -85,7 +86,7 @@
               .newSchema(new StreamSource(schema)));
       var builder = factory.newDocumentBuilder();
       builder.setErrorHandler(new Strict());
-      List<Trouble> troubles = new ArrayList<>();
+      List<Fault> troubles = new ArrayList<>();
       for (Node n = builder.parse(in).getDocumentElement().getFirstChild();
           n != null;
           n = n.getNextSibling()) {
@@ -93,7 +94,7 @@
           troubles.add(trouble(e, name));
         }
       }
-      return new Script(name, List.copyOf(troubles));
+      return new FaultSchedule(name, List.copyOf(troubles));
     } catch (SAXParseException e) {
       throw new Unusable(name + ": line " + e.getLineNumber() + ": " + e.getMessage());
     } catch (SAXException | ParserConfigurationException e) {
@@ -101,15 +102,15 @@
     }
   }
 
-  private static Trouble trouble(Element e, String name) throws Unusable {
-    Trouble.Kind kind =
-        Trouble.Kind.valueOf(e.getAttribute("do").replace('-', '_').toUpperCase(Locale.ROOT));
-    Trouble.Who who = Trouble.Who.valueOf(e.getLocalName().toUpperCase(Locale.ROOT));
+  private static Fault trouble(Element e, String name) throws Unusable {
+    Fault.Kind kind =
+        Fault.Kind.valueOf(e.getAttribute("do").replace('-', '_').toUpperCase(Locale.ROOT));
+    Fault.Who who = Fault.Who.valueOf(e.getLocalName().toUpperCase(Locale.ROOT));
     if (kind.who != who) {
       throw new Unusable(
           name + ": " + e.getLocalName() + ": nothing there can '" + e.getAttribute("do") + "'");
     }
-    return new Trouble(
+    return new Fault(
         number(e, "at", 0),
         who,
         kind,
@@ -127,17 +128,17 @@
 
   /** Whether only a whole installation can play it. */
   public boolean ofInstallation() {
-    return troubles.stream().anyMatch(Trouble::ofInstallation);
+    return troubles.stream().anyMatch(Fault::ofInstallation);
   }
 
   /** Whether it steps wall clocks. */
   boolean stepsClocks() {
-    return troubles.stream().anyMatch(Trouble::ofClocks);
+    return troubles.stream().anyMatch(Fault::ofClocks);
   }
 
   /** Whether it lets system calls fail. */
   boolean failsCalls() {
-    return troubles.stream().anyMatch(Trouble::ofCalls);
+    return troubles.stream().anyMatch(Fault::ofCalls);
   }
 
   /** The last moment at which something happens, in seconds. */
--- a/lab/src/main/java/reachloom/lab/rig/Conditions.java
+++ b/lab/src/main/java/reachloom/lab/cluster/GatewayConfigurations.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,32 +10,32 @@
  * The settings and the configuration of one gateway of the fleet, as the platform's JSON words
  * them.
  */
-public final class Conditions {
+public final class GatewayConfigurations {
   private static final ObjectMapper JSON = new ObjectMapper();
-  static final long DIAL = 250 * Plan.MILLISECOND;
+  static final long DIAL = 250 * ClusterPlan.MILLISECOND;
 
   /** Idle connections to engines are kept for so long. */
-  public static final long KEEPALIVE = 30 * Plan.SECOND;
+  public static final long KEEPALIVE = 30 * ClusterPlan.SECOND;
 
-  static final long GRACE = 500 * Plan.MILLISECOND;
-  static final long KEY_WINDOW = 12 * Plan.SECOND;
+  static final long GRACE = 500 * ClusterPlan.MILLISECOND;
+  static final long KEY_WINDOW = 12 * ClusterPlan.SECOND;
   static final int MAX_ATTEMPTS = 5;
-  static final long LOOK_BACK = 10 * Plan.SECOND;
+  static final long LOOK_BACK = 10 * ClusterPlan.SECOND;
   static final double EXTRA_FREE = 20;
   static final double EXTRA_PER_QUERY = 0.5;
   static final List<String> KIND_NAMES = List.of("usual", "large");
   private static final double PROBE_PRICE = 0.08;
   private static final double CROSS_PRICE = 0.015;
 
-  private Conditions() {}
+  private GatewayConfigurations() {}
 
   /** The object of all settings for a gateway. */
-  public static ObjectNode settings(Plan plan, int gateway) {
+  public static ObjectNode settings(ClusterPlan plan, int gateway) {
     ObjectNode root = JSON.createObjectNode();
     root.put("balancers", plan.believed())
         .put("selfIndex", gateway)
         .put("zone", plan.zoneOf(gateway))
-        .put("tick", 5 * Plan.MILLISECOND)
+        .put("tick", 5 * ClusterPlan.MILLISECOND)
         .put("discovery", "automatic")
         .put("overShareWorth", 0.1);
     ArrayNode zones = root.putArray("zones");
@@ -61,8 +61,8 @@
           .put("keyTtl", KEY_WINDOW);
       widths.add(k.threads());
     }
-    special.put("notePeriod", Plan.SECOND / 2).put("costInAnswers", true);
-    special.putArray("cpuOfKind").add(Plan.SMALL_CORES).add(Plan.LARGE_CORES);
+    special.put("notePeriod", ClusterPlan.SECOND / 2).put("costInAnswers", true);
+    special.putArray("cpuOfKind").add(ClusterPlan.SMALL_CORES).add(ClusterPlan.LARGE_CORES);
     special.putArray("ramOfKindMb").add(16_384).add(32_768);
     root.putObject("limits")
         .put("maxAttempts", MAX_ATTEMPTS)
@@ -73,11 +73,11 @@
         .put("streamsPerConn", 100)
         .put("maxOpen", 2_000);
     root.putObject("contract")
-        .put("graceToAnswer", 20 * Plan.MILLISECOND)
-        .put("coldFrom", Plan.COLD_FROM)
-        .put("cold", Plan.COLD_TIME)
-        .put("fall", Plan.FALL_TIME)
-        .put("fallMultiple", Plan.FALL_MULTIPLE)
+        .put("graceToAnswer", 20 * ClusterPlan.MILLISECOND)
+        .put("coldFrom", ClusterPlan.COLD_FROM)
+        .put("cold", ClusterPlan.COLD_TIME)
+        .put("fall", ClusterPlan.FALL_TIME)
+        .put("fallMultiple", ClusterPlan.FALL_MULTIPLE)
         .put("stopSendingWithin", GRACE)
         .put("lookBack", LOOK_BACK)
         .put("minExtra", EXTRA_FREE)
@@ -97,7 +97,7 @@
 
   /** A whole configuration; {@code hosts} holds the engines of the start, told up to that event. */
   static String configuration(
-      Plan plan,
+      ClusterPlan plan,
       int gateway,
       long seed,
       InetSocketAddress listen,
@@ -119,9 +119,9 @@
   }
 
   /** An engine as the configuration lists it. */
-  static ObjectNode host(Plan plan, World.Listed engine, InetSocketAddress address) {
+  static ObjectNode host(ClusterPlan plan, ClusterModel.Listed engine, InetSocketAddress address) {
     return JSON.createObjectNode()
-        .put("host", World.name(engine.id()))
+        .put("host", ClusterModel.name(engine.id()))
         .put("dial", text(address))
         .put("site", zone(plan.zoneOfEngine(engine.id())))
         .put("class", KIND_NAMES.get(plan.isLarge(engine.id()) ? 1 : 0))
--- a/lab/src/main/java/reachloom/lab/rig/Truth.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import reachloom.lab.rig.Workload.Arrival;
+import reachloom.lab.cluster.Workload.Arrival;
 import reachloom.standin.model.EngineModel;
 
 /**
@@ -15,9 +15,9 @@
  * nothing of the gateways' decisions. All of it runs on the timeline's thread, in the order of time
  * but for the network's.
  */
-public final class Truth {
+public final class HistoryChecker {
   /** Each time limit is so much longer, as the platform's protocol allows. */
-  private static final long SLACK = 50 * Plan.MILLISECOND;
+  private static final long SLACK = 50 * ClusterPlan.MILLISECOND;
 
   private static final int MAX_TOLD = 20;
   private static final long LONGEST_MICROS = 60_000_000;
@@ -103,8 +103,8 @@
 
   private record Place(int a, int b) {}
 
-  private final World world;
-  private final Plan plan;
+  private final ClusterModel world;
+  private final ClusterPlan plan;
   private final Map<Long, Query> queries = new HashMap<>();
 
   /** Queries that nobody took: their gateway was down and its front did not know yet. */
@@ -118,29 +118,29 @@
   private final Map<Place, Long> startTold = new HashMap<>();
 
   /** What some gateways of a zone have not heard: it binds none there until all can have. */
-  private final Map<Integer, List<World.Event>> unheard = new HashMap<>();
+  private final Map<Integer, List<ClusterModel.Event>> unheard = new HashMap<>();
 
   private final Map<Integer, ArrayDeque<Try>> lately = new HashMap<>();
   private final Map<Integer, List<Query>> byGateway = new TreeMap<>();
   private final Map<String, Integer> broken = new TreeMap<>();
   private final List<String> brokenFirst = new ArrayList<>();
-  private final Spread spread;
+  private final LoadImbalance spread;
   private long start;
   private volatile int owed;
   private int refusedWhileIdle;
   private int fell;
 
   /** An auditor of what happens in that world from that time on. */
-  public Truth(World world, long start) {
+  public HistoryChecker(ClusterModel world, long start) {
     this.world = world;
     this.start = start;
     plan = world.plan;
-    spread = new Spread(world, start);
+    spread = new LoadImbalance(world, start);
     world.onTold(this::told);
     world.onFall(this::fell);
   }
 
-  Spread spread() {
+  LoadImbalance spread() {
     return spread;
   }
 
@@ -246,7 +246,7 @@
     spread.sent(engine);
     ArrayDeque<Try> there = lately.computeIfAbsent(engine, e -> new ArrayDeque<>());
     there.addLast(t);
-    while (there.peekFirst().at < now - Plan.FALL_TIME) {
+    while (there.peekFirst().at < now - ClusterPlan.FALL_TIME) {
       there.removeFirst();
     }
     return t;
@@ -270,13 +270,13 @@
     }
   }
 
-  private void told(World.View view, World.Event event) {
+  private void told(ClusterModel.View view, ClusterModel.Event event) {
     if (unheard.containsKey(view.zone)) {
       unheard.get(view.zone).add(event);
       return;
     }
-    World.Listed e = event.engine();
-    if (e.state() == World.READY) {
+    ClusterModel.Listed e = event.engine();
+    if (e.state() == ClusterModel.READY) {
       drainTold.remove(new Place(view.zone, e.id()));
       startTold.put(new Place(view.zone, e.id()), world.time.now());
     } else {
@@ -286,7 +286,7 @@
 
   private void checkDrain(Try t) {
     Long at = drainTold.get(new Place(plan.zoneOf(t.gateway), t.engine));
-    if (at != null && t.sentAt > at + Conditions.GRACE + SLACK) {
+    if (at != null && t.sentAt > at + GatewayConfigurations.GRACE + SLACK) {
       broken("drain", t.query.arrival.number());
     }
   }
@@ -306,7 +306,7 @@
       if (kind.effect().equals("once")) {
         broken("ran twice", t.query.arrival.number());
       } else if (kind.effect().equals("by_key")
-          && t.sentAt > before.at + Conditions.KEY_WINDOW + SLACK) {
+          && t.sentAt > before.at + GatewayConfigurations.KEY_WINDOW + SLACK) {
         broken("repeated after its window", t.query.arrival.number());
       }
       if (before.endAt == Long.MAX_VALUE && !impairedSince(before)) {
@@ -386,7 +386,7 @@
     int toQuery = 0;
     for (int i = 0; i < further.size(); i++) {
       long at = further.get(i);
-      long since = at - Conditions.LOOK_BACK;
+      long since = at - GatewayConfigurations.LOOK_BACK;
       while (further.get(fromTry) < since + SLACK) {
         fromTry++;
       }
@@ -396,7 +396,9 @@
       while (toQuery < taken.size() && taken.get(toQuery) <= at) {
         toQuery++;
       }
-      double most = Conditions.EXTRA_FREE + Conditions.EXTRA_PER_QUERY * (toQuery - fromQuery);
+      double most =
+          GatewayConfigurations.EXTRA_FREE
+              + GatewayConfigurations.EXTRA_PER_QUERY * (toQuery - fromQuery);
       if (i - fromTry + 1 > most) {
         broken("further attempts", of.get(0).gateway);
         return;
@@ -505,12 +507,13 @@
     TreeMap<Long, double[]> by = new TreeMap<>();
     for (Query q : all) {
       double[] sums =
-          by.computeIfAbsent((q.arrival.at() - start) / (5 * Plan.SECOND), k -> new double[2]);
+          by.computeIfAbsent(
+              (q.arrival.at() - start) / (5 * ClusterPlan.SECOND), k -> new double[2]);
       sums[0] += q.inAim() ? q.worth() : 0;
       sums[1] += q.worth();
     }
     for (Arrival a : unplaced) {
-      by.computeIfAbsent((a.at() - start) / (5 * Plan.SECOND), k -> new double[2])[1] +=
+      by.computeIfAbsent((a.at() - start) / (5 * ClusterPlan.SECOND), k -> new double[2])[1] +=
           a.of().worth();
     }
     return by.values().stream().map(s -> share(s[0], s[1])).toList();
--- a/lab/src/main/java/reachloom/lab/rig/ListServer.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ListServer.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,7 +16,7 @@
 import reachloom.gateway.wire.Decoder;
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.Listener;
-import reachloom.standin.model.Timeline;
+import reachloom.standin.model.Scheduler;
 
 /**
  * The change log on sockets: tells whoever follows it what came after the event that it names, each
@@ -59,16 +59,17 @@
     }
   }
 
-  private final Timeline time;
-  private final Plan plan;
+  private final Scheduler time;
+  private final ClusterPlan plan;
   private final int enginePort;
-  private final Supplier<List<World.Event>> log;
+  private final Supplier<List<ClusterModel.Event>> log;
   private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
   private final Map<IoSession, Follower> followers = new HashMap<>();
   private final Sent[] sent;
 
   /** A server of that log that listens nowhere yet; engines listen at that port. */
-  public ListServer(Timeline time, Plan plan, int enginePort, Supplier<List<World.Event>> log) {
+  public ListServer(
+      Scheduler time, ClusterPlan plan, int enginePort, Supplier<List<ClusterModel.Event>> log) {
     this.time = time;
     this.plan = plan;
     this.enginePort = enginePort;
@@ -77,7 +78,8 @@
     for (int z = 0; z < sent.length; z++) {
       sent[z] = new Sent();
     }
-    Hosts.prepare(acceptor, new DecodingHandler<>("gateway", HelloDecoder::new, new Followed()));
+    EngineHosts.prepare(
+        acceptor, new DecodingHandler<>("gateway", HelloDecoder::new, new Followed()));
     beat();
   }
 
@@ -135,13 +137,13 @@
 
   private void beat() {
     followers.keySet().forEach(s -> write(s, nothing()));
-    time.at(time.now() + Plan.SECOND, this::beat);
+    time.at(time.now() + ClusterPlan.SECOND, this::beat);
   }
 
   private void bring(IoSession s) {
     Follower f = followers.get(s);
-    List<World.Event> events = log.get();
-    for (World.Event e : events.subList(f.next, events.size())) {
+    List<ClusterModel.Event> events = log.get();
+    for (ClusterModel.Event e : events.subList(f.next, events.size())) {
       write(s, frame(e, f.zone));
     }
     f.next = events.size();
@@ -159,8 +161,8 @@
     return ByteBuffer.allocate(HEAD).putInt(HEAD - Integer.BYTES).putLong(log.get().size()).array();
   }
 
-  private byte[] frame(World.Event event, int zone) {
-    World.Listed e = event.engine();
+  private byte[] frame(ClusterModel.Event event, int zone) {
+    ClusterModel.Listed e = event.engine();
     InetSocketAddress a = engine(e.id(), zone, enginePort);
     return ByteBuffer.allocate(HEAD + RECORD)
         .putInt(HEAD - Integer.BYTES + RECORD)
--- a/lab/src/main/java/reachloom/lab/rig/Spread.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,8 +10,8 @@
 import reachloom.standin.model.EngineModel.Mood;
 
 /** How evenly the load lies on the engines, looked at in windows of 100 ms. */
-final class Spread {
-  private static final long WINDOW = 100 * Plan.MILLISECOND;
+final class LoadImbalance {
+  private static final long WINDOW = 100 * ClusterPlan.MILLISECOND;
   private static final int PER_SECOND = 10;
 
   /** Over three times its share, and by more than chance does in a run of some thousand windows. */
@@ -31,7 +31,7 @@
     private int windows;
   }
 
-  private final World world;
+  private final ClusterModel world;
   private final Map<Integer, Seen> seen = new HashMap<>();
   private final List<Double> imbalance = new ArrayList<>();
   private final List<Double> variation = new ArrayList<>();
@@ -44,7 +44,7 @@
   private int refused;
   private int windows;
 
-  Spread(World world, long start) {
+  LoadImbalance(ClusterModel world, long start) {
     this.world = world;
   }
 
@@ -78,7 +78,7 @@
   }
 
   private boolean listed(EngineModel e) {
-    return world.list.get(e.id).state() == World.READY;
+    return world.list.get(e.id).state() == ClusterModel.READY;
   }
 
   private void look() {
@@ -170,7 +170,7 @@
     f.put("imbalance", Math.round(1e3 * percentile(imbalance)) / 1e3);
     f.put("cv", mean(variation));
     f.put("herds", herds);
-    f.put("idle_share", Truth.share(idle, watched));
+    f.put("idle_share", HistoryChecker.share(idle, watched));
     f.put("idle_longest_s", longestIdle / (double) PER_SECOND);
     f.put("unused_longest_s", longestUnused / (double) PER_SECOND);
     return f;
--- a/lab/src/main/java/reachloom/lab/rig/ProcessFleet.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -13,35 +13,35 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.IntFunction;
-import reachloom.lab.rig.Workload.Arrival;
-import reachloom.standin.model.RealTime;
+import reachloom.lab.cluster.Workload.Arrival;
+import reachloom.standin.model.RealTimeScheduler;
 
 /** The fleet as processes of the program, among engines, change logs and clients on loopback. */
-public final class ProcessFleet implements Director.Gateways, AutoCloseable {
-  private static final long FRONT_NOTICE = Plan.SECOND;
-  private static final long SETTLE = Plan.SECOND;
-  private static final long MEMORY_GAP = 2 * Plan.SECOND;
-  private static final long LATEST = Plan.SECOND;
+public final class ProcessFleet implements FaultInjector.Gateways, AutoCloseable {
+  private static final long FRONT_NOTICE = ClusterPlan.SECOND;
+  private static final long SETTLE = ClusterPlan.SECOND;
+  private static final long MEMORY_GAP = 2 * ClusterPlan.SECOND;
+  private static final long LATEST = ClusterPlan.SECOND;
   private static final int PATIENCE_S = 60;
 
   /** Where gateways that no client asks are said to listen. */
   private static final InetSocketAddress NOWHERE =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
-  private final Plan plan;
-  private final RealTime time = new RealTime("world");
-  private final World world;
+  private final ClusterPlan plan;
+  private final RealTimeScheduler time = new RealTimeScheduler("world");
+  private final ClusterModel world;
   private final SplittableRandom random;
   private final Processes processes;
 
   /** Null where the gateways are alone. */
-  private final Company company;
+  private final SideProcesses company;
 
   private final boolean[] up;
   private final long[] changedAt;
   private final long[] lives;
-  private Truth truth;
-  private Hosts hosts;
+  private HistoryChecker truth;
+  private EngineHosts hosts;
   private Clients clients;
   private Workload workload;
   private double memoryMost;
@@ -51,28 +51,29 @@
   /**
    * A fleet whose files go to that folder; {@code jar} null takes the program from the class path.
    */
-  public ProcessFleet(Plan plan, Path folder, Path jar, int heapMb) throws IOException {
+  public ProcessFleet(ClusterPlan plan, Path folder, Path jar, int heapMb) throws IOException {
     this(plan, folder, jar, heapMb, g -> List.of());
   }
 
   /** The same, each gateway with further words on its command line. */
-  public ProcessFleet(Plan plan, Path folder, Path jar, int heapMb, IntFunction<List<String>> words)
+  public ProcessFleet(
+      ClusterPlan plan, Path folder, Path jar, int heapMb, IntFunction<List<String>> words)
       throws IOException {
     this(plan, folder, jar, heapMb, words, null);
   }
 
   /** The same in company; the plan's gateways are those that are processes and that clients ask. */
   public ProcessFleet(
-      Plan plan,
+      ClusterPlan plan,
       Path folder,
       Path jar,
       int heapMb,
       IntFunction<List<String>> words,
-      Company company)
+      SideProcesses company)
       throws IOException {
     this.plan = plan;
     this.company = company;
-    world = new World(plan, time);
+    world = new ClusterModel(plan, time);
     random = new SplittableRandom(plan.seed() * 13 + 11);
     up = new boolean[plan.gateways()];
     changedAt = new long[plan.gateways()];
@@ -89,20 +90,22 @@
    * it now.
    */
   public String configuration(int gateway) {
-    AtomicReference<List<World.Event>> log = new AtomicReference<>();
-    World.View view = world.views.get(plan.zoneOf(gateway));
+    AtomicReference<List<ClusterModel.Event>> log = new AtomicReference<>();
+    ClusterModel.View view = world.views.get(plan.zoneOf(gateway));
     onWorld(
         () -> {
           log.set(List.copyOf(view.log));
           lives[gateway]++;
         });
-    Map<Integer, World.Listed> known = new java.util.LinkedHashMap<>();
+    Map<Integer, ClusterModel.Listed> known = new java.util.LinkedHashMap<>();
     log.get().forEach(e -> known.put(e.engine().id(), e.engine()));
     List<ObjectNode> engines = new ArrayList<>();
     known
         .values()
-        .forEach(e -> engines.add(Conditions.host(plan, e, hosts.address(e.id(), view.zone))));
-    return Conditions.configuration(
+        .forEach(
+            e ->
+                engines.add(GatewayConfigurations.host(plan, e, hosts.address(e.id(), view.zone))));
+    return GatewayConfigurations.configuration(
         plan,
         gateway,
         plan.seed() * 1_000_003 + gateway + lives[gateway] * 7_919,
@@ -123,7 +126,7 @@
   }
 
   /** The time of the world; what touches it runs there. */
-  public RealTime time() {
+  public RealTimeScheduler time() {
     return time;
   }
 
@@ -150,19 +153,19 @@
   }
 
   /** Plays the script; gives the figures. */
-  public Map<String, Object> play(Script script) throws IOException, InterruptedException {
+  public Map<String, Object> play(FaultSchedule script) throws IOException, InterruptedException {
     return play(script, () -> {});
   }
 
   /** Plays the script, and does that when the queries are over and the gateways still run. */
-  public Map<String, Object> play(Script script, Runnable atEnd)
+  public Map<String, Object> play(FaultSchedule script, Runnable atEnd)
       throws IOException, InterruptedException {
     AtomicReference<IOException> failed = new AtomicReference<>();
     onWorld(
         () -> {
-          truth = new Truth(world, time.now());
+          truth = new HistoryChecker(world, time.now());
           try {
-            hosts = new Hosts(world, truth, company == null);
+            hosts = new EngineHosts(world, truth, company == null);
           } catch (IOException e) {
             failed.set(e);
           }
@@ -185,14 +188,14 @@
     long started = time.now() - from;
     System.err.printf("%d of %d gateways are ready after %.1f s%n", ready, all(), started / 1e9);
     long start = time.now() + SETTLE;
-    long end = start + plan.seconds() * Plan.SECOND;
+    long end = start + plan.seconds() * ClusterPlan.SECOND;
     onWorld(
         () -> {
           java.util.Arrays.fill(up, true);
           truth.begin(start);
           workload = new Workload(plan, start);
           clients = new Clients(world, truth, processes.addresses(), processes::killed);
-          new Director(world, all(), this, workload, truth, this::ofInstallation)
+          new FaultInjector(world, all(), this, workload, truth, this::ofInstallation)
               .play(script, start, () -> time.now() < end);
           if (company != null) {
             company.begin(truth, start, end);
@@ -202,7 +205,7 @@
           next(end);
         });
     long longest = Workload.KINDS.stream().mapToLong(Workload.Kind::deadline).max().orElse(0);
-    while (time.now() < end + longest + Plan.SECOND && !settled(end)) {
+    while (time.now() < end + longest + ClusterPlan.SECOND && !settled(end)) {
       Thread.sleep(100);
     }
     Thread.sleep(500); // what is still on its way
@@ -220,21 +223,21 @@
           f.put("rig_defects", time.defects());
           f.put("rss_mb_max", Math.round(memoryMost * 10) / 10.0);
           f.put("rss_mb_all", Math.round(memoryAll));
-          f.put("clients_late_ms", latest / Plan.MILLISECOND);
+          f.put("clients_late_ms", latest / ClusterPlan.MILLISECOND);
           figures.set(f);
         });
     return figures.get();
   }
 
   /** What became of the queries that came from that second on, by class. */
-  public List<Truth.Row> rows(double fromSecond) {
-    AtomicReference<List<Truth.Row>> rows = new AtomicReference<>();
-    onWorld(() -> rows.set(truth.rows((long) (fromSecond * Plan.SECOND))));
+  public List<HistoryChecker.Row> rows(double fromSecond) {
+    AtomicReference<List<HistoryChecker.Row>> rows = new AtomicReference<>();
+    onWorld(() -> rows.set(truth.rows((long) (fromSecond * ClusterPlan.SECOND))));
     return rows.get();
   }
 
   private boolean settled(long end) {
-    return time.now() > end + Plan.SECOND && truth.allAnswered();
+    return time.now() > end + ClusterPlan.SECOND && truth.allAnswered();
   }
 
   private void look(long end) {
@@ -284,7 +287,7 @@
     }
   }
 
-  private void ofInstallation(Trouble t) {
+  private void ofInstallation(Fault t) {
     if (company == null) {
       throw new IllegalStateException("nobody here can bring about " + t);
     }
--- a/lab/src/main/java/reachloom/lab/rig/Processes.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Processes.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/lab/src/main/java/reachloom/lab/rig/Company.java
+++ b/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,7 +8,7 @@
  * after them, and the change logs that all follow. Troubles of the whole installation are its to
  * bring about.
  */
-public interface Company extends Director.Gateways {
+public interface SideProcesses extends FaultInjector.Gateways {
   /** How many further gateways there are. */
   int gateways();
 
@@ -16,16 +16,16 @@
   InetSocketAddress changeLog(int gateway);
 
   /** Prepares what gateways need from their start on; engines listen by now. */
-  void open(World world, Hosts hosts) throws IOException, InterruptedException;
+  void open(ClusterModel world, EngineHosts hosts) throws IOException, InterruptedException;
 
   /** Starts the further gateways; gives how many are ready within their time. */
   int join() throws IOException, InterruptedException;
 
   /** Queries begin at that time; on the timeline. */
-  void begin(Truth truth, long start, long end);
+  void begin(HistoryChecker truth, long start, long end);
 
   /** Brings a trouble of the installation about; on the timeline. */
-  void trouble(Trouble trouble);
+  void trouble(Fault trouble);
 
   /** A gateway that is a process runs again, or is ended; on the timeline. */
   void runs(int gateway, boolean now);
--- a/lab/src/main/java/reachloom/lab/rig/Workload.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Workload.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import java.util.Arrays;
 import java.util.List;
@@ -9,7 +9,7 @@
  * same seed gives the same queries, whoever serves them.
  */
 public final class Workload {
-  private static final long SECOND = Plan.SECOND;
+  private static final long SECOND = ClusterPlan.SECOND;
   private static final int KEYS = 5_000;
   private static final double MAX_WORK = 6; // means
 
@@ -54,7 +54,7 @@
     }
   }
 
-  private final Plan plan;
+  private final ClusterPlan plan;
   private final SplittableRandom random;
   private final double[] upTo;
   private final double[] surge;
@@ -63,7 +63,7 @@
   private long count;
 
   /** Queries that begin at that time. */
-  public Workload(Plan plan, long start) {
+  public Workload(ClusterPlan plan, long start) {
     this.plan = plan;
     random = new SplittableRandom(plan.seed());
     nextAt = start;
--- a/lab/src/main/java/reachloom/lab/rig/package-info.java
+++ b/lab/src/main/java/reachloom/lab/cluster/package-info.java
@@ -3,4 +3,4 @@
  * processes of the program, and the auditor. Each command that plays something puts its own
  * together from these.
  */
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
--- a/lab/src/main/java/reachloom/lab/fleet/Baseline.java
+++ b/lab/src/main/java/reachloom/lab/fleet/Baseline.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.World;
+import reachloom.lab.cluster.ClusterModel;
+import reachloom.lab.cluster.ClusterPlan;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -48,7 +48,7 @@
     ORACLE
   }
 
-  private static final long PROBE_GAP = 500 * Plan.MILLISECOND;
+  private static final long PROBE_GAP = 500 * ClusterPlan.MILLISECOND;
   private static final int FOUR = 4;
 
   /** The oracle gives cold engines so much of what they can do. */
@@ -58,7 +58,7 @@
 
   private final Rule rule;
   private final SchedulerActions actions;
-  private final World world;
+  private final ClusterModel world;
   private final Late late;
   private final Map<String, EngineEndpoint> engines = new LinkedHashMap<>();
   private final Map<String, Integer> out = new HashMap<>();
@@ -69,13 +69,13 @@
 
   /** What the oracles of one run see: the state of all engines, 50 ms old. */
   static final class Late {
-    private static final long AGE = 50 * Plan.MILLISECOND;
-    private static final long STEP = 10 * Plan.MILLISECOND;
+    private static final long AGE = 50 * ClusterPlan.MILLISECOND;
+    private static final long STEP = 10 * ClusterPlan.MILLISECOND;
     private final List<Map<Integer, Double>> states = new ArrayList<>();
     private Map<Integer, Double> known = new HashMap<>();
 
     /** Looks from now on. */
-    void watch(World world) {
+    void watch(ClusterModel world) {
       Map<Integer, Double> now = new HashMap<>();
       for (EngineModel e : world.engines.values()) {
         boolean well = e.mood() == Mood.WELL;
@@ -90,7 +90,7 @@
     }
   }
 
-  Baseline(Rule rule, SchedulerActions actions, World world, Late late) {
+  Baseline(Rule rule, SchedulerActions actions, ClusterModel world, Late late) {
     this.rule = rule;
     this.actions = actions;
     this.world = world;
@@ -157,8 +157,10 @@
                               ? reports.get(e).utilization() + random.nextDouble() / 100
                               : 0);
               case FRESH ->
-                  least(draw, 2, e -> world.engines.get(World.number(e)).threads() / cores(e));
-              case ORACLE -> least(draw, FOUR, e -> late.known.getOrDefault(World.number(e), 0.0));
+                  least(
+                      draw, 2, e -> world.engines.get(ClusterModel.number(e)).threads() / cores(e));
+              case ORACLE ->
+                  least(draw, FOUR, e -> late.known.getOrDefault(ClusterModel.number(e), 0.0));
             };
     if (best == null || s.tried.size() >= settings.limits().maxAttempts()) {
       actions.reject(s.query.id(), 0);
--- a/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
@@ -8,12 +8,12 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.FaultSchedule;
+import reachloom.lab.cluster.ProcessFleet;
 import reachloom.lab.command.Arguments;
 import reachloom.lab.command.Command;
 import reachloom.lab.command.Figures;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.ProcessFleet;
-import reachloom.lab.rig.Script;
 import reachloom.scheduler.QueryScheduler;
 
 /**
@@ -53,7 +53,7 @@
             true,
             "most that a gateway's clock is off, in simulated time (0)")
         .addOption(null, "report-age-ms", true, "reports are older by so much (0)")
-        .addOption(null, "script", true, "a file, or one of " + Script.NAMED + " (calm)")
+        .addOption(null, "script", true, "a file, or one of " + FaultSchedule.NAMED + " (calm)")
         .addOption(
             null,
             "policy",
@@ -74,8 +74,8 @@
       throw new ParseException("--mode: '" + mode + "' is neither virtual nor sockets");
     }
     int gateways = Arguments.number(line, "gateways", 24, 1, 1_000);
-    Plan plan =
-        new Plan(
+    ClusterPlan plan =
+        new ClusterPlan(
             gateways,
             Arguments.number(line, "engines", 12, 1, 500),
             Arguments.number(line, "zones", 3, 1, 16),
@@ -85,12 +85,12 @@
             Arguments.share(line, "large", 0),
             Arguments.number(line, "believed", gateways, 1, 10_000),
             Arguments.number(line, "seed", 1, 0, Integer.MAX_VALUE),
-            Arguments.number(line, "clocks-apart-ms", 0, 0, 3_600_000) * Plan.MILLISECOND,
-            Arguments.number(line, "report-age-ms", 0, 0, 10_000) * Plan.MILLISECOND);
-    Script script;
+            Arguments.number(line, "clocks-apart-ms", 0, 0, 3_600_000) * ClusterPlan.MILLISECOND,
+            Arguments.number(line, "report-age-ms", 0, 0, 10_000) * ClusterPlan.MILLISECOND);
+    FaultSchedule script;
     try {
-      script = Script.of(line.getOptionValue("script", "calm"));
-    } catch (Script.Unusable e) {
+      script = FaultSchedule.of(line.getOptionValue("script", "calm"));
+    } catch (FaultSchedule.Unusable e) {
       throw new ParseException("--script: " + e.getMessage());
     }
     if (script.ofInstallation()) {
@@ -122,8 +122,8 @@
     return Figures.tell(line, origin, figures);
   }
 
-  private static Map<String, Object> sockets(CommandLine line, Plan plan, Script script)
-      throws Exception {
+  private static Map<String, Object> sockets(
+      CommandLine line, ClusterPlan plan, FaultSchedule script) throws Exception {
     boolean kept = line.hasOption("logs");
     Path folder =
         kept
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import reachloom.config.SchedulerSettingsReader;
-import reachloom.lab.rig.Conditions;
-import reachloom.lab.rig.Director;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.Script;
-import reachloom.lab.rig.Truth;
-import reachloom.lab.rig.Workload;
-import reachloom.lab.rig.Workload.Arrival;
-import reachloom.lab.rig.World;
+import reachloom.lab.cluster.ClusterModel;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.FaultInjector;
+import reachloom.lab.cluster.FaultSchedule;
+import reachloom.lab.cluster.GatewayConfigurations;
+import reachloom.lab.cluster.HistoryChecker;
+import reachloom.lab.cluster.Workload;
+import reachloom.lab.cluster.Workload.Arrival;
 import reachloom.scheduler.api.AttemptOutcome;
 import reachloom.scheduler.api.AttemptResult;
 import reachloom.scheduler.api.EngineEndpoint;
@@ -26,28 +26,28 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
-import reachloom.standin.model.Agenda;
 import reachloom.standin.model.EngineModel;
+import reachloom.standin.model.SimulatedScheduler;
 
 /**
  * The fleet in simulated time: each gateway hosts the real decisions, or a policy to compare them
  * with. The same plan and script give the same figures to the byte.
  */
-final class VirtualFleet implements Director.Gateways {
-  private static final long START = 1_700_000_000L * Plan.SECOND;
+final class VirtualFleet implements FaultInjector.Gateways {
+  private static final long START = 1_700_000_000L * ClusterPlan.SECOND;
   private static final long NEAR = 200_000; // nanoseconds, one way
-  private static final long FAR = Plan.MILLISECOND;
-  private static final long PROBE_TIMEOUT = 250 * Plan.MILLISECOND;
-  private static final long CANCEL_LINGER = 5 * Plan.MILLISECOND;
+  private static final long FAR = ClusterPlan.MILLISECOND;
+  private static final long PROBE_TIMEOUT = 250 * ClusterPlan.MILLISECOND;
+  private static final long CANCEL_LINGER = 5 * ClusterPlan.MILLISECOND;
 
   /** The front in front of the gateways learns so late that one has died. */
-  private static final long FRONT_NOTICE = Plan.SECOND;
+  private static final long FRONT_NOTICE = ClusterPlan.SECOND;
 
-  private static final long SETTLE = 2 * Plan.SECOND;
-  private static final long HEARD = 100 * Plan.MILLISECOND;
+  private static final long SETTLE = 2 * ClusterPlan.SECOND;
+  private static final long HEARD = 100 * ClusterPlan.MILLISECOND;
 
   /** Time-outs come so long before the deadline, or a part of its time, as on sockets. */
-  private static final long DEADLINE_MARGIN = 80 * Plan.MILLISECOND;
+  private static final long DEADLINE_MARGIN = 80 * ClusterPlan.MILLISECOND;
 
   private static final int DEADLINE_MARGIN_PART = 10;
 
@@ -56,16 +56,16 @@
 
   /** Makes the decisions of a gateway. */
   interface Policy {
-    SchedulerEvents make(SchedulerActions actions, World world, int gateway);
+    SchedulerEvents make(SchedulerActions actions, ClusterModel world, int gateway);
   }
 
-  private final Plan plan;
+  private final ClusterPlan plan;
   private final Policy policy;
-  private final Agenda time = new Agenda(START);
-  private final World world;
-  private final Truth truth;
+  private final SimulatedScheduler time = new SimulatedScheduler(START);
+  private final ClusterModel world;
+  private final HistoryChecker truth;
   private final Workload workload;
-  private final Director director;
+  private final FaultInjector director;
   private final List<Front> fronts = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<Integer, Integer> held = new HashMap<>();
@@ -75,13 +75,13 @@
   private long probes;
   private long listLines;
 
-  VirtualFleet(Plan plan, Policy policy) {
+  VirtualFleet(ClusterPlan plan, Policy policy) {
     this.plan = plan;
     this.policy = policy;
-    world = new World(plan, time);
-    truth = new Truth(world, START);
+    world = new ClusterModel(plan, time);
+    truth = new HistoryChecker(world, START);
     workload = new Workload(plan, START + SETTLE);
-    director = new Director(world, this, workload, truth);
+    director = new FaultInjector(world, this, workload, truth);
     world.onReset(this::reset);
     random = new SplittableRandom(plan.seed() * 13 + 11);
     for (int g = 0; g < plan.gateways(); g++) {
@@ -90,17 +90,17 @@
   }
 
   /** Plays the script; gives the figures. */
-  Map<String, Object> play(Script script) {
+  Map<String, Object> play(FaultSchedule script) {
     for (Front f : fronts) {
       time.at(START + (long) (random.nextDouble() * SETTLE / 2), f::start);
     }
-    long end = START + SETTLE + plan.seconds() * Plan.SECOND;
+    long end = START + SETTLE + plan.seconds() * ClusterPlan.SECOND;
     director.play(script, START + SETTLE, () -> time.now() < end);
     truth.watch(end);
     next(end);
     time.runUntil(end);
     long longest = Workload.KINDS.stream().mapToLong(Workload.Kind::deadline).max().orElse(0);
-    time.runUntil(end + longest + Plan.SECOND);
+    time.runUntil(end + longest + ClusterPlan.SECOND);
     Map<String, Object> f = truth.figures(time.now(), START + SETTLE);
     f.put("connections_max", connectionsMost);
     f.put("handshakes", handshakes);
@@ -166,7 +166,7 @@
   private static final class Out {
     private final EngineModel engine;
     private final long sentAt;
-    private Truth.Try seen;
+    private HistoryChecker.Try seen;
     private boolean over;
     private boolean quit;
 
@@ -210,8 +210,8 @@
       this.number = number;
       zone = plan.zoneOf(number);
       clockOff = (long) ((2 * random.nextDouble() - 1) * plan.clocksApart());
-      settings = SchedulerSettingsReader.read(Conditions.settings(plan, number));
-      World.View view = world.views.get(zone);
+      settings = SchedulerSettingsReader.read(GatewayConfigurations.settings(plan, number));
+      ClusterModel.View view = world.views.get(zone);
       view.hear(e -> hear(view));
     }
 
@@ -229,15 +229,18 @@
       changedAt = time.now();
       module = policy.make(this, world, number);
       module.onStart(clock(), random.nextLong(), settings);
-      World.View view = world.views.get(zone);
-      Map<Integer, World.Listed> known = new LinkedHashMap<>();
+      ClusterModel.View view = world.views.get(zone);
+      Map<Integer, ClusterModel.Listed> known = new LinkedHashMap<>();
       view.log.forEach(e -> known.put(e.engine().id(), e.engine()));
       heardOf = view.log.size();
       listLines += known.size();
       module.onEndpoints(
           clock(),
           true,
-          known.values().stream().filter(l -> l.state() != World.GONE).map(this::info).toList());
+          known.values().stream()
+              .filter(l -> l.state() != ClusterModel.GONE)
+              .map(this::info)
+              .toList());
     }
 
     /**
@@ -251,7 +254,7 @@
       up = false;
       changedAt = time.now();
       int mine = life;
-      long wait = atOnce ? 0 : 3 * Plan.SECOND;
+      long wait = atOnce ? 0 : 3 * ClusterPlan.SECOND;
       time.at(
           time.now() + wait,
           () -> {
@@ -303,7 +306,7 @@
           });
     }
 
-    private void hear(World.View view) {
+    private void hear(ClusterModel.View view) {
       tell(
           life,
           () -> {
@@ -324,15 +327,15 @@
           waitingFirst);
     }
 
-    private EngineEndpoint info(World.Listed l) {
+    private EngineEndpoint info(ClusterModel.Listed l) {
       return new EngineEndpoint(
-          World.name(l.id()),
+          ClusterModel.name(l.id()),
           EngineState.values()[l.state()],
           plan.isLarge(l.id()) ? 1 : 0,
           plan.zoneOfEngine(l.id()),
           0,
           1,
-          l.startedMs() * Plan.MILLISECOND);
+          l.startedMs() * ClusterPlan.MILLISECOND);
     }
 
     // ---- Queries ----
@@ -342,13 +345,13 @@
       open.put(a.id(), o);
       long left = a.at() + a.of().deadline() - time.now();
       if (left <= 0) {
-        settle(o, Truth.Answer.FAILED);
+        settle(o, HistoryChecker.Answer.FAILED);
         return;
       }
       module.onQuery(clock(), new Query(a.id(), a.kind(), 0, null, left, 0, 0, -1, false));
     }
 
-    private void settle(Open o, Truth.Answer answer) {
+    private void settle(Open o, HistoryChecker.Answer answer) {
       if (!o.over) {
         o.over = true;
         truth.answered(o.arrival.number(), answer, time.now());
@@ -362,7 +365,7 @@
       }
     }
 
-    private long way(World.Link link, int engineZone) {
+    private long way(ClusterModel.Link link, int engineZone) {
       return (engineZone == zone ? NEAR : FAR) + link.delay;
     }
 
@@ -374,7 +377,7 @@
         return CLOSED;
       }
       Long last = links.put(engine, time.now());
-      if (last != null && time.now() - last < Conditions.KEEPALIVE) {
+      if (last != null && time.now() - last < GatewayConfigurations.KEEPALIVE) {
         return 0;
       }
       handshakes++;
@@ -393,7 +396,7 @@
     @Override
     public void forward(String query, String engine, long timeout) {
       Open o = open.get(query);
-      EngineModel e = world.engines.get(World.number(engine));
+      EngineModel e = world.engines.get(ClusterModel.number(engine));
       int place = o.tries.size();
       Out t = new Out(e, time.now());
       o.tries.add(t);
@@ -402,9 +405,11 @@
       tell(
           life,
           () -> finish(o, place, AttemptOutcome.TIMEOUT, 0, 0),
-          deadline - Math.min(DEADLINE_MARGIN, (deadline - a.at()) / DEADLINE_MARGIN_PART) - time.now());
+          deadline
+              - Math.min(DEADLINE_MARGIN, (deadline - a.at()) / DEADLINE_MARGIN_PART)
+              - time.now());
       int engineZone = plan.zoneOfEngine(e.id);
-      World.Link link = world.link(zone, engineZone);
+      ClusterModel.Link link = world.link(zone, engineZone);
       long way = way(link, engineZone);
       long up = connect(e.id, way);
       if (up == CLOSED) {
@@ -425,7 +430,7 @@
           });
     }
 
-    private void come(Open o, int place, Out t, World.Link link, long way) {
+    private void come(Open o, int place, Out t, ClusterModel.Link link, long way) {
       Arrival a = o.arrival;
       EngineModel e = t.engine;
       if (e.mood() == EngineModel.Mood.DOWN) {
@@ -461,7 +466,11 @@
                         module.onProgress(
                             clock(),
                             new ProgressReport(
-                                a.id(), place, World.name(e.id), ProgressKind.PROGRESS, share)));
+                                a.id(),
+                                place,
+                                ClusterModel.name(e.id),
+                                ProgressKind.PROGRESS,
+                                share)));
               }
             }
 
@@ -481,7 +490,7 @@
       }
     }
 
-    private void answer(World.Link link, long way, Runnable event) {
+    private void answer(ClusterModel.Link link, long way, Runnable event) {
       if (!link.cutIn) {
         tell(life, event, way);
       }
@@ -497,14 +506,14 @@
         quit(o, t);
       }
       if (outcome == AttemptOutcome.SERVED && !o.over) {
-        settle(o, Truth.Answer.SERVED);
+        settle(o, HistoryChecker.Answer.SERVED);
       }
       module.onAttemptEnded(
           clock(),
           new AttemptResult(
               o.arrival.id(),
               place,
-              World.name(t.engine.id),
+              ClusterModel.name(t.engine.id),
               outcome,
               time.now() - t.sentAt,
               o.over,
@@ -536,7 +545,7 @@
     private void quit(Open o, Out t) {
       t.quit = true;
       int engineZone = plan.zoneOfEngine(t.engine.id);
-      World.Link link = world.link(zone, engineZone);
+      ClusterModel.Link link = world.link(zone, engineZone);
       if (!link.cutOut) {
         time.at(
             time.now() + way(link, engineZone),
@@ -560,7 +569,7 @@
     public void reject(String query, long retryAfter) {
       Open o = open.get(query);
       if (o != null) {
-        settle(o, Truth.Answer.REFUSED);
+        settle(o, HistoryChecker.Answer.REFUSED);
       }
     }
 
@@ -568,7 +577,7 @@
     public void fail(String query) {
       Open o = open.get(query);
       if (o != null) {
-        settle(o, Truth.Answer.FAILED);
+        settle(o, HistoryChecker.Answer.FAILED);
       }
     }
 
@@ -580,9 +589,9 @@
     @Override
     public void checkHealth(String engine) {
       probes++;
-      EngineModel e = world.engines.get(World.number(engine));
+      EngineModel e = world.engines.get(ClusterModel.number(engine));
       int engineZone = plan.zoneOfEngine(e.id);
-      World.Link link = world.link(zone, engineZone);
+      ClusterModel.Link link = world.link(zone, engineZone);
       long way = way(link, engineZone);
       long up = connect(e.id, way);
       long arrives = up + way;
--- a/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
@@ -16,10 +16,11 @@
 import reachloom.gossip.Packet;
 import reachloom.gossip.wire.DatagramEnvelope;
 import reachloom.gossip.wire.GossipCodec;
-import reachloom.lab.rig.ProcessFleet;
-import reachloom.lab.rig.Script;
-import reachloom.lab.rig.Trouble;
-import reachloom.lab.rig.Truth;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.Fault;
+import reachloom.lab.cluster.FaultSchedule;
+import reachloom.lab.cluster.HistoryChecker;
+import reachloom.lab.cluster.ProcessFleet;
 import reachloom.membership.MembershipMessage;
 import reachloom.time.WallClock;
 
@@ -62,8 +63,8 @@
   }
 
   private static void tell(Map<String, Object> figures, String suffix, Told told) {
-    long asked = told.all.stream().mapToLong(Truth.Row::asked).sum();
-    long inTime = told.all.stream().mapToLong(Truth.Row::inTime).sum();
+    long asked = told.all.stream().mapToLong(HistoryChecker.Row::asked).sum();
+    long inTime = told.all.stream().mapToLong(HistoryChecker.Row::inTime).sum();
     figures.put("asked" + suffix, asked);
     figures.put("service" + suffix, Math.round(1e4 * inTime / Math.max(1, asked)) / 1e4);
     // Engines that are well answer nearly all in time: what is late has met one that is not.
@@ -74,7 +75,7 @@
   }
 
   /** What became of all queries, and of those that came once some engines hung. */
-  private record Told(List<Truth.Row> all, List<Truth.Row> sick, Object broken) {}
+  private record Told(List<HistoryChecker.Row> all, List<HistoryChecker.Row> sick, Object broken) {}
 
   private Told run(boolean gossip, int junk, Map<String, Object> seen) throws Exception {
     over = false;
@@ -97,14 +98,14 @@
     }
     double quarter = SETTLE_MS / 1e3 + plan.seconds * 0.25;
     double all = SETTLE_MS / 1e3 + plan.seconds;
-    reachloom.lab.rig.Plan fleetPlan =
-        new reachloom.lab.rig.Plan(
+    ClusterPlan fleetPlan =
+        new ClusterPlan(
             plan.instances, plan.engines, 1, (int) all, LOAD, 0, 0, plan.instances, plan.seed);
-    Trouble hang =
-        new Trouble(
+    Fault hang =
+        new Fault(
             quarter,
-            Trouble.Who.ENGINES,
-            Trouble.Kind.HANG,
+            Fault.Who.ENGINES,
+            Fault.Kind.HANG,
             (double) plan.sick / plan.engines,
             -1,
             -1,
@@ -123,7 +124,7 @@
       Object broken =
           fleet
               .play(
-                  new Script("sick", plan.sick == 0 ? List.of() : List.of(hang)),
+                  new FaultSchedule("sick", plan.sick == 0 ? List.of() : List.of(hang)),
                   () -> {
                     if (gossip) {
                       status(installation, ports, seen);
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -25,7 +25,7 @@
 import reachloom.membership.Member;
 import reachloom.membership.MemberState;
 import reachloom.membership.MembershipSettings;
-import reachloom.standin.model.Agenda;
+import reachloom.standin.model.SimulatedScheduler;
 
 /**
  * Many instances of the real gossip modules and the real codec under a simulated clock and network:
@@ -132,7 +132,7 @@
     }
   }
 
-  public final Agenda agenda = new Agenda(START);
+  public final SimulatedScheduler agenda = new SimulatedScheduler(START);
   public final List<Node> nodes = new ArrayList<>();
   private final Map<Long, Node> byAddress = new LinkedHashMap<>();
   private final SplittableRandom random;
--- a/lab/src/main/java/reachloom/lab/scale/ConfigurationSource.java
+++ b/lab/src/main/java/reachloom/lab/scale/ConfigurationSource.java
@@ -4,7 +4,7 @@
 
 /**
  * How a change of configuration comes from its source to the gateways. What is in force where is
- * told to {@link InForce} by whoever sees it.
+ * told to {@link RolloutTracker} by whoever sees it.
  */
 interface ConfigurationSource {
   /** Issues the change of that number; off the timeline. */
--- a/lab/src/main/java/reachloom/lab/scale/ControlPart.java
+++ b/lab/src/main/java/reachloom/lab/scale/ControlMain.java
@@ -7,11 +7,11 @@
 import java.util.stream.Collectors;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
+import reachloom.lab.cluster.ClusterModel;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.ListServer;
 import reachloom.lab.command.Arguments;
-import reachloom.lab.rig.ListServer;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.World;
-import reachloom.standin.model.RealTime;
+import reachloom.standin.model.RealTimeScheduler;
 
 /**
  * One control machine, a part of the scale run: a change log that gateways follow. It is told
@@ -19,10 +19,10 @@
  * tells {@code listening}, and each second {@code usage MS LAG BYTES-TO-EACH-FOLLOWER,...
  * BYTES/FRAMES-BY-ZONE,...}.
  */
-final class ControlPart implements Part.Role {
-  private final RealTime time = new RealTime("control");
-  private final List<World.Event> log = new ArrayList<>();
-  private Plan plan;
+final class ControlMain implements HelperMain.Role {
+  private final RealTimeScheduler time = new RealTimeScheduler("control");
+  private final List<ClusterModel.Event> log = new ArrayList<>();
+  private ClusterPlan plan;
   private ListServer server;
   private int machine;
   private int port;
@@ -42,11 +42,11 @@
     machine = Arguments.number(line, "machine", 0, 0, 100);
     port = Arguments.number(line, "port", 4_000, 1, 65_535);
     int engines = Arguments.number(line, "engines", 1, 1, 10_000);
-    plan = new Plan(1, engines, Arguments.number(line, "zones", 1, 1, 16), 1, 0, 0, 0, 1, 1);
+    plan = new ClusterPlan(1, engines, Arguments.number(line, "zones", 1, 1, 16), 1, 0, 0, 0, 1, 1);
     server =
         new ListServer(
             time, plan, Arguments.number(line, "engine-port", 4_100, 1, 65_535), () -> log);
-    Child.follow(l -> time.at(0, () -> told(l.split(" "))));
+    HelperProcess.follow(l -> time.at(0, () -> told(l.split(" "))));
   }
 
   private void told(String[] words) {
@@ -54,9 +54,9 @@
       long number = Long.parseLong(words[1]);
       if (number == log.size() + 1) { // else told before, to catch up with
         log.add(
-            new World.Event(
+            new ClusterModel.Event(
                 number,
-                new World.Listed(
+                new ClusterModel.Listed(
                     Integer.parseInt(words[2]),
                     Integer.parseInt(words[3]),
                     Long.parseLong(words[4]))));
@@ -69,8 +69,8 @@
         InetSocketAddress address = ListServer.machine(machine, z, port);
         server.bind(address);
       }
-      Child.say("listening");
-      look(time.now() + Plan.SECOND);
+      HelperProcess.say("listening");
+      look(time.now() + ClusterPlan.SECOND);
     } catch (IOException e) {
       System.err.println("control machine " + machine + ": " + e.getMessage());
     }
@@ -89,16 +89,16 @@
               server.bytesSinceLooked().stream()
                   .map(String::valueOf)
                   .collect(Collectors.joining(","));
-          Child.say(
+          HelperProcess.say(
               "usage "
                   + MachineTime.millis()
                   + " "
-                  + (time.now() - at) / Plan.MILLISECOND
+                  + (time.now() - at) / ClusterPlan.MILLISECOND
                   + " "
                   + (each.isEmpty() ? "-" : each)
                   + " "
                   + zones);
-          look(at + Plan.SECOND);
+          look(at + ClusterPlan.SECOND);
         });
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/ListWatch.java
+++ b/lab/src/main/java/reachloom/lab/scale/EndpointListWatcher.java
@@ -9,7 +9,7 @@
  * When each change of the list of engines was held by all hollow gateways; of the others nobody can
  * tell from outside. Times in milliseconds.
  */
-final class ListWatch {
+final class EndpointListWatcher {
   private static final class News {
     private final long number;
     private final long at;
--- a/lab/src/main/java/reachloom/lab/scale/FileAndSignal.java
+++ b/lab/src/main/java/reachloom/lab/scale/FileAndSignalSource.java
@@ -14,7 +14,7 @@
  * What happens today: the file of each gateway is replaced on its machine and SIGHUP is sent there.
  * Whether a process of the program has read it is seen in its log, which has a line for each time.
  */
-final class FileAndSignal implements ConfigurationSource {
+final class FileAndSignalSource implements ConfigurationSource {
   private static final String READ_AGAIN = "the configuration is read again";
 
   /** Reaches the gateways. */
@@ -33,15 +33,15 @@
   private final int real;
   private final IntFunction<String> configuration;
   private final Gateways gateways;
-  private final InForce inForce;
+  private final RolloutTracker inForce;
   private final long[] read;
 
-  FileAndSignal(
+  FileAndSignalSource(
       Path folder,
       int real,
       IntFunction<String> configuration,
       Gateways gateways,
-      InForce inForce) {
+      RolloutTracker inForce) {
     this.folder = folder;
     this.real = real;
     this.configuration = configuration;
--- a/lab/src/main/java/reachloom/lab/scale/Part.java
+++ b/lab/src/main/java/reachloom/lab/scale/HelperMain.java
@@ -8,7 +8,7 @@
 /**
  * Entry point of the processes that a scale run starts of the laboratory itself; not for operators.
  */
-public final class Part {
+public final class HelperMain {
   static final String HOLLOW = "hollow";
   static final String CONTROL = "control";
 
@@ -21,11 +21,11 @@
     void run(CommandLine line) throws Exception;
   }
 
-  private Part() {}
+  private HelperMain() {}
 
   /** Plays the part that the first word names. */
   public static void main(String[] args) throws Exception {
-    Role role = args[0].equals(HOLLOW) ? new HollowPart() : new ControlPart();
+    Role role = args[0].equals(HOLLOW) ? new SyntheticGatewayMain() : new ControlMain();
     role.run(new DefaultParser().parse(role.options(), Arrays.copyOfRange(args, 1, args.length)));
     Runtime.getRuntime().halt(0);
   }
--- a/lab/src/main/java/reachloom/lab/scale/Child.java
+++ b/lab/src/main/java/reachloom/lab/scale/HelperProcess.java
@@ -15,7 +15,7 @@
  * A process of the laboratory itself that serves the run: it is told lines and tells lines. It ends
  * with its input, and so with the laboratory however that ends.
  */
-final class Child implements AutoCloseable {
+final class HelperProcess implements AutoCloseable {
   private static final long PATIENCE_S = 10;
   private static final List<String> FLAGS =
       List.of(
@@ -30,7 +30,7 @@
   private final PrintStream to;
 
   /** Starts a part of the run; its log goes to that file, what it tells to the hearer. */
-  Child(int heapMb, Path log, Consumer<String> heard, String... words) throws IOException {
+  HelperProcess(int heapMb, Path log, Consumer<String> heard, String... words) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(FLAGS);
@@ -39,7 +39,7 @@
             "-Xmx" + heapMb + "m",
             "-cp",
             System.getProperty("java.class.path"),
-            Part.class.getName()));
+            HelperMain.class.getName()));
     command.addAll(List.of(words));
     process =
         new ProcessBuilder(command)
--- a/lab/src/main/java/reachloom/lab/scale/Meters.java
+++ b/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
@@ -10,7 +10,7 @@
  * What control costs each gateway and each control machine, and what the run costs the machine that
  * it runs on. Samples are a second long and count between the first query and the last.
  */
-final class Meters {
+final class ResourceMonitor {
   private static final double MAX_MEMORY_MB = 12 * 1024;
   private static final int MAX_PROCESSES = 300;
 
@@ -75,7 +75,7 @@
   private double rigMemory;
   private double hollowSpent;
 
-  Meters(ScaleRun.Size size) {
+  ResourceMonitor(ScaleRun.Size size) {
     this.size = size;
   }
 
--- a/lab/src/main/java/reachloom/lab/scale/InForce.java
+++ b/lab/src/main/java/reachloom/lab/scale/RolloutTracker.java
@@ -11,7 +11,7 @@
  * Which change of configuration is in force where, and since when. A gateway that takes a later
  * change has taken those before it; one that starts anew reads the newest. Times in milliseconds.
  */
-final class InForce {
+final class RolloutTracker {
   private static final class Change {
     private final long issuedAt;
     private int owed;
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -11,12 +11,12 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.Fault;
+import reachloom.lab.cluster.FaultSchedule;
 import reachloom.lab.command.Arguments;
 import reachloom.lab.command.Command;
 import reachloom.lab.command.Figures;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.Script;
-import reachloom.lab.rig.Trouble;
 import reachloom.revision.Revision;
 
 /** Plays the installation at the size that is planned for, or smaller. */
@@ -58,7 +58,7 @@
         .addOption(null, "no-gossip", false, "gossip stays off")
         .addOption(null, "period-ms", true, "gossip's time between two probes (1000)")
         .addOption(null, "cap", true, "gossip's bytes a second of each gateway (4096)")
-        .addOption(null, "script", true, "a file, or one of " + Script.NAMED + " (steady)")
+        .addOption(null, "script", true, "a file, or one of " + FaultSchedule.NAMED + " (steady)")
         .addOption(
             null,
             "mode",
@@ -98,16 +98,16 @@
             Arguments.number(line, "a-process", 30, 1, 500),
             Arguments.number(line, "heap-mb", 24, 8, 512),
             !line.hasOption("no-gossip"),
-            Arguments.number(line, "period-ms", 1_000, 100, 60_000) * Plan.MILLISECOND,
+            Arguments.number(line, "period-ms", 1_000, 100, 60_000) * ClusterPlan.MILLISECOND,
             Arguments.number(line, "cap", 4_096, 1_024, 1 << 20),
             Arguments.number(line, "seed", 1, 0, Integer.MAX_VALUE));
-    Script script;
+    FaultSchedule script;
     try {
-      script = Script.of(line.getOptionValue("script", "steady"));
-    } catch (Script.Unusable e) {
+      script = FaultSchedule.of(line.getOptionValue("script", "steady"));
+    } catch (FaultSchedule.Unusable e) {
       throw new ParseException("--script: " + e.getMessage());
     }
-    if (script.troubles().stream().anyMatch(t -> t.who() == Trouble.Who.LIST)) {
+    if (script.troubles().stream().anyMatch(t -> t.who() == Fault.Who.LIST)) {
       throw new ParseException(
           "--script: "
               + script.name()
@@ -162,7 +162,7 @@
   }
 
   private static int sockets(
-      CommandLine line, ScaleRun.Size size, Script script, Map<String, Object> origin)
+      CommandLine line, ScaleRun.Size size, FaultSchedule script, Map<String, Object> origin)
       throws Exception {
     if (size.rate() < PLANNED_RATE) {
       System.err.printf(
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -21,20 +21,20 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import reachloom.discovery.EndpointWatch;
+import reachloom.lab.cluster.ClusterModel;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.EngineHosts;
+import reachloom.lab.cluster.Fault;
+import reachloom.lab.cluster.FaultSchedule;
+import reachloom.lab.cluster.HistoryChecker;
+import reachloom.lab.cluster.ListServer;
+import reachloom.lab.cluster.ProcessFleet;
+import reachloom.lab.cluster.SideProcesses;
+import reachloom.lab.cluster.Workload;
 import reachloom.lab.gossip.Installation;
-import reachloom.lab.rig.Company;
-import reachloom.lab.rig.Hosts;
-import reachloom.lab.rig.ListServer;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.ProcessFleet;
-import reachloom.lab.rig.Script;
-import reachloom.lab.rig.Trouble;
-import reachloom.lab.rig.Truth;
-import reachloom.lab.rig.Workload;
-import reachloom.lab.rig.World;
 
 /** The installation at its planned size, or smaller, played under a script on real sockets. */
-final class ScaleRun implements Company, FileAndSignal.Gateways, AutoCloseable {
+final class ScaleRun implements SideProcesses, FileAndSignalSource.Gateways, AutoCloseable {
   private static final int SEEDS = 3;
   private static final String OPERATOR = "operator";
 
@@ -95,12 +95,12 @@
   private final Size size;
   private final Path folder;
   private final ProcessFleet fleet;
-  private final FileAndSignal source;
-  private final InForce inForce = new InForce();
-  private final ListWatch lists;
-  private final Meters meters;
-  private final List<Child> hosts = new ArrayList<>();
-  private final Child[] machines;
+  private final FileAndSignalSource source;
+  private final RolloutTracker inForce = new RolloutTracker();
+  private final EndpointListWatcher lists;
+  private final ResourceMonitor meters;
+  private final List<HelperProcess> hosts = new ArrayList<>();
+  private final HelperProcess[] machines;
   private final boolean[] apart;
   private final boolean[] lost;
   private final List<InetSocketAddress> ports = new ArrayList<>();
@@ -114,13 +114,13 @@
   private final ExecutorService starts = Executors.newCachedThreadPool(daemon("starts"));
   private final CountDownLatch ready;
   private Installation installation;
-  private World world;
-  private Hosts engines;
-  private Truth truth;
+  private ClusterModel world;
+  private EngineHosts engines;
+  private HistoryChecker truth;
   private int port;
   private volatile boolean failed;
-  private final Map<Integer, Meters.Count> gossipFirst = new ConcurrentHashMap<>();
-  private final Map<Integer, Meters.Count> gossipLast = new ConcurrentHashMap<>();
+  private final Map<Integer, ResourceMonitor.Count> gossipFirst = new ConcurrentHashMap<>();
+  private final Map<Integer, ResourceMonitor.Count> gossipLast = new ConcurrentHashMap<>();
   private long issued;
   private long halts;
   private boolean closing;
@@ -132,9 +132,9 @@
         size.rate
             * size.real
             * Workload.meanWork()
-            / new Plan(1, size.engines, size.zones, 1, 1, 0, 0, 1, size.seed).allCores();
-    Plan plan =
-        new Plan(
+            / new ClusterPlan(1, size.engines, size.zones, 1, 1, 0, 0, 1, size.seed).allCores();
+    ClusterPlan plan =
+        new ClusterPlan(
             size.real,
             size.engines,
             size.zones,
@@ -144,12 +144,12 @@
             0,
             size.gateways,
             size.seed);
-    machines = new Child[size.control];
+    machines = new HelperProcess[size.control];
     apart = new boolean[size.control];
     lost = new boolean[size.control];
     ready = new CountDownLatch(size.hollow());
-    lists = new ListWatch();
-    meters = new Meters(size);
+    lists = new EndpointListWatcher();
+    meters = new ResourceMonitor(size);
     fleet =
         new ProcessFleet(
             plan,
@@ -161,7 +161,7 @@
                     ? List.of("--settings", settings.get(g).toString())
                     : List.of(),
             this);
-    source = new FileAndSignal(folder, size.real, fleet::configuration, this, inForce);
+    source = new FileAndSignalSource(folder, size.real, fleet::configuration, this, inForce);
   }
 
   private static java.util.concurrent.ThreadFactory daemon(String name) {
@@ -172,7 +172,7 @@
     };
   }
 
-  Map<String, Object> play(Script script) throws IOException, InterruptedException {
+  Map<String, Object> play(FaultSchedule script) throws IOException, InterruptedException {
     Map<String, Object> of = fleet.play(script, this::finish);
     Map<String, Object> f = new LinkedHashMap<>();
     f.put("gateways_ready", of.get("gateways_ready"));
@@ -212,7 +212,8 @@
   }
 
   @Override
-  public void open(World of, Hosts listening) throws IOException, InterruptedException {
+  public void open(ClusterModel of, EngineHosts listening)
+      throws IOException, InterruptedException {
     world = of;
     engines = listening;
     if (size.gossip) {
@@ -257,8 +258,8 @@
   /** Starts a control machine, tells it all of the list, and waits until it listens. */
   private void machine(int m) throws IOException, InterruptedException {
     CountDownLatch listening = new CountDownLatch(1);
-    Child child =
-        new Child(
+    HelperProcess child =
+        new HelperProcess(
             CONTROL_HEAP_MB,
             folder.resolve("control" + m + ".log"),
             line -> {
@@ -268,7 +269,7 @@
                 meters.control(m, line);
               }
             },
-            Part.CONTROL,
+            HelperMain.CONTROL,
             "--machine",
             Integer.toString(m),
             "--port",
@@ -291,7 +292,7 @@
     }
   }
 
-  private static String words(World.Event e) {
+  private static String words(ClusterModel.Event e) {
     return "event "
         + e.number()
         + " "
@@ -302,10 +303,14 @@
         + e.engine().startedMs();
   }
 
-  private void announce(World.Event e) {
+  private void announce(ClusterModel.Event e) {
     lists.announced(
         e.number(),
-        World.name(e.engine().id()) + " " + e.engine().state() + " " + e.engine().startedMs(),
+        ClusterModel.name(e.engine().id())
+            + " "
+            + e.engine().state()
+            + " "
+            + e.engine().startedMs(),
         MachineTime.millis());
     for (int m = 0; m < machines.length; m++) {
       if (!apart[m] && !lost[m]) {
@@ -320,12 +325,12 @@
     for (int h = 0; h < count; h++) {
       int host = h;
       int on = Math.min(size.aHost, size.hollow() - h * size.aHost);
-      Child child =
-          new Child(
+      HelperProcess child =
+          new HelperProcess(
               HOLLOW_HEAP_MB + on * HEAP_A_GATEWAY_MB,
               folder.resolve("hollow" + h + ".log"),
               line -> heard(host, line),
-              Part.HOLLOW);
+              HelperMain.HOLLOW);
       meters.hollowStarts(h, child.pid());
       hosts.add(child);
     }
@@ -342,7 +347,7 @@
     return joined;
   }
 
-  private Child host(int gateway) {
+  private HelperProcess host(int gateway) {
     return hosts.get((gateway - size.real) / size.aHost);
   }
 
@@ -394,7 +399,7 @@
   }
 
   @Override
-  public void begin(Truth of, long start, long end) {
+  public void begin(HistoryChecker of, long start, long end) {
     truth = of;
     world.time.at(
         start,
@@ -437,7 +442,7 @@
   }
 
   /** What each gateway tells an operator of its gossip, real or hollow. */
-  private void askAll(Map<Integer, Meters.Count> to) {
+  private void askAll(Map<Integer, ResourceMonitor.Count> to) {
     for (int g = 0; g < size.gateways && size.gossip && size.gateways <= MAX_ASKED; g++) {
       try {
         Matcher m =
@@ -457,7 +462,7 @@
         if (m.find()) {
           to.put(
               g,
-              new Meters.Count(
+              new ResourceMonitor.Count(
                   MachineTime.millis(),
                   Long.parseLong(m.group(2)) + Long.parseLong(m.group(3)),
                   Long.parseLong(m.group(1)) + Long.parseLong(m.group(4))));
@@ -521,7 +526,7 @@
   }
 
   @Override
-  public void trouble(Trouble t) {
+  public void trouble(Fault t) {
     switch (t.kind()) {
       case ISSUE -> {
         for (int i = 0; i < (int) t.by(); i++) {
@@ -693,8 +698,8 @@
     starts.shutdownNow();
     work.shutdownNow();
     fleet.close();
-    hosts.forEach(Child::close);
-    for (Child m : machines) {
+    hosts.forEach(HelperProcess::close);
+    for (HelperProcess m : machines) {
       if (m != null) {
         m.close();
       }
--- a/lab/src/main/java/reachloom/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
@@ -32,7 +32,7 @@
  * stays shut. What clients would let it see of engines rides on gossip, so gossip is told of as
  * many attempts, all served, at the engines that come first in this gateway's own order.
  */
-final class HollowGateway {
+final class SyntheticGateway {
   /** Hears, on the gateway's loop, what it does. */
   interface Watcher {
     /** It would let clients in now; its configuration told the list up to that event. */
@@ -66,7 +66,7 @@
   private boolean begun;
 
   /** One that sees so many attempts end a second. */
-  HollowGateway(int number, Path configFile, String settingsFile, double rate, Watcher watcher) {
+  SyntheticGateway(int number, Path configFile, String settingsFile, double rate, Watcher watcher) {
     this.rate = rate;
     random = new SplittableRandom(number);
     this.number = number;
--- a/lab/src/main/java/reachloom/lab/scale/HollowPart.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGatewayMain.java
@@ -20,7 +20,7 @@
  * that were told fewer changes, and each second {@code usage MS LAG N:CPU:SENT:BYTES:RECEIVED:BYTES
  * ...}.
  */
-final class HollowPart implements Part.Role, HollowGateway.Watcher {
+final class SyntheticGatewayMain implements HelperMain.Role, SyntheticGateway.Watcher {
   private static final long LIST_MS = 100;
   private static final long USAGE_MS = 1_000;
 
@@ -30,7 +30,7 @@
     private boolean told = true;
   }
 
-  private final Map<Integer, HollowGateway> gateways = new ConcurrentHashMap<>();
+  private final Map<Integer, SyntheticGateway> gateways = new ConcurrentHashMap<>();
   private final Map<String, Held> held = new LinkedHashMap<>();
   private long due;
   private long lag;
@@ -52,18 +52,18 @@
     due = MachineTime.millis() + LIST_MS;
     looks.scheduleAtFixedRate(this::lists, LIST_MS, LIST_MS, TimeUnit.MILLISECONDS);
     looks.scheduleAtFixedRate(this::usage, USAGE_MS, USAGE_MS, TimeUnit.MILLISECONDS);
-    Child.follow(this::told);
+    HelperProcess.follow(this::told);
   }
 
   private void told(String line) {
     String[] words = line.split(" ");
     int number = Integer.parseInt(words[1]);
-    HollowGateway g = gateways.get(number);
+    SyntheticGateway g = gateways.get(number);
     switch (words[0]) {
       case "start" -> {
         if (g == null) { // else it runs
-          HollowGateway fresh =
-              new HollowGateway(
+          SyntheticGateway fresh =
+              new SyntheticGateway(
                   number,
                   Path.of(words[3]),
                   words.length > 4 ? words[4] : null,
@@ -77,7 +77,7 @@
           gateways.forEach(
               (n, of) -> {
                 if (of.held().size() < number) {
-                  Child.say("lacks " + n + " " + of.held().size());
+                  HelperProcess.say("lacks " + n + " " + of.held().size());
                 }
               });
       case "reload" -> {
@@ -104,18 +104,18 @@
 
   @Override
   public void ready(int gateway, long lastEvent) {
-    Child.say("ready " + gateway + " " + MachineTime.millis() + " " + lastEvent);
+    HelperProcess.say("ready " + gateway + " " + MachineTime.millis() + " " + lastEvent);
   }
 
   @Override
   public void applied(int gateway, String issue) {
-    Child.say("applied " + gateway + " " + issue + " " + MachineTime.millis());
+    HelperProcess.say("applied " + gateway + " " + issue + " " + MachineTime.millis());
   }
 
   @Override
   public void holds(int gateway, EngineMember member) {
     synchronized (held) {
-      Held h = held.computeIfAbsent(HollowGateway.key(member), k -> new Held());
+      Held h = held.computeIfAbsent(SyntheticGateway.key(member), k -> new Held());
       h.count++;
       h.latest = MachineTime.millis();
       h.told = false;
@@ -131,7 +131,7 @@
           (key, h) -> {
             if (!h.told) {
               h.told = true;
-              Child.say("list " + key + " " + h.count + " " + h.latest);
+              HelperProcess.say("list " + key + " " + h.count + " " + h.latest);
             }
           });
     }
@@ -156,6 +156,6 @@
               .append(':')
               .append(t.receivedBytes());
         });
-    Child.say(line.toString());
+    HelperProcess.say(line.toString());
   }
 }
