--- a/lab/src/main/java/reachloom/lab/slopes/GatewayRig.java
+++ b/lab/src/main/java/reachloom/lab/slopes/GatewayRig.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import reachloom.lab.rig.Processes;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.lab.cluster.Processes;
+import reachloom.standin.FakeChangeLog;
 import reachloom.standin.GatewayProcess;
 
 /** One gateway as a process of the program, with engines, a change log and clients around it. */
@@ -33,15 +33,15 @@
       OptionalLong idleTimeoutMs,
       long seed) {}
 
-  private final HollowEngines engines;
-  private final ChangeLogStandIn changeLog;
+  private final SyntheticEngines engines;
+  private final FakeChangeLog changeLog;
   private final Processes processes;
   private final PacedClients clients;
   private final long pid;
 
   GatewayRig(Given given) throws IOException, InterruptedException {
-    engines = new HollowEngines(given.engines);
-    changeLog = new ChangeLogStandIn(1);
+    engines = new SyntheticEngines(given.engines);
+    changeLog = new FakeChangeLog(1);
     InetSocketAddress[] listen = new InetSocketAddress[1];
     List<String> words =
         given.idleTimeoutMs.isEmpty()
@@ -91,12 +91,12 @@
     return clients;
   }
 
-  HollowEngines engines() {
+  SyntheticEngines engines() {
     return engines;
   }
 
-  Counted counted() throws IOException {
-    return Counted.of(pid);
+  ProcessStatistics counted() throws IOException {
+    return ProcessStatistics.of(pid);
   }
 
   /**
@@ -139,11 +139,11 @@
   /** Looks at the gateway for so long; gives what was counted, by name. */
   Map<String, Object> watch(double seconds) throws IOException, InterruptedException {
     clients.outcome();
-    HollowEngines.Traffic trafficBefore = engines.traffic();
-    Counted before = counted();
+    SyntheticEngines.Traffic trafficBefore = engines.traffic();
+    ProcessStatistics before = counted();
     Thread.sleep((long) (seconds * 1_000));
-    Counted after = counted();
-    HollowEngines.Traffic t = engines.traffic().since(trafficBefore);
+    ProcessStatistics after = counted();
+    SyntheticEngines.Traffic t = engines.traffic().since(trafficBefore);
     PacedClients.Outcome o = clients.outcome();
     double span = after.seconds(before);
     Map<String, Object> row = new LinkedHashMap<>();
@@ -156,7 +156,7 @@
     row.put("unsent", o.unsent());
     row.put("cores", rounded(after.fineCores(before), 5));
     row.put("cores_by_stat", rounded(after.cores(before), 4));
-    for (String kind : Counted.KINDS) {
+    for (String kind : ProcessStatistics.KINDS) {
       row.put("cores_" + kind, rounded(after.cores(before, kind), 5));
     }
     row.put("loop_waited", rounded(after.waited(before, "loop"), 4));
--- a/lab/src/main/java/reachloom/lab/slopes/Measurement.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Measurement.java
@@ -246,7 +246,7 @@
     List<Map<String, Object>> idle = new ArrayList<>();
     List<Map<String, Object>> busy = new ArrayList<>();
     for (int engines : wanted.engines) {
-      figures.put(engines + " engines, kept", KeptEngines.of(inProportion(engines), engines));
+      figures.put(engines + " engines, kept", SubsetAnalysis.of(inProportion(engines), engines));
       try (GatewayRig rig = rig(engines)) {
         warm(rig);
         idle.add(row(engines + " engines, no statements", rig, wanted.seconds));
--- a/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
+++ b/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
@@ -18,8 +18,8 @@
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.FrameDecoder;
 import reachloom.gateway.wire.Listener;
-import reachloom.standin.ThriftWords;
-import reachloom.standin.model.RealTime;
+import reachloom.standin.ThriftMessages;
+import reachloom.standin.model.RealTimeScheduler;
 
 /**
  * Connections of clients, each with a clock of its own: a statement after each gap, whatever has
@@ -73,7 +73,7 @@
   }
 
   private final InetSocketAddress gateway;
-  private final RealTime time = new RealTime("clients");
+  private final RealTimeScheduler time = new RealTimeScheduler("clients");
   private final NioSocketConnector connector = new NioSocketConnector(SOCKET_THREADS);
   private final List<Conn> conns = new ArrayList<>();
   private final SplittableRandom random;
@@ -153,7 +153,7 @@
       connect(
           c,
           () -> {
-            c.session.write(IoBuffer.wrap(ThriftWords.check(++c.seq)));
+            c.session.write(IoBuffer.wrap(ThriftMessages.check(++c.seq)));
             if (--left[0] == 0) {
               all.complete(null);
             }
@@ -232,7 +232,7 @@
       fields.put("unique", "k" + sent);
     }
     c.open.put(++c.seq, at);
-    c.session.write(IoBuffer.wrap(ThriftWords.execute(c.seq, fields, STATEMENT)));
+    c.session.write(IoBuffer.wrap(ThriftMessages.execute(c.seq, fields, STATEMENT)));
   }
 
   /**
@@ -257,7 +257,7 @@
           if (clock.plan == plan && !closing) {
             Conn c = new Conn();
             c.seq = -1; // its one answer ends it
-            connect(c, () -> c.session.write(IoBuffer.wrap(ThriftWords.check(0))));
+            connect(c, () -> c.session.write(IoBuffer.wrap(ThriftMessages.check(0))));
             oneConnect(clock, plan, at + (long) gap, gap);
           }
         });
@@ -332,7 +332,7 @@
         session.closeNow();
         return;
       }
-      ThriftWords.Reply reply = ThriftWords.reply(frame);
+      ThriftMessages.Reply reply = ThriftMessages.reply(frame);
       time.at(
           0,
           () -> {
--- a/lab/src/main/java/reachloom/lab/slopes/Counted.java
+++ b/lab/src/main/java/reachloom/lab/slopes/ProcessStatistics.java
@@ -12,7 +12,8 @@
  * What the system has counted of a process: processor seconds of all of it (user and system, in
  * hundredths) and of each thread, resident memory, descriptors.
  */
-record Counted(long at, double cpu, Map<String, Ran> threads, double rssMb, int descriptors) {
+record ProcessStatistics(
+    long at, double cpu, Map<String, Ran> threads, double rssMb, int descriptors) {
   private static final double TICKS = 100; // a second, on every Linux
   private static final double SECOND = 1e9;
   private static final double KILOBYTES = 1_024; // a megabyte
@@ -30,7 +31,7 @@
     private static final Ran NOT_YET = new Ran("", 0, 0);
   }
 
-  static Counted of(long pid) throws IOException {
+  static ProcessStatistics of(long pid) throws IOException {
     Path process = Path.of("/proc", Long.toString(pid));
     String[] stat = behindName(Files.readString(process.resolve("stat")));
     Map<String, Ran> threads = new LinkedHashMap<>();
@@ -62,7 +63,7 @@
         descriptors++;
       }
     }
-    return new Counted(
+    return new ProcessStatistics(
         System.nanoTime(),
         (Double.parseDouble(stat[USER]) + Double.parseDouble(stat[SYSTEM])) / TICKS,
         threads,
@@ -94,14 +95,14 @@
   }
 
   /** Processor seconds a second between an earlier count and this one. */
-  double cores(Counted before) {
+  double cores(ProcessStatistics before) {
     return (cpu - before.cpu) / seconds(before);
   }
 
   /**
    * The same of one kind of thread, counted finer than in hundredths; those that ended are not in.
    */
-  double cores(Counted before, String kind) {
+  double cores(ProcessStatistics before, String kind) {
     return threads.entrySet().stream()
             .filter(t -> t.getValue().kind.equals(kind))
             .mapToDouble(t -> t.getValue().seconds - before.ran(t.getKey()).seconds)
@@ -110,7 +111,7 @@
   }
 
   /** How much of the time one kind of thread waited for a processor, since the machine was busy. */
-  double waited(Counted before, String kind) {
+  double waited(ProcessStatistics before, String kind) {
     return threads.entrySet().stream()
             .filter(t -> t.getValue().kind.equals(kind))
             .mapToDouble(t -> t.getValue().waited - before.ran(t.getKey()).waited)
@@ -118,8 +119,8 @@
         / seconds(before);
   }
 
-  /** The same as {@link #cores(Counted)}, of all threads that did not end in between. */
-  double fineCores(Counted before) {
+  /** The same as {@link #cores(ProcessStatistics)}, of all threads that did not end in between. */
+  double fineCores(ProcessStatistics before) {
     return KINDS.stream().mapToDouble(k -> cores(before, k)).sum();
   }
 
@@ -127,7 +128,7 @@
     return threads.getOrDefault(thread, Ran.NOT_YET);
   }
 
-  double seconds(Counted before) {
+  double seconds(ProcessStatistics before) {
     return (at - before.at) / SECOND;
   }
 }
--- a/lab/src/main/java/reachloom/lab/slopes/KeptEngines.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SubsetAnalysis.java
@@ -12,12 +12,12 @@
  * connections at an engine while all have room, and dials when a zone of ten is back whose engines
  * had been replaced by others.
  */
-final class KeptEngines {
+final class SubsetAnalysis {
   private static final int KEPT = 8; // that a gateway keeps to, as the decisions have it
   private static final int ZONES = 10;
   private static final int CORES = 8;
 
-  private KeptEngines() {}
+  private SubsetAnalysis() {}
 
   /** The figures of so many gateways and engines. */
   static Map<String, Object> of(int gateways, int engines) {
--- a/lab/src/main/java/reachloom/lab/slopes/HollowEngines.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SyntheticEngines.java
@@ -16,20 +16,20 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.Listener;
-import reachloom.lab.rig.EngineCommand;
-import reachloom.lab.rig.EngineCommandDecoder;
+import reachloom.lab.cluster.EngineCommand;
+import reachloom.lab.cluster.EngineCommandDecoder;
 import reachloom.standin.model.EngineModel;
-import reachloom.standin.model.RealTime;
+import reachloom.standin.model.RealTimeScheduler;
 
 /** Engines that are listening sockets of this process, each with the model of one behind it. */
-final class HollowEngines implements AutoCloseable {
+final class SyntheticEngines implements AutoCloseable {
   private static final int FIRST_OCTET = 45; // of 127.x
   private static final int HOSTS = 200;
   private static final int SOCKET_THREADS = 1;
   private static final int BACKLOG = 1_024;
   private static final double WORK = 0.004; // core-seconds a statement
   private static final double MEMORY_MB = 4;
-  private static final AttributeKey MODEL = new AttributeKey(HollowEngines.class, "model");
+  private static final AttributeKey MODEL = new AttributeKey(SyntheticEngines.class, "model");
   private static final EngineModel.Spec SPEC =
       new EngineModel.Spec(
           8,
@@ -59,7 +59,7 @@
     }
   }
 
-  private final RealTime time = new RealTime("engines");
+  private final RealTimeScheduler time = new RealTimeScheduler("engines");
   private final NioSocketAcceptor acceptor = new NioSocketAcceptor(SOCKET_THREADS);
   private final Map<InetSocketAddress, EngineModel> models = new HashMap<>();
   private final List<InetSocketAddress> addresses = new ArrayList<>();
@@ -70,7 +70,7 @@
   private final LongAdder reportBytes = new LongAdder();
   private final LongAdder others = new LongAdder();
 
-  HollowEngines(int count) throws IOException {
+  SyntheticEngines(int count) throws IOException {
     int port;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
--- a/lab/src/test/java/reachloom/lab/rig/TruthTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
@@ -1,24 +1,25 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import reachloom.lab.rig.Truth.Answer;
-import reachloom.lab.rig.Workload.Arrival;
-import reachloom.standin.model.Agenda;
+import reachloom.lab.cluster.HistoryChecker.Answer;
+import reachloom.lab.cluster.Workload.Arrival;
+import reachloom.standin.model.SimulatedScheduler;
 
 /** The auditor sees each broken rule, and none where all is kept. */
-class TruthTest {
-  private static final long SECOND = Plan.SECOND;
+class HistoryCheckerTest {
+  private static final long SECOND = ClusterPlan.SECOND;
   private static final int LOOKUP = 0;
   private static final int LOAD = 2;
   private static final int ONCE = 3;
 
-  private final Agenda time = new Agenda(SECOND);
-  private final World world = new World(new Plan(4, 4, 2, 10, 0.5, 0, 0, 4, 1), time);
-  private final Truth truth = new Truth(world, time.now());
+  private final SimulatedScheduler time = new SimulatedScheduler(SECOND);
+  private final ClusterModel world =
+      new ClusterModel(new ClusterPlan(4, 4, 2, 10, 0.5, 0, 0, 4, 1), time);
+  private final HistoryChecker truth = new HistoryChecker(world, time.now());
   private long numbers;
 
   private long ask(int kind, int gateway) {
@@ -30,7 +31,7 @@
     return number;
   }
 
-  private Truth.Try send(long number, int engine) {
+  private HistoryChecker.Try send(long number, int engine) {
     return truth.came(number, engine, -1, time.now(), time.now(), true);
   }
 
@@ -47,7 +48,7 @@
   @Test
   void whatIsKeptIsNotBroken() {
     long a = ask(LOOKUP, 0);
-    Truth.Try t = send(a, 1);
+    HistoryChecker.Try t = send(a, 1);
     pass(0.1);
     truth.ended(t, time.now()); // lost on the way: a further attempt elsewhere
     pass(0.1);
@@ -116,8 +117,8 @@
   @Test
   void attemptsThatAreOutTogetherOrAfterTheAnswer() {
     long both = ask(LOOKUP, 0);
-    Truth.Try first = send(both, 1);
-    Truth.Try second = send(both, 2);
+    HistoryChecker.Try first = send(both, 1);
+    HistoryChecker.Try second = send(both, 2);
     pass(0.2);
     truth.ended(first, time.now());
     truth.ended(second, time.now());
--- a/lab/src/test/java/reachloom/lab/rig/ProcessFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/ProcessFleetTest.java
@@ -1,4 +1,4 @@
-package reachloom.lab.rig;
+package reachloom.lab.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,13 +19,13 @@
 class ProcessFleetTest {
   @TempDir Path folder;
 
-  private Map<String, Object> play(Plan plan, String... troubles) throws Exception {
+  private Map<String, Object> play(ClusterPlan plan, String... troubles) throws Exception {
     String text =
         "<script xmlns=\"urn:reachloom:lab:script:1\">"
             + List.of(troubles).stream().collect(Collectors.joining())
             + "</script>";
-    Script script =
-        Script.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), "test");
+    FaultSchedule script =
+        FaultSchedule.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), "test");
     Map<String, Object> f;
     try (ProcessFleet fleet = new ProcessFleet(plan, folder, null, 24)) {
       f = fleet.play(script);
@@ -47,7 +47,7 @@
   void aReleaseWhileGatewaysAreKilledRestartedAndStandStill() throws Exception {
     Map<String, Object> f =
         play(
-            new Plan(12, 9, 3, 9, 0.2, 0.8, 0.3, 12, 1),
+            new ClusterPlan(12, 9, 3, 9, 0.2, 0.8, 0.3, 12, 1),
             "<engines at='1' do='replace' share='0.3' within='3'/>",
             "<gateways at='2' do='kill' share='0.3' for='0.5'/>",
             "<gateways at='3' do='terminate' share='0.25' within='2' for='4'/>",
@@ -62,7 +62,7 @@
   void sickEnginesACutZoneAndListsThatDiffer() throws Exception {
     Map<String, Object> f =
         play(
-            new Plan(12, 12, 3, 10, 0.2, 0.8, 0, 12, 2),
+            new ClusterPlan(12, 12, 3, 10, 0.2, 0.8, 0, 12, 2),
             "<engines at='1' do='hang' share='0.1' for='4'/>",
             "<engines at='1' do='err' share='0.1' by='0.9' for='4'/>",
             "<engines at='1' do='slow' share='0.1' by='3' for='4'/>",
@@ -81,7 +81,7 @@
   void theWholeFleetIsStartedAnewAtOnce() throws Exception {
     Map<String, Object> f =
         play(
-            new Plan(16, 8, 2, 9, 0.2, 0.8, 0, 16, 3),
+            new ClusterPlan(16, 8, 2, 9, 0.2, 0.8, 0, 16, 3),
             "<gateways at='2' do='kill' share='1' for='0.2'/>",
             "<engines at='3' do='crash' share='0.2' for='1'/>");
     @SuppressWarnings("unchecked")
--- a/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import reachloom.lab.rig.Plan;
-import reachloom.lab.rig.Script;
+import reachloom.lab.cluster.ClusterPlan;
+import reachloom.lab.cluster.FaultSchedule;
 import reachloom.scheduler.QueryScheduler;
 
 /**
@@ -21,12 +21,13 @@
   private static final VirtualFleet.Policy REACHLOOM =
       (actions, world, g) -> new QueryScheduler(actions);
 
-  private static Plan plan(int gateways, int engines, double load) {
-    return new Plan(gateways, engines, 3, 14, load, 0.8, 0, gateways, 5);
+  private static ClusterPlan plan(int gateways, int engines, double load) {
+    return new ClusterPlan(gateways, engines, 3, 14, load, 0.8, 0, gateways, 5);
   }
 
-  private static Map<String, Object> play(Plan plan, String script) throws Script.Unusable {
-    return new VirtualFleet(plan, REACHLOOM).play(Script.of(script));
+  private static Map<String, Object> play(ClusterPlan plan, String script)
+      throws FaultSchedule.Unusable {
+    return new VirtualFleet(plan, REACHLOOM).play(FaultSchedule.of(script));
   }
 
   private static double number(Map<String, Object> figures, String name) {
@@ -40,10 +41,10 @@
   }
 
   @Test
-  void theSameSeedGivesTheSameFigures() throws Script.Unusable {
-    Plan plan = plan(20, 10, 0.7);
+  void theSameSeedGivesTheSameFigures() throws FaultSchedule.Unusable {
+    ClusterPlan plan = plan(20, 10, 0.7);
     assertEquals(play(plan, "kill").toString(), play(plan, "kill").toString());
-    Plan other = new Plan(20, 10, 3, 14, 0.7, 0.8, 0, 20, 6);
+    ClusterPlan other = new ClusterPlan(20, 10, 3, 14, 0.7, 0.8, 0, 20, 6);
     assertNotEquals(play(plan, "kill").toString(), play(other, "kill").toString());
   }
 
@@ -63,7 +64,7 @@
         "surge",
         "crowd"
       })
-  void rulesAreKeptAndServiceStandsInEachTrouble(String script) throws Script.Unusable {
+  void rulesAreKeptAndServiceStandsInEachTrouble(String script) throws FaultSchedule.Unusable {
     Map<String, Object> f = play(plan(60, 24, 0.6), script);
     kept(f);
     boolean gatewaysDie = script.equals("kill") || script.equals("restart");
@@ -75,7 +76,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"release", "restart", "zone"})
-  void coldEnginesBearTheSumOfAllGateways(String script) throws Script.Unusable {
+  void coldEnginesBearTheSumOfAllGateways(String script) throws FaultSchedule.Unusable {
     for (int gateways : new int[] {20, 30}) {
       Map<String, Object> f = play(plan(gateways, 12, 0.7), script);
       kept(f);
@@ -98,11 +99,11 @@
   })
   void narrowViewsOfEveryShape(
       int gateways, int engines, int zones, double skew, double large, int believed)
-      throws Script.Unusable {
+      throws FaultSchedule.Unusable {
     // Numbers that the settings get wrong by three times; no skew and much; few engines, few
     // gateways, each
     // alone in its zone; one engine; two of 60 with twice the cores.
-    Plan plan = new Plan(gateways, engines, zones, 14, 0.6, skew, large, believed, 5);
+    ClusterPlan plan = new ClusterPlan(gateways, engines, zones, 14, 0.6, skew, large, believed, 5);
     Map<String, Object> f = play(plan, "calm");
     kept(f);
     assertTrue(number(f, "service") > 0.97, f.toString());
@@ -110,20 +111,20 @@
   }
 
   @Test
-  void hotGatewaysUseWhatOthersLeave() throws Script.Unusable {
+  void hotGatewaysUseWhatOthersLeave() throws FaultSchedule.Unusable {
     // Half of the engines cold, traffic uneven: bound by an equal part each, a twentieth was
     // refused beside
     // idle engines.
-    Map<String, Object> f = play(new Plan(100, 30, 3, 14, 0.7, 0.8, 0, 100, 5), "release");
+    Map<String, Object> f = play(new ClusterPlan(100, 30, 3, 14, 0.7, 0.8, 0, 100, 5), "release");
     kept(f);
     assertTrue(number(f, "refused_while_idle") < 0.025, f.toString());
   }
 
   @ParameterizedTest
   @CsvSource({"500, 0", "0, 1000", "500, 1000"})
-  void clocksApartAndReportsASecondOld(int clocksMs, int ageMs) throws Script.Unusable {
-    Plan plan =
-        new Plan(
+  void clocksApartAndReportsASecondOld(int clocksMs, int ageMs) throws FaultSchedule.Unusable {
+    ClusterPlan plan =
+        new ClusterPlan(
             60,
             24,
             3,
@@ -133,8 +134,8 @@
             0,
             60,
             5,
-            clocksMs * Plan.MILLISECOND,
-            ageMs * Plan.MILLISECOND);
+            clocksMs * ClusterPlan.MILLISECOND,
+            ageMs * ClusterPlan.MILLISECOND);
     for (String script : new String[] {"release", "zone"}) {
       Map<String, Object> f = play(plan, script);
       kept(f);
@@ -143,19 +144,19 @@
   }
 
   @Test
-  void connectionsStayBounded() throws Script.Unusable {
+  void connectionsStayBounded() throws FaultSchedule.Unusable {
     // Each gateway keeps to eight, but for those with much to send.
-    Map<String, Object> f = play(new Plan(100, 60, 3, 14, 0.6, 0.5, 0, 100, 5), "calm");
+    Map<String, Object> f = play(new ClusterPlan(100, 60, 3, 14, 0.6, 0.5, 0, 100, 5), "calm");
     assertTrue(number(f, "connections_max") < 0.4 * 100 * 60, f.toString());
   }
 
   @Test
-  void plainPoliciesAreWorseInTrouble() throws Script.Unusable {
-    Plan plan = plan(60, 24, 0.7);
+  void plainPoliciesAreWorseInTrouble() throws FaultSchedule.Unusable {
+    ClusterPlan plan = plan(60, 24, 0.7);
     Map<String, Object> f = play(plan, "sick");
     for (String name : new String[] {"random", "two", "reported"}) {
       Map<String, Object> plain =
-          new VirtualFleet(plan, Baseline.named(name)).play(Script.of("sick"));
+          new VirtualFleet(plan, Baseline.named(name)).play(FaultSchedule.of("sick"));
       assertTrue(
           number(plain, "service") < number(f, "service"), name + ": " + plain + " against " + f);
     }
--- a/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
@@ -22,9 +22,9 @@
 import reachloom.config.ConfigurationSettings.Issuer;
 import reachloom.config.GossipSettings;
 import reachloom.lab.gossip.Installation;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
+import reachloom.standin.FakeEngine;
 import reachloom.standin.GatewayProcess;
-import reachloom.standin.NodeStandIn;
 import reachloom.standin.ThriftClient;
 import reachloom.tools.RevisionTool;
 
@@ -42,9 +42,9 @@
   private final Map<String, Process> issuers = new LinkedHashMap<>();
   private final Map<String, GatewayProcess> gateways = new LinkedHashMap<>();
   private Installation installation;
-  private ChangeLogStandIn before;
-  private ChangeLogStandIn after;
-  private NodeStandIn engine;
+  private FakeChangeLog before;
+  private FakeChangeLog after;
+  private FakeEngine engine;
 
   private interface Condition {
     boolean holds() throws Exception;
@@ -60,9 +60,9 @@
 
   @BeforeEach
   void start() throws Exception {
-    before = new ChangeLogStandIn(1);
-    after = new ChangeLogStandIn(1);
-    engine = new NodeStandIn();
+    before = new FakeChangeLog(1);
+    after = new FakeChangeLog(1);
+    engine = new FakeEngine();
     installation = new Installation(Files.createDirectory(folder.resolve("all")));
     List<Issuer> named = new ArrayList<>();
     for (String name : ISSUERS) {
--- a/lab/src/test/java/reachloom/lab/scale/InForceTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/RolloutTrackerTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What counts as in force, and since when. */
-class InForceTest {
-  private final InForce inForce = new InForce();
+class RolloutTrackerTest {
+  private final RolloutTracker inForce = new RolloutTracker();
 
   private Map<String, Object> figures() {
     Map<String, Object> f = new LinkedHashMap<>();
--- a/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import reachloom.lab.rig.Script;
+import reachloom.lab.cluster.FaultSchedule;
 
 /**
  * Small installations on real sockets: real and hollow gateways, control machines, changes,
@@ -23,10 +23,11 @@
 
   @TempDir Path folder;
 
-  private static Script script(String... troubles) throws Exception {
+  private static FaultSchedule script(String... troubles) throws Exception {
     String text =
         "<script xmlns=\"urn:reachloom:lab:script:1\">" + String.join("", troubles) + "</script>";
-    return Script.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), "test");
+    return FaultSchedule.read(
+        new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), "test");
   }
 
   private static void whole(Map<String, Object> f, int gateways) {
--- a/lab/src/test/java/reachloom/lab/slopes/ConfigurationSteps.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ConfigurationSteps.java
@@ -11,7 +11,7 @@
 import java.util.function.BooleanSupplier;
 import reachloom.config.LocalSettings;
 import reachloom.lab.gossip.Installation;
-import reachloom.standin.ChangeLogStandIn;
+import reachloom.standin.FakeChangeLog;
 import reachloom.standin.GatewayProcess;
 
 /**
@@ -77,9 +77,9 @@
     InetSocketAddress[] addresses = new InetSocketAddress[engines];
     Arrays.fill(addresses, new InetSocketAddress("127.0.0.1", 9)); // nobody is asked anything there
     Path own = Files.createTempDirectory(folder, "gateway");
-    try (ChangeLogStandIn one = new ChangeLogStandIn(1);
-        ChangeLogStandIn two = new ChangeLogStandIn(1)) {
-      List<ChangeLogStandIn> logs = List.of(one, two);
+    try (FakeChangeLog one = new FakeChangeLog(1);
+        FakeChangeLog two = new FakeChangeLog(1)) {
+      List<FakeChangeLog> logs = List.of(one, two);
       String text =
           GatewayProcess.config(GatewayProcess.freeAddress(), one.address(), addresses)
               .replace("\"probes\":true", "\"probes\":false");
@@ -88,7 +88,7 @@
         double[] read = new double[times];
         double[] heard = new double[times];
         for (int i = 0; i < times; i++) {
-          ChangeLogStandIn next = logs.get((i + 1) % 2);
+          FakeChangeLog next = logs.get((i + 1) % 2);
           int hellos = next.hellos.size();
           long lines = lines(gateway.log);
           long from = System.nanoTime();
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionAllocation.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionAllocation.java
@@ -22,14 +22,14 @@
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   private static final class Size {
-    private final Desk desk;
+    private final SchedulerBenchmarkHarness desk;
     private final String[] ids = new String[BATCH];
     private final long[] bytes = new long[CALLS.length];
     private final long[] cpu = new long[CALLS.length];
     private final long[] calls = new long[CALLS.length];
 
     Size(int engines, boolean reports) {
-      desk = new Desk(engines, reports);
+      desk = new SchedulerBenchmarkHarness(engines, reports);
     }
 
     private void count(int call, int times, Runnable work) {
@@ -117,7 +117,7 @@
         tell(reports, CALLS[c] + " cpu us", cpu);
       }
       for (int i = 0; i < SIZES.length; i++) {
-        Desk d = sizes.get(i).desk;
+        SchedulerBenchmarkHarness d = sizes.get(i).desk;
         System.out.printf(
             "reports=%b engines=%d probes asked %d answered %d refused %d%n",
             reports, SIZES[i], d.asked, d.answered, d.refused);
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionBenchmark.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionBenchmark.java
@@ -42,12 +42,12 @@
     @Param({"false", "true"})
     public boolean reports;
 
-    Desk desk;
+    SchedulerBenchmarkHarness desk;
     final String[] ids = new String[BATCH];
 
     @Setup(Level.Trial)
     public void start() {
-      desk = new Desk(engines, reports);
+      desk = new SchedulerBenchmarkHarness(engines, reports);
     }
 
     void arrivals() {
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionProfile.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionProfile.java
@@ -22,7 +22,8 @@
   private DecisionProfile() {}
 
   public static void main(String[] args) throws Exception {
-    Desk desk = new Desk(Integer.parseInt(args[0]), Boolean.parseBoolean(args[1]));
+    SchedulerBenchmarkHarness desk =
+        new SchedulerBenchmarkHarness(Integer.parseInt(args[0]), Boolean.parseBoolean(args[1]));
     int queries = Integer.parseInt(args[2]);
     Path file = Files.createTempFile("reachloom-profile", ".jfr");
     try (Recording recording = new Recording()) {
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -38,7 +38,7 @@
     private final Path file;
     private final byte[] whole;
     private final Map<String, List<Long>> cpu = new LinkedHashMap<>();
-    private Desk desk;
+    private SchedulerBenchmarkHarness desk;
     private EngineList list;
     private EndpointWatch watch = new EndpointWatch(1, 1);
     private long number = 1;
@@ -78,7 +78,7 @@
 
     void round() throws Exception {
       if (desk == null) {
-        desk = new Desk(engines, false);
+        desk = new SchedulerBenchmarkHarness(engines, false);
         list = new EngineList();
         list.update(true, decode(whole).members());
       }
@@ -172,7 +172,7 @@
     for (Size s : sizes) {
       List<EngineEndpoint> infos =
           s.read().knownEngines().stream().map(EngineMember::endpoint).toList();
-      decisions.add(new Point(s.engines, keptBy(() -> Desk.listed(infos))));
+      decisions.add(new Point(s.engines, keptBy(() -> SchedulerBenchmarkHarness.listed(infos))));
     }
     for (Size s : sizes) {
       List<EngineMember> members = s.read().knownEngines();
--- a/lab/src/test/java/reachloom/lab/slopes/Desk.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SchedulerBenchmarkHarness.java
@@ -32,7 +32,7 @@
  * all well: what the benchmarks of the decisions ask it. Each query is served after it was out for
  * some time.
  */
-final class Desk implements SchedulerActions {
+final class SchedulerBenchmarkHarness implements SchedulerActions {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long SECOND = 1_000 * MILLISECOND;
   private static final int GATEWAYS = 580;
@@ -58,7 +58,7 @@
   long answered;
   long refused;
 
-  Desk(int engines, boolean reports) {
+  SchedulerBenchmarkHarness(int engines, boolean reports) {
     this(some(engines), reports);
     for (int i = 0; i < WARM; i++) { // what is learned and remembered is as after some seconds
       query();
@@ -66,8 +66,8 @@
   }
 
   /** One that has just been told that list, and got no query. */
-  static Desk listed(List<EngineEndpoint> engines) {
-    return new Desk(engines, false);
+  static SchedulerBenchmarkHarness listed(List<EngineEndpoint> engines) {
+    return new SchedulerBenchmarkHarness(engines, false);
   }
 
   private static List<EngineEndpoint> some(int engines) {
@@ -78,7 +78,7 @@
     return some;
   }
 
-  private Desk(List<EngineEndpoint> engines, boolean reports) {
+  private SchedulerBenchmarkHarness(List<EngineEndpoint> engines, boolean reports) {
     list.addAll(engines);
     List<QueryClass> classes =
         List.of(
--- a/lab/src/test/java/reachloom/lab/slopes/KeptEnginesTest.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SubsetAnalysisTest.java
@@ -10,10 +10,10 @@
  * Who keeps to an engine at the size planned for, and at sizes smaller than what a gateway keeps
  * to.
  */
-class KeptEnginesTest {
+class SubsetAnalysisTest {
   @Test
   void engineAndZoneAreKeptToEvenlyAtTheSizePlannedFor() {
-    Map<String, Object> row = KeptEngines.of(580, 630);
+    Map<String, Object> row = SubsetAnalysis.of(580, 630);
     assertEquals(7.37, row.get("keepers_mean"));
     assertTrue(
         (int) row.get("keepers_min") >= 5 && (int) row.get("keepers_max") <= 10, row.toString());
@@ -23,7 +23,7 @@
 
   @Test
   void fewEnginesAreKeptToByAll() {
-    Map<String, Object> row = KeptEngines.of(5, 6);
+    Map<String, Object> row = SubsetAnalysis.of(5, 6);
     assertEquals(5, row.get("keepers_min"));
     assertEquals(5, row.get("keepers_max"));
     assertEquals(5.0, row.get("keepers_mean"));
--- a/lab/src/test/java/reachloom/standin/model/EngineModelTest.java
+++ b/lab/src/test/java/reachloom/standin/model/EngineModelTest.java
@@ -14,7 +14,7 @@
 class EngineModelTest {
   private static final long SECOND = 1_000_000_000L;
 
-  private final Agenda time = new Agenda(0);
+  private final SimulatedScheduler time = new SimulatedScheduler(0);
   private final List<String> heard = new ArrayList<>();
 
   private EngineModel engine(int cores, double memoryMb) {
--- a/standin/src/main/java/reachloom/standin/ChangeLogStandIn.java
+++ b/standin/src/main/java/reachloom/standin/FakeChangeLog.java
@@ -14,7 +14,7 @@
  * The change log as the protocol page describes it: events after the number told, else a frame a
  * second.
  */
-public final class ChangeLogStandIn implements AutoCloseable {
+public final class FakeChangeLog implements AutoCloseable {
   public final List<Long> hellos = new CopyOnWriteArrayList<>();
   private final List<byte[]> events = new CopyOnWriteArrayList<>();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -23,10 +23,10 @@
   private volatile long pauseMs = 1_000;
 
   /** A log whose events follow the given number. */
-  public ChangeLogStandIn(long first) throws IOException {
+  public FakeChangeLog(long first) throws IOException {
     this.first = first;
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    NodeStandIn.daemon(this::accept);
+    FakeEngine.daemon(this::accept);
   }
 
   public InetSocketAddress address() {
@@ -39,12 +39,12 @@
   }
 
   /** Adds an event of one engine; state 0 is ready, 1 draining, 2 gone. */
-  public void add(int id, NodeStandIn node, int state) {
+  public void add(int id, FakeEngine node, int state) {
     add(id, node, state, 0);
   }
 
   /** Adds an event of one engine that started at that Unix millisecond. */
-  public void add(int id, NodeStandIn node, int state, long started) {
+  public void add(int id, FakeEngine node, int state, long started) {
     ByteBuffer frame =
         ByteBuffer.allocate(4 + 9 + 27)
             .putInt(9 + 27)
@@ -75,7 +75,7 @@
       while (true) {
         Socket s = server.accept();
         sockets.add(s);
-        NodeStandIn.daemon(() -> serve(s));
+        FakeEngine.daemon(() -> serve(s));
       }
     } catch (IOException e) {
       // closed
--- a/standin/src/main/java/reachloom/standin/NodeStandIn.java
+++ b/standin/src/main/java/reachloom/standin/FakeEngine.java
@@ -25,7 +25,7 @@
  * badpage}, {@code copies} (of each answer, behind one of an unknown id), {@code noise}, {@code
  * stops} (half-way).
  */
-public final class NodeStandIn implements AutoCloseable {
+public final class FakeEngine implements AutoCloseable {
   public static final String ROW = "a\tb\tc\n";
 
   public final List<String> commands = new CopyOnWriteArrayList<>();
@@ -37,7 +37,7 @@
   private volatile boolean hung;
   private volatile int keptCommands = Integer.MAX_VALUE;
 
-  public NodeStandIn() throws IOException {
+  public FakeEngine() throws IOException {
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     daemon(this::accept);
   }
--- a/standin/src/main/java/reachloom/standin/GatewayProcess.java
+++ b/standin/src/main/java/reachloom/standin/GatewayProcess.java
@@ -42,7 +42,7 @@
 
   /** Starts a gateway that knows those engines, numbered from 1. */
   public GatewayProcess(
-      Path folder, ChangeLogStandIn changeLog, InetSocketAddress listen, NodeStandIn... nodes)
+      Path folder, FakeChangeLog changeLog, InetSocketAddress listen, FakeEngine... nodes)
       throws IOException {
     this(folder, config(listen, changeLog, nodes));
   }
@@ -120,11 +120,11 @@
   }
 
   public static String config(
-      InetSocketAddress listen, ChangeLogStandIn changeLog, NodeStandIn... nodes) {
+      InetSocketAddress listen, FakeChangeLog changeLog, FakeEngine... nodes) {
     return config(
         listen,
         changeLog.address(),
-        Arrays.stream(nodes).map(NodeStandIn::address).toArray(InetSocketAddress[]::new));
+        Arrays.stream(nodes).map(FakeEngine::address).toArray(InetSocketAddress[]::new));
   }
 
   /** A configuration with a change log and engines, numbered from 1, at those addresses. */
--- a/standin/src/main/java/reachloom/standin/ThriftClient.java
+++ b/standin/src/main/java/reachloom/standin/ThriftClient.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import reachloom.standin.ThriftWords.Reply;
+import reachloom.standin.ThriftMessages.Reply;
 
 /** A client that speaks the protocol byte by byte, and waits for its answers. */
 public final class ThriftClient implements AutoCloseable {
@@ -64,20 +64,20 @@
         fields.put(changes[i], changes[i + 1]);
       }
     }
-    return ThriftWords.execute(++seq, fields, statement);
+    return ThriftMessages.execute(++seq, fields, statement);
   }
 
   public void interrupt(int target) throws IOException {
-    send(ThriftWords.interrupt(++seq, target));
+    send(ThriftMessages.interrupt(++seq, target));
   }
 
   public boolean check() throws IOException {
-    send(ThriftWords.check(++seq));
+    send(ThriftMessages.check(++seq));
     return reply().good();
   }
 
   public void unknown() throws IOException {
-    send(ThriftWords.unknown(++seq));
+    send(ThriftMessages.unknown(++seq));
   }
 
   public void raw(byte[] bytes) throws IOException {
@@ -92,12 +92,12 @@
   public Reply reply() throws IOException {
     byte[] frame = new byte[in.readInt()];
     in.readFully(frame);
-    return ThriftWords.reply(frame);
+    return ThriftMessages.reply(frame);
   }
 
   /** Asks whether the gateway is ready, and goes on in the same bytes with what is no message. */
   public void checkAndNonsense(int bytes) throws IOException {
-    ByteBuffer call = ThriftWords.check(++seq);
+    ByteBuffer call = ThriftMessages.check(++seq);
     byte[] all = new byte[call.limit() + bytes];
     Arrays.fill(all, (byte) -1);
     call.get(all, 0, call.limit());
--- a/standin/src/main/java/reachloom/standin/ThriftWords.java
+++ b/standin/src/main/java/reachloom/standin/ThriftMessages.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /** What a client says and hears, as bytes: framed Thrift in its strict binary form. */
-public final class ThriftWords {
+public final class ThriftMessages {
   private static final int MAX_CALL = 64 * 1024;
   private static final int VERSION = 0x80010000;
 
-  private ThriftWords() {}
+  private ThriftMessages() {}
 
   /**
    * What a gateway answered: ANSWER, BUSY, FAILED or EXCEPTION, and the body and mark of an answer.
--- a/standin/src/main/java/reachloom/standin/model/EngineModel.java
+++ b/standin/src/main/java/reachloom/standin/model/EngineModel.java
@@ -93,7 +93,7 @@
 
   public final int id;
   public final Spec spec;
-  private final Timeline time;
+  private final Scheduler time;
   private final SplittableRandom random;
   private final Map<String, Job> running = new LinkedHashMap<>();
 
@@ -125,7 +125,7 @@
   private Runnable fallen = () -> {};
 
   /** A warm engine that runs. */
-  public EngineModel(int id, Spec spec, Timeline time, long seed) {
+  public EngineModel(int id, Spec spec, Scheduler time, long seed) {
     this.id = id;
     this.spec = spec;
     this.time = time;
--- a/standin/src/main/java/reachloom/standin/model/RealTime.java
+++ b/standin/src/main/java/reachloom/standin/model/RealTimeScheduler.java
@@ -10,7 +10,7 @@
  * Real time: one thread does what is due. Its clock starts at the wall clock's time and runs on
  * steadily.
  */
-public final class RealTime implements Timeline, AutoCloseable {
+public final class RealTimeScheduler implements Scheduler, AutoCloseable {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
   private final long start = System.currentTimeMillis() * MILLISECOND;
@@ -19,7 +19,7 @@
   private final AtomicInteger defects = new AtomicInteger();
 
   /** Time whose thread has that name. */
-  public RealTime(String name) {
+  public RealTimeScheduler(String name) {
     thread =
         Executors.newSingleThreadScheduledExecutor(
             r -> {
--- a/standin/src/main/java/reachloom/standin/model/Agenda.java
+++ b/standin/src/main/java/reachloom/standin/model/SimulatedScheduler.java
@@ -5,7 +5,7 @@
 /**
  * Simulated time: what is due happens in order of time, and of being asked for where times agree.
  */
-public final class Agenda implements Timeline {
+public final class SimulatedScheduler implements Scheduler {
   private record Due(long at, long number, Runnable action) implements Comparable<Due> {
     @Override
     public int compareTo(Due other) {
@@ -19,7 +19,7 @@
   private long count;
 
   /** A clock that starts at that time, in nanoseconds. */
-  public Agenda(long start) {
+  public SimulatedScheduler(long start) {
     now = start;
   }
 
