--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -47,7 +47,9 @@
     List<String> unexpected =
         readers.stream()
             .filter(
-                r -> !r.matches(".*/(reachloom/time/WallClock|standin/model/RealTime)\\.java:.*"))
+                r ->
+                    !r.matches(
+                        ".*/(reachloom/time/WallClock|standin/model/RealTimeScheduler)\\.java:.*"))
             .toList();
     assertEquals(List.of(), unexpected);
     assertEquals(2, readers.size(), "both places read it: " + readers);
