--- a/lab/src/test/java/reachloom/lab/LabShapeTest.java
+++ b/lab/src/test/java/reachloom/lab/LabShapeTest.java
@@ -55,7 +55,7 @@
   @Test
   void packagesDependOneWay() throws IOException {
     Map<String, Set<String>> left = uses();
-    assertTrue(left.containsKey("command") && left.containsKey("rig"), left.toString());
+    assertTrue(left.containsKey("command") && left.containsKey("cluster"), left.toString());
     assertEquals(
         Set.of(), left.get("command"), "options and figures need nothing else of the laboratory");
     for (boolean some = true; some; ) { // whoever needs nobody that is left goes
