--- a/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
+++ b/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
@@ -18,25 +18,25 @@
    * Time without a frame after which the connection counts as dead: two frames may be late, and of
    * the 7 s within which the list has to be complete enough is left for three failed connects.
    */
-  public static final long MAX_SILENCE = 5 * FRAME / 2;
+  public static final long MAX_SILENCE_NANOS = 5 * FRAME / 2;
 
   /** Timeout of a connect. */
-  public static final long DIAL_TIMEOUT = FRAME / 2;
+  public static final long CONNECT_TIMEOUT_NANOS = FRAME / 2;
 
   /**
    * Time without a frame after which the answer to a request is complete, since all stored events
    * follow it at once.
    */
-  public static final long QUIET = FRAME / 10;
+  public static final long CATCH_UP_QUIET_NANOS = FRAME / 10;
 
   /** Maximum time that a start waits for the log, so that a log that is down delays no gateway. */
-  public static final long LONGEST_START = 400 * MILLISECOND;
+  public static final long MAX_CATCH_UP_NANOS = 400 * MILLISECOND;
 
   /**
    * Maximum time from the start of the program until a gateway is ready, whatever it still waits
    * for: of the 10 s allowed, 2 s remain for the start of the virtual machine.
    */
-  public static final long LATEST_READY = 8_000 * MILLISECOND;
+  public static final long MAX_START_NANOS = 8_000 * MILLISECOND;
 
   private static final long MIN_BACKOFF = 100 * MILLISECOND;
 
@@ -50,17 +50,17 @@
   private static final int MAX_HEARTBEATS_IN_ANSWER = 2;
 
   /** What to do with a frame. */
-  public enum Verdict {
+  public enum FrameAction {
     /** Nothing: a heartbeat, or an event that was applied before. */
-    SKIP,
+    IGNORE,
     /** Apply it: it is the next event. */
-    TAKE,
+    APPLY,
     /** Ask the log for the complete list, since events are missing before it. */
-    MISSED,
+    REQUEST_COMPLETE_LIST,
     /** Buffer it: it is a part of the complete list. */
-    FOLD,
+    BUFFER,
     /** Apply what was buffered, with this last part, as the complete list. */
-    WHOLE
+    APPLY_BUFFERED
   }
 
   private final SplittableRandom random;
@@ -85,17 +85,17 @@
   }
 
   /** The number of the last event applied. */
-  public long last() {
+  public long lastEventNumber() {
     return last;
   }
 
   /** The number after which to request events; 0 requests the complete list. */
-  public long askAfter() {
+  public long requestAfter() {
     return wanted < 0 ? last : 0;
   }
 
   /** A request was sent on a new connection; buffered parts of earlier answers are dropped. */
-  public void asked() {
+  public void onRequestSent() {
     folded = 0;
     quiet = 0;
   }
@@ -104,7 +104,7 @@
    * Another source supplied the complete list as of the given number; false if that is older than
    * the list applied.
    */
-  public boolean toldElsewhere(long number) {
+  public boolean onCompleteList(long number) {
     boolean newer = number > last;
     last = Math.max(last, number);
     if (last >= wanted) {
@@ -114,55 +114,55 @@
   }
 
   /** Handles a frame: its event number, whether it has the complete list, or is a heartbeat. */
-  public Verdict heard(long number, boolean whole, boolean nothing) {
+  public FrameAction onFrame(long number, boolean whole, boolean nothing) {
     backoff = MIN_BACKOFF;
     if (wanted >= 0) {
-      return partOfAll(number, nothing);
+      return onPartOfCompleteList(number, nothing);
     }
     if (nothing || number <= last) {
-      return Verdict.SKIP;
+      return FrameAction.IGNORE;
     }
     if (!whole && !sparse && number > last + 1) {
       wanted = number;
-      return Verdict.MISSED;
+      return FrameAction.REQUEST_COMPLETE_LIST;
     }
     last = number;
-    return Verdict.TAKE;
+    return FrameAction.APPLY;
   }
 
-  private Verdict partOfAll(long number, boolean nothing) {
+  private FrameAction onPartOfCompleteList(long number, boolean nothing) {
     if (nothing) {
       if (++quiet >= MAX_HEARTBEATS_IN_ANSWER) { // the log has lost events; the current list stays
         wanted = -1;
         sparse = true;
       }
-      return Verdict.SKIP;
+      return FrameAction.IGNORE;
     }
     if (number <= folded) {
-      return Verdict.SKIP;
+      return FrameAction.IGNORE;
     }
     sparse |= folded > 0 && number > folded + 1;
     folded = number;
     if (number < wanted) {
-      return Verdict.FOLD;
+      return FrameAction.BUFFER;
     }
     wanted = -1;
     last = number;
-    return Verdict.WHOLE;
+    return FrameAction.APPLY_BUFFERED;
   }
 
   /**
    * The time to wait before the next connect: exponential backoff with jitter of a half, so that
    * gateways do not reconnect together.
    */
-  public long pause() {
+  public long nextBackoffNanos() {
     long current = backoff;
     backoff = Math.min(MAX_BACKOFF, backoff * 2);
     return current / 2 + random.nextLong(current / 2 + 1);
   }
 
   /** The log has a new address; backoff starts over. */
-  public void moved() {
+  public void onAddressChanged() {
     backoff = MIN_BACKOFF;
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -90,7 +90,7 @@
                 "change log",
                 () -> new ChangeLogDecoder(zoneCount, engineKindCount),
                 new SocketHandler()),
-            EndpointWatch.DIAL_TIMEOUT);
+            EndpointWatch.CONNECT_TIMEOUT_NANOS);
   }
 
   // ---- Configuration ----
@@ -101,7 +101,7 @@
    * counts as known, and the new one, which goes on with the same numbers, may send it late.
    */
   void reconfigure(GatewayConfig next) {
-    if (watch.toldElsewhere(next.lastEventNumber())) {
+    if (watch.onCompleteList(next.lastEventNumber())) {
       subscriber.onEvent(
           new EndpointListEvent(
               next.lastEventNumber(), EndpointListEvent.Kind.COMPLETE_LIST, next.knownEngines()));
@@ -114,9 +114,9 @@
         "change log: {0} from now on instead of {1}, after event {2}",
         next.changeLog(),
         address,
-        Long.toString(watch.last()));
+        Long.toString(watch.lastEventNumber()));
     address = next.changeLog();
-    watch.moved();
+    watch.onAddressChanged();
     loop.post(0, this::reconnect);
   }
 
@@ -134,7 +134,7 @@
    */
   void whenCaughtUp(Runnable action) {
     onCaughtUp = action;
-    catchUpDeadlineNanos = loop.now() + EndpointWatch.LONGEST_START;
+    catchUpDeadlineNanos = loop.now() + EndpointWatch.MAX_CATCH_UP_NANOS;
     catchUpTimer = loop.deadlines().add(catchUpDeadlineNanos, this::caughtUp);
   }
 
@@ -150,7 +150,8 @@
   /** Waits for the log to be quiet for a while: it sends what it holds without a pause. */
   private void awaitQuiet() {
     loop.deadlines().cancel(catchUpTimer);
-    long quietAtNanos = Math.min(catchUpDeadlineNanos, loop.now() + EndpointWatch.QUIET);
+    long quietAtNanos =
+        Math.min(catchUpDeadlineNanos, loop.now() + EndpointWatch.CATCH_UP_QUIET_NANOS);
     catchUpTimer = loop.deadlines().add(quietAtNanos, this::caughtUp);
   }
 
@@ -168,7 +169,7 @@
             loop.post(0, () -> connectionFailed(number, "no connection"));
           }
         });
-    expectWithin(EndpointWatch.DIAL_TIMEOUT, "no connection in time");
+    expectWithin(EndpointWatch.CONNECT_TIMEOUT_NANOS, "no connection in time");
   }
 
   /** Counts the connection as failed unless something comes within that time. */
@@ -188,9 +189,9 @@
         "change log at {0}: {1}; the endpoint list of event {2} stays in use",
         address,
         reason,
-        Long.toString(watch.last()));
+        Long.toString(watch.lastEventNumber()));
     disconnect();
-    reconnectTimer = loop.deadlines().add(loop.now() + watch.pause(), this::connect);
+    reconnectTimer = loop.deadlines().add(loop.now() + watch.nextBackoffNanos(), this::connect);
     subscriber.onUnavailable();
   }
 
@@ -212,10 +213,10 @@
     if (onCaughtUp != null) {
       awaitQuiet();
     }
-    watch.asked();
+    watch.onRequestSent();
     partialList.clear();
-    Sockets.write(newSession, ChangeLogDecoder.hello(watch.askAfter()));
-    expectWithin(EndpointWatch.MAX_SILENCE, "unresponsive");
+    Sockets.write(newSession, ChangeLogDecoder.hello(watch.requestAfter()));
+    expectWithin(EndpointWatch.MAX_SILENCE_NANOS, "unresponsive");
   }
 
   // ---- Events ----
@@ -224,18 +225,18 @@
     if (onCaughtUp != null) {
       loop.later(() -> noteCatchingUp(event)); // once it is dealt with
     }
-    expectWithin(EndpointWatch.MAX_SILENCE, "unresponsive");
-    long lastBefore = watch.last();
-    switch (watch.heard(event.number(), event.isComplete(), event.isHeartbeat())) {
-      case TAKE -> subscriber.onEvent(event);
-      case MISSED ->
+    expectWithin(EndpointWatch.MAX_SILENCE_NANOS, "unresponsive");
+    long lastBefore = watch.lastEventNumber();
+    switch (watch.onFrame(event.number(), event.isComplete(), event.isHeartbeat())) {
+      case APPLY -> subscriber.onEvent(event);
+      case REQUEST_COMPLETE_LIST ->
           connectionFailed(connectionNumber, "event " + event.number() + " after " + lastBefore);
-      case FOLD -> addToPartialList(event);
-      case WHOLE -> {
+      case BUFFER -> addToPartialList(event);
+      case APPLY_BUFFERED -> {
         addToPartialList(event);
         completePartialList(event.number());
       }
-      case SKIP -> {
+      case IGNORE -> {
         // a heartbeat, or an event that is known
       }
     }
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
@@ -118,7 +118,7 @@
     loop.post(
         0,
         () -> {
-          loop.deadlines().add(startedAtNanos + EndpointWatch.LATEST_READY, this::onReady);
+          loop.deadlines().add(startedAtNanos + EndpointWatch.MAX_START_NANOS, this::onReady);
           gateway.start(this::listen);
         });
     startWarmUp();
--- a/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
@@ -194,7 +194,7 @@
     Connection again = log.accept();
     long took = System.nanoTime() - silentFrom;
     assertTrue(
-        took < 2 * EndpointWatch.MAX_SILENCE,
+        took < 2 * EndpointWatch.MAX_SILENCE_NANOS,
         "dialled again after " + took + " ns, though bytes had come");
     assertEquals(1, again.number(), "from the last event held");
     for (byte b : list) {
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -55,7 +55,7 @@
    * The longest wait for a change log, its dial and the list, with as much again on a busy machine.
    */
   private static final long REDIAL =
-      2 * (EndpointWatch.MAX_SILENCE / 2 + EndpointWatch.DIAL_TIMEOUT);
+      2 * (EndpointWatch.MAX_SILENCE_NANOS / 2 + EndpointWatch.CONNECT_TIMEOUT_NANOS);
 
   private static final long PATIENCE_MS = 20_000;
 
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -85,7 +85,7 @@
       count("read the file, us", this::read);
       EndpointListEvent[] all = new EndpointListEvent[1];
       count("decode a whole frame, us", () -> all[0] = decode(Lists.whole(++number, engines)));
-      watch.heard(number, true, false);
+      watch.onFrame(number, true, false);
       List<EngineEndpoint> infos = all[0].members().stream().map(EngineMember::endpoint).toList();
       count(
           "apply a whole list in the decisions, us",
@@ -95,7 +95,7 @@
       byte[] frame = Lists.one(++number, (int) (number % engines));
       EndpointListEvent[] one = new EndpointListEvent[1];
       count("decode one change, us", () -> one[0] = decode(frame));
-      watch.heard(number, false, false);
+      watch.onFrame(number, false, false);
       count(
           "apply one change in the decisions, us",
           () ->
