--- a/decisions/src/main/java/reachloom/scheduler/AttemptForwarder.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptForwarder.java
@@ -15,14 +15,14 @@
   private final SchedulerActions actions;
   private final boolean enginesSupportPriorities;
   private final CostEstimator estimator;
-  private final List<AttemptListener> listeners;
+  private final List<ForwardingListener> listeners;
 
   /** Creates a forwarder that notifies the listeners of each attempt, in the given order. */
   AttemptForwarder(
       SchedulerActions actions,
       SchedulerSettings settings,
       CostEstimator estimator,
-      List<AttemptListener> listeners) {
+      List<ForwardingListener> listeners) {
     this.actions = actions;
     this.enginesSupportPriorities = settings.traits().priorities();
     this.estimator = estimator;
--- a/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
@@ -10,7 +10,7 @@
  * that report progress do so once per period. An engine that has sent nothing for several periods
  * is unresponsive as a whole; an engine that still reports may have lost single attempts.
  */
-final class AttemptMonitor implements EngineListener, AttemptListener {
+final class AttemptMonitor implements EngineListener, ForwardingListener {
   /** Periods without progress after which an attempt times out while its engine responds. */
   private static final double ATTEMPT_TIMEOUT_PERIODS = 1.5;
 
--- a/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
@@ -18,7 +18,7 @@
  * limit is decreased towards what is in flight; it grows back more slowly (multiplicative decrease
  * and increase).
  */
-final class ConcurrencyLimiter implements EngineListener, AttemptListener {
+final class ConcurrencyLimiter implements EngineListener, ForwardingListener {
   private static final double INITIAL_THREADS_PER_CORE = 8;
 
   /** Throughput of an engine peaks at one to two threads per core. */
--- a/decisions/src/main/java/reachloom/scheduler/AttemptListener.java
+++ b/decisions/src/main/java/reachloom/scheduler/ForwardingListener.java
@@ -1,7 +1,7 @@
 package reachloom.scheduler;
 
 /** Is notified by {@link AttemptForwarder} of each attempt that is forwarded. */
-interface AttemptListener {
+interface ForwardingListener {
   /** An attempt was forwarded; it is already among those of its query. */
   void onForwarded(long nowNanos, AttemptRecord attempt);
 }
--- a/decisions/src/main/java/reachloom/scheduler/HealthCheckScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/HealthCheckScheduler.java
@@ -11,7 +11,7 @@
  * if the queries of this gateway pay for them; else checks of two random engines on behalf of a
  * query, which waits a moment for the reports; and checks of engines that peers suspect.
  */
-final class HealthCheckScheduler implements AttemptListener {
+final class HealthCheckScheduler implements ForwardingListener {
   /** How long a query waits for the load reports of two engines. */
   private static final long REPORT_WAIT_NANOS = 20 * PER_MILLISECOND;
 
--- a/decisions/src/main/java/reachloom/scheduler/OutlierDetector.java
+++ b/decisions/src/main/java/reachloom/scheduler/OutlierDetector.java
@@ -11,7 +11,7 @@
  * ejection an engine is tried with one query at a time until it serves one. Errors, connection
  * resets, failed connects and timeouts found by {@link AttemptMonitor} count as failures.
  */
-final class OutlierDetector implements AttemptListener {
+final class OutlierDetector implements ForwardingListener {
   /** Weight of the newest outcome in the error rate of an engine. */
   private static final double NEWEST_WEIGHT = 0.2;
 
--- a/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
+++ b/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
@@ -9,7 +9,7 @@
  * counted over a slightly shorter and retries over a slightly longer window, so that the limit also
  * holds by the clock of an observer.
  */
-final class RetryBudget implements AttemptListener {
+final class RetryBudget implements ForwardingListener {
   private static final int WINDOW_MARGIN_TICKS = 2;
 
   private final SchedulingRules rules;
--- a/decisions/src/main/java/reachloom/scheduler/SchedulerParts.java
+++ b/decisions/src/main/java/reachloom/scheduler/SchedulerParts.java
@@ -83,7 +83,7 @@
     ReleasePolicy releasePolicy =
         new ReleasePolicy(pending, keyOrdering, healthChecks, selector, retryPolicy);
     rejector = new QueryRejector(actions, queries, outliers, retryPolicy, waitPredictor);
-    List<AttemptListener> listeners =
+    List<ForwardingListener> listeners =
         List.of(retryBudget, healthChecks, limiter, slowStart, monitor, outliers);
     AttemptForwarder forwarder = new AttemptForwarder(actions, settings, estimator, listeners);
     dispatcher = new QueryDispatcher(clock, pending, releasePolicy, forwarder, rejector);
--- a/decisions/src/main/java/reachloom/scheduler/SlowStart.java
+++ b/decisions/src/main/java/reachloom/scheduler/SlowStart.java
@@ -17,7 +17,7 @@
  * keep the budget whatever their traffic. A gateway that started within a slot does not use it,
  * since it may have used its part before a restart.
  */
-final class SlowStart implements EngineListener, AttemptListener {
+final class SlowStart implements EngineListener, ForwardingListener {
   /** Slots per window of the rule; a query that is too large for a slot is never sent. */
   private static final int SLOTS_PER_WINDOW = 2;
 
--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -23,10 +23,10 @@
   /** Holders of state, which decide nothing. */
   private static final List<String> RECORDS =
       List.of(
-          "AttemptListener",
           "AttemptRecord",
           "EngineListener",
           "EngineRecord",
+          "ForwardingListener",
           "InFlightWork",
           "KeyQueue",
           "QueryClassStatistics",
