--- a/decisions/src/main/java/reachloom/balancing/EngineSubset.java
+++ b/decisions/src/main/java/reachloom/balancing/EngineSubset.java
@@ -25,7 +25,7 @@
   private static final int SHIFT_C = 31;
 
   /** An engine to be ordered; the weight is its relative capacity. */
-  public record Place(String name, double weight) {}
+  public record WeightedEngine(String name, double weight) {}
 
   private record OnRing(String name, long hash, double weight) {}
 
@@ -37,11 +37,11 @@
   }
 
   /** The position of each engine, by name, in the order of this gateway, from 0. */
-  public Map<String, Integer> order(List<Place> engines) {
+  public Map<String, Integer> order(List<WeightedEngine> engines) {
     List<OnRing> ring = new ArrayList<>();
     double totalWeight = 0;
-    for (Place p : engines) {
-      ring.add(new OnRing(p.name, mix(p.name), p.weight));
+    for (WeightedEngine p : engines) {
+      ring.add(new OnRing(p.name, hash(p.name), p.weight));
       totalWeight += p.weight;
     }
     ring.sort(Comparator.comparingLong(OnRing::hash).thenComparing(OnRing::name));
@@ -65,7 +65,7 @@
   }
 
   /** A hash of a name (finalizer of SplitMix64); the same in every gateway. */
-  public static long mix(String name) {
+  public static long hash(String name) {
     long h = 0;
     for (int i = 0; i < name.length(); i++) {
       h = h * SHIFT_C + name.charAt(i);
--- a/decisions/src/main/java/reachloom/balancing/SlotRotation.java
+++ b/decisions/src/main/java/reachloom/balancing/SlotRotation.java
@@ -17,7 +17,7 @@
     while (divisor(step, gateways) > 1) {
       step++;
     }
-    long first = Math.floorMod(EngineSubset.mix(name), gateways);
+    long first = Math.floorMod(EngineSubset.hash(name), gateways);
     return (int) ((first + Math.floorMod(slot, gateways) * step) % gateways);
   }
 
--- a/decisions/src/main/java/reachloom/scheduler/AttemptForwarder.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptForwarder.java
@@ -24,7 +24,7 @@
       CostEstimator estimator,
       List<ForwardingListener> listeners) {
     this.actions = actions;
-    this.enginesSupportPriorities = settings.traits().priorities();
+    this.enginesSupportPriorities = settings.capabilities().priorities();
     this.estimator = estimator;
     this.listeners = listeners;
   }
--- a/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
@@ -53,7 +53,7 @@
     this.outliers = outliers;
     this.limiter = limiter;
     this.canceller = canceller;
-    this.period = settings.traits().progressPeriodNanos();
+    this.period = settings.capabilities().progressPeriodNanos();
   }
 
   // ---- Signals ----
--- a/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
+++ b/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
@@ -36,7 +36,7 @@
     this.classes = settings.classes().stream().map(QueryClassStatistics::new).toList();
     this.meanPriorityWeight =
         settings.classes().stream().mapToDouble(QueryClass::priorityWeight).average().orElse(0);
-    this.reservesMemory = settings.traits().memoryGrants();
+    this.reservesMemory = settings.capabilities().memoryGrants();
     this.ratios = ratios;
   }
 
--- a/decisions/src/main/java/reachloom/scheduler/EngineOrder.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineOrder.java
@@ -33,7 +33,7 @@
 
   /** Adds an engine unless one of its name is present. */
   void add(EngineRecord engine) {
-    Entry entry = new Entry(EngineSubset.mix(engine.name), engine);
+    Entry entry = new Entry(EngineSubset.hash(engine.name), engine);
     int position = Collections.binarySearch(ring, entry, BY_HASH);
     if (position < 0) {
       ring.add(-position - 1, entry);
@@ -44,7 +44,7 @@
   /** Removes an engine if it is present. */
   void remove(EngineRecord engine) {
     int position =
-        Collections.binarySearch(ring, new Entry(EngineSubset.mix(engine.name), engine), BY_HASH);
+        Collections.binarySearch(ring, new Entry(EngineSubset.hash(engine.name), engine), BY_HASH);
     if (position >= 0 && ring.get(position).engine == engine) {
       ring.remove(position);
       first = UNKNOWN;
--- a/decisions/src/main/java/reachloom/scheduler/HealthCheckBudget.java
+++ b/decisions/src/main/java/reachloom/scheduler/HealthCheckBudget.java
@@ -31,7 +31,7 @@
   /** Creates a budget without credit. */
   HealthCheckBudget(SchedulerSettings settings, CostEstimator estimator) {
     this.estimator = estimator;
-    this.enginesReport = settings.limits().healthChecks() && settings.traits().loadReports();
+    this.enginesReport = settings.limits().healthChecks() && settings.capabilities().loadReports();
     this.checksPerQuery =
         Math.min(
             MAX_CHECKS_PER_QUERY,
--- a/decisions/src/main/java/reachloom/scheduler/KeyOrdering.java
+++ b/decisions/src/main/java/reachloom/scheduler/KeyOrdering.java
@@ -56,7 +56,7 @@
   /** Blocks the key for a while after an attempt that its engine may continue to run. */
   void onEnded(long nowNanos, QueryRecord query, AttemptOutcome outcome) {
     KeyQueue queue = query.keyQueue();
-    if (queue != null && outcome.mayRunOn) {
+    if (queue != null && outcome.mayStillRun) {
       queue.blockedUntilNanos = Math.max(queue.blockedUntilNanos, nowNanos + settleNanos);
     }
   }
--- a/decisions/src/main/java/reachloom/scheduler/api/AttemptOutcome.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/AttemptOutcome.java
@@ -23,10 +23,10 @@
   public final boolean mayHaveRun;
 
   /** True where the engine may still be at work on it. */
-  public final boolean mayRunOn;
+  public final boolean mayStillRun;
 
-  AttemptOutcome(boolean mayHaveRun, boolean mayRunOn) {
+  AttemptOutcome(boolean mayHaveRun, boolean mayStillRun) {
     this.mayHaveRun = mayHaveRun;
-    this.mayRunOn = mayRunOn;
+    this.mayStillRun = mayStillRun;
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerSettings.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerSettings.java
@@ -19,7 +19,7 @@
  * @param tenants quotas, by the number that {@link Query#tenant} gives
  * @param limits what the platform allows
  * @param rules the figures of the rules
- * @param traits what the engines support
+ * @param capabilities what the engines support
  */
 public record SchedulerSettings(
     int gateways,
@@ -36,4 +36,4 @@
     List<TenantQuota> tenants,
     SchedulerLimits limits,
     SchedulingRules rules,
-    EngineCapabilities traits) {}
+    EngineCapabilities capabilities) {}
--- a/decisions/src/test/java/reachloom/balancing/BalancingTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -15,15 +15,15 @@
 class BalancingTest {
   private static final long SECOND = 1_000_000_000L;
 
-  private static List<EngineSubset.Place> engines(int count) {
-    List<EngineSubset.Place> all = new ArrayList<>();
+  private static List<EngineSubset.WeightedEngine> engines(int count) {
+    List<EngineSubset.WeightedEngine> all = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
-      all.add(new EngineSubset.Place(String.format("s-%08x", i), 8));
+      all.add(new EngineSubset.WeightedEngine(String.format("s-%08x", i), 8));
     }
     return all;
   }
 
-  private static Set<String> first(int self, List<EngineSubset.Place> engines, int kept) {
+  private static Set<String> first(int self, List<EngineSubset.WeightedEngine> engines, int kept) {
     Set<String> first = new HashSet<>();
     new EngineSubset(self)
         .order(engines)
@@ -37,7 +37,7 @@
   }
 
   private static Map<String, Integer> gatewaysOf(
-      int gateways, List<EngineSubset.Place> engines, int kept) {
+      int gateways, List<EngineSubset.WeightedEngine> engines, int kept) {
     Map<String, Integer> count = new HashMap<>();
     for (int g = 0; g < gateways; g++) {
       first(g, engines, kept).forEach(e -> count.merge(e, 1, Integer::sum));
@@ -75,8 +75,8 @@
 
   @Test
   void oneEngineMoreMovesEachGatewayByOneAtMost() {
-    List<EngineSubset.Place> before = engines(60);
-    List<EngineSubset.Place> after = engines(61);
+    List<EngineSubset.WeightedEngine> before = engines(60);
+    List<EngineSubset.WeightedEngine> after = engines(61);
     int moved = 0;
     for (int g = 0; g < 200; g++) {
       Set<String> lost = first(g, before, 12);
@@ -89,9 +89,9 @@
 
   @Test
   void aLargerEngineHasMoreGateways() {
-    List<EngineSubset.Place> engines = engines(58);
-    engines.add(new EngineSubset.Place("s-0000aaaa", 16));
-    engines.add(new EngineSubset.Place("s-0000bbbb", 16));
+    List<EngineSubset.WeightedEngine> engines = engines(58);
+    engines.add(new EngineSubset.WeightedEngine("s-0000aaaa", 16));
+    engines.add(new EngineSubset.WeightedEngine("s-0000bbbb", 16));
     Map<String, Integer> starts = new HashMap<>();
     for (int g = 0; g < 1_000; g++) {
       first(g, engines, 1).forEach(e -> starts.merge(e, 1, Integer::sum));
--- a/gateway/src/main/java/reachloom/config/GossipSettings.java
+++ b/gateway/src/main/java/reachloom/config/GossipSettings.java
@@ -55,7 +55,7 @@
   }
 
   /** The same settings with a part in distributing the configuration. */
-  public GossipSettings with(ConfigurationSettings distribution) {
+  public GossipSettings withConfiguration(ConfigurationSettings distribution) {
     return new GossipSettings(
         cluster,
         listen,
--- a/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
+++ b/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
@@ -94,7 +94,7 @@
         tenants(root.path("orgs")),
         limits(root.path("limits")),
         rules(root.path("contract")),
-        traits(root, specifics));
+        capabilities(root, specifics));
   }
 
   private static List<QueryClass> classes(JsonNode classes, JsonNode specifics) {
@@ -172,7 +172,7 @@
         rules.path("extraPerRequest").asDouble());
   }
 
-  private static EngineCapabilities traits(JsonNode root, JsonNode specifics) {
+  private static EngineCapabilities capabilities(JsonNode root, JsonNode specifics) {
     String via = root.path("stats").path("via").asText();
     return new EngineCapabilities(
         specifics.path("grants").asBoolean(),
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -103,7 +103,7 @@
   }
 
   private EngineClient engineClient(int maxConnections) {
-    boolean loadReports = config.settings().traits().loadReports();
+    boolean loadReports = config.settings().capabilities().loadReports();
     return new EngineClient(
         loop,
         sockets,
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -231,7 +231,7 @@
     GossipSettings alone = settings("g1.crt");
     ConfigurationSettings.Issuer issuer =
         new ConfigurationSettings.Issuer("g1", alone.listen(), ROOT.resolve("g1.crt"));
-    open(alone.with(new ConfigurationSettings(PLACE, List.of(issuer))));
+    open(alone.withConfiguration(new ConfigurationSettings(PLACE, List.of(issuer))));
     nowNanos = loop.now();
     playedAtNanos = nowNanos;
     hear("g2", PLACE, new MembershipMessage.PayloadOnly(), List.of(), List.of());
--- a/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
@@ -144,7 +144,9 @@
     }
     first =
         new EngineSubset(number)
-            .order(inUse.stream().map(e -> new EngineSubset.Place(e, 1)).toList()).keySet().stream()
+            .order(inUse.stream().map(e -> new EngineSubset.WeightedEngine(e, 1)).toList())
+            .keySet()
+            .stream()
                 .limit(KEPT_TO)
                 .toList();
   }
--- a/lab/src/main/java/reachloom/lab/slopes/SubsetAnalysis.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SubsetAnalysis.java
@@ -21,10 +21,10 @@
 
   /** The figures of so many gateways and engines. */
   static Map<String, Object> of(int gateways, int engines) {
-    List<EngineSubset.Place> places = new ArrayList<>();
+    List<EngineSubset.WeightedEngine> places = new ArrayList<>();
     int[] keepers = new int[engines];
     for (int e = 0; e < engines; e++) {
-      places.add(new EngineSubset.Place(String.format("s-%08x", e + 1), CORES));
+      places.add(new EngineSubset.WeightedEngine(String.format("s-%08x", e + 1), CORES));
     }
     int dials = 0;
     int mostOfGateway = 0;
--- a/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
@@ -80,7 +80,7 @@
       GossipSettings s =
           installation
               .settings(name, listen, PERIOD, CAP, seeds, "ca")
-              .with(new ConfigurationSettings(1 << Byte.SIZE | i % 2, named));
+              .withConfiguration(new ConfigurationSettings(1 << Byte.SIZE | i % 2, named));
       settings.put(name, s);
       installation.file(s, name);
     }
