--- a/decisions/src/main/java/reachloom/balancing/EngineSubset.java
+++ b/decisions/src/main/java/reachloom/balancing/EngineSubset.java
@@ -8,8 +8,8 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * Deterministic subsetting: the order in which a gateway prefers engines. All engines lie on a ring
- * in the order of a hash of their names, each on an arc as long as its weight; a gateway starts at
+ * Deterministic subsetting: the order in which a gateway prefers engines. All engines are placed on
+ * a ring in the order of a hash of their names, each on an arc as long as its weight; a gateway starts at
  * the position of its number in a low-discrepancy sequence (multiples of the golden ratio). Every
  * engine thus gets gateways in proportion to its weight, without messages between gateways; subsets
  * of neighbouring gateways differ, and one engine more or less changes each subset by one engine at
@@ -18,16 +18,19 @@
  */
 public final class EngineSubset {
   private static final double GOLDEN_RATIO = 0.6180339887498949;
-  private static final long MIX_A = 0xbf58476d1ce4e5b9L; // of the finalizer of SplitMix64
-  private static final long MIX_B = 0x94d049bb133111ebL;
-  private static final int SHIFT_A = 30;
-  private static final int SHIFT_B = 27;
-  private static final int SHIFT_C = 31;
+  private static final int NAME_HASH_MULTIPLIER = 31; // as in String.hashCode
 
-  /** An engine to be ordered; the weight is its relative capacity. */
+  // The finalizer of SplitMix64.
+  private static final long MIX_MULTIPLIER_1 = 0xbf58476d1ce4e5b9L;
+  private static final long MIX_MULTIPLIER_2 = 0x94d049bb133111ebL;
+  private static final int MIX_SHIFT_1 = 30;
+  private static final int MIX_SHIFT_2 = 27;
+  private static final int MIX_SHIFT_3 = 31;
+
+  /** An engine by name, with its capacity relative to other engines as weight. */
   public record WeightedEngine(String name, double weight) {}
 
-  private record OnRing(String name, long hash, double weight) {}
+  private record RingEntry(String name, long hash, double weight) {}
 
   private final double start;
 
@@ -38,19 +41,19 @@
 
   /** The position of each engine, by name, in the order of this gateway, from 0. */
   public Map<String, Integer> order(List<WeightedEngine> engines) {
-    List<OnRing> ring = new ArrayList<>();
+    List<RingEntry> ring = new ArrayList<>();
     double totalWeight = 0;
-    for (WeightedEngine p : engines) {
-      ring.add(new OnRing(p.name, hash(p.name), p.weight));
-      totalWeight += p.weight;
+    for (WeightedEngine engine : engines) {
+      ring.add(new RingEntry(engine.name, hash(engine.name), engine.weight));
+      totalWeight += engine.weight;
     }
-    ring.sort(Comparator.comparingLong(OnRing::hash).thenComparing(OnRing::name));
+    ring.sort(Comparator.comparingLong(RingEntry::hash).thenComparing(RingEntry::name));
     int first = first(totalWeight, ring.size(), i -> ring.get(i).weight);
-    Map<String, Integer> places = new LinkedHashMap<>();
+    Map<String, Integer> positions = new LinkedHashMap<>();
     for (int i = 0; i < ring.size(); i++) {
-      places.put(ring.get((first + i) % ring.size()).name, i);
+      positions.put(ring.get((first + i) % ring.size()).name, i);
     }
-    return places;
+    return positions;
   }
 
   /** The index on a ring of engines with the given weights at which this gateway's order begins. */
@@ -66,12 +69,12 @@
 
   /** A hash of a name (finalizer of SplitMix64); the same in every gateway. */
   public static long hash(String name) {
-    long h = 0;
+    long hash = 0;
     for (int i = 0; i < name.length(); i++) {
-      h = h * SHIFT_C + name.charAt(i);
+      hash = hash * NAME_HASH_MULTIPLIER + name.charAt(i);
     }
-    h = (h ^ h >>> SHIFT_A) * MIX_A;
-    h = (h ^ h >>> SHIFT_B) * MIX_B;
-    return h ^ h >>> SHIFT_C;
+    hash = (hash ^ hash >>> MIX_SHIFT_1) * MIX_MULTIPLIER_1;
+    hash = (hash ^ hash >>> MIX_SHIFT_2) * MIX_MULTIPLIER_2;
+    return hash ^ hash >>> MIX_SHIFT_3;
   }
 }
--- a/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
+++ b/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
@@ -4,7 +4,7 @@
  * Estimates this gateway's share of the pool from the memory of its own queries in flight and the
  * memory in use that engines report, as the number of gateways with as much traffic that would make
  * up the fleet. A gateway with several times the mean traffic is thus not limited to an equal share
- * while others leave theirs unused.
+ * while other gateways leave theirs unused.
  *
  * <p>Memory is the measure since gateways and engines know it in the same unit, and since only
  * running queries count: shares by arrivals, or by work against busy cores, add up to several times
--- a/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
@@ -40,7 +40,7 @@
   private final AttemptCanceller canceller;
 
   /** Nanoseconds between two progress reports of an attempt; 0 if engines send none. */
-  private final double period;
+  private final double periodNanos;
 
   /** Creates a monitor without attempts. */
   AttemptMonitor(
@@ -53,13 +53,13 @@
     this.outliers = outliers;
     this.limiter = limiter;
     this.canceller = canceller;
-    this.period = settings.capabilities().progressPeriodNanos();
+    this.periodNanos = settings.capabilities().progressPeriodNanos();
   }
 
   // ---- Signals ----
 
   @Override
-  public void onEngineListed(long nowNanos, EngineRecord engine, boolean asChange) {
+  public void onEngineListed(long nowNanos, EngineRecord engine, boolean isIncremental) {
     onSignal(nowNanos, engine);
   }
 
@@ -96,22 +96,23 @@
 
   /** Abandons attempts on the given engines that have timed out. */
   void onTick(long nowNanos, List<EngineRecord> engines) {
-    if (period > 0) {
+    if (periodNanos > 0) {
       engines.forEach(e -> abandonUnresponsive(nowNanos, e));
     }
   }
 
   private void abandonUnresponsive(long nowNanos, EngineRecord engine) {
     long lastSignalNanos = Math.max(engine.signals.lastSignalNanos, clock.stalledUntilNanos());
-    boolean engineIsUnresponsive = nowNanos - lastSignalNanos > ENGINE_TIMEOUT_PERIODS * period;
-    boolean engineResponds = nowNanos - lastSignalNanos < period;
+    boolean engineIsUnresponsive = nowNanos - lastSignalNanos > ENGINE_TIMEOUT_PERIODS * periodNanos;
+    boolean engineResponds = nowNanos - lastSignalNanos < periodNanos;
     for (AttemptRecord attempt : engine.inFlight.attempts()) {
       long silentNanos = nowNanos - lastSignalOf(attempt);
       // An engine may lose single queries while it answers the rest, so that each attempt has a
-      // timeout of its own. One that waits for memory reports that once, and nothing until it runs.
+      // timeout of its own. An attempt that waits for memory reports this once, and then nothing
+      // until it runs.
       boolean isUnresponsive =
           silentNanos
-              > (engineResponds ? ATTEMPT_TIMEOUT_PERIODS : ENGINE_TIMEOUT_PERIODS) * period;
+              > (engineResponds ? ATTEMPT_TIMEOUT_PERIODS : ENGINE_TIMEOUT_PERIODS) * periodNanos;
       if (isUnresponsive && !(engineResponds && attempt.signals.waitsForMemory)) {
         abandon(nowNanos, attempt, engineIsUnresponsive);
       }
--- a/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
@@ -124,7 +124,7 @@
   // ---- The set of engines ----
 
   @Override
-  public void onEngineListed(long nowNanos, EngineRecord engine, boolean asChange) {
+  public void onEngineListed(long nowNanos, EngineRecord engine, boolean isIncremental) {
     engine.limit.threads = maxThreads(engine.limit);
     engine.limit.changedAtNanos = nowNanos;
   }
--- a/decisions/src/main/java/reachloom/scheduler/EngineListener.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineListener.java
@@ -7,9 +7,9 @@
   /**
    * A new incarnation of an engine was listed; notification of its state follows.
    *
-   * @param asChange whether the list event was an incremental one
+   * @param isIncremental whether the list event was an incremental one
    */
-  default void onEngineListed(long nowNanos, EngineRecord engine, boolean asChange) {}
+  default void onEngineListed(long nowNanos, EngineRecord engine, boolean isIncremental) {}
 
   /** An engine is listed as up; repeated with each list event that names it. */
   default void onEngineUp(long nowNanos, EngineRecord engine) {}
--- a/decisions/src/main/java/reachloom/scheduler/EngineRegistry.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineRegistry.java
@@ -77,12 +77,12 @@
   }
 
   private EngineRecord newIncarnation(
-      long nowNanos, EngineEndpoint endpoint, boolean asChange, EngineRecord known) {
+      long nowNanos, EngineEndpoint endpoint, boolean isIncremental, EngineRecord known) {
     EngineKind kind = endpoint.kind() < kinds.size() ? kinds.get(endpoint.kind()) : UNKNOWN_KIND;
     double cores = kind.cores() > 0 ? kind.cores() : Math.max(1, endpoint.weight());
     long position = known == null ? listedCount++ : known.listPosition;
     EngineRecord engine = new EngineRecord(endpoint, position, cores, kind.memoryMb());
-    listeners.forEach(l -> l.onEngineListed(nowNanos, engine, asChange));
+    listeners.forEach(l -> l.onEngineListed(nowNanos, engine, isIncremental));
     return engine;
   }
 
--- a/decisions/src/main/java/reachloom/scheduler/ForwardingListener.java
+++ b/decisions/src/main/java/reachloom/scheduler/ForwardingListener.java
@@ -2,6 +2,6 @@
 
 /** Is notified by {@link AttemptForwarder} of each attempt that is forwarded. */
 interface ForwardingListener {
-  /** An attempt was forwarded; it is already among those of its query. */
+  /** An attempt was forwarded; the attempt is already in {@link QueryRecord#attempts}. */
   void onForwarded(long nowNanos, AttemptRecord attempt);
 }
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -34,7 +34,7 @@
   /** Null before the start. */
   private SchedulerParts parts;
 
-  /** Creates a scheduler that acts through the given front; {@link #onStart} starts it. */
+  /** Creates a scheduler that acts through the given front end; {@link #onStart} starts it. */
   public QueryScheduler(SchedulerActions actions) {
     this.actions = actions;
   }
--- a/decisions/src/main/java/reachloom/scheduler/SchedulerParts.java
+++ b/decisions/src/main/java/reachloom/scheduler/SchedulerParts.java
@@ -36,7 +36,7 @@
   /** Creates the parts of a scheduler that starts now. */
   SchedulerParts(SchedulerActions actions, long nowNanos, long seed, SchedulerSettings settings) {
     SplittableRandom random = new SplittableRandom(seed);
-    int self = // random if the settings have none
+    int self = // random if the settings have no number
         settings.selfIndex() >= 0 ? settings.selfIndex() : random.nextInt(settings.gateways());
 
     // State of engines and queries.
@@ -73,7 +73,7 @@
     EngineSelector selector = new EngineSelector(candidates, randomPair, score, limiter, reports);
     migration = new AttemptMigration(estimator, retryPolicy, candidates, eligibility, canceller);
 
-    // Fate of queries.
+    // Admission, dispatch and outcomes of queries.
     HealthCheckBudget checkBudget = new HealthCheckBudget(settings, estimator);
     healthChecks = new HealthCheckScheduler(actions, checkBudget, engines, selector, limiter);
     WaitPredictor waitPredictor =
--- a/decisions/src/main/java/reachloom/scheduler/SlowStart.java
+++ b/decisions/src/main/java/reachloom/scheduler/SlowStart.java
@@ -76,10 +76,10 @@
   // ---- Engines that are warming up ----
 
   @Override
-  public void onEngineListed(long nowNanos, EngineRecord engine, boolean asChange) {
+  public void onEngineListed(long nowNanos, EngineRecord engine, boolean isIncremental) {
     long since = engine.endpoint().incarnation();
     if (since > 0) {
-      engine.warmUp.startedAtNanos = incarnationTimes.ownTime(nowNanos, since, asChange);
+      engine.warmUp.startedAtNanos = incarnationTimes.toLocalNanos(nowNanos, since, isIncremental);
       engine.warmUp.warmAtNanos = engine.warmUp.startedAtNanos + rules.slowStartNanos();
     }
   }
--- a/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
+++ b/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
@@ -39,7 +39,7 @@
     if (left < 0 || work <= 0) {
       return left < 0;
     }
-    // With a limit of that much it would not wait longer, so that not all engines need be visited.
+    // With this total limit the wait is not longer, so that the other engines need not be visited.
     double enough = left > 0 ? work / left : Double.MAX_VALUE;
     return work / limitThreads(nowNanos, query, enough) > left;
   }
--- a/decisions/src/main/java/reachloom/scheduler/api/AttemptOutcome.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/AttemptOutcome.java
@@ -6,23 +6,23 @@
   SERVED(true, false),
   /** The engine answered with an error. */
   ERROR(true, false),
-  /** The engine refused it, since it is full. */
+  /** The engine rejected the attempt, since it is full. */
   FULL(false, false),
-  /** No answer came in time. */
+  /** The engine did not answer in time. */
   TIMEOUT(true, true),
-  /** No connection to the engine came up. */
+  /** The connection to the engine could not be established. */
   UNREACHED(false, false),
-  /** The connection broke after the request had left. */
+  /** The connection broke after the request was sent. */
   RESET(true, true),
-  /** It was cancelled by this gateway. */
+  /** This gateway cancelled the attempt. */
   CANCELLED(true, true),
-  /** It was given up before its first byte left. */
+  /** The attempt was abandoned before its first byte was sent. */
   NOT_SENT(false, false);
 
-  /** False where the outcome proves that the attempt never ran. */
+  /** Whether the attempt may have run; false where the outcome proves that it did not. */
   public final boolean mayHaveRun;
 
-  /** True where the engine may still be at work on it. */
+  /** Whether the engine may still be running the attempt. */
   public final boolean mayStillRun;
 
   AttemptOutcome(boolean mayHaveRun, boolean mayStillRun) {
--- a/decisions/src/main/java/reachloom/scheduler/api/AttemptResult.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/AttemptResult.java
@@ -1,17 +1,17 @@
 package reachloom.scheduler.api;
 
 /**
- * The end of an attempt.
+ * The result of an attempt that has ended.
  *
  * @param queryId the query
  * @param attempt the attempt's number, from 0
  * @param engine the engine's name
- * @param outcome how it ended
- * @param elapsedNanos time since it was forwarded
- * @param queryFinished whether the query is finished with it: nothing more is owed to the client
- * @param costMs processor time of all its threads as the engine tells, in milliseconds; 0 where it
- *     does not
- * @param memoryMb memory that it needed as the engine tells, in MB; 0 where it does not
+ * @param outcome how the attempt ended
+ * @param elapsedNanos time since the attempt was forwarded
+ * @param queryFinished whether the query is finished as well: its client needs no further answer
+ * @param costMs processor time of all threads of the attempt, in milliseconds; 0 if the engine does
+ *     not report it
+ * @param memoryMb memory that the attempt needed, in MB; 0 if the engine does not report it
  * @param loadReport the engine's load report, or null
  */
 public record AttemptResult(
--- a/decisions/src/main/java/reachloom/scheduler/api/EngineEndpoint.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/EngineEndpoint.java
@@ -1,16 +1,16 @@
 package reachloom.scheduler.api;
 
 /**
- * An engine as the endpoint list has it.
+ * An engine as an entry of the endpoint list.
  *
- * @param name its name, which a later process at the same place keeps
- * @param state whether it takes queries
- * @param kind its kind, a number in {@link SchedulerSettings#kinds}
+ * @param name the engine's name; a process that replaces another one keeps its name
+ * @param state whether the engine accepts queries
+ * @param kind its kind, an index into {@link SchedulerSettings#kinds}
  * @param zone its zone
  * @param cell its cell within the zone
- * @param weight its capacity against others where its kind does not tell its cores
- * @param incarnation the start of its process on the list's clock, in nanoseconds, which tells one
- *     process from the next; 0 for one that started long ago
+ * @param weight its capacity relative to other engines; used if its kind has no number of cores
+ * @param incarnation the start of its process by the clock of the list, in nanoseconds, which
+ *     distinguishes successive processes; 0 for a process that started long ago
  */
 public record EngineEndpoint(
     String name,
--- a/decisions/src/main/java/reachloom/scheduler/api/EngineState.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/EngineState.java
@@ -2,10 +2,10 @@
 
 /** The state of an engine in the endpoint list. */
 public enum EngineState {
-  /** It takes queries. */
+  /** The engine accepts queries. */
   UP,
-  /** It finishes what it has and takes nothing new. */
+  /** The engine finishes its queries and accepts no new ones. */
   DRAINING,
-  /** It is no longer listed. */
+  /** The engine is no longer listed. */
   REMOVED
 }
--- a/decisions/src/main/java/reachloom/scheduler/api/OvercommitPolicy.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/OvercommitPolicy.java
@@ -6,6 +6,6 @@
   WAIT,
   /** The query runs with a smaller grant. */
   SHRINK,
-  /** All queries run, and the engine pages. */
+  /** All queries run with their full grants, and the engine pages. */
   PAGE
 }
--- a/decisions/src/main/java/reachloom/scheduler/api/ProgressKind.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/ProgressKind.java
@@ -10,6 +10,6 @@
   MEMORY_WAIT,
   /** The query waits while another one loads its table group. */
   LOAD_WAIT,
-  /** A kind that is not known here. */
+  /** A kind that this version does not know. */
   OTHER
 }
--- a/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
@@ -5,14 +5,15 @@
 /**
  * A class of queries.
  *
- * @param latencyObjectiveNanos the time within which an answer earns its whole weight
- * @param latencyObjectiveStretch seconds added to the objective for each second of work a thread
+ * @param latencyObjectiveNanos the time within which an answer earns its full weight
+ * @param latencyObjectiveStretch seconds added to the objective per second of work of a thread
  * @param deadlineNanos the time after which an answer earns nothing
- * @param priorityWeight what an answer within the objective earns
- * @param latePriorityWeight what a later one earns
+ * @param priorityWeight the weight that an answer within the objective earns
+ * @param latePriorityWeight the weight that a later answer earns
  * @param idempotency whether an attempt may be repeated
  * @param deduplicationScope which engines recognize the idempotency key
- * @param idempotencyWindowNanos how long after the first attempt they do
+ * @param idempotencyWindowNanos how long after the first attempt engines recognize
+ *     the idempotency key
  * @param ordered whether queries of one key run one after another, in order of arrival
  * @param streams whether answers are streamed
  * @param engineKinds kinds of engines that may run it; empty for all
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerActions.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerActions.java
@@ -1,12 +1,12 @@
 package reachloom.scheduler.api;
 
 /**
- * What a scheduler may ask of its front, which carries each action out in order. Called on the
- * thread that delivers the {@link SchedulerEvents}.
+ * The actions that a scheduler requests from its front end, which carries them out in order. Called
+ * on the thread that delivers the {@link SchedulerEvents}.
  */
 public interface SchedulerActions {
   /**
-   * Forwards a query to an engine: starts its next attempt.
+   * Forwards a query to an engine, which starts the query's next attempt.
    *
    * @param timeoutNanos time after which the attempt ends as {@link AttemptOutcome#TIMEOUT}; 0 lets
    *     it last until the client's deadline
@@ -14,20 +14,20 @@
   void forward(String queryId, String engine, long timeoutNanos);
 
   /**
-   * Sets what the next attempts of a query get from their engine.
+   * Sets the resources that the next attempts of a query request from their engine.
    *
    * @param grantMb memory grant in MB; 0 leaves it to the engine
    * @param priority priority in the engine's own scale
    */
   void setResources(String queryId, double grantMb, int priority);
 
-  /** Cancels an attempt, whose end is reported as for any other. */
+  /** Cancels an attempt; its end is reported like that of any other attempt. */
   void cancelAttempt(String queryId, int attempt);
 
   /**
    * Gives a query its final answer: rejected without effect, so that the client may retry.
    *
-   * @param retryAfterNanos when it should; 0 gives no advice
+   * @param retryAfterNanos time after which the client should retry; 0 sends no Retry-After
    */
   void reject(String queryId, long retryAfterNanos);
 
@@ -35,14 +35,14 @@
   void fail(String queryId);
 
   /**
-   * Asks for one call of {@link SchedulerEvents#onTimer}.
+   * Requests one call of {@link SchedulerEvents#onTimer}.
    *
    * @param delayNanos time from now
-   * @param token handed back with the call
+   * @param token passed to the call
    */
   void setTimer(long delayNanos, long token);
 
-  /** Asks an engine for its health and load; {@link SchedulerEvents#onHealthCheck} reports them. */
+  /** Sends a health check to an engine; {@link SchedulerEvents#onHealthCheck} reports its result. */
   void checkHealth(String engine);
 
   /** Subscribes to the endpoint list. */
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerEvents.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerEvents.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a front reports to its scheduler, in the order in which it happened. Calls come from one
- * thread and may lead to calls of {@link SchedulerActions} before they return. {@code nowNanos} is
- * the front's monotonic clock; it never goes back.
+ * The events that a front end reports to its scheduler, in the order in which they happened. Calls
+ * come from one thread and may lead to calls of {@link SchedulerActions} before they return. {@code
+ * nowNanos} is the time of the front end's monotonic clock; it never goes back.
  */
 public interface SchedulerEvents {
   /**
-   * The gateway starts, with nothing known but its settings.
+   * The gateway starts; the scheduler knows nothing but the settings.
    *
    * @param seed seeds all random choices of this scheduler
    */
@@ -18,24 +18,25 @@
   /**
    * The endpoint list has changed.
    *
-   * @param complete whether engines that are not named have been removed from the list
-   * @param entries the engines of which something is reported
+   * @param complete whether engines without an entry have been removed from the list
+   * @param entries the engines that are listed or have changed
    */
   void onEndpoints(long nowNanos, boolean complete, List<EngineEndpoint> entries);
 
-  /** The endpoint list could not be had; the one known so far stays in use. */
+  /** The endpoint list is unavailable; the last known list stays in use. */
   void onEndpointsUnavailable(long nowNanos);
 
-  /** A query was taken from a client, which is owed one final answer. */
+  /** A query was received from a client, to which exactly one final answer must be sent. */
   void onQuery(long nowNanos, Query query);
 
   /** The answer of an attempt has begun to stream to the client. */
   void onStreaming(long nowNanos, String queryId, int attempt);
 
   /**
-   * Whether an attempt may still begin. A front asks in the instant before the first byte leaves,
-   * since the attempt may have waited for a connection; a front that sends at once need not ask. An
-   * attempt that may not begin has ended as {@link AttemptOutcome#NOT_SENT}.
+   * Returns whether an attempt may still start. A front end calls this immediately before it sends
+   * the first byte, since the attempt may have waited for a connection; a front end that sends each
+   * attempt as soon as it is forwarded need not call it. An attempt that may not start has ended as
+   * {@link AttemptOutcome#NOT_SENT}.
    */
   default boolean mayStart(long nowNanos, String queryId, int attempt) {
     return true;
@@ -47,16 +48,16 @@
   /** An attempt has ended; reported once for each one forwarded. */
   void onAttemptEnded(long nowNanos, AttemptResult result);
 
-  /** The client has gone; nothing is owed any more. */
+  /** The client no longer waits for the query, which needs no answer any more. */
   void onClientGone(long nowNanos, String queryId);
 
   /** A timer that {@link SchedulerActions#setTimer} set is due. */
   void onTimer(long nowNanos, long token);
 
   /**
-   * What other gateways report of an engine. What this gateway has seen itself takes precedence.
+   * Other gateways have reported on an engine. Observations of this gateway take precedence.
    *
-   * @param level weighed reports against the engine, from 0 (none) to 1
+   * @param level weighted level of the reports against the engine, from 0 (none) to 1
    */
   void onPeerReport(long nowNanos, String engine, double level);
 
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerLimits.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerLimits.java
@@ -1,14 +1,14 @@
 package reachloom.scheduler.api;
 
 /**
- * What the platform lets a gateway do.
+ * What the platform allows a gateway to do.
  *
- * @param maxAttempts attempts of one query at most, the first one included
+ * @param maxAttempts maximum number of attempts of one query, including the first
  * @param cancel whether an attempt may be cancelled
- * @param healthChecks whether engines may be asked for their health and load
+ * @param healthChecks whether health checks may be sent to engines
  * @param hedging whether a second attempt may run beside the first
- * @param retryAfter whether a rejection may name a time to come back
- * @param maxRetryAfterNanos the longest such time, in nanoseconds
+ * @param retryAfter whether a rejection may carry a Retry-After
+ * @param maxRetryAfterNanos the longest Retry-After, in nanoseconds
  */
 public record SchedulerLimits(
     int maxAttempts,
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerSettings.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerSettings.java
@@ -13,12 +13,12 @@
  * @param overQuotaWeight factor on the weight of a query beyond its tenant's quota
  * @param crossZonePrice price of an attempt in another zone, as a share of a query's weight
  * @param healthCheckPrice price of one health check, in the same unit
- * @param wastePrice price of work that nobody uses, in the same unit
- * @param classes classes of queries, by the number that {@link Query#queryClass} gives
- * @param kinds kinds of engines, by the number that {@link EngineEndpoint#kind} gives
- * @param tenants quotas, by the number that {@link Query#tenant} gives
+ * @param wastePrice price of work whose result is not used, in the same unit
+ * @param classes classes of queries, by the index in {@link Query#queryClass}
+ * @param kinds kinds of engines, by the index in {@link EngineEndpoint#kind}
+ * @param tenants quotas, by the index in {@link Query#tenant}
  * @param limits what the platform allows
- * @param rules the figures of the rules
+ * @param rules the parameters of the scheduling rules
  * @param capabilities what the engines support
  */
 public record SchedulerSettings(
--- a/decisions/src/main/java/reachloom/scheduler/api/TenantQuota.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/TenantQuota.java
@@ -1,8 +1,8 @@
 package reachloom.scheduler.api;
 
 /**
- * The part of the service that one tenant may use before its queries are beyond its quota.
+ * The rate of queries above which the queries of one tenant are over its quota.
  *
- * @param quotaPerSecond queries a second over all gateways together; 0 sets no quota
+ * @param quotaPerSecond queries per second through all gateways together; 0 sets no quota
  */
 public record TenantQuota(double quotaPerSecond) {}
--- a/decisions/src/main/java/reachloom/scheduler/state/package-info.java
+++ b/decisions/src/main/java/reachloom/scheduler/state/package-info.java
@@ -1,2 +1,2 @@
-/** Containers without rules: a moving average, a sum over a sliding window, a token bucket. */
+/** Data structures without scheduling rules: moving average, sliding-window sum, token bucket. */
 package reachloom.scheduler.state;
--- a/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
+++ b/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
@@ -13,30 +13,30 @@
 
   @Test
   void aStartThatMayBeTrueIsTakenAsItIsTold() {
-    assertEquals(NOW - 7 * SECOND, times.ownTime(NOW, NOW - 7 * SECOND, true));
+    assertEquals(NOW - 7 * SECOND, times.toLocalNanos(NOW, NOW - 7 * SECOND, true));
     assertEquals(
-        NOW - HOUR, times.ownTime(NOW, NOW - HOUR, false), "a whole list tells of old ones, too");
+        NOW - HOUR, times.toLocalNanos(NOW, NOW - HOUR, false), "a whole list tells of old ones, too");
   }
 
   @Test
   void anEngineThatIsToldAsNewHasJustStartedWhereThisClockIsAheadByAnHour() {
     long own = NOW + HOUR;
-    assertEquals(own, times.ownTime(own, NOW - 2 * SECOND, true));
-    assertEquals(own + 5 * SECOND, times.ownTime(own + 6 * SECOND, NOW + 3 * SECOND, true));
+    assertEquals(own, times.toLocalNanos(own, NOW - 2 * SECOND, true));
+    assertEquals(own + 5 * SECOND, times.toLocalNanos(own + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
   void noEngineStartsInTheFutureWhereThisClockIsBehindByAnHour() {
     long own = NOW - HOUR;
-    assertEquals(own, times.ownTime(own, NOW - 2 * SECOND, false));
-    assertEquals(own + 5 * SECOND, times.ownTime(own + 6 * SECOND, NOW + 3 * SECOND, true));
+    assertEquals(own, times.toLocalNanos(own, NOW - 2 * SECOND, false));
+    assertEquals(own + 5 * SECOND, times.toLocalNanos(own + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
   void aChangeThatWasToldLateDoesNotStandInTheWayOfLaterOnes() {
-    assertEquals(NOW, times.ownTime(NOW, NOW - 30 * SECOND, true));
+    assertEquals(NOW, times.toLocalNanos(NOW, NOW - 30 * SECOND, true));
     assertEquals(
-        NOW + SECOND, times.ownTime(NOW + SECOND, NOW, true), "would lie in the future now");
-    assertEquals(NOW + 2 * SECOND, times.ownTime(NOW + 3 * SECOND, NOW + SECOND, true));
+        NOW + SECOND, times.toLocalNanos(NOW + SECOND, NOW, true), "would lie in the future now");
+    assertEquals(NOW + 2 * SECOND, times.toLocalNanos(NOW + 3 * SECOND, NOW + SECOND, true));
   }
 }
