--- a/decisions/src/test/java/reachloom/balancing/BalancingTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void everyEngineHasAboutAsManyGateways() {
+  void enginesGetSimilarNumbersOfGateways() {
     for (int gateways : new int[] {40, 97, 200, 1_000}) {
       Map<String, Integer> count = gatewaysOf(gateways, engines(60), 12);
       double fair = gateways * 12 / 60.0;
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void everyThirdGatewayAloneIsSpreadAsWell() {
+  void everyThirdGatewaySpreadsOverEnginesEvenly() {
     // The gateways of one zone are every third one: their own engines, too, have about as many
     // each.
     Map<String, Integer> count = new HashMap<>();
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void oneEngineMoreMovesEachGatewayByOneAtMost() {
+  void addedEngineChangesEachSubsetByOneAtMost() {
     List<EngineSubset.WeightedEngine> before = engines(60);
     List<EngineSubset.WeightedEngine> after = engines(61);
     int moved = 0;
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aLargerEngineHasMoreGateways() {
+  void gatewaysAreProportionalToEngineWeight() {
     List<EngineSubset.WeightedEngine> engines = engines(58);
     engines.add(new EngineSubset.WeightedEngine("s-0000aaaa", 16));
     engines.add(new EngineSubset.WeightedEngine("s-0000bbbb", 16));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void oneEngineAndNoneAreOrdersToo() {
+  void ordersSingleEngineAndEmptyList() {
     assertEquals(Map.of("s-00000001", 0), new EngineSubset(7).order(engines(1)));
     assertEquals(Map.of(), new EngineSubset(7).order(List.of()));
   }
@@ -121,25 +121,25 @@
   }
 
   @Test
-  void aGatewayWithMuchTrafficKnowsThatItsPartIsLarger() {
+  void estimatesLargerShareForGatewayWithMuchTraffic() {
     // 100,000 MB of which 30,000 are in use; 3,000 of them are its own: like it, ten would make up
     // the fleet.
     assertEquals(10, share(200, 0.3, 3_000).fleetSize(100_000), 1);
   }
 
   @Test
-  void oneWithLittleTrafficKeepsTheEqualPart() {
+  void keepsEqualShareForGatewayWithLittleTraffic() {
     assertEquals(200, share(200, 0.3, 50).fleetSize(100_000));
   }
 
   @Test
-  void settingsThatNameTooManyGatewaysAreSeenThrough() {
+  void correctsGatewayCountOfSettingsThatIsTooHigh() {
     // Really 200: each has 150 of the 30,000 MB; 600 are named.
     assertEquals(200, share(600, 0.3, 150).fleetSize(100_000), 20);
   }
 
   @Test
-  void partsAddUpToThePoolWhateverIsAskedOfIt() {
+  void sharesAddUpToPoolAtAnyLoad() {
     // Three gateways that have 20, 30 and 50 hundredths of what runs: their parts are that, at any
     // load.
     for (double use : new double[] {0.1, 0.5, 1}) {
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void aPartSinksWithWhatRuns() {
+  void shareDecreasesWithOwnWork() {
     PoolShareEstimator s = share(200, 0.3, 3_000);
     for (int i = 0; i < 400; i++) {
       s.recordOwnMemory((10 + i / 40) * SECOND, 1_500);
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void withTooLittleToGoByTheSettingsHold() {
+  void usesGatewayCountOfSettingsWithoutEnoughData() {
     assertEquals(200, share(200, 0.01, 3_000).fleetSize(100_000), "a pool hardly in use");
     assertEquals(200, share(200, 0, 3_000).fleetSize(100_000), "engines that don't tell of memory");
     assertEquals(
@@ -174,7 +174,7 @@
   }
 
   @Test
-  void eachTurnHasOneOwnerAndEachGatewayOneTurnInARound() {
+  void eachGatewayOwnsOneSlotPerRound() {
     for (int gateways : new int[] {1, 2, 3, 4, 12, 60, 97, 100}) {
       for (long first : new long[] {-5, 0, 1_000_000_007}) {
         java.util.Set<Integer> owners = new java.util.TreeSet<>();
@@ -193,7 +193,7 @@
   }
 
   @Test
-  void eachGatewayHasEachPlaceAtATurnOnceInARound() {
+  void eachGatewayHasEachPlaceOncePerRound() {
     for (int gateways : new int[] {1, 2, 3, 5, 6, 12, 97, 100}) {
       int shared = Math.min(5, gateways);
       int[][] had = new int[gateways][shared];
--- a/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
+++ b/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void eventsInTurnAreTakenAndOlderOnesChangeNothing() {
+  void appliesEventsInOrderAndIgnoresOlderOnes() {
     assertEquals(FrameAction.APPLY, event(6));
     assertEquals(FrameAction.IGNORE, event(6));
     assertEquals(FrameAction.IGNORE, event(2));
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void eventsLeftOutLeadToTheWholeListWhichCountsOnceItIsThere() {
+  void requestsCompleteListAfterGapAndAppliesItOnceComplete() {
     assertEquals(FrameAction.REQUEST_COMPLETE_LIST, event(8));
     assertEquals(0, watch.requestAfter());
     watch.onRequestSent();
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void anAnswerThatBreaksOffIsAskedForFromItsBeginning() {
+  void buffersAnswerFromItsBeginningAfterReconnect() {
     event(8);
     watch.onRequestSent();
     event(1);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aLogThatNumbersWithGapsIsNotAskedEachTime() {
+  void toleratesGapsOfLogThatSkipsNumbers() {
     event(8);
     watch.onRequestSent();
     assertEquals(FrameAction.BUFFER, event(1));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aLogThatNoLongerHoldsWhatItToldIsFollowedFromWhereItIs() {
+  void resumesFromLastAppliedEventIfLogLostEvents() {
     event(8);
     watch.onRequestSent();
     event(1);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void dialsComeLaterEachTimeWithinABoundAndNotTogether() {
+  void backoffIsBoundedAndDiffersBetweenGateways() {
     EndpointWatch other = new EndpointWatch(5, 2);
     boolean apart = false;
     for (int i = 0; i < 20; i++) {
@@ -92,14 +92,14 @@
   }
 
   @Test
-  void aListToldElsewhereCountsWhereItIsNewer() {
+  void acceptsCompleteListFromOtherSourceOnlyIfNewer() {
     assertTrue(watch.onCompleteList(7));
     assertFalse(watch.onCompleteList(6));
     assertEquals(FrameAction.APPLY, event(8));
   }
 
   @Test
-  void aListToldElsewhereThatHoldsWhatWasMissedEndsTheWaitForAllOfThem() {
+  void newerCompleteListFromOtherSourceClosesGap() {
     assertEquals(FrameAction.REQUEST_COMPLETE_LIST, event(8));
     assertTrue(watch.onCompleteList(10));
     watch.onRequestSent();
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void aListToldElsewhereThatIsOlderThanWhatWasMissedLeavesItAwaited() {
+  void olderCompleteListFromOtherSourceLeavesGapOpen() {
     assertEquals(FrameAction.REQUEST_COMPLETE_LIST, event(9));
     assertTrue(watch.onCompleteList(7));
     watch.onRequestSent();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void aWatchThatHasSpokenForLongIsDialledAgainAsSoonAsAYoungOne() {
+  void backoffStartsOverAfterEachFrame() {
     for (int second = 0; second < 60; second++) {
       nothing(5);
       assertTrue(watch.nextBackoffNanos() <= 100_000_000L, "silent after " + second + " s");
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aDeadWatchIsFoundAndDialledAgainBeforeAllCountsAsTold() {
+  void timeoutsLeaveTimeForThreeFailedConnects() {
     long frame = 1_000_000_000L;
     long told = 7 * frame;
     assertTrue(EndpointWatch.MAX_SILENCE_NANOS > 2 * frame, "frames may be late");
--- a/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
+++ b/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
@@ -12,28 +12,28 @@
   private final IncarnationTimes times = new IncarnationTimes();
 
   @Test
-  void aStartThatMayBeTrueIsTakenAsItIsTold() {
+  void keepsPlausibleStartTime() {
     assertEquals(NOW - 7 * SECOND, times.toLocalNanos(NOW, NOW - 7 * SECOND, true));
     assertEquals(
         NOW - HOUR, times.toLocalNanos(NOW, NOW - HOUR, false), "a whole list tells of old ones, too");
   }
 
   @Test
-  void anEngineThatIsToldAsNewHasJustStartedWhereThisClockIsAheadByAnHour() {
+  void newEngineHasJustStartedIfLocalClockIsAhead() {
     long own = NOW + HOUR;
     assertEquals(own, times.toLocalNanos(own, NOW - 2 * SECOND, true));
     assertEquals(own + 5 * SECOND, times.toLocalNanos(own + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
-  void noEngineStartsInTheFutureWhereThisClockIsBehindByAnHour() {
+  void startInFutureCountsAsNowIfLocalClockIsBehind() {
     long own = NOW - HOUR;
     assertEquals(own, times.toLocalNanos(own, NOW - 2 * SECOND, false));
     assertEquals(own + 5 * SECOND, times.toLocalNanos(own + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
-  void aChangeThatWasToldLateDoesNotStandInTheWayOfLaterOnes() {
+  void correctsOffsetAgainAfterDelayedEvent() {
     assertEquals(NOW, times.toLocalNanos(NOW, NOW - 30 * SECOND, true));
     assertEquals(
         NOW + SECOND, times.toLocalNanos(NOW + SECOND, NOW, true), "would lie in the future now");
--- a/decisions/src/test/java/reachloom/scheduler/LatencyRatiosTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/LatencyRatiosTest.java
@@ -23,14 +23,14 @@
   }
 
   @Test
-  void withoutEnginesOrAnswersTheMeanIsOne() {
+  void meanIsOneWithoutEnginesOrAnswers() {
     assertEquals(1, ratios.mean(), EXACT);
     ratios.onListUpdated(List.of(first, second));
     assertEquals(1, ratios.mean(), EXACT);
   }
 
   @Test
-  void anEngineWithoutAnswersCountsAsAnAverageOne() {
+  void engineWithoutAnswersCountsAsAverage() {
     ratios.onListUpdated(List.of(first, second));
     ratios.onAnswer(first, 0.5, 1); // a fifth of the way from 1 to a half
     assertEquals(0.9, ratios.of(first), EXACT);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void anEngineWithoutAnswersIsNeverTakenToBeSlow() {
+  void engineWithoutAnswersNeverCountsAsSlow() {
     ratios.onListUpdated(List.of(first, second));
     ratios.onAnswer(first, 6, 1); // a fifth of the way from 1 to 6
     assertEquals(2, ratios.of(first), EXACT);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void anEngineThatLeftTheListLeavesTheMean() {
+  void removedEngineIsExcludedFromMean() {
     ratios.onListUpdated(List.of(first, second));
     ratios.onAnswer(first, 6, 1);
     ratios.onListUpdated(List.of(second));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void singleAnswersMoveARatioOnlyWithinBounds() {
+  void ratioIsBounded() {
     ratios.onListUpdated(List.of(first));
     ratios.onAnswer(first, 1_000_000, 1);
     assertEquals(20, ratios.of(first), EXACT);
--- a/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void sendsAtOnceWhatFits() {
+  void forwardsQueryThatFitsImmediately() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"));
     b.arrive("q", QUICK, 0.1);
     assertEquals(List.of("send q a"), b.take());
   }
 
   @Test
-  void anEngineThatHasAnsweredNothingYetIsAskedBesideOneThatHas() {
+  void usesEngineWithoutAnswersBesideOthers() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
     Map<String, Integer> asked = new TreeMap<>();
     for (int i = 0; i < 1_000; i++) {
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void refusesAtArrivalWhatCannotFinishInTime() {
+  void rejectsQueryThatCannotMeetItsDeadline() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 20; i++) { // a class's factor starts at its aim over its usual cost
       b.arrive("usual" + i, LONG, 1);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void bindsOnlyUnderPressure() {
+  void enforcesLimitOnlyUnderPressure() {
     SchedulerHarness calm = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 100; i++) {
       calm.arrive("q" + i, QUICK, 0.1);
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void holdsShortlyThenRefuses() {
+  void queuesBrieflyThenRejects() {
     SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void releasesOldestFirst() {
+  void releasesOldestQueryFirst() {
     SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void sendsNothingToDrainingOrMissingEngines() {
+  void forwardsNothingToDrainingOrRemovedEngines() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
     b.list(engine("a", EngineState.DRAINING, 0, 0), up("b"));
     for (int i = 0; i < 20; i++) {
@@ -159,7 +159,7 @@
   }
 
   @Test
-  void keepsThePlacementWithAllAllowedEnginesGone() {
+  void rejectsQueryWhenAllAllowedEnginesAreRemoved() {
     SchedulerHarness b = new SchedulerHarness();
     b.longKinds = List.of(1);
     b.start(up("a"), engine("b", EngineState.UP, 1, 0));
@@ -172,7 +172,7 @@
   }
 
   @Test
-  void keepsTheOrderOfAKey() {
+  void preservesKeyOrder() {
     SchedulerHarness b = new SchedulerHarness();
     b.ordered = true;
     b.orderSettle = 500 * MS;
@@ -193,7 +193,7 @@
   }
 
   @Test
-  void repeatsAKeyedQueryOnlyWithinItsWindow() {
+  void retriesKeyedQueryOnlyWithinIdempotencyWindow() {
     SchedulerHarness b = new SchedulerHarness();
     b.start(up("a"), up("b"));
     b.arrive("early", KEYED, 0.1);
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void aRepeatWhoseWindowEndsWhileItWaitsForItsConnectionDoesNotBegin() {
+  void retryMayNotStartAfterIdempotencyWindow() {
     SchedulerHarness b = new SchedulerHarness();
     b.start(pool(3, 0));
     b.arrive("q", SchedulerHarness.KEYED, 0.1, 0, "k");
@@ -221,7 +221,7 @@
   }
 
   @Test
-  void neverRepeatsOrRefusesWhatMayHaveRunOnce() {
+  void failsNonIdempotentQueryThatMayHaveRun() {
     SchedulerHarness b = new SchedulerHarness();
     b.longEffect = Idempotency.NOT_IDEMPOTENT;
     b.start(up("a"), up("b"));
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void failsRatherThanRefusesWhereOnlyACellDropsRepeats() {
+  void failsQueryWhenOnlyACellDetectsDuplicates() {
     SchedulerHarness b = new SchedulerHarness();
     b.scope = DeduplicationScope.CELL;
     b.start(up("a"), up("b"));
@@ -248,7 +248,7 @@
   }
 
   @Test
-  void answersAfterTheTimeOutAtTheDeadline() {
+  void sendsOneFinalAnswerAfterTimeoutAtDeadline() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"));
     b.arrive("q", QUICK, 0.1);
     b.take();
@@ -260,7 +260,7 @@
   }
 
   @Test
-  void rationsFurtherAttempts() {
+  void enforcesRetryBudget() {
     SchedulerHarness b = new SchedulerHarness();
     b.lookBack = 10 * SECOND;
     b.extraFree = 1;
@@ -275,7 +275,7 @@
   }
 
   @Test
-  void keepsTheBudgetOfAColdEngine() {
+  void keepsBudgetOfWarmingEngine() {
     SchedulerHarness b = new SchedulerHarness();
     b.start();
     b.list(engine("a", EngineState.UP, 0, b.now - SECOND));
@@ -294,7 +294,7 @@
   }
 
   @Test
-  void quickErrorsDoNotDrawQueries() {
+  void fastErrorsDoNotAttractQueries() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 40; i++) {
       b.arrive("q" + i, QUICK, 0.1);
@@ -310,7 +310,7 @@
   }
 
   @Test
-  void aQueryThatErrsEverywhereBlackensNoEngine() {
+  void invalidQueryIsNotHeldAgainstEngines() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 20; i++) { // bad queries, each an error wherever it is tried
       b.arrive("bad" + i, QUICK, 0.1);
@@ -331,7 +331,7 @@
   }
 
   @Test
-  void anEngineRestsOnceOthersServeWhatItFailed() {
+  void ejectsEngineWhoseFailedQueriesOthersServe() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"));
     List<String> ids = IntStream.range(0, 3).mapToObj(i -> "q" + i).toList();
     ids.forEach(id -> b.arrive(id, QUICK, 0.1));
@@ -349,7 +349,7 @@
   }
 
   @Test
-  void theResetsOfOneConnectionCountOnce() {
+  void resetsOfOneConnectionCountOnce() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 10; i++) {
       b.arrive("q" + i, QUICK, 0.1);
@@ -366,7 +366,7 @@
   }
 
   @Test
-  void movesAnAttemptThatItsEngineLost() {
+  void retriesAttemptThatItsEngineLost() {
     SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
@@ -391,7 +391,7 @@
   }
 
   @Test
-  void restsASilentEngine() {
+  void ejectsUnresponsiveEngine() {
     SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
@@ -406,7 +406,7 @@
   }
 
   @Test
-  void forgetsWhatARestartedProcessRan() {
+  void abandonsAttemptsOfRestartedEngine() {
     SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"));
@@ -417,7 +417,7 @@
   }
 
   @Test
-  void resendsABadPlanButNotOnASlowEngine() {
+  void migratesBadPlanButNotSlowQuery() {
     SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
@@ -436,7 +436,7 @@
   }
 
   @Test
-  void aStallOfTheGatewayDoesNotRefuseTheBacklogTogether() {
+  void stallOfGatewayRejectsNoQueuedQueries() {
     SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
@@ -452,7 +452,7 @@
   }
 
   @Test
-  void aTenantBeyondItsShareGivesWayUnderPressure() {
+  void rejectsQueriesOverTenantQuotaUnderPressure() {
     SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.tenants = List.of(new TenantQuota(2), new TenantQuota(50));
@@ -468,7 +468,7 @@
   }
 
   @Test
-  void loadsOfAGroupDoNotPileUpAtAnEngine() {
+  void limitsBulkLoadsPerTableGroup() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 6; i++) {
       b.arrive("l" + i, KEYED, 0.5);
@@ -479,7 +479,7 @@
   }
 
   @Test
-  void movesAQueryThatStandsBehindALoad() {
+  void migratesQueryBlockedByBulkLoad() {
     SchedulerHarness b = new SchedulerHarness();
     b.start(up("a"), up("b"));
     b.arrive("q", LONG, 0.5);
@@ -491,7 +491,7 @@
   }
 
   @Test
-  void aWaitForMemoryBindsTheBoundAndIsNoLoss() {
+  void memoryWaitMarksEngineFullWithoutTimeout() {
     SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"));
@@ -512,7 +512,7 @@
   }
 
   @Test
-  void memoryIsRoom() {
+  void memoryLimitsConcurrency() {
     SchedulerHarness b = new SchedulerHarness();
     b.memoryMb = 1000;
     b.start(up("a"));
@@ -523,7 +523,7 @@
   }
 
   @Test
-  void aBusyReportBindsARestartedGatewayAtOnce() {
+  void busyReportLimitsRestartedGatewayImmediately() {
     SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(up("a"));
@@ -545,7 +545,7 @@
   }
 
   @Test
-  void ourShareOfThePoolBindsWhereThatOfEachEngineHoldsAQuery() {
+  void poolLimitBindsWhereEngineLimitsDoNot() {
     for (int gateways : new int[] {1, 3, 300}) {
       SchedulerHarness b = new SchedulerHarness();
       b.gateways = gateways;
@@ -564,7 +564,7 @@
   }
 
   @Test
-  void asksTwoEnginesWhereReportsCannotBeKeptAndTakesTheOneThatAnswers() {
+  void checksTwoEnginesAndUsesTheOneThatAnswers() {
     SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.reports = true;
@@ -590,7 +590,7 @@
   }
 
   @Test
-  void asksOnlyForQueriesThatEarnMoreByItThanItCosts() {
+  void checksOnlyForQueriesWorthThePrice() {
     for (double price : new double[] {0.01, 0.08}) {
       SchedulerHarness b = fleetWithProbesAt(price);
       int[] probes = new int[2];
@@ -632,7 +632,7 @@
   }
 
   @Test
-  void theClockOfProbesRunsOnlyWhereItsPriceIsEarned() {
+  void periodicChecksRunOnlyIfQueriesPayForThem() {
     for (double price : new double[] {0.01, 0.08}) {
       SchedulerHarness b = fleetWithProbesAt(price);
       int probes = 0;
@@ -656,7 +656,7 @@
   }
 
   @Test
-  void doesNotAskForAQueryWithHardlyAnyTimeLeft() {
+  void skipsChecksForQueryNearItsDeadline() {
     SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.reports = true;
@@ -672,7 +672,7 @@
   }
 
   @Test
-  void asksTwoOthersWhereBothAreFull() {
+  void checksTwoOtherEnginesWhenBothAreFull() {
     SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.reports = true;
@@ -691,7 +691,7 @@
   }
 
   @Test
-  void gatewaysTakeTurnsAtAColdEngineWithinItsBudget() {
+  void gatewaysShareBudgetOfWarmingEngine() {
     double budget = 2.5 * 0.3 * 0.85 * 8;
     for (int gateways : new int[] {1, 3, 300}) {
       double work = 0;
@@ -712,7 +712,7 @@
   }
 
   @Test
-  void aFewQueriesAtOnceAreNotBeyondATenantsShare() {
+  void allowsSmallBurstWithinTenantQuota() {
     SchedulerHarness b = new SchedulerHarness();
     b.gateways = 300;
     b.tenants = List.of(new TenantQuota(60));
@@ -725,7 +725,7 @@
   }
 
   @Test
-  void afterAStallNothingIsSilentYet() {
+  void timeoutsStartOverAfterStall() {
     SchedulerHarness b = new SchedulerHarness();
     b.notePeriod = 500 * MS;
     b.start(up("a"), up("b"));
@@ -739,7 +739,7 @@
   }
 
   @Test
-  void aFullEngineIsLeftAloneForAWhile() {
+  void avoidsFullEngineForAWhile() {
     SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
     b.arrive("q", QUICK, 0.1);
     String full = b.take().get(0).substring("send q ".length());
@@ -751,7 +751,7 @@
   }
 
   @Test
-  void hearsayMakesAnEngineDrawnLessAndTestedOneByOneButNeverRestsIt() {
+  void peerReportsMakeEngineLastChoiceWithoutEjectingIt() {
     SchedulerHarness b =
         new SchedulerHarness().start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
     b.choice.onPeerReport(b.now, "a", 0.9);
@@ -773,7 +773,7 @@
   }
 
   @Test
-  void anAccusedEngineIsProbedWhereEnginesReport() {
+  void checksEngineThatPeersSuspect() {
     SchedulerHarness b = new SchedulerHarness();
     b.reports = true;
     b.start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
@@ -786,7 +786,7 @@
   }
 
   @Test
-  void sameEventsSameActions() {
+  void sameEventsLeadToSameActions() {
     List<String> first = script();
     assertEquals(first, script());
     assertTrue(first.size() > 50);
@@ -802,7 +802,7 @@
   }
 
   @Test
-  void oneOfManyWithMuchTrafficIsNotBoundByAnEqualPart() {
+  void busyGatewayIsNotLimitedToEqualShare() {
     // 50 gateways by the settings, ten engines that report 3% of their memory in use; of that this
     // one
     // has a fiftieth or, the second time, a tenth.
@@ -837,7 +837,7 @@
   }
 
   @Test
-  void aGatewayKeepsToSomeOfManyEngines() {
+  void gatewayUsesSubsetOfEngines() {
     SchedulerHarness b = new SchedulerHarness();
     b.gateways = 100;
     b.start(IntStream.range(0, 60).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
--- a/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void allTogetherKeepTheBudgetWhateverTheirNumberTrafficAndRestarts() {
+  void fleetKeepsBudgetForAnySizeTrafficAndRestarts() {
     long start = new SchedulerHarness().now;
     for (int gateways : new int[] {1, 4, 20, 30}) {
       for (boolean skewed : new boolean[] {false, true}) {
@@ -106,7 +106,7 @@
    * engines.
    */
   @Test
-  void theThinTrafficOfManyGatewaysFillsAColdEngine() {
+  void lowTrafficOfManyGatewaysUsesWarmingEngine() {
     int gateways = 100;
     List<SchedulerHarness> fleet = new ArrayList<>();
     for (int g = 0; g < gateways; g++) {
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void withoutNumbersOfTheirOwnGatewaysTakeSlotsByChance() {
+  void gatewaysWithoutNumberDrawSlotsAtRandom() {
     List<Long> sent = play(20, -1, false, false);
     assertTrue(sent.size() > 200);
     double most = most(sent, new SchedulerHarness().now);
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void anAttemptWhoseSlotIsOverMayNoLongerBegin() {
+  void attemptMayNotStartAfterItsSlot() {
     SchedulerHarness b = made(0, 2, 0, new SchedulerHarness().now, new SchedulerHarness().now);
     String id = null;
     for (int i = 0; id == null; i++) {
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void whatMayNoLongerBeginIsAskedOfTheModuleAndGoesElsewhere() {
+  void attemptThatMayNotStartIsForwardedToAnotherEngine() {
     SchedulerHarness b = new SchedulerHarness();
     b.start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
     b.arrive("q", QUICK, WORK);
@@ -214,7 +214,7 @@
   }
 
   @Test
-  void anEngineThatIsToldAsNewIsColdThoughThisClockIsAheadOrBehind() {
+  void newEngineIsWarmingUpDespiteClockOffset() {
     List<String> right = told(0);
     long cold = right.stream().filter(a -> a.endsWith(" c")).count();
     assertTrue(
--- a/decisions/src/test/java/reachloom/scheduler/TickClockTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/TickClockTest.java
@@ -12,13 +12,13 @@
   private final TickClock clock = new TickClock(START);
 
   @Test
-  void aTickThatIsOneIntervalLateIsNoStall() {
+  void tickOneIntervalLateIsNoStall() {
     assertEquals(0, clock.takeStall(START + 2 * INTERVAL));
     assertEquals(0, clock.stalledUntilNanos());
   }
 
   @Test
-  void aStallIsReturnedOnceAndRememberedByItsEnd() {
+  void returnsStallOnceAndKeepsItsEnd() {
     long end = START + 10 * INTERVAL;
     assertEquals(8 * INTERVAL, clock.takeStall(end));
     assertEquals(0, clock.takeStall(end), "returned once");
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void timeCountsFromTheLatestTick() {
+  void measuresStallFromLatestTick() {
     clock.tick(START + 10 * INTERVAL);
     assertEquals(0, clock.takeStall(START + 12 * INTERVAL));
     assertEquals(1, clock.takeStall(START + 12 * INTERVAL + 1));
--- a/gateway/src/main/java/reachloom/Main.java
+++ b/gateway/src/main/java/reachloom/Main.java
@@ -25,20 +25,20 @@
 import reachloom.gateway.lifecycle.GatewayServer;
 import reachloom.simulator.SimulatorAdapter;
 
-/** The command line: runs the sub-command that it names. */
+/** Entry point of the command line: runs the sub-command that is its first argument. */
 public final class Main {
   private static final int OK = 0;
-  private static final int BAD_USE = 2;
-  private static final int COLUMNS = 100;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final int USAGE_ERROR = 2;
+  private static final int HELP_WIDTH_COLUMNS = 100;
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
-  /** Commands that only operators use, with their libraries, stay out of the gateway's jar. */
+  /** The jar of commands that only operators use, so that the gateway's jar has none of their code. */
   private static final String TOOLS_JAR = "reachloom-tools.jar";
 
   private static final Map<String, String> TOOL_CLASSES =
       Map.of("gossip", "reachloom.tools.GossipTool", "revision", "reachloom.tools.RevisionTool");
 
-  /** Former names of commands, which still work. */
+  /** The present names of commands by their deprecated names, which still work. */
   private static final Map<String, String> DEPRECATED_COMMANDS =
       Map.of("benchlink", "simulator-adapter", "rehearse", "warm-up");
 
@@ -47,14 +47,14 @@
           System.lineSeparator(),
           "",
           "commands:",
-          "  serve               one gateway on sockets, configured by the file that LB_CONFIG names",
-          "  simulator-adapter   decide for many gateways on the simulator's wire (standard input and output)",
-          "  check-config FILE   read a configuration (JSON) or settings (XML) and say what is wrong with it",
-          "  warm-up             start with a made-up configuration on loopback, then stop (see deploy)",
-          "  gossip COMMAND      keys, certificates and status of gossip; needs "
+          "  serve               run a gateway, configured by the file that LB_CONFIG names",
+          "  simulator-adapter   run the schedulers of many gateways for the simulator (standard input and output)",
+          "  check-config FILE   validate a configuration (JSON) or settings (XML) file",
+          "  warm-up             start with a sample configuration on loopback, then stop (see deploy)",
+          "  gossip COMMAND      manage keys and certificates of gossip, show its status; needs "
               + TOOLS_JAR
               + " beside this jar",
-          "  revision COMMAND    an issuer of the configuration, and documents for it; needs "
+          "  revision COMMAND    run an issuer of configuration revisions, check and issue documents; needs "
               + TOOLS_JAR
               + " too",
           "  version             print the version",
@@ -83,40 +83,40 @@
     } catch (ParseException e) {
       err.println("reachloom: " + e.getMessage());
       printUsage(options, err);
-      return BAD_USE;
+      return USAGE_ERROR;
     } catch (ConfigException e) {
       err.println("reachloom: " + e.getMessage());
-      return BAD_USE;
+      return USAGE_ERROR;
     }
   }
 
   private static Options options() {
     return new Options()
-        .addOption("h", "help", false, "print this text")
+        .addOption("h", "help", false, "print this help")
         .addOption(
             Option.builder()
                 .longOpt("settings")
                 .hasArg()
                 .argName("FILE")
                 .desc(
-                    "serve with the settings of an installation (XML); else those that "
-                        + LocalSettings.VARIABLE
+                    "settings file of the installation (XML) for serve; default: the file that "
+                        + LocalSettings.FILE_VARIABLE
                         + " names")
                 .build());
   }
 
   private static int run(CommandLine line, Options options, PrintStream out, PrintStream err)
       throws IOException, InterruptedException, ConfigException {
-    List<String> words = line.getArgList();
-    String command = words.isEmpty() ? "" : words.get(0);
+    List<String> arguments = line.getArgList();
+    String command = arguments.isEmpty() ? "" : arguments.get(0);
     if (line.hasOption("help") || command.equals("help")) {
       printUsage(options, out);
       return OK;
     }
     int expected = command.equals("check-config") ? 2 : 1;
-    if (words.size() != expected) {
+    if (arguments.size() != expected) {
       printUsage(options, err);
-      return BAD_USE;
+      return USAGE_ERROR;
     }
     switch (currentName(command, err)) {
       case "serve":
@@ -126,7 +126,7 @@
       case "simulator-adapter":
         return new SimulatorAdapter(err).serve(System.in, out);
       case "check-config":
-        out.println(words.get(1) + ": good; " + describe(words.get(1)));
+        out.println(arguments.get(1) + ": good; " + describe(arguments.get(1)));
         return OK;
       case "version":
         String version = Main.class.getPackage().getImplementationVersion();
@@ -134,11 +134,11 @@
         return OK;
       default:
         printUsage(options, err);
-        return BAD_USE;
+        return USAGE_ERROR;
     }
   }
 
-  /** The present name of a command; one line on standard error tells of it where it has changed. */
+  /** Returns the present name of a command, and prints a warning if the given name is deprecated. */
   static String currentName(String command, PrintStream err) {
     String name = DEPRECATED_COMMANDS.get(command);
     if (name == null) {
@@ -155,17 +155,17 @@
     return new GatewayServer(config, environment, settingsFile).run();
   }
 
-  /** Runs a tool of the jar beside this one, or of the build's directory. */
+  /** Runs a tool from the tools jar in the directory of this jar, or else in the build directory. */
   private static int runTool(String tool, String[] args, PrintStream out, PrintStream err)
       throws IOException {
     try {
-      Path here = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-      Path beside = here.resolveSibling(TOOLS_JAR);
-      Path built = here.resolve("../../../tools/target").resolve(TOOLS_JAR).normalize();
-      Path jar = Files.exists(beside) ? beside : built;
+      Path ownJar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      Path deployed = ownJar.resolveSibling(TOOLS_JAR);
+      Path built = ownJar.resolve("../../../tools/target").resolve(TOOLS_JAR).normalize();
+      Path jar = Files.exists(deployed) ? deployed : built;
       if (!Files.exists(jar)) {
-        err.println("reachloom: " + TOOLS_JAR + " is not beside " + here);
-        return BAD_USE;
+        err.println("reachloom: " + TOOLS_JAR + " not found: expected at " + deployed);
+        return USAGE_ERROR;
       }
       try (URLClassLoader loader =
           new URLClassLoader(new URL[] {jar.toUri().toURL()}, Main.class.getClassLoader())) {
@@ -175,8 +175,8 @@
                 .invoke(null, args, out, err);
       }
     } catch (URISyntaxException | ReflectiveOperationException e) {
-      err.println("reachloom: " + TOOLS_JAR + " can't be used: " + e);
-      return BAD_USE;
+      err.println("reachloom: cannot run a command from " + TOOLS_JAR + ": " + e);
+      return USAGE_ERROR;
     }
   }
 
@@ -192,7 +192,7 @@
         settings.clientIdleTimeoutNanos().isEmpty()
             ? ""
             : ", clients idle for "
-                + settings.clientIdleTimeoutNanos().getAsLong() / MILLISECOND
+                + settings.clientIdleTimeoutNanos().getAsLong() / NANOS_PER_MILLISECOND
                 + " ms are closed";
     return settings.gossip().map(Main::describe).orElse("gossip off") + idle;
   }
@@ -218,10 +218,10 @@
         + " classes";
   }
 
-  private static void printUsage(Options options, PrintStream to) {
-    PrintWriter writer = new PrintWriter(to);
+  private static void printUsage(Options options, PrintStream stream) {
+    PrintWriter writer = new PrintWriter(stream);
     HelpFormatter help = new HelpFormatter();
-    help.printHelp(writer, COLUMNS, "reachloom COMMAND", COMMANDS, options, 1, 2, "");
+    help.printHelp(writer, HELP_WIDTH_COLUMNS, "reachloom COMMAND", COMMANDS, options, 1, 2, "");
     writer.flush();
   }
 }
--- a/gateway/src/main/java/reachloom/config/ConfigException.java
+++ b/gateway/src/main/java/reachloom/config/ConfigException.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * Configuration that can't be used. The message is one line for an operator: where the fault is,
- * and what is wrong there.
+ * Thrown if a configuration is invalid. The message is one line for an operator: the location of the
+ * fault, and what is wrong there.
  */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** The key, file, or file and line at fault; null where the message names none. */
+  /** The key, file, or file and line at fault; null if it is in the message only. */
   private final String location;
 
   /**
-   * A fault whose message names its place in its own words.
+   * Creates an exception whose message itself names the location of the fault.
    *
    * @param message what is wrong, as one line for an operator
    */
@@ -23,7 +23,7 @@
   }
 
   /**
-   * A fault at one place.
+   * Creates an exception for a fault at the given location.
    *
    * @param location the key at fault, dotted below the first level, or the file, or file and line
    * @param problem what is wrong there
@@ -33,7 +33,7 @@
     this.location = location;
   }
 
-  /** The key, file, or file and line at fault; empty where only the message tells. */
+  /** Returns the key, file, or file and line at fault; empty if it is in the message only. */
   public Optional<String> location() {
     return Optional.ofNullable(location);
   }
--- a/gateway/src/main/java/reachloom/config/ConfigurationSettings.java
+++ b/gateway/src/main/java/reachloom/config/ConfigurationSettings.java
@@ -5,22 +5,23 @@
 import java.util.List;
 
 /**
- * How an instance takes part in distributing the configuration. Immutable.
+ * The settings of an instance that participates in the distribution of configuration revisions.
+ * Immutable.
  *
- * @param place where it stands: the region in the upper byte of sixteen bits, the zone in the lower
- * @param issuers those whose votes prove a revision
+ * @param place the location of the instance as 16 bits: region in the upper byte, zone in the lower
+ * @param issuers the issuers whose votes prove a revision
  */
 public record ConfigurationSettings(int place, List<Issuer> issuers) {
   /**
-   * An issuer, which may vote for a revision.
+   * An issuer, which may vote on revisions.
    *
-   * @param name its name in gossip
-   * @param address where it listens
-   * @param certificateFile its certificate
+   * @param name its member name in gossip
+   * @param address the address at which it listens
+   * @param certificateFile the file of its certificate
    */
   public record Issuer(String name, InetSocketAddress address, Path certificateFile) {}
 
-  /** How many votes prove a revision: more than half of the issuers. */
+  /** Returns the number of votes that prove a revision: a majority of the issuers. */
   public int quorum() {
     return issuers.size() / 2 + 1;
   }
--- a/gateway/src/main/java/reachloom/config/EngineMember.java
+++ b/gateway/src/main/java/reachloom/config/EngineMember.java
@@ -4,9 +4,9 @@
 import reachloom.scheduler.api.EngineEndpoint;
 
 /**
- * An engine as the endpoint list has it.
+ * An engine of the endpoint list with its address.
  *
- * @param endpoint what the scheduler is told of it
- * @param address where it listens
+ * @param endpoint the entry that is passed to the scheduler
+ * @param address the address at which the engine listens
  */
 public record EngineMember(EngineEndpoint endpoint, InetSocketAddress address) {}
--- a/gateway/src/main/java/reachloom/config/GatewayConfig.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfig.java
@@ -17,20 +17,20 @@
 import reachloom.scheduler.api.SchedulerSettings;
 
 /**
- * The configuration that the platform hands to a gateway at its start, and again when it is to be
- * reloaded. Immutable.
+ * The configuration that the platform gives to a gateway at its start and for each reload.
+ * Immutable.
  *
  * @param name the gateway's name
  * @param listen the address at which it listens for clients
  * @param seed the seed of its random numbers
- * @param maxSockets the most sockets that it may have open
+ * @param maxSockets the maximum number of open sockets
  * @param changeLog the address of the change log
- * @param lastEventNumber the number of the last event of the change log that {@code knownEngines}
- *     contains
+ * @param lastEventNumber the number of the last event of the change log that is contained in
+ *     {@code knownEngines}
  * @param knownEngines the endpoint list as of that event
  * @param settings the settings of the scheduler
- * @param names the names of what the settings number
- * @param transport timeouts and bounds of connections
+ * @param names the names of the classes, tenants, zones and kinds that the settings identify by index
+ * @param transport timeouts and limits of connections
  */
 public record GatewayConfig(
     String name,
@@ -44,10 +44,10 @@
     Names names,
     Transport transport) {
   private static final String FILE_VARIABLE = "LB_CONFIG";
-  private static final double THOUSANDTHS = 1e3;
+  private static final double THOUSANDTHS_PER_UNIT = 1e3;
 
   /**
-   * The names that the wire has for what the settings number; the index of a name is its number.
+   * The names on the wire of what the settings identify by index; each list is in index order.
    *
    * @param classes the query classes
    * @param tenants the tenants
@@ -63,13 +63,13 @@
       List<String> reportFields) {}
 
   /**
-   * Timeouts and bounds of connections.
+   * Timeouts and limits of connections.
    *
-   * @param dialTimeoutNanos within this time a connection is established, and a health check
-   *     answered
-   * @param keepaliveNanos engines close connections that have been idle for so long
-   * @param maxStreamsPerConnection the most attempts at a time on a connection to an engine
-   * @param maxOpenRequests the most requests that are open at a time
+   * @param dialTimeoutNanos the timeout of connects to engines and of health checks
+   * @param keepaliveNanos the idle time after which engines close a connection
+   * @param maxStreamsPerConnection the maximum number of concurrent attempts on a connection to an
+   *     engine
+   * @param maxOpenRequests the maximum number of concurrently open requests
    */
   public record Transport(
       long dialTimeoutNanos,
@@ -78,8 +78,8 @@
       int maxOpenRequests) {}
 
   /**
-   * The keys whose values in another configuration differ, and which a running gateway does not
-   * take over: it has to be restarted for them.
+   * Returns the keys whose values differ in another configuration and which a running gateway does
+   * not reload: a change takes effect only after a restart.
    */
   public List<String> changesNeedingRestart(GatewayConfig next) {
     List<String> keys = new ArrayList<>();
@@ -101,15 +101,18 @@
   }
 
   /**
-   * Reads the file that the environment names. The environment may also give the gateway's name and
-   * address, which go before those of the file.
+   * Reads the file that the environment names. The environment may also set the gateway's name and
+   * listen address, which then override those of the file.
    */
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws ConfigException {
     return fromEnvironment(environment, UnaryOperator.identity());
   }
 
-  /** The same with a change, such as a revision's, applied to the document of the file first. */
+  /**
+   * Reads the file that the environment names, and applies a change, such as that of a revision, to
+   * its document before it is validated.
+   */
   public static GatewayConfig fromEnvironment(
       Map<String, String> environment, UnaryOperator<JsonNode> change) throws ConfigException {
     String file = environment.get(FILE_VARIABLE);
@@ -120,7 +123,7 @@
     return fromFile(Path.of(file), environment, change);
   }
 
-  /** Reads and checks a configuration file. */
+  /** Reads and validates a configuration file. */
   public static GatewayConfig fromFile(Path file, Map<String, String> environment)
       throws ConfigException {
     return fromFile(file, environment, UnaryOperator.identity());
@@ -129,15 +132,15 @@
   private static GatewayConfig fromFile(
       Path file, Map<String, String> environment, UnaryOperator<JsonNode> change)
       throws ConfigException {
-    byte[] text;
+    byte[] json;
     try {
-      text = Files.readAllBytes(file);
+      json = Files.readAllBytes(file);
     } catch (IOException e) {
       throw new ConfigException(
           file.toString(), "cannot be read (" + e.getClass().getSimpleName() + ")");
     }
     try {
-      return parse(change.apply(new ObjectMapper().readTree(text)), environment);
+      return parse(change.apply(new ObjectMapper().readTree(json)), environment);
     } catch (JsonProcessingException e) {
       throw new ConfigException(file.toString(), "is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
@@ -145,14 +148,14 @@
     }
   }
 
-  /** A made-up configuration that listens at a free loopback address, to warm up with. */
+  /** Returns a sample configuration for the warm-up, which listens on a free loopback port. */
   public static GatewayConfig sample() throws ConfigException {
     try (InputStream text = GatewayConfig.class.getResourceAsStream("sample.json");
         ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String listen = free.getInetAddress().getHostAddress() + ":" + free.getLocalPort();
       return parse(new ObjectMapper().readTree(text), Map.of("LB_LISTEN", listen));
     } catch (IOException e) {
-      throw new ConfigException("the sample", e.getMessage());
+      throw new ConfigException("the built-in sample.json", "cannot be read: " + e.getMessage());
     }
   }
 
@@ -161,8 +164,8 @@
     return GatewayConfigParser.parse(root, environment);
   }
 
-  /** The weight of an engine that the change log writes in thousandths. */
+  /** Converts the weight of an engine from the thousandths of the change log. */
   public static double weight(long thousandths) {
-    return thousandths / THOUSANDTHS;
+    return thousandths / THOUSANDTHS_PER_UNIT;
   }
 }
--- a/gateway/src/main/java/reachloom/config/GatewayConfigParser.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfigParser.java
@@ -23,18 +23,18 @@
 import reachloom.scheduler.api.EngineState;
 
 /**
- * Reads a gateway's configuration from JSON. This is the one place where the keys of that file meet
- * the names of the code.
+ * Reads a gateway's configuration from JSON. Only this class maps the keys of that file to the
+ * names of the code.
  */
 final class GatewayConfigParser {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final int DEFAULT_MAX_STREAMS_PER_CONNECTION = 100;
   private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
-  private static final long DEFAULT_DIAL_TIMEOUT_NANOS = 250 * MILLISECOND;
-  private static final long DEFAULT_KEEPALIVE_NANOS = 30_000 * MILLISECOND;
+  private static final long DEFAULT_DIAL_TIMEOUT_NANOS = 250 * NANOS_PER_MILLISECOND;
+  private static final long DEFAULT_KEEPALIVE_NANOS = 30_000 * NANOS_PER_MILLISECOND;
   private static final int MAX_PORT = 65_535;
-  private static final int HEXADECIMAL = 16;
+  private static final int HEX_RADIX = 16;
   private static final Pattern ADDRESS = Pattern.compile("((?:\\d{1,3}\\.){3}\\d{1,3}):(\\d{1,5})");
   private static final Pattern ENGINE_NAME = Pattern.compile("s-[0-9a-f]{8}");
   private static final Map<String, EngineState> ENGINE_STATES =
@@ -49,9 +49,9 @@
   private GatewayConfigParser() {}
 
   /**
-   * The configuration in a JSON document.
+   * Parses the configuration in a JSON document.
    *
-   * @param environment may give the name and the address to listen at, which go before those of the
+   * @param environment may set the name and the listen address, which then override those of the
    *     document
    */
   static GatewayConfig parse(JsonNode root, Map<String, String> environment)
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Applies the events that are known at the start to an empty list, and gives the number of the
-   * last one.
+   * Applies the change log events of the configuration to an empty list, and returns the number of
+   * the last one.
    */
   private static long foldEvents(JsonNode known, Names names, Map<String, EngineMember> engines)
       throws ConfigException {
@@ -135,7 +135,7 @@
     int index = 0;
     for (JsonNode host : array(fleet.path("hosts"), path + ".hosts")) {
       EngineMember engine = engine(host, names, path + ".hosts[" + index++ + "]");
-      engines.remove(engine.endpoint().name()); // so that it stands where it was named last
+      engines.remove(engine.endpoint().name()); // moves the engine to the end of the list
       engines.put(engine.endpoint().name(), engine);
     }
   }
@@ -146,7 +146,7 @@
     if (!ENGINE_NAME.matcher(name).matches()) {
       throw new ConfigException(path + ".host", "'" + name + "' is not s- and 8 hex digits");
     }
-    // A state that is not known counts as draining: nothing new is sent.
+    // An unknown state counts as draining, so that the engine gets no new queries.
     EngineState state =
         ENGINE_STATES.getOrDefault(host.path("health").asText(), EngineState.DRAINING);
     EngineEndpoint endpoint =
@@ -157,7 +157,7 @@
             indexOf(host, "site", names.zones(), path),
             host.path("block").asInt(),
             host.path("share").asDouble(1),
-            host.path("born_ms").asLong() * MILLISECOND);
+            host.path("born_ms").asLong() * NANOS_PER_MILLISECOND);
     return new EngineMember(endpoint, address(text(host, "dial", path + ".dial"), path + ".dial"));
   }
 
@@ -173,13 +173,13 @@
 
   private static long seed(String digits) throws ConfigException {
     try {
-      return Long.parseUnsignedLong(digits, HEXADECIMAL);
+      return Long.parseUnsignedLong(digits, HEX_RADIX);
     } catch (NumberFormatException e) {
       throw new ConfigException("seed", "'" + digits + "' is not a number of 16 hex digits");
     }
   }
 
-  /** The address in a text such as {@code 10.0.0.1:4100}; names are not looked up. */
+  /** Parses an address such as {@code 10.0.0.1:4100}; host names are not resolved. */
   static InetSocketAddress address(String text, String location) throws ConfigException {
     Matcher matcher = ADDRESS.matcher(text);
     int port = matcher.matches() ? Integer.parseInt(matcher.group(2)) : 0;
@@ -187,7 +187,7 @@
       throw invalidAddress(text, location);
     }
     try {
-      // Digits only: no name is looked up.
+      // The host consists of digits and dots, so that getByName does not query DNS.
       return new InetSocketAddress(InetAddress.getByName(matcher.group(1)), port);
     } catch (UnknownHostException e) {
       throw invalidAddress(text, location);
--- a/gateway/src/main/java/reachloom/config/GossipSettings.java
+++ b/gateway/src/main/java/reachloom/config/GossipSettings.java
@@ -6,18 +6,20 @@
 import java.util.Optional;
 
 /**
- * How an instance takes part in gossip. Immutable.
+ * The settings of an instance that participates in gossip. Immutable.
  *
- * @param cluster the name of the cluster; datagrams of another one are rejected
- * @param listen the address at which it listens for datagrams
- * @param bytesPerSecond the most bytes that it sends in a second
- * @param periodNanos the protocol's period, in nanoseconds
- * @param keyFile its private key
- * @param certificateFile its certificate, which also gives its name
- * @param authorityFiles the certificates of the authorities that may sign others'
- * @param revocationFile the list of revoked certificates; null where none is kept
- * @param seeds the addresses of instances to join by
- * @param configuration how it takes part in distributing the configuration; empty where it does not
+ * @param cluster the name of the cluster; datagrams of other clusters are rejected
+ * @param listen the address at which the instance listens for datagrams
+ * @param bytesPerSecond the maximum number of bytes sent per second
+ * @param periodNanos the protocol period, in nanoseconds
+ * @param keyFile the private key of the instance
+ * @param certificateFile the certificate of the instance, which also has its name
+ * @param authorityFiles the certificates of the authorities that are trusted to sign certificates
+ *     of other instances
+ * @param revocationFile the list of revoked certificates; null if there is none
+ * @param seeds the addresses of instances through which to join
+ * @param configuration the settings of the distribution of configuration revisions; empty if the
+ *     instance does not participate in it
  */
 public record GossipSettings(
     String cluster,
@@ -30,7 +32,7 @@
     Path revocationFile,
     List<InetSocketAddress> seeds,
     Optional<ConfigurationSettings> configuration) {
-  /** Gossip without a part in distributing the configuration. */
+  /** Creates settings without the distribution of configuration revisions. */
   public GossipSettings(
       String cluster,
       InetSocketAddress listen,
@@ -54,7 +56,7 @@
         Optional.empty());
   }
 
-  /** The same settings with a part in distributing the configuration. */
+  /** Returns these settings with the distribution of configuration revisions enabled. */
   public GossipSettings withConfiguration(ConfigurationSettings distribution) {
     return new GossipSettings(
         cluster,
--- a/gateway/src/main/java/reachloom/config/JsonFields.java
+++ b/gateway/src/main/java/reachloom/config/JsonFields.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Reads fields of JSON objects. A field that is missing or of another type is a {@link
- * ConfigException} at the key that the caller names.
+ * Reads fields of JSON objects. If a required field is missing or has the wrong type, a {@link
+ * ConfigException} names the key that the caller passes.
  */
 final class JsonFields {
   private JsonFields() {}
@@ -29,7 +29,7 @@
     return text(root, key, key);
   }
 
-  /** The text of a field that is not empty; {@code path} is its whole key, for the exception. */
+  /** Returns a non-empty string field; {@code path} is its full key for the exception. */
   static String text(JsonNode node, String key, String path) throws ConfigException {
     JsonNode value = node.path(key);
     if (!value.isTextual() || value.asText().isEmpty()) {
@@ -38,14 +38,14 @@
     return value.asText();
   }
 
-  /** The texts of a list; none where it is missing. */
+  /** Returns the strings of a list; an empty list if it is missing. */
   static List<String> texts(JsonNode node, String key) {
     List<String> texts = new ArrayList<>();
     node.path(key).forEach(value -> texts.add(value.asText()));
     return List.copyOf(texts);
   }
 
-  /** A whole number above 0, or the default where it is missing or null. */
+  /** Returns a positive integer, or the default if it is missing or null. */
   static long positive(JsonNode node, String parent, String key, long defaultValue)
       throws ConfigException {
     JsonNode value = node.path(key);
@@ -58,7 +58,7 @@
     return value.asLong();
   }
 
-  /** The same for a count, which larger numbers than an int can hold are cut to. */
+  /** Returns a positive integer, or the default; values above the range of int are clamped. */
   static int positiveCount(JsonNode node, String parent, String key, int defaultValue)
       throws ConfigException {
     return (int) Math.min(Integer.MAX_VALUE, positive(node, parent, key, defaultValue));
--- a/gateway/src/main/java/reachloom/config/LocalSettings.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettings.java
@@ -9,18 +9,19 @@
 import java.util.OptionalLong;
 
 /**
- * What an installation sets for a gateway beside the platform's configuration. What is absent is
- * off. The file itself may be absent, and then no class that reads XML is loaded. Immutable.
+ * The settings that an installation makes for a gateway in addition to the platform's
+ * configuration. A feature without settings is off. The file itself is optional; without it no class
+ * that reads XML is loaded. Immutable.
  *
- * @param gossip how the gateway takes part in gossip; empty where it does not
+ * @param gossip the gossip settings; empty if the gateway does not participate in gossip
  * @param clientIdleTimeoutNanos how long a client's connection may be idle, in nanoseconds; empty
- *     for the gateway's own default
+ *     for the gateway's default
  */
 public record LocalSettings(Optional<GossipSettings> gossip, OptionalLong clientIdleTimeoutNanos) {
-  /** The environment variable that names the file where the command line does not. */
-  public static final String VARIABLE = "REACHLOOM_SETTINGS";
+  /** The environment variable that names the file if the command line does not. */
+  public static final String FILE_VARIABLE = "REACHLOOM_SETTINGS";
 
-  /** All defaults: nothing is on. */
+  /** Returns the defaults: all optional features are off. */
   public static LocalSettings none() {
     return new LocalSettings(Optional.empty(), OptionalLong.empty());
   }
@@ -28,18 +29,18 @@
   /**
    * Reads the settings file.
    *
-   * @param option the file that the command line names; null for that of the environment
-   * @return all defaults where neither names one
+   * @param option the file that the command line names; null to use that of the environment
+   * @return the defaults if neither names a file
    */
   public static LocalSettings read(String option, Map<String, String> environment)
       throws ConfigException {
-    String file = option != null ? option : environment.getOrDefault(VARIABLE, "");
+    String file = option != null ? option : environment.getOrDefault(FILE_VARIABLE, "");
     return file.isBlank() ? none() : LocalSettingsParser.read(Path.of(file));
   }
 
   /**
-   * The elements and attributes that differ in other settings, and which a running gateway does not
-   * take over: it has to be restarted for them.
+   * Returns the elements and attributes that differ in other settings and which a running gateway
+   * does not reload: a change takes effect only after a restart.
    */
   public List<String> changesNeedingRestart(LocalSettings next) {
     List<String> keys = new ArrayList<>();
@@ -47,17 +48,17 @@
       addIfDifferent(keys, "gossip", gossip.isPresent(), next.gossip.isPresent());
       return keys;
     }
-    GossipSettings ours = gossip.get();
-    GossipSettings theirs = next.gossip.get();
-    addIfDifferent(keys, "gossip cluster", ours.cluster(), theirs.cluster());
-    addIfDifferent(keys, "gossip listen", ours.listen(), theirs.listen());
-    addIfDifferent(keys, "gossip periodMs", ours.periodNanos(), theirs.periodNanos());
-    addIfDifferent(keys, "gossip bytesPerSecond", ours.bytesPerSecond(), theirs.bytesPerSecond());
-    addIfDifferent(keys, "gossip configuration", ours.configuration(), theirs.configuration());
+    GossipSettings current = gossip.get();
+    GossipSettings changed = next.gossip.get();
+    addIfDifferent(keys, "gossip cluster", current.cluster(), changed.cluster());
+    addIfDifferent(keys, "gossip listen", current.listen(), changed.listen());
+    addIfDifferent(keys, "gossip periodMs", current.periodNanos(), changed.periodNanos());
+    addIfDifferent(keys, "gossip bytesPerSecond", current.bytesPerSecond(), changed.bytesPerSecond());
+    addIfDifferent(keys, "gossip configuration", current.configuration(), changed.configuration());
     return keys;
   }
 
-  /** The elements and attributes that differ in other settings, and which take effect at once. */
+  /** Returns the elements and attributes that differ and which a reload applies immediately. */
   public List<String> changesAppliedAtOnce(LocalSettings next) {
     List<String> keys = new ArrayList<>();
     addIfDifferent(
@@ -65,16 +66,16 @@
     if (gossip.isEmpty() || next.gossip.isEmpty()) {
       return keys;
     }
-    GossipSettings ours = gossip.get();
-    GossipSettings theirs = next.gossip.get();
+    GossipSettings current = gossip.get();
+    GossipSettings changed = next.gossip.get();
     addIfDifferent(
         keys,
         "gossip identity",
-        List.of(ours.keyFile(), ours.certificateFile()),
-        List.of(theirs.keyFile(), theirs.certificateFile()));
-    addIfDifferent(keys, "gossip authority", ours.authorityFiles(), theirs.authorityFiles());
-    addIfDifferent(keys, "gossip revoked", ours.revocationFile(), theirs.revocationFile());
-    addIfDifferent(keys, "gossip seed", ours.seeds(), theirs.seeds());
+        List.of(current.keyFile(), current.certificateFile()),
+        List.of(changed.keyFile(), changed.certificateFile()));
+    addIfDifferent(keys, "gossip authority", current.authorityFiles(), changed.authorityFiles());
+    addIfDifferent(keys, "gossip revoked", current.revocationFile(), changed.revocationFile());
+    addIfDifferent(keys, "gossip seed", current.seeds(), changed.seeds());
     return keys;
   }
 
--- a/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
@@ -31,14 +31,14 @@
 
 /**
  * Reads the settings file: XML that is validated against {@code reachloom.xsd}, which also gives
- * the defaults. Document type declarations, and with them external entities, are rejected: a
- * settings file has no use for them.
+ * the defaults. Document type declarations, and with them external entities, are rejected, since no
+ * settings file needs them.
  */
 final class LocalSettingsParser extends DefaultHandler {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
   private static final long MAX_FILE_BYTES = 1 << 20;
 
-  /** An element with its attributes, as the schema completed them. */
+  /** An element with its attributes, including the defaults that the schema has added. */
   private record Element(
       String name, int line, Map<String, String> attributes, List<Element> children) {
     List<Element> children(String childName) {
@@ -54,7 +54,7 @@
     }
 
     long nanosAttribute(String millisecondsName) {
-      return Long.parseLong(attribute(millisecondsName)) * MILLISECOND;
+      return Long.parseLong(attribute(millisecondsName)) * NANOS_PER_MILLISECOND;
     }
 
     boolean isEnabled() {
@@ -67,7 +67,7 @@
   private Element root;
   private Locator locator;
 
-  /** The first fault that the validator found; null without one. */
+  /** The first fault that the validator found; null if there is none. */
   private SAXParseException fault;
 
   private LocalSettingsParser(Path file) {
@@ -77,7 +77,7 @@
   /**
    * Reads a settings file.
    *
-   * @throws ConfigException where it can't be used, with the file, the line and the element
+   * @throws ConfigException if the file is invalid; the message names file, line and element
    */
   static LocalSettings read(Path file) throws ConfigException {
     byte[] text = readBytes(file);
@@ -122,14 +122,14 @@
     return parsers.newSAXParser();
   }
 
-  /** The validator's message without the names of its rules. */
+  /** Returns the validator's message without the identifiers of schema rules and the namespace. */
   private static String reason(SAXParseException e) {
     return e.getMessage()
         .replaceFirst("^cvc-[\\w.-]+: ", "")
         .replaceAll("\"urn:reachloom:settings:1\":", "");
   }
 
-  // ---- Events of the parser ----
+  // ---- SAX events ----
 
   @Override
   public void setDocumentLocator(Locator documentLocator) {
@@ -158,8 +158,9 @@
   }
 
   /**
-   * Keeps the first fault. The validator reports an invalid value twice: first what is wrong with
-   * it, then the attribute and the element that it belongs to; the latter is the one to keep.
+   * Records the first fault. The validator reports an invalid attribute value twice: first the
+   * violated restriction of the value, then the attribute and its element. The second report is the
+   * one that is kept.
    */
   @Override
   public void error(SAXParseException e) {
@@ -176,7 +177,7 @@
     throw e;
   }
 
-  // ---- Meaning of the elements ----
+  // ---- Conversion of elements to settings ----
 
   private LocalSettings settings() throws ConfigException {
     Optional<GossipSettings> gossip = Optional.empty();
@@ -234,7 +235,7 @@
     return Optional.of(new ConfigurationSettings(place, List.copyOf(issuers)));
   }
 
-  /** A path relative to the folder of the settings file. */
+  /** Resolves a path relative to the folder of the settings file. */
   private Path path(Element element, String attribute) {
     return file.toAbsolutePath().resolveSibling(element.attribute(attribute)).normalize();
   }
--- a/gateway/src/main/java/reachloom/config/MergePatch.java
+++ b/gateway/src/main/java/reachloom/config/MergePatch.java
@@ -13,13 +13,13 @@
 
 /**
  * A JSON Merge Patch (RFC 7396) that is applied to the configuration of each gateway of an
- * installation: a value replaces the one of the same key, objects are merged, and null removes a
- * key. Keys that belong to one gateway alone are not allowed in it.
+ * installation: a value replaces the existing value of its key, objects are merged, and null removes a
+ * key. Keys that are specific to one gateway are not allowed.
  *
- * @param patch the document
+ * @param patch the patch document
  */
 public record MergePatch(ObjectNode patch) {
-  /** The keys that belong to one gateway alone, each as its path from the root. */
+  /** The keys that are specific to one gateway, each as its path from the root. */
   private static final List<List<String>> GATEWAY_KEYS =
       List.of(
           List.of("name"),
@@ -29,13 +29,13 @@
           List.of("settings", "selfIndex"),
           List.of("settings", "zone"));
 
-  private static final ObjectMapper STRICT =
+  private static final ObjectMapper STRICT_MAPPER =
       JsonMapper.builder()
           .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .build();
 
-  /** Reads and checks a document that is to hold for a whole installation. */
+  /** Reads and validates a patch for all gateways of an installation. */
   public static MergePatch read(byte[] document) throws ConfigException {
     if (!(parse(document) instanceof ObjectNode patch)) {
       throw new ConfigException("the document is not an object");
@@ -55,7 +55,7 @@
 
   private static JsonNode parse(byte[] document) throws ConfigException {
     try {
-      return STRICT.readTree(document);
+      return STRICT_MAPPER.readTree(document);
     } catch (JsonProcessingException e) {
       int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
       throw new ConfigException("the document is not JSON: line " + line, e.getOriginalMessage());
@@ -64,7 +64,7 @@
     }
   }
 
-  /** The patch applied to a value, which stays as it is. */
+  /** Returns the result of applying this patch to a value; the value is not modified. */
   public JsonNode applyTo(JsonNode target) {
     return merge(target, patch);
   }
--- a/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
+++ b/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
@@ -16,8 +16,8 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * Reads the settings of the scheduler from JSON. This is the one place where the keys of that
- * object meet the names of the code. A setting that is absent means "none" or "not allowed".
+ * Reads the settings of the scheduler from JSON. Only this class maps the keys of that object to the
+ * names of the code. A setting that is absent means "none" or "not allowed".
  */
 public final class SchedulerSettingsReader {
   private static final Map<String, Idempotency> IDEMPOTENCIES =
@@ -48,9 +48,9 @@
   private SchedulerSettingsReader() {}
 
   /**
-   * The settings in an object, whose references to kinds and zones are checked.
+   * Reads settings, and validates their references to kinds and zones.
    *
-   * @throws ConfigException where one names a kind or zone that is not listed, or a class has no
+   * @throws ConfigException if a class refers to a kind or zone that is not listed, or has no
    *     deadline
    */
   public static SchedulerSettings readChecked(JsonNode root) throws ConfigException {
@@ -75,7 +75,7 @@
     }
   }
 
-  /** The settings in an object, as they stand. */
+  /** Reads settings without validation. */
   public static SchedulerSettings read(JsonNode root) {
     JsonNode specifics = root.path("specifics");
     JsonNode deductions = root.path("deductions");
@@ -101,7 +101,7 @@
     List<QueryClass> read = new ArrayList<>();
     for (JsonNode queryClass : classes) {
       int index = read.size();
-      // An effect or scope that is not known counts as the strictest one.
+      // An unknown effect or scope counts as the strictest one.
       read.add(
           new QueryClass(
               queryClass.path("goalTime").asLong(),
--- a/gateway/src/main/java/reachloom/simulator/ActionWriter.java
+++ b/gateway/src/main/java/reachloom/simulator/ActionWriter.java
@@ -5,7 +5,7 @@
 import java.io.UncheckedIOException;
 import reachloom.scheduler.api.SchedulerActions;
 
-/** Writes the actions of one gateway instance into the reply to the present batch. */
+/** Writes the actions of one gateway instance into the reply to the current batch. */
 final class ActionWriter implements SchedulerActions {
   private final String instance;
   private JsonGenerator out;
@@ -14,19 +14,19 @@
     this.instance = instance;
   }
 
-  /** Sets the reply that actions are written to from now on. */
+  /** Sets the reply to which the next actions are written. */
   void writeTo(JsonGenerator reply) {
     out = reply;
   }
 
   @Override
-  public void forward(String query, String engine, long timeout) {
+  public void forward(String query, String engine, long timeoutNanos) {
     write(
         "Relay",
         () -> {
           out.writeStringField("handle", query);
           out.writeStringField("node", engine);
-          out.writeNumberField("tryFor", timeout);
+          out.writeNumberField("tryFor", timeoutNanos);
         });
   }
 
@@ -52,12 +52,12 @@
   }
 
   @Override
-  public void reject(String query, long retryAfter) {
+  public void reject(String query, long retryAfterNanos) {
     write(
         "Busy",
         () -> {
           out.writeStringField("handle", query);
-          out.writeNumberField("stayAway", retryAfter);
+          out.writeNumberField("stayAway", retryAfterNanos);
         });
   }
 
@@ -67,11 +67,11 @@
   }
 
   @Override
-  public void setTimer(long delay, long token) {
+  public void setTimer(long delayNanos, long token) {
     write(
         "WakeAt",
         () -> {
-          out.writeNumberField("sleepFor", delay);
+          out.writeNumberField("sleepFor", delayNanos);
           out.writeNumberField("nonce", token);
         });
   }
@@ -101,7 +101,7 @@
         });
   }
 
-  /** Reports that the instance has failed and ended. */
+  /** Reports that the instance has failed and was removed. */
   void bailOut(String cause) {
     write("BailOut", () -> out.writeStringField("words", cause));
   }
--- a/gateway/src/main/java/reachloom/simulator/MalformedBatchException.java
+++ b/gateway/src/main/java/reachloom/simulator/MalformedBatchException.java
@@ -1,6 +1,6 @@
 package reachloom.simulator;
 
-/** A line on standard input that the wire does not allow. */
+/** Thrown if a line on standard input violates the simulator's protocol. */
 final class MalformedBatchException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -20,29 +20,30 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * Exchanges peer reports between the gateway instances of a simulation, in the messages that its
- * wire carries: reports what one instance has seen of engines, and tells its scheduler what others
- * report. The decisions are those of {@link ReportScheduler} and {@link WeightedQuorum}.
+ * Exchanges peer reports between the gateway instances of a simulation in messages of the
+ * simulator's protocol: sends the outcomes that one instance has observed on engines, and reports
+ * those of other instances to its scheduler. {@link ReportScheduler} decides when and to whom
+ * reports are sent, {@link WeightedQuorum} how they are weighed.
  */
 final class PeerReportExchange {
-  /** The largest message that the wire allows. */
+  /** The largest message that the protocol allows. */
   private static final int MAX_MESSAGE_BYTES = 256;
 
-  /** The bytes of one report: the engine's fingerprint, failures, losses and age. */
+  /** The size of one report: the engine's fingerprint, failures, timeouts and age. */
   private static final int REPORT_BYTES = Integer.BYTES + 3 * Short.BYTES;
 
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long REVIEW_INTERVAL = 250 * MILLISECOND;
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
+  private static final long ASSESSMENT_INTERVAL_NANOS = 250 * NANOS_PER_MILLISECOND;
 
   private final SchedulerEvents scheduler;
   private final ActionWriter actions;
   private final OutcomeWindow outcomes = new OutcomeWindow();
   private final WeightedQuorum quorum = new WeightedQuorum(outcomes);
   private final ReportScheduler reports;
-  private final Map<String, Long> engines = new LinkedHashMap<>();
+  private final Map<String, Long> incarnationByEngine = new LinkedHashMap<>();
   private final Map<Integer, String> engineByFingerprint = new LinkedHashMap<>();
   private final Map<String, Double> reportedLevels = new LinkedHashMap<>();
-  private long nextReview;
+  private long nextAssessmentNanos;
 
   PeerReportExchange(
       SchedulerEvents scheduler,
@@ -56,86 +57,88 @@
     reports = new ReportScheduler(selfIndex, instances, price, new SplittableRandom(seed));
   }
 
-  /** Takes over news of the engines; {@code complete} removes those not named. */
+  /** Applies list entries; {@code complete} removes engines without an entry. */
   void onEndpoints(boolean complete, List<EngineEndpoint> entries) {
     if (complete) {
-      engines.clear();
+      incarnationByEngine.clear();
       engineByFingerprint.clear();
     }
-    for (EngineEndpoint e : entries) {
-      Long old =
-          e.state() == EngineState.REMOVED
-              ? engines.remove(e.name())
-              : engines.put(e.name(), e.incarnation());
-      if (old != null) { // a process that has started anew inherits nothing of the one before
-        engineByFingerprint.remove(fingerprint(e.name(), old));
+    for (EngineEndpoint entry : entries) {
+      Long oldIncarnation =
+          entry.state() == EngineState.REMOVED
+              ? incarnationByEngine.remove(entry.name())
+              : incarnationByEngine.put(entry.name(), entry.incarnation());
+      if (oldIncarnation != null) { // reports on a replaced process do not apply to the new one
+        engineByFingerprint.remove(fingerprint(entry.name(), oldIncarnation));
       }
-      if (e.state() != EngineState.REMOVED) {
-        engineByFingerprint.put(fingerprint(e.name(), e.incarnation()), e.name());
+      if (entry.state() != EngineState.REMOVED) {
+        engineByFingerprint.put(fingerprint(entry.name(), entry.incarnation()), entry.name());
       }
     }
   }
 
-  /** Names a process of an engine in four bytes: the wire leaves no room for its name. */
-  private static int fingerprint(String engine, long since) {
-    CRC32C sum = new CRC32C();
-    sum.update(engine.getBytes(StandardCharsets.UTF_8));
-    sum.update(ByteBuffer.allocate(Long.BYTES).putLong(since).flip());
-    return (int) sum.getValue();
+  /** Identifies a process of an engine by four bytes: the messages are too small for its name. */
+  private static int fingerprint(String engine, long incarnation) {
+    CRC32C checksum = new CRC32C();
+    checksum.update(engine.getBytes(StandardCharsets.UTF_8));
+    checksum.update(ByteBuffer.allocate(Long.BYTES).putLong(incarnation).flip());
+    return (int) checksum.getValue();
   }
 
-  /** Counts the outcome of an attempt. */
-  void onAttemptEnded(long now, AttemptResult end) {
-    Optional<OutcomeWindow.Observation> seen =
-        OutcomeWindow.Observation.of(end.outcome(), !end.queryFinished());
-    Long since = engines.get(end.engine());
-    if (seen.isPresent()
-        && since != null
-        && !(end.queryFinished() && end.outcome() != AttemptOutcome.SERVED)) {
-      outcomes.record(now, end.engine(), since, seen.get());
-      reports.onObservation(seen.get());
+  /** Records the outcome of an attempt. */
+  void onAttemptEnded(long nowNanos, AttemptResult result) {
+    Optional<OutcomeWindow.Observation> observation =
+        OutcomeWindow.Observation.of(result.outcome(), !result.queryFinished());
+    Long incarnation = incarnationByEngine.get(result.engine());
+    if (observation.isPresent()
+        && incarnation != null
+        && !(result.queryFinished() && result.outcome() != AttemptOutcome.SERVED)) {
+      outcomes.record(nowNanos, result.engine(), incarnation, observation.get());
+      reports.onObservation(observation.get());
     }
   }
 
-  /** Sends reports that are due, and tells the scheduler what others report. */
-  void exchange(long now) {
-    List<Integer> receivers = reports.receivers(now);
+  /** Sends the reports that are due, and passes changed levels of engines to the scheduler. */
+  void exchange(long nowNanos) {
+    List<Integer> receivers = reports.receivers(nowNanos);
     if (!receivers.isEmpty()) {
-      byte[] message = message(now);
+      byte[] message = message(nowNanos);
       if (message.length > 0) {
-        receivers.forEach(r -> actions.publish(r, message));
+        receivers.forEach(receiver -> actions.publish(receiver, message));
       }
     }
-    if (now < nextReview) {
+    if (nowNanos < nextAssessmentNanos) {
       return;
     }
-    nextReview = now + REVIEW_INTERVAL;
+    nextAssessmentNanos = nowNanos + ASSESSMENT_INTERVAL_NANOS;
     Map<String, Double> levels = new LinkedHashMap<>();
-    for (WeightedQuorum.Assessment b : quorum.assess(now, engines)) {
-      levels.put(b.engine(), b.level());
+    for (WeightedQuorum.Assessment assessment : quorum.assess(nowNanos, incarnationByEngine)) {
+      levels.put(assessment.engine(), assessment.level());
     }
     for (String engine : new ArrayList<>(reportedLevels.keySet())) {
       if (!levels.containsKey(engine)) {
         reportedLevels.remove(engine);
-        scheduler.onPeerReport(now, engine, 0);
+        scheduler.onPeerReport(nowNanos, engine, 0);
       }
     }
     levels.forEach(
         (engine, level) -> {
           if (!level.equals(reportedLevels.put(engine, level))) {
-            scheduler.onPeerReport(now, engine, level);
+            scheduler.onPeerReport(nowNanos, engine, level);
           }
         });
   }
 
-  private byte[] message(long now) {
+  private byte[] message(long nowNanos) {
     ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
-    for (PeerReport c : outcomes.reportsToSend(now, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
-      if (c.served() == 0) { // only faults are worth the price of a message
-        out.putInt(fingerprint(c.engine(), c.incarnation()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.failed()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.timedOut()))
-            .putShort((short) Math.min(Short.MAX_VALUE, c.ageNanos() / MILLISECOND));
+    for (PeerReport report :
+        outcomes.reportsToSend(nowNanos, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
+      if (report.served() == 0) { // only failures are worth the price of a message
+        long ageMillis = report.ageNanos() / NANOS_PER_MILLISECOND;
+        out.putInt(fingerprint(report.engine(), report.incarnation()))
+            .putShort((short) Math.min(Short.MAX_VALUE, report.failed()))
+            .putShort((short) Math.min(Short.MAX_VALUE, report.timedOut()))
+            .putShort((short) Math.min(Short.MAX_VALUE, ageMillis));
       }
     }
     byte[] message = new byte[out.position()];
@@ -143,19 +146,20 @@
     return message;
   }
 
-  /** Takes in a message of another instance. */
-  void onMessage(long now, int from, byte[] message) {
+  /** Handles a message of another instance. */
+  void onMessage(long nowNanos, int sender, byte[] message) {
     ByteBuffer in = ByteBuffer.wrap(message);
-    List<PeerReport> claims = new ArrayList<>();
+    List<PeerReport> received = new ArrayList<>();
     while (in.remaining() >= REPORT_BYTES) {
       String engine = engineByFingerprint.get(in.getInt());
       int failed = in.getShort();
-      int lost = in.getShort();
-      long age = in.getShort() * MILLISECOND;
+      int timedOut = in.getShort();
+      long ageNanos = in.getShort() * NANOS_PER_MILLISECOND;
       if (engine != null) {
-        claims.add(new PeerReport(engine, engines.get(engine), 0, failed, lost, age));
+        long incarnation = incarnationByEngine.get(engine);
+        received.add(new PeerReport(engine, incarnation, 0, failed, timedOut, ageNanos));
       }
     }
-    quorum.onReports(now, Integer.toString(from), claims);
+    quorum.onReports(nowNanos, Integer.toString(sender), received);
   }
 }
--- a/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
@@ -34,14 +34,19 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * The adapter between the simulator's wire and schedulers: reads batches of events as JSON lines,
- * and replies to each with the actions that its events led to, for many gateway instances at once.
- * The names of fields and commands are the wire's.
+ * The adapter between the simulator's protocol and schedulers: reads batches of events as JSON
+ * lines, and replies to each with the actions that its events led to, for many gateway instances at
+ * once. The names of fields and commands are those of the protocol.
  *
- * <p>Not thread-safe: one thread serves.
+ * <p>Not thread-safe.
  */
 public final class SimulatorAdapter {
-  /** Outcomes of attempts by their names on the wire. */
+  /** The field {@code bill} is the cost in milliseconds times this factor, plus the memory. */
+  private static final long BILL_COST_FACTOR = 4096;
+
+  private static final double BILL_MEMORY_UNIT_MB = 4;
+
+  /** Outcomes of attempts by their names in the protocol. */
   private static final Map<String, AttemptOutcome> OUTCOMES =
       Map.of(
           "S",
@@ -61,7 +66,7 @@
           "N",
           AttemptOutcome.NOT_SENT);
 
-  /** States of engines by their names on the wire. */
+  /** States of engines by their names in the protocol. */
   private static final Map<String, EngineState> STATES =
       Map.of(
           "up", EngineState.UP, "draining", EngineState.DRAINING, "removed", EngineState.REMOVED);
@@ -69,7 +74,7 @@
   private final ObjectMapper mapper =
       new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-  /** Lists of engines by the numbers under which the wire defines them, for all instances. */
+  /** Lists of engines by the numbers under which they were defined; common to all instances. */
   private final Map<Integer, List<EngineEndpoint>> engineLists = new HashMap<>();
 
   private final Map<String, Instance> instances = new HashMap<>();
@@ -77,7 +82,7 @@
   private final SchedulerFactory schedulers;
   private final PrintStream err;
 
-  /** Makes the scheduler of an instance. */
+  /** Creates the scheduler of an instance. */
   interface SchedulerFactory {
     SchedulerEvents create(SchedulerActions actions);
   }
@@ -85,12 +90,12 @@
   /**
    * A gateway instance of the simulation.
    *
-   * @param peerReports empty where instances may not exchange messages
+   * @param peerReports empty if instances may not exchange messages
    */
   private record Instance(
       SchedulerEvents events, ActionWriter actions, Optional<PeerReportExchange> peerReports) {}
 
-  /** An adapter whose instances are each decided for by a {@link QueryScheduler}. */
+  /** Creates an adapter that runs a {@link QueryScheduler} for each instance. */
   public SimulatorAdapter(PrintStream err) {
     this(err, QueryScheduler::new);
   }
@@ -101,8 +106,8 @@
   }
 
   /**
-   * Replies to batches until the input ends. A line that the wire does not allow ends it with one
-   * message on standard error.
+   * Replies to batches until the input ends. A line that violates the protocol ends the loop with
+   * one message on standard error.
    *
    * @return the exit status
    */
@@ -135,11 +140,11 @@
     }
     if (!batch.isObject() || !batch.path("batch").isIntegralNumber()) {
       throw new MalformedBatchException(
-          "the line after batch " + last + " is no object with a whole number in 'batch'");
+          "the line after batch " + last + " is not an object with an integer in 'batch'");
     }
     String name = "batch " + batch.path("batch").asLong() + ": ";
     if (!batch.path("moment").isIntegralNumber()) {
-      throw new MalformedBatchException(name + "'moment' is not a whole number");
+      throw new MalformedBatchException(name + "'moment' is not an integer");
     }
     if (!batch.path("items").isArray()) {
       throw new MalformedBatchException(name + "'items' is not an array");
@@ -148,7 +153,7 @@
   }
 
   private String reply(JsonNode batch) throws IOException, MalformedBatchException {
-    long now = batch.path("moment").asLong();
+    long nowNanos = batch.path("moment").asLong();
     long index = batch.path("batch").asLong();
     StringWriter text = new StringWriter();
     try (JsonGenerator out = mapper.createGenerator(text)) {
@@ -157,7 +162,7 @@
       out.writeArrayFieldStart("actions");
       for (JsonNode item : batch.path("items")) {
         try {
-          dispatch(now, item, out);
+          dispatch(nowNanos, item, out);
         } catch (MalformedBatchException e) {
           throw new MalformedBatchException("batch " + index + ": " + e.getMessage());
         }
@@ -168,7 +173,7 @@
     return text.append('\n').toString();
   }
 
-  private void dispatch(long now, JsonNode item, JsonGenerator reply)
+  private void dispatch(long nowNanos, JsonNode item, JsonGenerator reply)
       throws MalformedBatchException {
     String name = text(item, "cmd", "an item");
     if (name.equals("DefineList")) {
@@ -186,22 +191,22 @@
     }
     Instance instance = instances.get(id);
     if (instance != null) {
-      deliver(now, name, item, instance, reply);
+      deliver(nowNanos, name, item, instance, reply);
     }
   }
 
-  /** Delivers an event; an instance that fails on it ends, and the simulator is told. */
-  private void deliver(long now, String name, JsonNode item, Instance instance, JsonGenerator reply)
+  /** Delivers an event. If the instance fails, it is removed and the failure is reported. */
+  private void deliver(long nowNanos, String name, JsonNode item, Instance instance, JsonGenerator reply)
       throws MalformedBatchException {
     instance.actions().writeTo(reply);
     try {
-      deliver(now, name, item, instance);
+      deliver(nowNanos, name, item, instance);
       if (name.equals("DeadlineHit")) {
-        instance.peerReports().ifPresent(reports -> reports.exchange(now));
+        instance.peerReports().ifPresent(reports -> reports.exchange(nowNanos));
       }
     } catch (RuntimeException e) {
       String id = item.path("gatewayId").asText();
-      err.println("reachloom: " + id + " failed on " + name);
+      err.println("reachloom: instance " + id + " failed on event " + name + " and is removed");
       e.printStackTrace(err);
       instances.remove(id);
       instance.actions().bailOut(e.toString());
@@ -224,42 +229,42 @@
     return new Instance(events, writer, Optional.of(peerReports));
   }
 
-  private void deliver(long now, String name, JsonNode item, Instance instance)
+  private void deliver(long nowNanos, String name, JsonNode item, Instance instance)
       throws MalformedBatchException {
     SchedulerEvents events = instance.events();
     switch (name) {
       case "NewInstance" ->
           events.onStart(
-              now,
+              nowNanos,
               item.path("entropy").asLong(),
               SchedulerSettingsReader.read(item.path("bootInfo")));
-      case "BackendsChanged" -> engines(now, item, instance);
-      case "Order" -> events.onQuery(now, query(item, name));
+      case "BackendsChanged" -> engines(nowNanos, item, instance);
+      case "Order" -> events.onQuery(nowNanos, query(item, name));
       case "Started" ->
-          events.onStreaming(now, text(item, "handle", name), item.path("sendNo").asInt());
+          events.onStreaming(nowNanos, text(item, "handle", name), item.path("sendNo").asInt());
       case "Progress" ->
           events.onProgress(
-              now,
+              nowNanos,
               new ProgressReport(
                   text(item, "handle", name),
                   item.path("sendNo").asInt(),
                   item.path("node").asText(),
-                  noteKind(item),
+                  progressKind(item),
                   item.path("amount").asDouble()));
       case "Finished" -> {
-        AttemptResult end = attemptEnd(item, name);
-        instance.peerReports().ifPresent(reports -> reports.onAttemptEnded(now, end));
-        events.onAttemptEnded(now, end);
+        AttemptResult result = attemptResult(item, name);
+        instance.peerReports().ifPresent(reports -> reports.onAttemptEnded(nowNanos, result));
+        events.onAttemptEnded(nowNanos, result);
       }
-      case "Left" -> events.onClientGone(now, text(item, "handle", name));
-      case "DeadlineHit" -> events.onTimer(now, item.path("nonce").asLong());
+      case "Left" -> events.onClientGone(nowNanos, text(item, "handle", name));
+      case "DeadlineHit" -> events.onTimer(nowNanos, item.path("nonce").asLong());
       case "ProbeResult" ->
           events.onHealthCheck(
-              now,
+              nowNanos,
               text(item, "node", name),
               "S".equals(item.path("ending").asText()),
               report(item.path("telemetry")));
-      case "NeighbourSays" -> receive(now, item, instance);
+      case "NeighbourSays" -> receive(nowNanos, item, instance);
       default -> {
         if (unknownEvents.add(name)) {
           err.println("reachloom: event '" + name + "' is not known and skipped");
@@ -269,37 +274,37 @@
   }
 
   /** Delivers a message of another instance. */
-  private static void receive(long now, JsonNode item, Instance instance) {
+  private static void receive(long nowNanos, JsonNode item, Instance instance) {
     if (instance.peerReports().isEmpty()) {
       return;
     }
     try {
       byte[] message = item.path("raw").binaryValue();
-      instance.peerReports().get().onMessage(now, item.path("neighbour").asInt(), message);
+      instance.peerReports().get().onMessage(nowNanos, item.path("neighbour").asInt(), message);
     } catch (IOException e) {
       throw new IllegalArgumentException("'raw' is not base64", e);
     }
   }
 
-  private void engines(long now, JsonNode item, Instance instance) throws MalformedBatchException {
+  private void engines(long nowNanos, JsonNode item, Instance instance) throws MalformedBatchException {
     String how = text(item, "how", "BackendsChanged");
     if (how.equals("unavailable")) {
-      instance.events().onEndpointsUnavailable(now);
+      instance.events().onEndpointsUnavailable(nowNanos);
       return;
     }
     List<EngineEndpoint> entries = engineLists.get(item.path("sheet").asInt());
     if (entries == null) {
-      throw new MalformedBatchException("list " + item.path("sheet") + " was never defined");
+      throw new MalformedBatchException("list " + item.path("sheet") + " is not defined");
     }
     boolean complete = !how.equals("update");
     instance.peerReports().ifPresent(reports -> reports.onEndpoints(complete, entries));
-    instance.events().onEndpoints(now, complete, entries);
+    instance.events().onEndpoints(nowNanos, complete, entries);
   }
 
   private static List<EngineEndpoint> entries(JsonNode list) throws MalformedBatchException {
     List<EngineEndpoint> read = new ArrayList<>();
     for (JsonNode host : list.path("hosts")) {
-      // A state not known here reads as draining: nothing new is sent.
+      // An unknown state counts as draining, so that the engine gets no new queries.
       read.add(
           new EngineEndpoint(
               text(host, "node", "a list entry"),
@@ -327,10 +332,10 @@
         item.path("againByClient").asBoolean());
   }
 
-  private static AttemptResult attemptEnd(JsonNode item, String name)
+  private static AttemptResult attemptResult(JsonNode item, String name)
       throws MalformedBatchException {
     long bill = item.path("bill").asLong();
-    // An ending not known here reads as one that may have run.
+    // An unknown ending counts as an error, after which the attempt may have run.
     return new AttemptResult(
         text(item, "handle", name),
         item.path("sendNo").asInt(),
@@ -338,12 +343,12 @@
         OUTCOMES.getOrDefault(item.path("ending").asText(), AttemptOutcome.ERROR),
         item.path("spent").asLong(),
         item.path("noMore").asBoolean(),
-        bill / 4096,
-        bill % 4096 * 4.0,
+        bill / BILL_COST_FACTOR,
+        bill % BILL_COST_FACTOR * BILL_MEMORY_UNIT_MB,
         report(item.path("telemetry")));
   }
 
-  private static ProgressKind noteKind(JsonNode item) {
+  private static ProgressKind progressKind(JsonNode item) {
     return switch (item.path("sort").asInt()) {
       case 1 -> ProgressKind.PROGRESS;
       case 2 -> ProgressKind.SPILL;
@@ -367,7 +372,7 @@
       throws MalformedBatchException {
     JsonNode value = item.path(field);
     if (!value.isTextual()) {
-      throw new MalformedBatchException(where + " has no text in '" + field + "'");
+      throw new MalformedBatchException(where + " has no string in '" + field + "'");
     }
     return value.asText();
   }
--- a/gateway/src/main/java/reachloom/time/MonotonicClock.java
+++ b/gateway/src/main/java/reachloom/time/MonotonicClock.java
@@ -3,56 +3,60 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clock of a process: Unix time in nanoseconds as the wall clock told it when the process
- * started, and the real time that has passed since. It never goes back, and steps of the wall clock
- * don't move it, so that spans can be measured on it. Where the wall clock was wrong at the start,
- * it is off by as much from other machines' time for as long as the process lives.
+ * The monotonic clock of a process: the Unix time of the wall clock at the start of the process, in
+ * nanoseconds, plus the real time elapsed since. It never goes back and ignores steps of the wall
+ * clock, so that durations can be measured with it. If the wall clock was wrong at the start, this
+ * clock differs from that of other machines by the same amount until the process ends.
  */
 public final class MonotonicClock {
-  private static final long MIN_STEP =
-      100_000_000; // nanoseconds; less is the time between two readings
+  /** Smaller differences are the time between the readings of the two clocks. */
+  private static final long MIN_STEP_NANOS = 100_000_000;
 
-  /** One for the whole process, so that times of different clocks in it can be compared. */
-  private static final long PROCESS_ORIGIN = WallClock.unixNanos() - System.nanoTime();
+  /** Common to all clocks of the process, so that their times can be compared. */
+  private static final long PROCESS_ORIGIN_NANOS = WallClock.unixNanos() - System.nanoTime();
 
-  private final LongSupplier elapsed;
-  private final LongSupplier wall;
-  private final long origin;
-  private long lastOffset;
+  private final LongSupplier elapsedNanos;
+  private final LongSupplier wallNanos;
+  private final long originNanos;
+  private long lastOffsetNanos;
 
-  /** A clock that agrees with all others of this process. */
+  /** Creates a clock with the same time as all others of this process. */
   public MonotonicClock() {
-    this(System::nanoTime, WallClock::unixNanos, PROCESS_ORIGIN);
+    this(System::nanoTime, WallClock::unixNanos, PROCESS_ORIGIN_NANOS);
   }
 
   /**
-   * A clock on other sources: one that only runs on, and one that may be stepped, in nanoseconds.
+   * Creates a clock with other time sources, both in nanoseconds.
+   *
+   * @param elapsedNanos a source that never goes back
+   * @param wallNanos a source that may be stepped
    */
-  MonotonicClock(LongSupplier elapsed, LongSupplier wall) {
-    this(elapsed, wall, wall.getAsLong() - elapsed.getAsLong());
+  MonotonicClock(LongSupplier elapsedNanos, LongSupplier wallNanos) {
+    this(elapsedNanos, wallNanos, wallNanos.getAsLong() - elapsedNanos.getAsLong());
   }
 
-  private MonotonicClock(LongSupplier elapsed, LongSupplier wall, long origin) {
-    this.elapsed = elapsed;
-    this.wall = wall;
-    this.origin = origin;
+  private MonotonicClock(LongSupplier elapsedNanos, LongSupplier wallNanos, long originNanos) {
+    this.elapsedNanos = elapsedNanos;
+    this.wallNanos = wallNanos;
+    this.originNanos = originNanos;
   }
 
-  /** The present time in nanoseconds; from any thread. */
+  /** Returns the current time in nanoseconds; may be called from any thread. */
   public long now() {
-    return origin + elapsed.getAsLong();
+    return originNanos + elapsedNanos.getAsLong();
   }
 
   /**
-   * By how much the wall clock was stepped since this was last asked, in nanoseconds; 0 for not.
+   * Returns by how much the wall clock was stepped since the last call, in nanoseconds; 0 if it was
+   * not.
    */
   public synchronized long wallClockStep() {
-    long offset = wall.getAsLong() - now();
-    long step = offset - lastOffset;
-    if (Math.abs(step) < MIN_STEP) {
+    long offsetNanos = wallNanos.getAsLong() - now();
+    long stepNanos = offsetNanos - lastOffsetNanos;
+    if (Math.abs(stepNanos) < MIN_STEP_NANOS) {
       return 0;
     }
-    lastOffset = offset;
-    return step;
+    lastOffsetNanos = offsetNanos;
+    return stepNanos;
   }
 }
--- a/gateway/src/main/java/reachloom/time/WallClock.java
+++ b/gateway/src/main/java/reachloom/time/WallClock.java
@@ -3,27 +3,27 @@
 import java.time.Instant;
 
 /**
- * The machine's wall clock. It may be stepped, forward or back, by any amount, so it only tells the
- * time of day: a span is never measured on it. The only place that reads it; {@code
- * docs/architecture.md} lists its uses.
+ * The machine's wall clock. It may be stepped forward or back by any amount, so it is used only for
+ * the time of day and never to measure durations. No other class reads the wall clock; {@code
+ * docs/architecture.md} lists the uses of this one.
  */
 public final class WallClock {
-  private static final long SECOND = 1_000_000_000; // nanoseconds
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
 
   private WallClock() {}
 
-  /** The present time. */
+  /** Returns the current time. */
   public static Instant instant() {
     return Instant.now();
   }
 
-  /** The present Unix time in nanoseconds. */
+  /** Returns the current Unix time in nanoseconds. */
   public static long unixNanos() {
     Instant now = instant();
-    return now.getEpochSecond() * SECOND + now.getNano();
+    return now.getEpochSecond() * NANOS_PER_SECOND + now.getNano();
   }
 
-  /** The present Unix time in milliseconds. */
+  /** Returns the current Unix time in milliseconds. */
   public static long unixMillis() {
     return instant().toEpochMilli();
   }
--- a/gateway/src/main/java/reachloom/time/package-info.java
+++ b/gateway/src/main/java/reachloom/time/package-info.java
@@ -1,2 +1,2 @@
-/** The wall clock, which may be stepped, and the clock that spans of time are measured on. */
+/** The wall clock, which may be stepped, and the monotonic clock for measuring durations. */
 package reachloom.time;
--- a/gateway/src/test/java/reachloom/MainTest.java
+++ b/gateway/src/test/java/reachloom/MainTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void unknownOrMissingCommandsPrintUsageOnStandardError()
+  void printsUsageToStandardErrorForUnknownOrMissingCommand()
       throws IOException, InterruptedException {
     assertEquals(2, run());
     assertEquals(2, run("unheard"));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void helpPrintsUsageOnStandardOutput() throws IOException, InterruptedException {
+  void helpPrintsUsageToStandardOutput() throws IOException, InterruptedException {
     assertEquals(0, run("--help"));
     assertTrue(out.toString().contains("simulator-adapter"));
     assertTrue(out.toString().contains("warm-up"));
@@ -44,7 +44,7 @@
 
   @ParameterizedTest
   @CsvSource({"benchlink, simulator-adapter", "rehearse, warm-up"})
-  void formerNamesOfCommandsStillWorkAndSaySoOnStandardErrorAlone(String former, String present) {
+  void deprecatedCommandsWorkWithWarningOnStandardError(String former, String present) {
     PrintStream errors = new PrintStream(err, true);
     assertEquals(present, Main.currentName(former, errors));
     assertEquals(
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void unknownOptionsAndTooManyWordsAreBadUse() throws Exception {
+  void unknownOptionsAndExtraArgumentsAreUsageErrors() throws Exception {
     assertEquals(2, run("--strange"));
     assertEquals(2, run("version", "more"));
     assertEquals(2, run("check-config"));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void checkConfigTellsHowLongClientsMayRestWhereThatIsSet(@TempDir Path folder) throws Exception {
+  void checkConfigPrintsClientIdleTimeoutIfSet(@TempDir Path folder) throws Exception {
     String start = "<reachloom xmlns=\"urn:reachloom:settings:1\">";
     Path set =
         Files.writeString(
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void checkConfigNamesWhatIsWrong(@TempDir Path folder) throws Exception {
+  void checkConfigPrintsInvalidKey(@TempDir Path folder) throws Exception {
     Path file = Files.writeString(folder.resolve("c.json"), "{\"settings\":{\"classes\":[]}}");
     assertEquals(2, run("check-config", file.toString()));
     assertEquals(
--- a/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
+++ b/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
@@ -82,20 +82,20 @@
 
   @ParameterizedTest
   @MethodSource("usableFiles")
-  void aUsableFileGivesTheRecordedValues(Path file) throws Exception {
+  void validFileYieldsRecordedValues(Path file) throws Exception {
     Path values = file.resolveSibling(file.getFileName() + VALUES);
     assertEquals(Files.readString(values), describe(read(file)));
   }
 
   @ParameterizedTest
   @MethodSource("faultyFiles")
-  void aFaultyFileGivesTheRecordedErrorLine(Path file) throws IOException {
+  void invalidFileYieldsRecordedErrorLine(Path file) throws IOException {
     ConfigException error = assertThrows(ConfigException.class, () -> read(file));
     assertEquals(errorLines().get(ROOT.relativize(file).toString()), error.getMessage());
   }
 
   @Test
-  void eachRecordedErrorLineBelongsToAFile() throws IOException {
+  void eachRecordedErrorLineHasAFile() throws IOException {
     List<String> files = faultyFiles().map(file -> ROOT.relativize(file).toString()).toList();
     assertEquals(files, List.copyOf(errorLines().keySet()));
     assertEquals(105, files.size());
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aFileThatIsAbsentOrNotNamedGivesItsErrorLine() {
+  void missingOrUnnamedFileYieldsErrorLine() {
     Path absent = ROOT.resolve("gateway/absent.json");
     assertEquals(
         absent + ": cannot be read (NoSuchFileException)",
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void theSettingsKeysThatAReloadNamesAreTheRecordedOnes() throws Exception {
+  void reloadNamesRecordedSettingsKeys() throws Exception {
     LocalSettings old = settings("good-gossip.xml");
     LocalSettings next = settings("good-all-keys.xml");
     assertEquals(
--- a/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void eventsOfTheStartFoldIntoOneList() throws ConfigException {
+  void appliesKnownEventsToOneList() throws ConfigException {
     GatewayConfig config = parse(GOOD);
     assertEquals(
         List.of("s-00c41f7a", "s-00c41f7c"),
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void defaultsStandWhereNothingIsTold() throws ConfigException {
+  void usesDefaultsForMissingSettings() throws ConfigException {
     GatewayConfig config = parse(GOOD);
     assertEquals(
         new GatewayConfig.Transport(250_000_000, 5_000_000_000L, 100, 20_000), config.transport());
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void theEnvironmentNamesAddressAndName() throws ConfigException, JsonProcessingException {
+  void environmentOverridesNameAndAddress() throws ConfigException, JsonProcessingException {
     GatewayConfig config =
         GatewayConfig.parse(
             new ObjectMapper().readTree(GOOD),
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void messagesNameTheKeyAtFault() {
+  void messagesNameInvalidKey() {
     Map<String[], String> faults = new LinkedHashMap<>();
     faults.put(new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"here\""}, "listen: ");
     faults.put(
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void filesThatCannotBeReadAreNamed(@TempDir Path folder) throws Exception {
+  void messagesNameUnreadableFile(@TempDir Path folder) throws Exception {
     Path broken = Files.writeString(folder.resolve("broken.json"), "{\"name\":");
     for (Path file : List.of(folder.resolve("none.json"), broken)) {
       ConfigException e =
--- a/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
+++ b/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void withoutAFileOrWithAnEmptyOneNothingIsOn() throws Exception {
+  void allFeaturesAreOffWithoutFileOrElements() throws Exception {
     assertEquals(LocalSettings.none(), LocalSettings.read(null, Map.of()));
     assertEquals(LocalSettings.none(), read(""));
     assertEquals(
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void whatIsLeftOutHasItsDefaultAndFilesAreBesideTheSettings() throws Exception {
+  void appliesDefaultsAndResolvesFilesRelativeToSettings() throws Exception {
     GossipSettings g = read(GOSSIP).gossip().orElseThrow();
     assertEquals(4096, g.bytesPerSecond());
     assertEquals(1_000_000_000, g.periodNanos());
@@ -67,7 +67,7 @@
     Path file = folder.resolve("s.xml");
     assertEquals(
         g,
-        LocalSettings.read(null, Map.of(LocalSettings.VARIABLE, file.toString()))
+        LocalSettings.read(null, Map.of(LocalSettings.FILE_VARIABLE, file.toString()))
             .gossip()
             .orElseThrow());
   }
@@ -82,7 +82,7 @@
       </gossip>""";
 
   @Test
-  void aPartInTheConfigurationHasAPlaceAndIssuersOfWhichMoreThanHalfProve() throws Exception {
+  void readsPlaceAndIssuersOfConfiguration() throws Exception {
     ConfigurationSettings c =
         read(GOSSIP.replace("</gossip>", CONFIGURATION))
             .gossip()
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void howLongClientsMayRestIsReadAndAbsentUnlessItIsSet() throws Exception {
+  void readsOptionalClientIdleTimeout() throws Exception {
     assertEquals(OptionalLong.empty(), read("").clientIdleTimeoutNanos());
     assertEquals(OptionalLong.empty(), read(GOSSIP).clientIdleTimeoutNanos());
     assertEquals(
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void anIdleTimeoutThatCantBeUsedIsRefusedWithItsLine() {
+  void rejectsInvalidIdleTimeoutWithItsLine() {
     String start = folder.resolve("s.xml") + ":3: ";
     for (String value :
         List.of("999", "0", "-1", "86400001", "99999999999999999999", "1.5", "soon", "")) {
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void anIdleTimeoutThatChangesTakesEffectAtOnce() throws Exception {
+  void appliesChangedIdleTimeoutWithoutRestart() throws Exception {
     LocalSettings old = read("<clients idleTimeoutMs=\"5000\"/>");
     assertEquals(
         List.of("clients idleTimeoutMs"),
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void brokenOrHostileFilesEndInOneMessage() {
+  void rejectsMalformedOrHostileFiles() {
     assertTrue(
         assertThrows(ConfigException.class, () -> text("<reachloom"))
             .getMessage()
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void aReloadTellsWhatTakesEffectAndWhatWaits() throws Exception {
+  void distinguishesChangesAppliedAtOnceAndOnRestart() throws Exception {
     LocalSettings old = read(GOSSIP);
     LocalSettings next = read(GOSSIP.replace("\"ca.crt\"", "\"new.crt\"").replace("7946", "7950"));
     assertEquals(List.of("gossip listen"), old.changesNeedingRestart(next));
--- a/gateway/src/test/java/reachloom/config/MergePatchTest.java
+++ b/gateway/src/test/java/reachloom/config/MergePatchTest.java
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void theExamplesOfTheStandardHoldAndLeaveTheValueAsItIs() throws Exception {
+  void appliesExamplesOfRfc7396WithoutModifyingTarget() throws Exception {
     for (String[] example : EXAMPLES) {
       JsonNode value = JSON.readTree(example[0].replace('\'', '"'));
       JsonNode before = value.deepCopy();
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void whatIsEachGatewaysOwnOrNoObjectIsRefusedWithItsKeyOrLine() {
+  void rejectsGatewaySpecificKeysAndInvalidDocuments() {
     assertEquals(
         "name: is each gateway's own, and can't be set for all", refused("{\"name\":\"g1\"}"));
     assertTrue(refused("{\"settings\":{\"selfIndex\":3}}").startsWith("settings.selfIndex: "));
--- a/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
+++ b/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void troubleIsToldWhereMessagesAreAllowedAndWorthTheirPrice() throws Exception {
+  void publishesFailuresIfAllowedAndWorthThePrice() throws Exception {
     trouble(true, 0);
     List<JsonNode> sent = published();
     assertTrue(!sent.isEmpty() && sent.size() <= 2, sent.toString());
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void anEngineThatStartedAnewAndOneThatIsGoneAreNoNewsOfTheOneBefore() throws Exception {
+  void ignoresReportsOnReplacedAndRemovedEngines() throws Exception {
     trouble(true, 0);
     String raw = published().get(0).path("raw").asText();
     String said =
--- a/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void answersEachBatchAndEchoesItsIndex() throws IOException {
+  void repliesToEachBatchWithItsIndex() throws IOException {
     String[] replies = serve(batch(1), batch(12));
     assertEquals("{\"batch\":1,\"actions\":[]}", replies[0]);
     assertEquals("{\"batch\":12,\"actions\":[]}", replies[1]);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void resolvesAListNumberInEventOrderAlsoWhenReused() throws IOException {
+  void resolvesReusedListNumbersInEventOrder() throws IOException {
     String[] replies =
         serve(
             batch(
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void startsFromNothingAfterPowerOffInTheSameBatch() throws IOException {
+  void restartsWithoutStateAfterPowerOffInSameBatch() throws IOException {
     String off = "{\"cmd\":\"PowerOff\",\"gatewayId\":\"gateway_0\"}";
     String[] replies = serve(batch(1, START, LIST.replace("NAME", "a"), off, START, order("01")));
     assertTrue(!replies[0].contains("Relay"), replies[0]);
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void namesTheBatchOfWhatItCannotRead() throws IOException {
+  void errorMessageNamesBatch() throws IOException {
     serve(batch(7), "{\"moment\":1,\"batch\":8,\"items\":7}\n", batch(9));
     assertEquals(1, status);
     assertEquals(
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void endsOnALineThatIsNoJson() throws IOException {
+  void endsOnInvalidJson() throws IOException {
     serve(batch(3), "{\"moment\":\n");
     assertEquals(1, status);
     assertTrue(
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void skipsUnknownEventsAndSaysSoOnce() throws IOException {
+  void skipsUnknownEventsAndReportsThemOnce() throws IOException {
     String odd = "{\"cmd\":\"Odd\",\"gatewayId\":\"gateway_0\"}";
     serve(batch(1, START, odd, odd));
     assertEquals(0, status);
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void bailsOutForTheInstanceWhoseModuleThrows() throws IOException {
+  void reportsFailureOfInstanceWhoseSchedulerThrows() throws IOException {
     String[] replies =
         serve(SimulatorAdapterTest::broken, batch(1, START, order("01"), order("02")));
     assertEquals(
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void tellsAWaitForALoadFromOneForMemory() throws IOException {
+  void distinguishesLoadWaitFromMemoryWait() throws IOException {
     List<ProgressKind> kinds = new ArrayList<>();
     String note =
         "{\"cmd\":\"Progress\",\"gatewayId\":\"gateway_0\",\"handle\":\"01\","
--- a/gateway/src/test/java/reachloom/time/MonotonicClockTest.java
+++ b/gateway/src/test/java/reachloom/time/MonotonicClockTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void startsAtTheWallClocksTimeAndRunsOnWhicheverWayThatIsStepped() {
+  void ignoresStepsOfWallClock() {
     long start = clock.now();
     assertEquals(wall.get(), start);
     wall.addAndGet(-HOUR);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void eachStepIsToldOnceAndSmallDifferencesOfTwoReadingsAreNone() {
+  void reportsEachStepOnceAndIgnoresSmallDifferences() {
     pass(SECOND);
     wall.addAndGet(SECOND / 20);
     assertEquals(0, clock.wallClockStep());
