--- a/decisions/src/test/java/reachloom/balancing/BalancingTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -9,9 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** A gateway's part of the work, and the engines that it keeps to. */
+/** Shares of the pool, subsets of engines and rotation of slots. */
 class BalancingTest {
   private static final long SECOND = 1_000_000_000L;
 
@@ -23,24 +24,25 @@
     return all;
   }
 
-  private static Set<String> first(int self, List<EngineSubset.WeightedEngine> engines, int kept) {
-    Set<String> first = new HashSet<>();
-    new EngineSubset(self)
+  private static Set<String> subset(
+      int gateway, List<EngineSubset.WeightedEngine> engines, int size) {
+    Set<String> subset = new HashSet<>();
+    new EngineSubset(gateway)
         .order(engines)
         .forEach(
-            (name, place) -> {
-              if (place < kept) {
-                first.add(name);
+            (name, position) -> {
+              if (position < size) {
+                subset.add(name);
               }
             });
-    return first;
+    return subset;
   }
 
-  private static Map<String, Integer> gatewaysOf(
-      int gateways, List<EngineSubset.WeightedEngine> engines, int kept) {
+  private static Map<String, Integer> gatewaysByEngine(
+      int gateways, List<EngineSubset.WeightedEngine> engines, int subsetSize) {
     Map<String, Integer> count = new HashMap<>();
     for (int g = 0; g < gateways; g++) {
-      first(g, engines, kept).forEach(e -> count.merge(e, 1, Integer::sum));
+      subset(g, engines, subsetSize).forEach(e -> count.merge(e, 1, Integer::sum));
     }
     return count;
   }
@@ -48,9 +50,9 @@
   @Test
   void enginesGetSimilarNumbersOfGateways() {
     for (int gateways : new int[] {40, 97, 200, 1_000}) {
-      Map<String, Integer> count = gatewaysOf(gateways, engines(60), 12);
+      Map<String, Integer> count = gatewaysByEngine(gateways, engines(60), 12);
       double fair = gateways * 12 / 60.0;
-      assertEquals(60, count.size(), "none is left out");
+      assertEquals(60, count.size(), "each engine is in a subset");
       count
           .values()
           .forEach(
@@ -63,11 +65,11 @@
 
   @Test
   void everyThirdGatewaySpreadsOverEnginesEvenly() {
-    // The gateways of one zone are every third one: their own engines, too, have about as many
-    // each.
+    // The gateways of one zone have every third number; the engines of that zone must get similar
+    // numbers of them.
     Map<String, Integer> count = new HashMap<>();
     for (int g = 1; g < 300; g += 3) {
-      first(g, engines(40), 10).forEach(e -> count.merge(e, 1, Integer::sum));
+      subset(g, engines(40), 10).forEach(e -> count.merge(e, 1, Integer::sum));
     }
     assertEquals(40, count.size());
     count.values().forEach(c -> assertTrue(c >= 20 && c <= 30, c + " of 25"));
@@ -77,14 +79,14 @@
   void addedEngineChangesEachSubsetByOneAtMost() {
     List<EngineSubset.WeightedEngine> before = engines(60);
     List<EngineSubset.WeightedEngine> after = engines(61);
-    int moved = 0;
+    int changes = 0;
     for (int g = 0; g < 200; g++) {
-      Set<String> lost = first(g, before, 12);
-      lost.removeAll(first(g, after, 12));
+      Set<String> lost = subset(g, before, 12);
+      lost.removeAll(subset(g, after, 12));
       assertTrue(lost.size() <= 1, "gateway " + g + " lost " + lost);
-      moved += lost.size();
+      changes += lost.size();
     }
-    assertTrue(moved <= 200 * 12 / 60 * 3, moved + " connections moved");
+    assertTrue(changes <= 200 * 12 / 60 * 3, changes + " changes");
   }
 
   @Test
@@ -92,13 +94,13 @@
     List<EngineSubset.WeightedEngine> engines = engines(58);
     engines.add(new EngineSubset.WeightedEngine("s-0000aaaa", 16));
     engines.add(new EngineSubset.WeightedEngine("s-0000bbbb", 16));
-    Map<String, Integer> starts = new HashMap<>();
+    Map<String, Integer> gatewaysByFirst = new HashMap<>();
     for (int g = 0; g < 1_000; g++) {
-      first(g, engines, 1).forEach(e -> starts.merge(e, 1, Integer::sum));
+      subset(g, engines, 1).forEach(e -> gatewaysByFirst.merge(e, 1, Integer::sum));
     }
     double fair = 1_000 * 16 / (58 * 8 + 32.0);
-    assertEquals(fair, starts.get("s-0000aaaa"), 3);
-    assertEquals(fair, starts.get("s-0000bbbb"), 3);
+    assertEquals(fair, gatewaysByFirst.get("s-0000aaaa"), 3);
+    assertEquals(fair, gatewaysByFirst.get("s-0000bbbb"), 3);
   }
 
   @Test
@@ -108,86 +110,86 @@
   }
 
   /**
-   * A gateway whose queries hold so much memory for 10 s, of engines that report that share of
-   * theirs.
+   * Returns the estimator of a gateway whose queries have used the given memory for 10 s, while
+   * engines reported the given share of their memory in use.
    */
-  private static PoolShareEstimator share(int gateways, double memoryShare, double ownMb) {
-    PoolShareEstimator s = new PoolShareEstimator(gateways);
+  private static PoolShareEstimator estimator(int gateways, double memoryShare, double ownMb) {
+    PoolShareEstimator estimator = new PoolShareEstimator(gateways);
     for (int i = 0; i < 400; i++) {
-      s.recordOwnMemory(i * SECOND / 40, ownMb);
-      s.recordReport(memoryShare);
+      estimator.recordOwnMemory(i * SECOND / 40, ownMb);
+      estimator.recordReport(memoryShare);
     }
-    return s;
+    return estimator;
   }
 
   @Test
   void estimatesLargerShareForGatewayWithMuchTraffic() {
-    // 100,000 MB of which 30,000 are in use; 3,000 of them are its own: like it, ten would make up
+    // 30,000 of 100,000 MB are in use, 3,000 of them by this gateway: ten such gateways would make up
     // the fleet.
-    assertEquals(10, share(200, 0.3, 3_000).fleetSize(100_000), 1);
+    assertEquals(10, estimator(200, 0.3, 3_000).fleetSize(100_000), 1);
   }
 
   @Test
   void keepsEqualShareForGatewayWithLittleTraffic() {
-    assertEquals(200, share(200, 0.3, 50).fleetSize(100_000));
+    assertEquals(200, estimator(200, 0.3, 50).fleetSize(100_000));
   }
 
   @Test
   void correctsGatewayCountOfSettingsThatIsTooHigh() {
-    // Really 200: each has 150 of the 30,000 MB; 600 are named.
-    assertEquals(200, share(600, 0.3, 150).fleetSize(100_000), 20);
+    // There are 200 gateways, each with 150 of the 30,000 MB; the settings name 600.
+    assertEquals(200, estimator(600, 0.3, 150).fleetSize(100_000), 20);
   }
 
   @Test
   void sharesAddUpToPoolAtAnyLoad() {
-    // Three gateways that have 20, 30 and 50 hundredths of what runs: their parts are that, at any
-    // load.
-    for (double use : new double[] {0.1, 0.5, 1}) {
-      double parts = 0;
+    // Three gateways with 20, 30 and 50 percent of the running work get these shares at any load.
+    for (double utilization : new double[] {0.1, 0.5, 1}) {
+      double shares = 0;
       for (double own : new double[] {0.2, 0.3, 0.5}) {
-        parts += 1 / share(100, use, own * use * 100_000).fleetSize(100_000);
+        shares +=
+            1 / estimator(100, utilization, own * utilization * 100_000).fleetSize(100_000);
       }
-      assertEquals(1, parts, 0.1, "at a load of " + use);
+      assertEquals(1, shares, 0.1, "at a utilization of " + utilization);
     }
   }
 
   @Test
   void shareDecreasesWithOwnWork() {
-    PoolShareEstimator s = share(200, 0.3, 3_000);
+    PoolShareEstimator estimator = estimator(200, 0.3, 3_000);
     for (int i = 0; i < 400; i++) {
-      s.recordOwnMemory((10 + i / 40) * SECOND, 1_500);
+      estimator.recordOwnMemory((10 + i / 40) * SECOND, 1_500);
     }
-    assertEquals(20, s.fleetSize(100_000), 3);
+    assertEquals(20, estimator.fleetSize(100_000), 3);
   }
 
   @Test
   void usesGatewayCountOfSettingsWithoutEnoughData() {
-    assertEquals(200, share(200, 0.01, 3_000).fleetSize(100_000), "a pool hardly in use");
-    assertEquals(200, share(200, 0, 3_000).fleetSize(100_000), "engines that don't tell of memory");
+    assertEquals(200, estimator(200, 0.01, 3_000).fleetSize(100_000), "the pool is hardly used");
+    assertEquals(200, estimator(200, 0, 3_000).fleetSize(100_000), "engines report no memory");
     assertEquals(
-        200, share(200, 0.3, 0).fleetSize(100_000), "nothing out, or its memory not known");
-    PoolShareEstimator silent = new PoolShareEstimator(200);
+        200, estimator(200, 0.3, 0).fleetSize(100_000), "no query in flight, or unknown memory");
+    PoolShareEstimator unreported = new PoolShareEstimator(200);
     for (int i = 0; i < 500; i++) {
-      silent.recordOwnMemory(i * SECOND / 40, 3_000);
+      unreported.recordOwnMemory(i * SECOND / 40, 3_000);
     }
-    assertEquals(200, silent.fleetSize(100_000), "no report");
+    assertEquals(200, unreported.fleetSize(100_000), "no reports");
   }
 
   @Test
   void eachGatewayOwnsOneSlotPerRound() {
     for (int gateways : new int[] {1, 2, 3, 4, 12, 60, 97, 100}) {
       for (long first : new long[] {-5, 0, 1_000_000_007}) {
-        java.util.Set<Integer> owners = new java.util.TreeSet<>();
-        int neighbours = 0;
+        Set<Integer> owners = new TreeSet<>();
+        int neighbouringOwners = 0;
         for (int i = 0; i < gateways; i++) {
           owners.add(SlotRotation.owner("s-00000001", first + i, gateways));
           int step =
               SlotRotation.owner("s-00000001", first + i + 1, gateways)
                   - SlotRotation.owner("s-00000001", first + i, gateways);
-          neighbours += Math.abs(step) == 1 ? 1 : 0;
+          neighbouringOwners += Math.abs(step) == 1 ? 1 : 0;
         }
         assertEquals(gateways, owners.size());
-        assertTrue(gateways < 8 || neighbours == 0);
+        assertTrue(gateways < 8 || neighbouringOwners == 0);
       }
     }
   }
@@ -196,13 +198,13 @@
   void eachGatewayHasEachPlaceOncePerRound() {
     for (int gateways : new int[] {1, 2, 3, 5, 6, 12, 97, 100}) {
       int shared = Math.min(5, gateways);
-      int[][] had = new int[gateways][shared];
-      for (int turn = 0; turn < gateways; turn++) {
+      int[][] counts = new int[gateways][shared];
+      for (int slot = 0; slot < gateways; slot++) {
         int sharers = 0;
         for (int gateway = 0; gateway < gateways; gateway++) {
-          int place = SlotRotation.place("s-00000001", turn, 5, gateways, gateway);
+          int place = SlotRotation.place("s-00000001", slot, 5, gateways, gateway);
           if (place >= 0) {
-            had[gateway][place]++;
+            counts[gateway][place]++;
             sharers++;
           }
         }
@@ -210,11 +212,11 @@
         assertEquals(
             0,
             SlotRotation.place(
-                "s-00000001", turn, 5, gateways, SlotRotation.owner("s-00000001", turn, gateways)));
+                "s-00000001", slot, 5, gateways, SlotRotation.owner("s-00000001", slot, gateways)));
       }
-      for (int[] places : had) {
-        for (int times : places) {
-          assertEquals(1, times);
+      for (int[] countByPlace : counts) {
+        for (int count : countByPlace) {
+          assertEquals(1, count);
         }
       }
     }
--- a/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
+++ b/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
@@ -7,6 +7,7 @@
 import org.junit.jupiter.api.Test;
 import reachloom.discovery.EndpointWatch.FrameAction;
 
+/** Handling of change log frames, gaps and reconnects. */
 class EndpointWatchTest {
   private final EndpointWatch watch = new EndpointWatch(5, 1);
 
@@ -14,7 +15,7 @@
     return watch.onFrame(number, false, false);
   }
 
-  private FrameAction nothing(long number) {
+  private FrameAction heartbeat(long number) {
     return watch.onFrame(number, false, true);
   }
 
@@ -23,10 +24,10 @@
     assertEquals(FrameAction.APPLY, event(6));
     assertEquals(FrameAction.IGNORE, event(6));
     assertEquals(FrameAction.IGNORE, event(2));
-    assertEquals(FrameAction.IGNORE, watch.onFrame(1, true, false), "also where an older list is whole");
-    assertEquals(FrameAction.IGNORE, nothing(3), "nor does a log that says less than before");
+    assertEquals(FrameAction.IGNORE, watch.onFrame(1, true, false), "an older complete list is ignored as well");
+    assertEquals(FrameAction.IGNORE, heartbeat(3), "a heartbeat with an older number changes nothing");
     assertEquals(6, watch.lastEventNumber());
-    assertEquals(FrameAction.APPLY, watch.onFrame(9, true, false), "a whole list leaves nothing out");
+    assertEquals(FrameAction.APPLY, watch.onFrame(9, true, false), "a complete list has no gap");
     assertEquals(9, watch.requestAfter());
   }
 
@@ -42,7 +43,7 @@
     assertEquals(FrameAction.APPLY_BUFFERED, event(8));
     assertEquals(8, watch.lastEventNumber());
     assertEquals(FrameAction.APPLY, event(9));
-    assertEquals(FrameAction.REQUEST_COMPLETE_LIST, event(11), "the next time again");
+    assertEquals(FrameAction.REQUEST_COMPLETE_LIST, event(11), "the next gap is detected as well");
   }
 
   @Test
@@ -70,9 +71,9 @@
     event(8);
     watch.onRequestSent();
     event(1);
-    assertEquals(FrameAction.IGNORE, nothing(1), "it may say so before it goes on");
-    assertEquals(FrameAction.IGNORE, nothing(1));
-    assertEquals(5, watch.lastEventNumber(), "the list held stays");
+    assertEquals(FrameAction.IGNORE, heartbeat(1), "a heartbeat may precede the rest of the answer");
+    assertEquals(FrameAction.IGNORE, heartbeat(1));
+    assertEquals(5, watch.lastEventNumber(), "the current list stays in use");
     assertEquals(5, watch.requestAfter());
     assertEquals(FrameAction.APPLY, event(8));
   }
@@ -80,15 +81,15 @@
   @Test
   void backoffIsBoundedAndDiffersBetweenGateways() {
     EndpointWatch other = new EndpointWatch(5, 2);
-    boolean apart = false;
+    boolean differs = false;
     for (int i = 0; i < 20; i++) {
-      long mine = watch.nextBackoffNanos();
-      apart |= mine != other.nextBackoffNanos();
-      assertTrue(mine >= 50_000_000L && mine <= 400_000_000L);
+      long backoffNanos = watch.nextBackoffNanos();
+      differs |= backoffNanos != other.nextBackoffNanos();
+      assertTrue(backoffNanos >= 50_000_000L && backoffNanos <= 400_000_000L);
     }
-    assertTrue(apart);
-    nothing(5);
-    assertTrue(watch.nextBackoffNanos() <= 100_000_000L, "a frame has come since");
+    assertTrue(differs);
+    heartbeat(5);
+    assertTrue(watch.nextBackoffNanos() <= 100_000_000L, "a frame resets the backoff");
   }
 
   @Test
@@ -104,7 +105,7 @@
     assertTrue(watch.onCompleteList(10));
     watch.onRequestSent();
     assertEquals(10, watch.requestAfter());
-    assertEquals(FrameAction.IGNORE, event(8), "the list held does not go back");
+    assertEquals(FrameAction.IGNORE, event(8), "the current list does not go back");
     assertEquals(10, watch.lastEventNumber());
     assertEquals(FrameAction.APPLY, event(11));
   }
@@ -122,18 +123,19 @@
   @Test
   void backoffStartsOverAfterEachFrame() {
     for (int second = 0; second < 60; second++) {
-      nothing(5);
-      assertTrue(watch.nextBackoffNanos() <= 100_000_000L, "silent after " + second + " s");
+      heartbeat(5);
+      assertTrue(watch.nextBackoffNanos() <= 100_000_000L, "backoff after " + second + " s");
     }
   }
 
   @Test
   void timeoutsLeaveTimeForThreeFailedConnects() {
-    long frame = 1_000_000_000L;
-    long told = 7 * frame;
-    assertTrue(EndpointWatch.MAX_SILENCE_NANOS > 2 * frame, "frames may be late");
+    long heartbeatNanos = 1_000_000_000L;
+    long listDeadlineNanos = 7 * heartbeatNanos;
+    assertTrue(EndpointWatch.MAX_SILENCE_NANOS > 2 * heartbeatNanos, "two heartbeats may be late");
     assertTrue(
-        EndpointWatch.MAX_SILENCE_NANOS + 3 * (EndpointWatch.CONNECT_TIMEOUT_NANOS + 400_000_000L) < told,
-        "three dials may fail");
+        EndpointWatch.MAX_SILENCE_NANOS + 3 * (EndpointWatch.CONNECT_TIMEOUT_NANOS + 400_000_000L)
+            < listDeadlineNanos,
+        "three connects may fail");
   }
 }
--- a/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
+++ b/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Conversion of engine start times if the local clock differs from that of the change log. */
 class IncarnationTimesTest {
   private static final long SECOND = 1_000_000_000;
   private static final long HOUR = 3_600 * SECOND;
@@ -15,28 +16,28 @@
   void keepsPlausibleStartTime() {
     assertEquals(NOW - 7 * SECOND, times.toLocalNanos(NOW, NOW - 7 * SECOND, true));
     assertEquals(
-        NOW - HOUR, times.toLocalNanos(NOW, NOW - HOUR, false), "a whole list tells of old ones, too");
+        NOW - HOUR, times.toLocalNanos(NOW, NOW - HOUR, false), "a complete list contains old engines as well");
   }
 
   @Test
   void newEngineHasJustStartedIfLocalClockIsAhead() {
-    long own = NOW + HOUR;
-    assertEquals(own, times.toLocalNanos(own, NOW - 2 * SECOND, true));
-    assertEquals(own + 5 * SECOND, times.toLocalNanos(own + 6 * SECOND, NOW + 3 * SECOND, true));
+    long localNow = NOW + HOUR;
+    assertEquals(localNow, times.toLocalNanos(localNow, NOW - 2 * SECOND, true));
+    assertEquals(localNow + 5 * SECOND, times.toLocalNanos(localNow + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
   void startInFutureCountsAsNowIfLocalClockIsBehind() {
-    long own = NOW - HOUR;
-    assertEquals(own, times.toLocalNanos(own, NOW - 2 * SECOND, false));
-    assertEquals(own + 5 * SECOND, times.toLocalNanos(own + 6 * SECOND, NOW + 3 * SECOND, true));
+    long localNow = NOW - HOUR;
+    assertEquals(localNow, times.toLocalNanos(localNow, NOW - 2 * SECOND, false));
+    assertEquals(localNow + 5 * SECOND, times.toLocalNanos(localNow + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
   void correctsOffsetAgainAfterDelayedEvent() {
     assertEquals(NOW, times.toLocalNanos(NOW, NOW - 30 * SECOND, true));
     assertEquals(
-        NOW + SECOND, times.toLocalNanos(NOW + SECOND, NOW, true), "would lie in the future now");
+        NOW + SECOND, times.toLocalNanos(NOW + SECOND, NOW, true), "would be in the future with the previous offset");
     assertEquals(NOW + 2 * SECOND, times.toLocalNanos(NOW + 3 * SECOND, NOW + SECOND, true));
   }
 }
--- a/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reachloom.scheduler.SchedulerHarness.KEYED;
 import static reachloom.scheduler.SchedulerHarness.LONG;
-import static reachloom.scheduler.SchedulerHarness.MS;
+import static reachloom.scheduler.SchedulerHarness.MILLISECOND;
 import static reachloom.scheduler.SchedulerHarness.QUICK;
 import static reachloom.scheduler.SchedulerHarness.SECOND;
 import static reachloom.scheduler.SchedulerHarness.engine;
@@ -29,55 +29,55 @@
 import reachloom.scheduler.api.Query;
 import reachloom.scheduler.api.TenantQuota;
 
-/** The decisions, by scripted events and asserted actions; no bench is needed. */
+/** Decisions of the scheduler: scripted events, and the actions that they must lead to. */
 class QuerySchedulerTest {
 
   private static long count(List<String> actions, String start) {
     return actions.stream().filter(a -> a.startsWith(start)).count();
   }
 
-  /** Presses an engine by a busy report until its bound has sunk to the floor. */
-  private static void press(SchedulerHarness b, String... engines) {
+  /** Reports engines as busy until their limits have decreased to the minimum. */
+  private static void putUnderPressure(SchedulerHarness harness, String... engines) {
     for (int i = 0; i < 60; i++) {
       for (String e : engines) {
-        b.report(e, 1);
+        harness.report(e, 1);
       }
-      b.pass(100 * MS);
+      harness.advance(100 * MILLISECOND);
     }
-    b.actions.removeIf(a -> a.startsWith("probe"));
+    harness.actions.removeIf(a -> a.startsWith("check"));
   }
 
   @Test
   void forwardsQueryThatFitsImmediately() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"));
-    b.arrive("q", QUICK, 0.1);
-    assertEquals(List.of("send q a"), b.take());
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"));
+    harness.arrive("q", QUICK, 0.1);
+    assertEquals(List.of("forward q a"), harness.takeActions());
   }
 
   @Test
   void usesEngineWithoutAnswersBesideOthers() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
-    Map<String, Integer> asked = new TreeMap<>();
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"));
+    Map<String, Integer> forwarded = new TreeMap<>();
     for (int i = 0; i < 1_000; i++) {
-      b.arrive("q" + i, QUICK, 0);
-      String engine = b.take().get(0).split(" ")[2];
-      asked.merge(engine, 1, Integer::sum);
-      b.served("q" + i, engine, i == 0 ? 0.1 : 0.0004); // the first one waits for a connection
-      b.pass(5 * MS);
-      b.take();
+      harness.arrive("q" + i, QUICK, 0);
+      String engine = harness.takeActions().get(0).split(" ")[2];
+      forwarded.merge(engine, 1, Integer::sum);
+      harness.served("q" + i, engine, i == 0 ? 0.1 : 0.0004); // the first query waits for a connection
+      harness.advance(5 * MILLISECOND);
+      harness.takeActions();
     }
-    assertEquals(Set.of("a", "b"), asked.keySet(), asked.toString());
+    assertEquals(Set.of("a", "b"), forwarded.keySet(), forwarded.toString());
   }
 
   @Test
   void rejectsQueryThatCannotMeetItsDeadline() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"));
-    for (int i = 0; i < 20; i++) { // a class's factor starts at its aim over its usual cost
-      b.arrive("usual" + i, LONG, 1);
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"));
+    for (int i = 0; i < 20; i++) { // initially service time is the latency objective
+      harness.arrive("usual" + i, LONG, 1);
     }
-    b.take();
-    b.arrive("huge", LONG, 100);
-    assertEquals(List.of("refuse huge 1s"), b.take());
+    harness.takeActions();
+    harness.arrive("huge", LONG, 100);
+    assertEquals(List.of("reject huge 1s"), harness.takeActions());
   }
 
   @Test
@@ -86,456 +86,456 @@
     for (int i = 0; i < 100; i++) {
       calm.arrive("q" + i, QUICK, 0.1);
     }
-    assertEquals(100, count(calm.take(), "send"));
+    assertEquals(100, count(calm.takeActions(), "forward"));
 
     SchedulerHarness busy = new SchedulerHarness();
-    busy.reports = true;
+    busy.loadReports = true;
     busy.start(up("a"));
-    press(busy, "a");
+    putUnderPressure(busy, "a");
     for (int i = 0; i < 100; i++) {
       busy.arrive("q" + i, LONG, 1);
     }
-    long sent = count(busy.take(), "send");
+    long sent = count(busy.takeActions(), "forward");
     assertTrue(sent > 0 && sent < 20, "sent " + sent);
   }
 
   @Test
   void queuesBrieflyThenRejects() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.reports = true;
-    b.start(up("a"));
-    press(b, "a");
-    b.actions.clear();
-    while (count(b.actions, "send") == b.actions.size()) {
-      int before = b.actions.size();
-      b.arrive("q" + before, LONG, 1);
-      if (b.actions.size() == before) {
-        break; // held
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.loadReports = true;
+    harness.start(up("a"));
+    putUnderPressure(harness, "a");
+    harness.actions.clear();
+    while (count(harness.actions, "forward") == harness.actions.size()) {
+      int before = harness.actions.size();
+      harness.arrive("q" + before, LONG, 1);
+      if (harness.actions.size() == before) {
+        break; // queued
       }
     }
-    b.take();
+    harness.takeActions();
     for (int i = 0; i < 25; i++) {
-      b.report("a", 1);
-      b.pass(100 * MS);
+      harness.report("a", 1);
+      harness.advance(100 * MILLISECOND);
     }
-    assertEquals(1, count(b.take(), "refuse"), "one held query, refused after a tenth of its time");
+    assertEquals(1, count(harness.takeActions(), "reject"), "one queued query, rejected after a tenth of its remaining time");
   }
 
   @Test
   void releasesOldestQueryFirst() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.reports = true;
-    b.start(up("a"));
-    press(b, "a");
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.loadReports = true;
+    harness.start(up("a"));
+    putUnderPressure(harness, "a");
     int sent = 0;
     while (true) {
-      b.arrive("q" + sent, LONG, 1);
-      if (count(b.actions, "send q" + sent + " ") == 0) {
+      harness.arrive("q" + sent, LONG, 1);
+      if (count(harness.actions, "forward q" + sent + " ") == 0) {
         break;
       }
       sent++;
     }
-    b.arrive("next", LONG, 1);
-    b.take();
+    harness.arrive("next", LONG, 1);
+    harness.takeActions();
     for (int i = 0; i < sent; i++) {
-      b.served("q" + i, "a", 1);
+      harness.served("q" + i, "a", 1);
     }
-    List<String> released = b.take();
-    assertEquals("send q" + sent + " a", released.get(0));
-    assertTrue(released.indexOf("send next a") > 0, released.toString());
+    List<String> released = harness.takeActions();
+    assertEquals("forward q" + sent + " a", released.get(0));
+    assertTrue(released.indexOf("forward next a") > 0, released.toString());
   }
 
   @Test
   void forwardsNothingToDrainingOrRemovedEngines() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
-    b.list(engine("a", EngineState.DRAINING, 0, 0), up("b"));
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"));
+    harness.listEndpoints(engine("a", EngineState.DRAINING, 0, 0), up("b"));
     for (int i = 0; i < 20; i++) {
-      b.arrive("d" + i, QUICK, 0.1);
+      harness.arrive("d" + i, QUICK, 0.1);
     }
-    assertEquals(20, count(b.take(), "send d") - b.actions.size());
-    b.list(up("a"));
-    b.arrive("q", QUICK, 0.1);
-    assertEquals(List.of("send q a"), b.take());
+    assertEquals(20, count(harness.takeActions(), "forward d") - harness.actions.size());
+    harness.listEndpoints(up("a"));
+    harness.arrive("q", QUICK, 0.1);
+    assertEquals(List.of("forward q a"), harness.takeActions());
   }
 
   @Test
   void rejectsQueryWhenAllAllowedEnginesAreRemoved() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.longKinds = List.of(1);
-    b.start(up("a"), engine("b", EngineState.UP, 1, 0));
-    b.arrive("q", LONG, 1);
-    assertEquals(List.of("send q b"), b.take());
-    b.list(up("a"));
-    b.arrive("r", LONG, 1);
-    b.pass(3 * SECOND);
-    assertEquals(List.of("refuse r 1s"), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.longKinds = List.of(1);
+    harness.start(up("a"), engine("b", EngineState.UP, 1, 0));
+    harness.arrive("q", LONG, 1);
+    assertEquals(List.of("forward q b"), harness.takeActions());
+    harness.listEndpoints(up("a"));
+    harness.arrive("r", LONG, 1);
+    harness.advance(3 * SECOND);
+    assertEquals(List.of("reject r 1s"), harness.takeActions());
   }
 
   @Test
   void preservesKeyOrder() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.ordered = true;
-    b.orderSettle = 500 * MS;
-    b.start(up("a"), up("b"));
-    b.arrive("first", KEYED, 0.1, 0, "k");
-    b.arrive("second", KEYED, 0.1, 0, "k");
-    b.arrive("other", KEYED, 0.1, 0, "x");
-    List<String> sent = b.take();
-    assertEquals(1, count(sent, "send first"));
-    assertEquals(0, count(sent, "send second"));
-    assertEquals(1, count(sent, "send other"), "one blocked key holds up nobody else");
-    String on = sent.get(0).substring("send first ".length());
-    b.end("first", 0, on, AttemptOutcome.TIMEOUT, 1, true);
-    b.pass(400 * MS);
-    assertEquals(0, count(b.take(), "send second"), "the key rests after a time-out");
-    b.pass(200 * MS);
-    assertEquals(1, count(b.take(), "send second"));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.ordered = true;
+    harness.orderSettleNanos = 500 * MILLISECOND;
+    harness.start(up("a"), up("b"));
+    harness.arrive("first", KEYED, 0.1, 0, "k");
+    harness.arrive("second", KEYED, 0.1, 0, "k");
+    harness.arrive("other", KEYED, 0.1, 0, "x");
+    List<String> sent = harness.takeActions();
+    assertEquals(1, count(sent, "forward first"));
+    assertEquals(0, count(sent, "forward second"));
+    assertEquals(1, count(sent, "forward other"), "a blocked key does not block other keys");
+    String engine = sent.get(0).substring("forward first ".length());
+    harness.end("first", 0, engine, AttemptOutcome.TIMEOUT, 1, true);
+    harness.advance(400 * MILLISECOND);
+    assertEquals(0, count(harness.takeActions(), "forward second"), "the key is blocked after a timeout");
+    harness.advance(200 * MILLISECOND);
+    assertEquals(1, count(harness.takeActions(), "forward second"));
   }
 
   @Test
   void retriesKeyedQueryOnlyWithinIdempotencyWindow() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.start(up("a"), up("b"));
-    b.arrive("early", KEYED, 0.1);
-    b.arrive("late", KEYED, 0.1);
-    List<String> sent = b.take();
-    b.end("early", 0, sent.get(0).substring(11), AttemptOutcome.ERROR, 0, false);
-    assertEquals(1, count(b.take(), "send early"));
-    b.pass(15 * SECOND);
-    b.take();
-    b.end("late", 0, sent.get(1).substring(10), AttemptOutcome.ERROR, 15, false);
-    assertEquals(List.of("refuse late 1s"), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.start(up("a"), up("b"));
+    harness.arrive("early", KEYED, 0.1);
+    harness.arrive("late", KEYED, 0.1);
+    List<String> sent = harness.takeActions();
+    harness.end("early", 0, sent.get(0).substring("forward early ".length()), AttemptOutcome.ERROR, 0, false);
+    assertEquals(1, count(harness.takeActions(), "forward early"));
+    harness.advance(15 * SECOND);
+    harness.takeActions();
+    harness.end("late", 0, sent.get(1).substring("forward late ".length()), AttemptOutcome.ERROR, 15, false);
+    assertEquals(List.of("reject late 1s"), harness.takeActions());
   }
 
   @Test
   void retryMayNotStartAfterIdempotencyWindow() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.start(pool(3, 0));
-    b.arrive("q", SchedulerHarness.KEYED, 0.1, 0, "k");
-    String first = b.take().get(0).split(" ")[2];
-    b.end("q", 0, first, AttemptOutcome.RESET, 0.1, false);
-    assertEquals(1, count(b.take(), "send q"));
-    assertTrue(b.choice.mayStart(b.now, "q", 1));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.start(pool(3, 0));
+    harness.arrive("q", SchedulerHarness.KEYED, 0.1, 0, "k");
+    String first = harness.takeActions().get(0).split(" ")[2];
+    harness.end("q", 0, first, AttemptOutcome.RESET, 0.1, false);
+    assertEquals(1, count(harness.takeActions(), "forward q"));
+    assertTrue(harness.scheduler.mayStart(harness.nowNanos, "q", 1));
     assertFalse(
-        b.choice.mayStart(b.now + b.keyWindow, "q", 1), "the engines no longer know its key");
+        harness.scheduler.mayStart(harness.nowNanos + harness.idempotencyWindowNanos, "q", 1), "the engines no longer recognize its key");
   }
 
   @Test
   void failsNonIdempotentQueryThatMayHaveRun() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.longEffect = Idempotency.NOT_IDEMPOTENT;
-    b.start(up("a"), up("b"));
-    b.arrive("q", LONG, 1);
-    b.take();
-    b.end("q", 0, "a", AttemptOutcome.RESET, 0.1, false);
-    assertEquals(List.of("fail q"), b.take());
-    b.arrive("r", LONG, 1);
-    b.take();
-    b.end("r", 0, "a", AttemptOutcome.UNREACHED, 0.1, false);
-    assertEquals(1, count(b.take(), "send r"), "an attempt that never ran leaves all open");
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.longIdempotency = Idempotency.NOT_IDEMPOTENT;
+    harness.start(up("a"), up("b"));
+    harness.arrive("q", LONG, 1);
+    harness.takeActions();
+    harness.end("q", 0, "a", AttemptOutcome.RESET, 0.1, false);
+    assertEquals(List.of("fail q"), harness.takeActions());
+    harness.arrive("r", LONG, 1);
+    harness.takeActions();
+    harness.end("r", 0, "a", AttemptOutcome.UNREACHED, 0.1, false);
+    assertEquals(1, count(harness.takeActions(), "forward r"), "an attempt that did not run may be retried");
   }
 
   @Test
   void failsQueryWhenOnlyACellDetectsDuplicates() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.scope = DeduplicationScope.CELL;
-    b.start(up("a"), up("b"));
-    b.arrive("q", KEYED, 1);
-    String on = b.take().get(0).substring("send q ".length());
-    b.list(up(on.equals("a") ? "b" : "a"));
-    b.end("q", 0, on, AttemptOutcome.RESET, 0.1, false);
-    assertEquals(List.of("fail q"), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.deduplicationScope = DeduplicationScope.CELL;
+    harness.start(up("a"), up("b"));
+    harness.arrive("q", KEYED, 1);
+    String engine = harness.takeActions().get(0).substring("forward q ".length());
+    harness.listEndpoints(up(engine.equals("a") ? "b" : "a"));
+    harness.end("q", 0, engine, AttemptOutcome.RESET, 0.1, false);
+    assertEquals(List.of("fail q"), harness.takeActions());
   }
 
   @Test
   void sendsOneFinalAnswerAfterTimeoutAtDeadline() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"));
-    b.arrive("q", QUICK, 0.1);
-    b.take();
-    b.pass(5 * SECOND);
-    b.end("q", 0, "a", AttemptOutcome.TIMEOUT, 5, false);
-    assertEquals(1, b.take().size());
-    b.end("q", 0, "a", AttemptOutcome.TIMEOUT, 5, false);
-    assertEquals(List.of(), b.take(), "one final answer only");
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"));
+    harness.arrive("q", QUICK, 0.1);
+    harness.takeActions();
+    harness.advance(5 * SECOND);
+    harness.end("q", 0, "a", AttemptOutcome.TIMEOUT, 5, false);
+    assertEquals(1, harness.takeActions().size());
+    harness.end("q", 0, "a", AttemptOutcome.TIMEOUT, 5, false);
+    assertEquals(List.of(), harness.takeActions(), "one final answer only");
   }
 
   @Test
   void enforcesRetryBudget() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.lookBack = 10 * SECOND;
-    b.extraFree = 1;
-    b.start(up("a"), up("b"));
-    b.arrive("q", QUICK, 0.1);
-    b.arrive("r", QUICK, 0.1);
-    b.take();
-    b.end("q", 0, "a", AttemptOutcome.FULL, 0, false);
-    assertEquals(1, count(b.take(), "send q"));
-    b.end("r", 0, "a", AttemptOutcome.FULL, 0, false);
-    assertEquals(List.of("refuse r 1s"), b.take(), "the budget of one is spent");
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.retryBudgetWindowNanos = 10 * SECOND;
+    harness.retryBudgetBase = 1;
+    harness.start(up("a"), up("b"));
+    harness.arrive("q", QUICK, 0.1);
+    harness.arrive("r", QUICK, 0.1);
+    harness.takeActions();
+    harness.end("q", 0, "a", AttemptOutcome.FULL, 0, false);
+    assertEquals(1, count(harness.takeActions(), "forward q"));
+    harness.end("r", 0, "a", AttemptOutcome.FULL, 0, false);
+    assertEquals(List.of("reject r 1s"), harness.takeActions(), "the retry budget of one is used up");
   }
 
   @Test
   void keepsBudgetOfWarmingEngine() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.start();
-    b.list(engine("a", EngineState.UP, 0, b.now - SECOND));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.start();
+    harness.listEndpoints(engine("a", EngineState.UP, 0, harness.nowNanos - SECOND));
     for (int i = 0; i < 200; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
-    // At most 2.5 x 0.3 of eight cores for one second may be sent: 6 seconds of work.
-    long sent = count(b.take(), "send");
+    // The budget is 2.5 * 0.3 of eight cores for one second: 6 seconds of work.
+    long sent = count(harness.takeActions(), "forward");
     assertTrue(sent > 0 && sent * 0.1 < 6, "sent " + sent);
-    b.pass(10 * SECOND);
-    b.take();
+    harness.advance(10 * SECOND);
+    harness.takeActions();
     for (int i = 200; i < 400; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
-    assertEquals(200, count(b.take(), "send"), "warm by now");
+    assertEquals(200, count(harness.takeActions(), "forward"), "the engine is warm");
   }
 
   @Test
   void fastErrorsDoNotAttractQueries() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 40; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
-      String on = b.take().get(0).substring(("send q" + i + " ").length());
-      b.end(
-          "q" + i, 0, on, on.equals("a") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, 0.1, true);
+      harness.arrive("q" + i, QUICK, 0.1);
+      String engine = harness.takeActions().get(0).substring(("forward q" + i + " ").length());
+      harness.end(
+          "q" + i, 0, engine, engine.equals("a") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, 0.1, true);
     }
     for (int i = 0; i < 30; i++) {
-      b.arrive("r" + i, QUICK, 0.1);
+      harness.arrive("r" + i, QUICK, 0.1);
     }
-    long drawn = b.take().stream().filter(a -> a.endsWith(" a")).count();
-    assertTrue(drawn < 8, drawn + " of 30 to the engine of quick errors");
+    long forwarded = harness.takeActions().stream().filter(a -> a.endsWith(" a")).count();
+    assertTrue(forwarded < 8, forwarded + " of 30 to the engine with fast errors");
   }
 
   @Test
   void invalidQueryIsNotHeldAgainstEngines() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
-    for (int i = 0; i < 20; i++) { // bad queries, each an error wherever it is tried
-      b.arrive("bad" + i, QUICK, 0.1);
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"), up("c"));
+    for (int i = 0; i < 20; i++) { // invalid queries: an error on each engine
+      harness.arrive("bad" + i, QUICK, 0.1);
       for (int n = 0; n < 5; n++) {
-        String sent = b.actions.get(b.actions.size() - 1);
-        b.end("bad" + i, n, sent.substring(sent.length() - 1), AttemptOutcome.ERROR, 0.001, false);
+        String sent = harness.actions.get(harness.actions.size() - 1);
+        harness.end("bad" + i, n, sent.substring(sent.length() - 1), AttemptOutcome.ERROR, 0.001, false);
       }
-      assertEquals("refuse bad" + i + " 1s", b.actions.get(b.actions.size() - 1));
+      assertEquals("reject bad" + i + " 1s", harness.actions.get(harness.actions.size() - 1));
     }
-    b.take();
+    harness.takeActions();
     for (int i = 0; i < 60; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
     for (String e : List.of("a", "b", "c")) {
-      long sent = b.actions.stream().filter(l -> l.endsWith(" " + e)).count();
+      long sent = harness.actions.stream().filter(l -> l.endsWith(" " + e)).count();
       assertTrue(sent > 10, e + " " + sent);
     }
   }
 
   @Test
   void ejectsEngineWhoseFailedQueriesOthersServe() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"));
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"));
     List<String> ids = IntStream.range(0, 3).mapToObj(i -> "q" + i).toList();
-    ids.forEach(id -> b.arrive(id, QUICK, 0.1));
-    b.list(up("a"), up("b"));
-    ids.forEach(id -> b.end(id, 0, "a", AttemptOutcome.ERROR, 0.001, false));
+    ids.forEach(id -> harness.arrive(id, QUICK, 0.1));
+    harness.listEndpoints(up("a"), up("b"));
+    ids.forEach(id -> harness.end(id, 0, "a", AttemptOutcome.ERROR, 0.001, false));
     for (String id : ids) {
-      assertTrue(b.actions.contains("send " + id + " b"), "sent on to the other engine");
-      b.end(id, 1, "b", AttemptOutcome.SERVED, 0.1, true);
+      assertTrue(harness.actions.contains("forward " + id + " b"), "retried on the other engine");
+      harness.end(id, 1, "b", AttemptOutcome.SERVED, 0.1, true);
     }
-    b.take();
+    harness.takeActions();
     for (int i = 10; i < 40; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
-    assertEquals(0, b.actions.stream().filter(l -> l.endsWith(" a")).count(), b.actions.toString());
+    assertEquals(0, harness.actions.stream().filter(l -> l.endsWith(" a")).count(), harness.actions.toString());
   }
 
   @Test
   void resetsOfOneConnectionCountOnce() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"));
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 10; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
-    b.list(up("a"), up("b"));
-    b.take();
+    harness.listEndpoints(up("a"), up("b"));
+    harness.takeActions();
     for (int i = 0; i < 10; i++) {
-      b.end("q" + i, 0, "a", AttemptOutcome.RESET, 0.1, false);
+      harness.end("q" + i, 0, "a", AttemptOutcome.RESET, 0.1, false);
     }
     for (int i = 10; i < 60; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
-    assertTrue(b.actions.stream().anyMatch(l -> l.endsWith(" a")), "it does not rest");
+    assertTrue(harness.actions.stream().anyMatch(l -> l.endsWith(" a")), "the engine is not ejected");
   }
 
   @Test
   void retriesAttemptThatItsEngineLost() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.notePeriod = 500 * MS;
-    b.start(up("a"), up("b"));
-    b.arrive("lost", LONG, 1);
-    String on = b.take().get(0).substring("send lost ".length());
-    b.pass(100 * MS);
-    // Another query on the same engine goes on telling notes.
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.progressPeriodNanos = 500 * MILLISECOND;
+    harness.start(up("a"), up("b"));
+    harness.arrive("lost", LONG, 1);
+    String engine = harness.takeActions().get(0).substring("forward lost ".length());
+    harness.advance(100 * MILLISECOND);
+    // Another query on the same engine continues to report progress.
     int other = 0;
     do {
-      b.arrive("o" + other++, LONG, 1);
-    } while (!b.actions.get(b.actions.size() - 1).endsWith(" " + on));
-    b.take();
+      harness.arrive("o" + other++, LONG, 1);
+    } while (!harness.actions.get(harness.actions.size() - 1).endsWith(" " + engine));
+    harness.takeActions();
     for (int i = 0; i < 3; i++) {
-      b.pass(350 * MS);
-      b.note("o" + (other - 1), on, 0.1);
+      harness.advance(350 * MILLISECOND);
+      harness.progress("o" + (other - 1), engine, 0.1);
     }
-    b.pass(50 * MS);
-    assertEquals(1, count(b.actions, "cancel lost 0"), b.actions.toString());
-    assertEquals(0, count(b.take(), "cancel o" + (other - 1)));
-    b.end("lost", 0, on, AttemptOutcome.CANCELLED, 1, false);
-    assertEquals(List.of("send lost " + (on.equals("a") ? "b" : "a")), b.take());
+    harness.advance(50 * MILLISECOND);
+    assertEquals(1, count(harness.actions, "cancel lost 0"), harness.actions.toString());
+    assertEquals(0, count(harness.takeActions(), "cancel o" + (other - 1)));
+    harness.end("lost", 0, engine, AttemptOutcome.CANCELLED, 1, false);
+    assertEquals(List.of("forward lost " + (engine.equals("a") ? "b" : "a")), harness.takeActions());
   }
 
   @Test
   void ejectsUnresponsiveEngine() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.notePeriod = 500 * MS;
-    b.start(up("a"), up("b"));
-    b.arrive("q", LONG, 1);
-    String silent = b.take().get(0).substring("send q ".length());
-    b.pass(2100 * MS);
-    assertEquals(List.of("cancel q 0"), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.progressPeriodNanos = 500 * MILLISECOND;
+    harness.start(up("a"), up("b"));
+    harness.arrive("q", LONG, 1);
+    String unresponsive = harness.takeActions().get(0).substring("forward q ".length());
+    harness.advance(2100 * MILLISECOND);
+    assertEquals(List.of("cancel q 0"), harness.takeActions());
     for (int i = 0; i < 20; i++) {
-      b.arrive("r" + i, QUICK, 0.1);
+      harness.arrive("r" + i, QUICK, 0.1);
     }
-    assertFalse(b.take().stream().anyMatch(a -> a.endsWith(" " + silent)));
+    assertFalse(harness.takeActions().stream().anyMatch(a -> a.endsWith(" " + unresponsive)));
   }
 
   @Test
   void abandonsAttemptsOfRestartedEngine() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.notePeriod = 500 * MS;
-    b.start(up("a"));
-    b.arrive("q", LONG, 1);
-    b.take();
-    b.list(engine("a", EngineState.UP, 0, b.now));
-    assertEquals(List.of("cancel q 0"), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.progressPeriodNanos = 500 * MILLISECOND;
+    harness.start(up("a"));
+    harness.arrive("q", LONG, 1);
+    harness.takeActions();
+    harness.listEndpoints(engine("a", EngineState.UP, 0, harness.nowNanos));
+    assertEquals(List.of("cancel q 0"), harness.takeActions());
   }
 
   @Test
   void migratesBadPlanButNotSlowQuery() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.notePeriod = 500 * MS;
-    b.start(up("a"), up("b"));
-    for (int i = 0; i < 30; i++) { // learn that the class takes its cost
-      b.arrive("l" + i, LONG, 1);
-      b.served("l" + i, b.take().get(0).substring(("send l" + i + " ").length()), 1);
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.progressPeriodNanos = 500 * MILLISECOND;
+    harness.start(up("a"), up("b"));
+    for (int i = 0; i < 30; i++) { // the service time of the class becomes its cost
+      harness.arrive("l" + i, LONG, 1);
+      harness.served("l" + i, harness.takeActions().get(0).substring(("forward l" + i + " ").length()), 1);
     }
-    b.arrive("bad", LONG, 1);
-    String on = b.take().get(0).substring("send bad ".length());
-    b.pass(SECOND);
-    b.note("bad", on, 0.3);
-    assertEquals(0, count(b.take(), "cancel"), "three times the usual is no bad plan");
-    b.pass(300 * MS);
-    b.note("bad", on, 0.1);
-    assertEquals(List.of("cancel bad 0"), b.take());
+    harness.arrive("bad", LONG, 1);
+    String engine = harness.takeActions().get(0).substring("forward bad ".length());
+    harness.advance(SECOND);
+    harness.progress("bad", engine, 0.3);
+    assertEquals(0, count(harness.takeActions(), "cancel"), "three times the predicted time is no bad plan");
+    harness.advance(300 * MILLISECOND);
+    harness.progress("bad", engine, 0.1);
+    assertEquals(List.of("cancel bad 0"), harness.takeActions());
   }
 
   @Test
   void stallOfGatewayRejectsNoQueuedQueries() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.reports = true;
-    b.start(up("a"));
-    press(b, "a");
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.loadReports = true;
+    harness.start(up("a"));
+    putUnderPressure(harness, "a");
     int sent = 0;
     do {
-      b.arrive("q" + sent++, LONG, 0.5);
-    } while (count(b.actions, "send q" + (sent - 1) + " ") == 1);
-    b.take();
-    b.report("a", 1);
-    b.stall(5 * SECOND);
-    assertEquals(0, count(b.take(), "refuse"));
+      harness.arrive("q" + sent++, LONG, 0.5);
+    } while (count(harness.actions, "forward q" + (sent - 1) + " ") == 1);
+    harness.takeActions();
+    harness.report("a", 1);
+    harness.stall(5 * SECOND);
+    assertEquals(0, count(harness.takeActions(), "reject"));
   }
 
   @Test
   void rejectsQueriesOverTenantQuotaUnderPressure() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.reports = true;
-    b.tenants = List.of(new TenantQuota(2), new TenantQuota(50));
-    b.start(up("a"));
-    press(b, "a");
-    b.actions.clear();
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.loadReports = true;
+    harness.tenants = List.of(new TenantQuota(2), new TenantQuota(50));
+    harness.start(up("a"));
+    putUnderPressure(harness, "a");
+    harness.actions.clear();
     for (int i = 0; i < 40; i++) {
-      b.arrive("big" + i, LONG, 1, 0, null);
+      harness.arrive("big" + i, LONG, 1, 0, null);
     }
-    assertTrue(count(b.take(), "refuse big") > 20);
-    b.arrive("small", LONG, 1, 1, null);
-    assertEquals(0, count(b.take(), "refuse"), "a tenant within its share is held");
+    assertTrue(count(harness.takeActions(), "reject big") > 20);
+    harness.arrive("small", LONG, 1, 1, null);
+    assertEquals(0, count(harness.takeActions(), "reject"), "a query within its tenant's quota is queued");
   }
 
   @Test
   void limitsBulkLoadsPerTableGroup() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"));
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"));
     for (int i = 0; i < 6; i++) {
-      b.arrive("l" + i, KEYED, 0.5);
+      harness.arrive("l" + i, KEYED, 0.5);
     }
-    assertEquals(2, count(b.take(), "send l"));
-    b.served("l0", "a", 0.5);
-    assertEquals(List.of("send l2 a"), b.take());
+    assertEquals(2, count(harness.takeActions(), "forward l"));
+    harness.served("l0", "a", 0.5);
+    assertEquals(List.of("forward l2 a"), harness.takeActions());
   }
 
   @Test
   void migratesQueryBlockedByBulkLoad() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.start(up("a"), up("b"));
-    b.arrive("q", LONG, 0.5);
-    String on = b.take().get(0).substring("send q ".length());
-    b.choice.onProgress(b.now, new ProgressReport("q", 0, on, ProgressKind.LOAD_WAIT, 2));
-    assertEquals(List.of("cancel q 0"), b.take());
-    b.end("q", 0, on, AttemptOutcome.CANCELLED, 0.1, false);
-    assertEquals(List.of("send q " + (on.equals("a") ? "b" : "a")), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.start(up("a"), up("b"));
+    harness.arrive("q", LONG, 0.5);
+    String engine = harness.takeActions().get(0).substring("forward q ".length());
+    harness.scheduler.onProgress(harness.nowNanos, new ProgressReport("q", 0, engine, ProgressKind.LOAD_WAIT, 2));
+    assertEquals(List.of("cancel q 0"), harness.takeActions());
+    harness.end("q", 0, engine, AttemptOutcome.CANCELLED, 0.1, false);
+    assertEquals(List.of("forward q " + (engine.equals("a") ? "b" : "a")), harness.takeActions());
   }
 
   @Test
   void memoryWaitMarksEngineFullWithoutTimeout() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.notePeriod = 500 * MS;
-    b.start(up("a"));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.progressPeriodNanos = 500 * MILLISECOND;
+    harness.start(up("a"));
     for (int i = 0; i < 40; i++) {
-      b.arrive("q" + i, LONG, 1);
+      harness.arrive("q" + i, LONG, 1);
     }
-    assertEquals(40, count(b.take(), "send"));
-    b.choice.onProgress(b.now, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
+    assertEquals(40, count(harness.takeActions(), "forward"));
+    harness.scheduler.onProgress(harness.nowNanos, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
     for (int round = 0; round < 3; round++) {
-      b.pass(400 * MS);
+      harness.advance(400 * MILLISECOND);
       for (int i = 1; i < 40; i++) {
-        b.note("q" + i, "a", 0.5);
+        harness.progress("q" + i, "a", 0.5);
       }
     }
-    assertEquals(List.of(), b.take(), "q0 stands in the engine's line and is not lost");
-    b.arrive("next", LONG, 1);
-    assertEquals(0, count(b.take(), "send"), "held");
+    assertEquals(List.of(), harness.takeActions(), "q0 waits for memory at the engine and is not lost");
+    harness.arrive("next", LONG, 1);
+    assertEquals(0, count(harness.takeActions(), "forward"), "queued");
   }
 
   @Test
   void memoryLimitsConcurrency() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.memoryMb = 1000;
-    b.start(up("a"));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.memoryMb = 1000;
+    harness.start(up("a"));
     for (int i = 0; i < 20; i++) {
-      b.arrive("l" + i, LONG, 2);
+      harness.arrive("l" + i, LONG, 2);
     }
-    assertEquals(9, count(b.take(), "send"), "950 of 1000 MB are planned, 100 each");
+    assertEquals(9, count(harness.takeActions(), "forward"), "950 of 1000 MB are planned for queries of 100 MB");
   }
 
   @Test
   void busyReportLimitsRestartedGatewayImmediately() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.reports = true;
-    b.start(up("a"));
-    b.arrive("first", LONG, 1);
-    b.pass(25 * MS);
-    assertEquals(List.of("send first a", "probe a"), b.take());
-    b.report("a", 1);
-    b.pass(25 * MS);
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.loadReports = true;
+    harness.start(up("a"));
+    harness.arrive("first", LONG, 1);
+    harness.advance(25 * MILLISECOND);
+    assertEquals(List.of("forward first a", "check a"), harness.takeActions());
+    harness.report("a", 1);
+    harness.advance(25 * MILLISECOND);
     for (int i = 0; i < 40; i++) {
-      b.arrive("q" + i, LONG, 1);
+      harness.arrive("q" + i, LONG, 1);
     }
-    assertEquals(7, count(b.take(), "send"), "sixteen threads, two a core");
+    assertEquals(7, count(harness.takeActions(), "forward"), "sixteen threads, two per core");
   }
 
   private static EngineEndpoint[] pool(int size, long since) {
@@ -547,147 +547,147 @@
   @Test
   void poolLimitBindsWhereEngineLimitsDoNot() {
     for (int gateways : new int[] {1, 3, 300}) {
-      SchedulerHarness b = new SchedulerHarness();
-      b.gateways = gateways;
-      b.start(pool(30, 0));
+      SchedulerHarness harness = new SchedulerHarness();
+      harness.gateways = gateways;
+      harness.start(pool(30, 0));
       for (int i = 0; i < 20; i++) {
-        b.arrive("f" + i, QUICK, 0.1);
-        b.end("f" + i, 0, b.take().get(0).split(" ")[2], AttemptOutcome.FULL, 0, true);
+        harness.arrive("f" + i, QUICK, 0.1);
+        harness.end("f" + i, 0, harness.takeActions().get(0).split(" ")[2], AttemptOutcome.FULL, 0, true);
       }
-      b.pass(600 * MS);
-      b.take();
+      harness.advance(600 * MILLISECOND);
+      harness.takeActions();
       for (int i = 0; i < 10; i++) {
-        b.arrive("q" + i, LONG, 1);
+        harness.arrive("q" + i, LONG, 1);
       }
-      assertEquals(gateways == 300 ? 1 : 10, count(b.take(), "send"), gateways + " gateways");
+      assertEquals(gateways == 300 ? 1 : 10, count(harness.takeActions(), "forward"), gateways + " gateways");
     }
   }
 
   @Test
   void checksTwoEnginesAndUsesTheOneThatAnswers() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.gateways = 300;
-    b.reports = true;
-    b.start(pool(30, 0));
-    b.pass(2 * SECOND);
-    assertEquals(List.of(), b.take(), "no traffic, no probes");
-    b.arrive("q", LONG, 1);
-    List<String> probes = b.take();
-    assertEquals(2, count(probes, "probe"));
-    assertEquals(2, probes.size(), "held until the reports are in");
-    b.report(probes.get(1).substring("probe ".length()), 0.5);
-    assertEquals(List.of(), b.take());
-    b.pass(50 * MS);
-    assertEquals(List.of("send q " + probes.get(1).substring("probe ".length())), b.take());
-  }
-
-  private static SchedulerHarness fleetWithProbesAt(double price) {
-    SchedulerHarness b = new SchedulerHarness();
-    b.gateways = 100;
-    b.reports = true;
-    b.probePrice = price;
-    return b.start(pool(30, 0));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.gateways = 300;
+    harness.loadReports = true;
+    harness.start(pool(30, 0));
+    harness.advance(2 * SECOND);
+    assertEquals(List.of(), harness.takeActions(), "no health checks without traffic");
+    harness.arrive("q", LONG, 1);
+    List<String> checks = harness.takeActions();
+    assertEquals(2, count(checks, "check"));
+    assertEquals(2, checks.size(), "queued until the reports arrive");
+    harness.report(checks.get(1).substring("check ".length()), 0.5);
+    assertEquals(List.of(), harness.takeActions());
+    harness.advance(50 * MILLISECOND);
+    assertEquals(List.of("forward q " + checks.get(1).substring("check ".length())), harness.takeActions());
+  }
+
+  private static SchedulerHarness gatewayWithHealthCheckPrice(double price) {
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.gateways = 100;
+    harness.loadReports = true;
+    harness.healthCheckPrice = price;
+    return harness.start(pool(30, 0));
   }
 
   @Test
   void checksOnlyForQueriesWorthThePrice() {
     for (double price : new double[] {0.01, 0.08}) {
-      SchedulerHarness b = fleetWithProbesAt(price);
-      int[] probes = new int[2];
+      SchedulerHarness harness = gatewayWithHealthCheckPrice(price);
+      int[] checks = new int[2];
       for (int i = 0; i < 40; i++) {
-        b.pass(SECOND); // too few queries for a clock
-        b.take();
-        boolean dear = i % 10 == 9; // worth 8 beside nine of 1: 1.7 on average
-        b.arrive("q" + i, dear ? LONG : QUICK, 0.1);
-        List<String> taken = new ArrayList<>(b.take());
-        probes[dear ? 1 : 0] += count(taken, "probe");
+        harness.advance(SECOND); // too few queries for periodic checks
+        harness.takeActions();
+        boolean isValuable = i % 10 == 9; // weight 8; with nine of weight 1 the mean is 1.7
+        harness.arrive("q" + i, isValuable ? LONG : QUICK, 0.1);
+        List<String> taken = new ArrayList<>(harness.takeActions());
+        checks[isValuable ? 1 : 0] += count(taken, "check");
         taken.stream()
-            .filter(a -> a.startsWith("probe"))
-            .forEach(a -> b.report(a.split(" ")[1], 0.95));
-        b.pass(50 * MS);
-        List<String> more = b.take(); // an engine whose probe is out is not probed again
+            .filter(a -> a.startsWith("check"))
+            .forEach(a -> harness.report(a.split(" ")[1], 0.95));
+        harness.advance(50 * MILLISECOND);
+        List<String> more = harness.takeActions(); // an engine with a check in flight is not checked again
         more.stream()
-            .filter(a -> a.startsWith("probe"))
-            .forEach(a -> b.report(a.split(" ")[1], 0.95));
+            .filter(a -> a.startsWith("check"))
+            .forEach(a -> harness.report(a.split(" ")[1], 0.95));
         taken.addAll(more);
-        taken.addAll(b.take());
+        taken.addAll(harness.takeActions());
         taken.stream()
-            .filter(a -> a.startsWith("send"))
+            .filter(a -> a.startsWith("forward"))
             .map(a -> a.split(" "))
             .forEach(
                 a ->
-                    b.end(
+                    harness.end(
                         a[1],
                         0,
                         a[2],
                         AttemptOutcome.FULL,
                         0,
-                        true)); // signs of pressure: the pool is not calm
+                        true)); // a signal of pressure: the pool is not calm
       }
-      assertTrue(probes[1] >= 8, probes[1] + " probes for four queries of much worth at " + price);
+      assertTrue(checks[1] >= 8, checks[1] + " checks for four valuable queries at price " + price);
       assertTrue(
-          price < 0.05 ? probes[0] > 60 : probes[0] == 0,
-          probes[0] + " probes for 36 queries of little worth at " + price);
+          price < 0.05 ? checks[0] > 60 : checks[0] == 0,
+          checks[0] + " checks for 36 queries of low weight at price " + price);
     }
   }
 
   @Test
   void periodicChecksRunOnlyIfQueriesPayForThem() {
     for (double price : new double[] {0.01, 0.08}) {
-      SchedulerHarness b = fleetWithProbesAt(price);
-      int probes = 0;
+      SchedulerHarness harness = gatewayWithHealthCheckPrice(price);
+      int checks = 0;
       for (int i = 0; i < 400; i++) {
-        b.arrive("q" + i, QUICK, 0.1);
-        b.pass(100 * MS);
-        List<String> taken = b.take();
-        probes += count(taken, "probe");
+        harness.arrive("q" + i, QUICK, 0.1);
+        harness.advance(100 * MILLISECOND);
+        List<String> taken = harness.takeActions();
+        checks += count(taken, "check");
         taken.stream()
-            .filter(a -> a.startsWith("probe"))
-            .forEach(a -> b.report(a.split(" ")[1], 0.95));
+            .filter(a -> a.startsWith("check"))
+            .forEach(a -> harness.report(a.split(" ")[1], 0.95));
         taken.stream()
-            .filter(a -> a.startsWith("send"))
+            .filter(a -> a.startsWith("forward"))
             .map(a -> a.split(" "))
-            .forEach(a -> b.end(a[1], 0, a[2], AttemptOutcome.FULL, 0, true));
+            .forEach(a -> harness.end(a[1], 0, a[2], AttemptOutcome.FULL, 0, true));
       }
-      // Ten queries a second pay for a clock at the one price, and not at the other.
+      // Ten queries per second pay for periodic checks at the low price but not at the high one.
       assertTrue(
-          price < 0.05 ? probes > 2_000 : probes < 400, probes + " probes in 40 s at " + price);
+          price < 0.05 ? checks > 2_000 : checks < 400, checks + " checks in 40 s at price " + price);
     }
   }
 
   @Test
   void skipsChecksForQueryNearItsDeadline() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.gateways = 300;
-    b.reports = true;
-    b.start(pool(30, 0));
-    b.arrive("usual", QUICK, 0.1);
-    b.pass(50 * MS);
-    b.take();
-    b.choice.onQuery(b.now, new Query("late", QUICK, 0, null, 45 * MS, MS, 100, 3, true));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.gateways = 300;
+    harness.loadReports = true;
+    harness.start(pool(30, 0));
+    harness.arrive("usual", QUICK, 0.1);
+    harness.advance(50 * MILLISECOND);
+    harness.takeActions();
+    harness.scheduler.onQuery(harness.nowNanos, new Query("late", QUICK, 0, null, 45 * MILLISECOND, MILLISECOND, 100, 3, true));
     assertEquals(
         1,
-        count(b.take(), "send late "),
-        "a reply may come after its deadline, so it goes at once");
+        count(harness.takeActions(), "forward late "),
+        "the reports may arrive after its deadline, so it is forwarded immediately");
   }
 
   @Test
   void checksTwoOtherEnginesWhenBothAreFull() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.gateways = 300;
-    b.reports = true;
-    b.start(up("a"));
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.gateways = 300;
+    harness.loadReports = true;
+    harness.start(up("a"));
     for (int i = 0; i < 5; i++) {
-      b.arrive("p" + i, QUICK, 0.1); // each pays for two probes
+      harness.arrive("p" + i, QUICK, 0.1); // each pays for two checks
     }
-    b.list(pool(30, 0));
-    b.take();
-    b.arrive("q", LONG, 1);
-    List<String> probes = b.take();
-    probes.forEach(p -> b.report(p.substring("probe ".length()), 1));
-    List<String> others = b.take();
-    assertEquals(2, count(others, "probe"), others.toString());
-    assertTrue(others.stream().noneMatch(probes::contains));
+    harness.listEndpoints(pool(30, 0));
+    harness.takeActions();
+    harness.arrive("q", LONG, 1);
+    List<String> checks = harness.takeActions();
+    checks.forEach(check -> harness.report(check.substring("check ".length()), 1));
+    List<String> others = harness.takeActions();
+    assertEquals(2, count(others, "check"), others.toString());
+    assertTrue(others.stream().noneMatch(checks::contains));
   }
 
   @Test
@@ -696,16 +696,16 @@
     for (int gateways : new int[] {1, 3, 300}) {
       double work = 0;
       for (int g = 0; g < gateways; g++) {
-        SchedulerHarness b = new SchedulerHarness();
-        b.gateways = gateways;
-        b.seed = g;
-        b.self = g;
-        b.start(pool(1, b.now));
+        SchedulerHarness harness = new SchedulerHarness();
+        harness.gateways = gateways;
+        harness.seed = g;
+        harness.selfIndex = g;
+        harness.start(pool(1, harness.nowNanos));
         for (int i = 0; i < 40; i++) {
-          b.arrive("q" + i, QUICK, 0.1);
-          b.pass(25 * MS);
+          harness.arrive("q" + i, QUICK, 0.1);
+          harness.advance(25 * MILLISECOND);
         }
-        work += count(b.take(), "send") * 0.1;
+        work += count(harness.takeActions(), "forward") * 0.1;
       }
       assertTrue(work > 0.2 * budget && work < budget, gateways + " gateways sent " + work);
     }
@@ -713,76 +713,76 @@
 
   @Test
   void allowsSmallBurstWithinTenantQuota() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.gateways = 300;
-    b.tenants = List.of(new TenantQuota(60));
-    b.start();
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.gateways = 300;
+    harness.tenants = List.of(new TenantQuota(60));
+    harness.start();
     for (int i = 0; i < 6; i++) {
-      b.arrive("q" + i, QUICK, 0.1);
+      harness.arrive("q" + i, QUICK, 0.1);
     }
     assertEquals(
-        List.of("refuse q5 5s"), b.take(), "the sixth is beyond the share, the others are held");
+        List.of("reject q5 5s"), harness.takeActions(), "the sixth query is over the quota, the others are queued");
   }
 
   @Test
   void timeoutsStartOverAfterStall() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.notePeriod = 500 * MS;
-    b.start(up("a"), up("b"));
-    b.arrive("q", LONG, 1);
-    b.take();
-    b.stall(2 * SECOND);
-    b.pass(SECOND);
-    assertEquals(List.of(), b.take(), "notes may still be in the pile-up");
-    b.pass(500 * MS);
-    assertEquals(List.of("cancel q 0"), b.take(), "silent for 2.5 periods since the stall");
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.progressPeriodNanos = 500 * MILLISECOND;
+    harness.start(up("a"), up("b"));
+    harness.arrive("q", LONG, 1);
+    harness.takeActions();
+    harness.stall(2 * SECOND);
+    harness.advance(SECOND);
+    assertEquals(List.of(), harness.takeActions(), "progress reports may not have been read yet");
+    harness.advance(500 * MILLISECOND);
+    assertEquals(List.of("cancel q 0"), harness.takeActions(), "no signal for 2.5 periods since the stall");
   }
 
   @Test
   void avoidsFullEngineForAWhile() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"));
-    b.arrive("q", QUICK, 0.1);
-    String full = b.take().get(0).substring("send q ".length());
-    b.end("q", 0, full, AttemptOutcome.FULL, 0, false);
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"));
+    harness.arrive("q", QUICK, 0.1);
+    String full = harness.takeActions().get(0).substring("forward q ".length());
+    harness.end("q", 0, full, AttemptOutcome.FULL, 0, false);
     for (int i = 0; i < 10; i++) {
-      b.arrive("r" + i, QUICK, 0.1);
+      harness.arrive("r" + i, QUICK, 0.1);
     }
-    assertFalse(b.take().stream().anyMatch(x -> x.endsWith(" " + full)));
+    assertFalse(harness.takeActions().stream().anyMatch(x -> x.endsWith(" " + full)));
   }
 
   @Test
   void peerReportsMakeEngineLastChoiceWithoutEjectingIt() {
-    SchedulerHarness b =
+    SchedulerHarness harness =
         new SchedulerHarness().start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
-    b.choice.onPeerReport(b.now, "a", 0.9);
+    harness.scheduler.onPeerReport(harness.nowNanos, "a", 0.9);
     for (int i = 0; i < 3; i++) {
-      b.arrive("q" + i, SchedulerHarness.QUICK, 0.2);
+      harness.arrive("q" + i, SchedulerHarness.QUICK, 0.2);
     }
-    assertEquals(List.of("send q0 b", "send q1 b", "send q2 b"), b.take());
-    b.list(SchedulerHarness.up("a"), SchedulerHarness.engine("b", EngineState.DRAINING, 0, 0));
-    b.arrive("alone", SchedulerHarness.QUICK, 0.2);
-    assertEquals(List.of("send alone a"), b.take(), "the last one left is used all the same");
-    b.arrive("second", SchedulerHarness.QUICK, 0.2);
-    assertEquals(List.of(), b.take(), "one at a time");
-    b.served("alone", "a", 0.2);
-    assertEquals(List.of("send second a"), b.take());
-    b.choice.onPeerReport(b.now, "a", 0);
-    b.arrive("third", SchedulerHarness.QUICK, 0.2);
-    assertEquals(List.of("send third a"), b.take());
-    b.choice.onPeerReport(b.now, "nobody", 1);
+    assertEquals(List.of("forward q0 b", "forward q1 b", "forward q2 b"), harness.takeActions());
+    harness.listEndpoints(SchedulerHarness.up("a"), SchedulerHarness.engine("b", EngineState.DRAINING, 0, 0));
+    harness.arrive("alone", SchedulerHarness.QUICK, 0.2);
+    assertEquals(List.of("forward alone a"), harness.takeActions(), "the only remaining engine is used");
+    harness.arrive("second", SchedulerHarness.QUICK, 0.2);
+    assertEquals(List.of(), harness.takeActions(), "a suspected engine gets one query at a time");
+    harness.served("alone", "a", 0.2);
+    assertEquals(List.of("forward second a"), harness.takeActions());
+    harness.scheduler.onPeerReport(harness.nowNanos, "a", 0);
+    harness.arrive("third", SchedulerHarness.QUICK, 0.2);
+    assertEquals(List.of("forward third a"), harness.takeActions());
+    harness.scheduler.onPeerReport(harness.nowNanos, "unknown", 1);
   }
 
   @Test
   void checksEngineThatPeersSuspect() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.reports = true;
-    b.start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
-    b.arrive("q", SchedulerHarness.QUICK, 0.2); // a probe costs, and is paid for by queries
-    b.take();
-    b.choice.onPeerReport(b.now, "a", 0.4);
-    assertEquals(List.of(), b.take());
-    b.choice.onPeerReport(b.now, "a", 0.6);
-    assertEquals(List.of("probe a"), b.take());
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.loadReports = true;
+    harness.start(SchedulerHarness.up("a"), SchedulerHarness.up("b"));
+    harness.arrive("q", SchedulerHarness.QUICK, 0.2); // queries pay for checks
+    harness.takeActions();
+    harness.scheduler.onPeerReport(harness.nowNanos, "a", 0.4);
+    assertEquals(List.of(), harness.takeActions());
+    harness.scheduler.onPeerReport(harness.nowNanos, "a", 0.6);
+    assertEquals(List.of("check a"), harness.takeActions());
   }
 
   @Test
@@ -793,70 +793,70 @@
   }
 
   private static List<String> script() {
-    SchedulerHarness b = new SchedulerHarness().start(up("a"), up("b"), up("c"));
+    SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 120; i++) {
-      b.arrive("q" + i, i % 3, 0.2 + i % 5);
-      b.pass(30 * MS);
+      harness.arrive("q" + i, i % 3, 0.2 + i % 5);
+      harness.advance(30 * MILLISECOND);
     }
-    return b.take();
+    return harness.takeActions();
   }
 
   @Test
   void busyGatewayIsNotLimitedToEqualShare() {
-    // 50 gateways by the settings, ten engines that report 3% of their memory in use; of that this
-    // one
-    // has a fiftieth or, the second time, a tenth.
+    // The settings name 50 gateways, and ten engines report 3% of their memory in use. This gateway
+    // uses a fiftieth of it in the first run and a tenth in the second.
     int[] sent = new int[2];
-    for (int hot = 0; hot < 2; hot++) {
-      SchedulerHarness b = new SchedulerHarness();
-      b.reports = true;
-      b.gateways = 50;
-      b.memoryMb = 80_000; // enough that it binds nobody
+    for (int run = 0; run < 2; run++) {
+      SchedulerHarness harness = new SchedulerHarness();
+      harness.loadReports = true;
+      harness.gateways = 50;
+      harness.memoryMb = 80_000; // enough not to limit any query
       String[] names = IntStream.range(0, 10).mapToObj(i -> "e" + i).toArray(String[]::new);
-      b.start(IntStream.range(0, 10).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
-      for (int k = 0; k < (hot == 0 ? 5 : 25); k++) {
-        b.arrive("own" + k, LONG, 5);
+      harness.start(IntStream.range(0, 10).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
+      for (int k = 0; k < (run == 0 ? 5 : 25); k++) {
+        harness.arrive("own" + k, LONG, 5);
       }
-      b.pass(100 * MS);
-      List<String> own = b.take().stream().filter(a -> a.startsWith("send")).toList();
-      for (int i = 0; i < 100; i++) { // from its half on all are busy
-        b.choice.onHealthCheck(
-            b.now, names[i % 10], true, new LoadReport(i < 50 ? 0.5 : 1, 0, 0.03, 0));
-        b.pass(100 * MS);
+      harness.advance(100 * MILLISECOND);
+      List<String> own = harness.takeActions().stream().filter(a -> a.startsWith("forward")).toList();
+      for (int i = 0; i < 100; i++) { // all engines are busy in the second half
+        harness.scheduler.onHealthCheck(
+            harness.nowNanos, names[i % 10], true, new LoadReport(i < 50 ? 0.5 : 1, 0, 0.03, 0));
+        harness.advance(100 * MILLISECOND);
       }
-      b.pass(2 * SECOND); // no engine is known to be busy any more, but the pool is pressed
-      own.stream().map(a -> a.split(" ")).forEach(a -> b.served(a[1], a[2], 5));
-      b.take();
+      harness.advance(2 * SECOND); // the busy reports are outdated, but the pool is under pressure
+      own.stream().map(a -> a.split(" ")).forEach(a -> harness.served(a[1], a[2], 5));
+      harness.takeActions();
       for (int i = 0; i < 100; i++) {
-        b.arrive("late" + i, LONG, 0.6);
+        harness.arrive("late" + i, LONG, 0.6);
       }
-      b.pass(50 * MS);
-      sent[hot] = (int) count(b.take(), "send late");
+      harness.advance(50 * MILLISECOND);
+      sent[run] = (int) count(harness.takeActions(), "forward late");
     }
     assertTrue(sent[0] > 0 && sent[1] >= 3 * sent[0], sent[0] + " and " + sent[1]);
   }
 
   @Test
   void gatewayUsesSubsetOfEngines() {
-    SchedulerHarness b = new SchedulerHarness();
-    b.gateways = 100;
-    b.start(IntStream.range(0, 60).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
-    List<String> met = new ArrayList<>();
+    SchedulerHarness harness = new SchedulerHarness();
+    harness.gateways = 100;
+    harness.start(IntStream.range(0, 60).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
+    List<String> used = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
-      b.arrive("q" + i, QUICK, 0.05);
-      String engine = b.take().get(0).split(" ")[2];
-      met.add(engine);
-      b.served("q" + i, engine, 0.05);
-      b.pass(25 * MS);
+      harness.arrive("q" + i, QUICK, 0.05);
+      String engine = harness.takeActions().get(0).split(" ")[2];
+      used.add(engine);
+      harness.served("q" + i, engine, 0.05);
+      harness.advance(25 * MILLISECOND);
     }
-    long kept = met.stream().distinct().count();
+    long usedCount = used.stream().distinct().count();
     assertTrue(
-        kept <= 8 && kept >= 4, "kept to " + kept); // of equals those that have served go first
-    // With more out than those bear alone it goes on to others, and where they are gone, too.
+        usedCount <= 8 && usedCount >= 4, "used " + usedCount + " engines");
+    // With more in flight than these engines can serve, the gateway uses others as well,
+    // as it does when they are removed.
     for (int i = 0; i < 200; i++) {
-      b.arrive("w" + i, LONG, 1);
+      harness.arrive("w" + i, LONG, 1);
     }
-    long wide = b.take().stream().map(a -> a.split(" ")[2]).distinct().count();
-    assertTrue(wide > 40, "went on to " + wide);
+    long usedUnderLoad = harness.takeActions().stream().map(a -> a.split(" ")[2]).distinct().count();
+    assertTrue(usedUnderLoad > 40, "used " + usedUnderLoad + " engines");
   }
 }
--- a/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
+++ b/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
@@ -23,38 +23,47 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * One gateway on a scripted clock: events go in by short calls, actions are kept as lines of text.
+ * The scheduler of one gateway with a simulated clock: short methods deliver events, and the actions
+ * are recorded as lines of text.
  */
 final class SchedulerHarness implements SchedulerActions {
-  static final long MS = 1_000_000;
-  static final long SECOND = 1000 * MS;
+  static final long MILLISECOND = 1_000_000;
+  static final long SECOND = 1000 * MILLISECOND;
+
+  /** Index of a class of idempotent queries with a deadline of 5 s. */
   static final int QUICK = 0;
+
+  /** Index of a class of queries with two threads and a deadline of 20 s. */
   static final int LONG = 1;
+
+  /** Index of a class of bulk loads with an idempotency key and a deadline of 20 s. */
   static final int KEYED = 2;
 
+  private static final long TICK_NANOS = 25 * MILLISECOND;
+
   final List<String> actions = new ArrayList<>();
-  final QueryScheduler choice = new QueryScheduler(this);
-  long now = 1000 * SECOND;
+  final QueryScheduler scheduler = new QueryScheduler(this);
+  long nowNanos = 1000 * SECOND;
   int gateways = 1;
-  int self;
+  int selfIndex;
   long seed = 7;
-  Idempotency longEffect = Idempotency.IDEMPOTENT;
-  DeduplicationScope scope = DeduplicationScope.ALL;
+  Idempotency longIdempotency = Idempotency.IDEMPOTENT;
+  DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
   List<Integer> longKinds = List.of();
   boolean ordered;
-  long orderSettle;
-  long keyWindow = 15 * SECOND;
-  long lookBack;
-  double extraFree = 1;
-  double extraShare;
-  boolean reports;
-  double probePrice;
-  boolean grants;
-  long notePeriod;
-  OvercommitPolicy overbooked = OvercommitPolicy.WAIT;
+  long orderSettleNanos;
+  long idempotencyWindowNanos = 15 * SECOND;
+  long retryBudgetWindowNanos;
+  double retryBudgetBase = 1;
+  double retryBudgetPerQuery;
+  boolean loadReports;
+  double healthCheckPrice;
+  boolean memoryGrants;
+  long progressPeriodNanos;
+  OvercommitPolicy overcommitPolicy = OvercommitPolicy.WAIT;
   List<TenantQuota> tenants = List.of();
   double memoryMb;
-  private long ticksDue;
+  private long pendingTimers;
 
   SchedulerHarness start(EngineEndpoint... engines) {
     List<QueryClass> classes =
@@ -81,9 +90,9 @@
                 20 * SECOND,
                 8,
                 0.3,
-                longEffect,
-                scope,
-                keyWindow,
+                longIdempotency,
+                deduplicationScope,
+                idempotencyWindowNanos,
                 false,
                 false,
                 longKinds,
@@ -98,8 +107,8 @@
                 12,
                 0.5,
                 Idempotency.IDEMPOTENT_BY_KEY,
-                scope,
-                keyWindow,
+                deduplicationScope,
+                idempotencyWindowNanos,
                 ordered,
                 false,
                 List.of(),
@@ -107,35 +116,35 @@
                 2,
                 true,
                 false));
-    choice.onStart(
-        now,
+    scheduler.onStart(
+        nowNanos,
         seed,
         new SchedulerSettings(
             gateways,
-            self,
+            selfIndex,
             0,
             false,
-            5 * MS,
+            5 * MILLISECOND,
             0.1,
             0,
-            probePrice,
+            healthCheckPrice,
             0.1,
             classes,
             List.of(new EngineKind(8, memoryMb), new EngineKind(8, memoryMb)),
             tenants,
-            new SchedulerLimits(5, true, reports, false, true, 2 * SECOND),
+            new SchedulerLimits(5, true, loadReports, false, true, 2 * SECOND),
             new SchedulingRules(
-                20 * MS,
+                20 * MILLISECOND,
                 0.3,
                 10 * SECOND,
                 2.5,
                 SECOND,
-                orderSettle,
-                lookBack,
-                extraFree,
-                extraShare),
-            new EngineCapabilities(grants, true, reports, notePeriod, 0.5, overbooked)));
-    list(engines);
+                orderSettleNanos,
+                retryBudgetWindowNanos,
+                retryBudgetBase,
+                retryBudgetPerQuery),
+            new EngineCapabilities(memoryGrants, true, loadReports, progressPeriodNanos, 0.5, overcommitPolicy)));
+    listEndpoints(engines);
     return this;
   }
 
@@ -143,12 +152,12 @@
     return engine(name, EngineState.UP, 0, 0);
   }
 
-  static EngineEndpoint engine(String name, EngineState state, int kind, long since) {
-    return new EngineEndpoint(name, state, kind, 0, name.charAt(0), 1, since);
+  static EngineEndpoint engine(String name, EngineState state, int kind, long incarnation) {
+    return new EngineEndpoint(name, state, kind, 0, name.charAt(0), 1, incarnation);
   }
 
-  void list(EngineEndpoint... engines) {
-    choice.onEndpoints(now, true, List.of(engines));
+  void listEndpoints(EngineEndpoint... engines) {
+    scheduler.onEndpoints(nowNanos, true, List.of(engines));
   }
 
   void arrive(String id, int queryClass, double costSeconds) {
@@ -156,64 +165,64 @@
   }
 
   void arrive(String id, int queryClass, double costSeconds, int tenant, String key) {
-    long time = queryClass == QUICK ? 5 * SECOND : 20 * SECOND;
-    long cost = (long) (costSeconds * SECOND);
-    choice.onQuery(now, new Query(id, queryClass, tenant, key, time, cost, 100, 3, false));
+    long remainingNanos = queryClass == QUICK ? 5 * SECOND : 20 * SECOND;
+    long costNanos = (long) (costSeconds * SECOND);
+    scheduler.onQuery(nowNanos, new Query(id, queryClass, tenant, key, remainingNanos, costNanos, 100, 3, false));
   }
 
   void end(
-      String id, int attempt, String engine, AttemptOutcome outcome, double seconds, boolean over) {
-    long spent = (long) (seconds * SECOND);
-    choice.onAttemptEnded(
-        now, new AttemptResult(id, attempt, engine, outcome, spent, over, 0, 0, null));
+      String id, int attempt, String engine, AttemptOutcome outcome, double seconds, boolean queryFinished) {
+    long elapsedNanos = (long) (seconds * SECOND);
+    scheduler.onAttemptEnded(
+        nowNanos, new AttemptResult(id, attempt, engine, outcome, elapsedNanos, queryFinished, 0, 0, null));
   }
 
   void served(String id, String engine, double seconds) {
     end(id, 0, engine, AttemptOutcome.SERVED, seconds, true);
   }
 
-  void note(String id, String engine, double share) {
-    choice.onProgress(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, share));
+  void progress(String id, String engine, double share) {
+    scheduler.onProgress(nowNanos, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, share));
   }
 
-  void report(String engine, double util) {
-    choice.onHealthCheck(now, engine, true, new LoadReport(util, 0, 0, 0));
+  void report(String engine, double utilization) {
+    scheduler.onHealthCheck(nowNanos, engine, true, new LoadReport(utilization, 0, 0, 0));
   }
 
-  /** Lets time pass; the module's timers come due. */
-  void pass(long time) {
-    long end = now + time;
-    while (ticksDue > 0 && now + 25 * MS <= end) {
-      now += 25 * MS;
-      ticksDue--;
-      choice.onTimer(now, 0);
+  /** Advances the clock; the scheduler's timers fire when they are due. */
+  void advance(long nanos) {
+    long endNanos = nowNanos + nanos;
+    while (pendingTimers > 0 && nowNanos + TICK_NANOS <= endNanos) {
+      nowNanos += TICK_NANOS;
+      pendingTimers--;
+      scheduler.onTimer(nowNanos, 0);
     }
-    now = end;
+    nowNanos = endNanos;
   }
 
-  /** Time passes, but the gateway stands still meanwhile. */
-  void stall(long time) {
-    now += time;
-    ticksDue--;
-    choice.onTimer(now, 0);
+  /** Advances the clock as if the gateway were stalled meanwhile: one late tick follows. */
+  void stall(long nanos) {
+    nowNanos += nanos;
+    pendingTimers--;
+    scheduler.onTimer(nowNanos, 0);
   }
 
-  List<String> take() {
+  List<String> takeActions() {
     List<String> taken = List.copyOf(actions);
     actions.clear();
     return taken;
   }
 
   @Override
-  public void forward(String query, String engine, long timeout) {
-    actions.add("send " + query + " " + engine);
+  public void forward(String query, String engine, long timeoutNanos) {
+    actions.add("forward " + query + " " + engine);
   }
 
   @Override
   public void setResources(String query, double grantMb, int priority) {
-    // Terms are looked at by the tests that ask for them.
-    if (grants) {
-      actions.add("terms " + query + " " + Math.round(grantMb) + " " + priority);
+    // Recorded only for tests with memory grants.
+    if (memoryGrants) {
+      actions.add("resources " + query + " " + Math.round(grantMb) + " " + priority);
     }
   }
 
@@ -223,9 +232,9 @@
   }
 
   @Override
-  public void reject(String query, long retryAfter) {
+  public void reject(String query, long retryAfterNanos) {
     actions.add(
-        "refuse " + query + " " + retryAfter / SECOND + (retryAfter % SECOND == 0 ? "s" : "?"));
+        "reject " + query + " " + retryAfterNanos / SECOND + (retryAfterNanos % SECOND == 0 ? "s" : "?"));
   }
 
   @Override
@@ -234,13 +243,13 @@
   }
 
   @Override
-  public void setTimer(long delay, long token) {
-    ticksDue++;
+  public void setTimer(long delayNanos, long token) {
+    pendingTimers++;
   }
 
   @Override
   public void checkHealth(String engine) {
-    actions.add("probe " + engine);
+    actions.add("check " + engine);
   }
 
   @Override
@@ -250,6 +259,6 @@
 
   @Override
   public void log(String line) {
-    // The log decides nothing.
+    // Log lines are not part of the decisions under test.
   }
 }
--- a/decisions/src/test/java/reachloom/scheduler/TickClockTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/TickClockTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a late tick counts as a stall. */
+/** Detection of stalls by late ticks. */
 class TickClockTest {
   private static final long START = 1_000_000_000L;
   private static final long INTERVAL = TickClock.INTERVAL_NANOS;
--- a/gateway/src/test/java/reachloom/MainTest.java
+++ b/gateway/src/test/java/reachloom/MainTest.java
@@ -27,7 +27,7 @@
   void printsUsageToStandardErrorForUnknownOrMissingCommand()
       throws IOException, InterruptedException {
     assertEquals(2, run());
-    assertEquals(2, run("unheard"));
+    assertEquals(2, run("unknown"));
     assertEquals(0, out.size());
     assertTrue(err.toString().contains("usage: reachloom"));
   }
@@ -37,18 +37,18 @@
     assertEquals(0, run("--help"));
     assertTrue(out.toString().contains("simulator-adapter"));
     assertTrue(out.toString().contains("warm-up"));
-    assertFalse(out.toString().contains("benchlink"), "former names are hidden");
+    assertFalse(out.toString().contains("benchlink"), "deprecated names are not listed");
     assertFalse(out.toString().contains("rehearse"));
     assertEquals(0, err.size());
   }
 
   @ParameterizedTest
   @CsvSource({"benchlink, simulator-adapter", "rehearse, warm-up"})
-  void deprecatedCommandsWorkWithWarningOnStandardError(String former, String present) {
+  void deprecatedCommandsWorkWithWarningOnStandardError(String deprecated, String present) {
     PrintStream errors = new PrintStream(err, true);
-    assertEquals(present, Main.currentName(former, errors));
+    assertEquals(present, Main.currentName(deprecated, errors));
     assertEquals(
-        "reachloom: the command '" + former + "' is deprecated; use '" + present + "'\n",
+        "reachloom: the command '" + deprecated + "' is deprecated; use '" + present + "'\n",
         err.toString());
     err.reset();
     assertEquals(present, Main.currentName(present, errors));
--- a/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
+++ b/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
@@ -24,20 +24,20 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Configuration, settings and document files under {@code golden/config}: a file that can be used
- * gives exactly the values in the {@code .values} file beside it, any other exactly its line in
- * {@code error-lines.txt}. The resources were written by commit 09d85ed; operators and tools rely
- * on both.
+ * Configuration, settings and merge patch files under {@code golden/config}: a valid file must yield
+ * exactly the values in the {@code .values} file of its name, an invalid one exactly its line in
+ * {@code error-lines.txt}. The resources were written by commit 09d85ed; operators and tools rely on
+ * both.
  *
- * <p>Values are compared by position, without the names of types and components, so that the
- * resources stay as they are when those are renamed.
+ * <p>Values are compared by position, without the names of types and components, so that renames in
+ * the code do not change the resources.
  */
 class ConfigurationGoldenTest {
   private static final Path ROOT = Path.of("src/test/resources/golden/config");
   private static final String VALUES = ".values";
-  private static final Locale USUAL = Locale.getDefault();
+  private static final Locale DEFAULT_LOCALE = Locale.getDefault();
 
-  /** The validator of the JDK words its messages by the locale. */
+  /** The messages of the JDK's validator depend on the locale. */
   @BeforeAll
   static void useEnglishMessages() {
     Locale.setDefault(Locale.ENGLISH);
@@ -45,15 +45,15 @@
 
   @AfterAll
   static void restoreLocale() {
-    Locale.setDefault(USUAL);
+    Locale.setDefault(DEFAULT_LOCALE);
   }
 
-  static Stream<Path> usableFiles() throws IOException {
-    return files().filter(ConfigurationGoldenTest::isUsable);
+  static Stream<Path> validFiles() throws IOException {
+    return files().filter(ConfigurationGoldenTest::isValid);
   }
 
-  static Stream<Path> faultyFiles() throws IOException {
-    return files().filter(file -> !isUsable(file));
+  static Stream<Path> invalidFiles() throws IOException {
+    return files().filter(file -> !isValid(file));
   }
 
   private static Stream<Path> files() throws IOException {
@@ -66,11 +66,11 @@
     }
   }
 
-  private static boolean isUsable(Path file) {
+  private static boolean isValid(Path file) {
     return file.getFileName().toString().startsWith("good-");
   }
 
-  /** The error line of each faulty file, by its path below {@link #ROOT}. */
+  /** Returns the error line of each invalid file, by its path relative to {@link #ROOT}. */
   private static Map<String, String> errorLines() throws IOException {
     Map<String, String> lines = new TreeMap<>();
     for (String line : Files.readAllLines(ROOT.resolve("error-lines.txt"))) {
@@ -81,14 +81,14 @@
   }
 
   @ParameterizedTest
-  @MethodSource("usableFiles")
+  @MethodSource("validFiles")
   void validFileYieldsRecordedValues(Path file) throws Exception {
     Path values = file.resolveSibling(file.getFileName() + VALUES);
     assertEquals(Files.readString(values), describe(read(file)));
   }
 
   @ParameterizedTest
-  @MethodSource("faultyFiles")
+  @MethodSource("invalidFiles")
   void invalidFileYieldsRecordedErrorLine(Path file) throws IOException {
     ConfigException error = assertThrows(ConfigException.class, () -> read(file));
     assertEquals(errorLines().get(ROOT.relativize(file).toString()), error.getMessage());
@@ -96,10 +96,10 @@
 
   @Test
   void eachRecordedErrorLineHasAFile() throws IOException {
-    List<String> files = faultyFiles().map(file -> ROOT.relativize(file).toString()).toList();
+    List<String> files = invalidFiles().map(file -> ROOT.relativize(file).toString()).toList();
     assertEquals(files, List.copyOf(errorLines().keySet()));
     assertEquals(105, files.size());
-    assertEquals(12, usableFiles().count());
+    assertEquals(12, validFiles().count());
   }
 
   @Test
@@ -164,11 +164,11 @@
     };
   }
 
-  /** One component of the outermost record a line. */
+  /** Formats a record with one line for each of its components. */
   private static String describe(Object value) throws ReflectiveOperationException {
     StringBuilder text = new StringBuilder();
     for (Object component : components(value)) {
-      text.append(words(component)).append('\n');
+      text.append(format(component)).append('\n');
     }
     return text.toString();
   }
@@ -182,12 +182,12 @@
     return values;
   }
 
-  private static String words(Object value) throws ReflectiveOperationException {
+  private static String format(Object value) throws ReflectiveOperationException {
     if (value == null || value.equals(Optional.empty()) || value.equals(OptionalLong.empty())) {
       return "absent";
     }
     if (value instanceof Optional<?> present) {
-      return words(present.get());
+      return format(present.get());
     }
     if (value instanceof OptionalLong present) {
       return Long.toString(present.getAsLong());
@@ -198,7 +198,7 @@
     if (value instanceof List<?> list) {
       return joined(list, "[", "]");
     }
-    if (value instanceof Enum<?> constant) { // the name may change, what it stands for may not
+    if (value instanceof Enum<?> constant) { // the name may change, the position may not
       return "#" + constant.ordinal();
     }
     if (value instanceof InetSocketAddress address) {
@@ -213,10 +213,10 @@
 
   private static String joined(List<?> values, String open, String close)
       throws ReflectiveOperationException {
-    List<String> words = new ArrayList<>();
+    List<String> texts = new ArrayList<>();
     for (Object value : values) {
-      words.add(words(value));
+      texts.add(format(value));
     }
-    return words.stream().collect(Collectors.joining(", ", open, close));
+    return texts.stream().collect(Collectors.joining(", ", open, close));
   }
 }
--- a/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.scheduler.api.EngineState;
 
-/** The configuration: what is read, the defaults, and the key that each message names. */
+/** Parsed values, defaults, and the key that each error message names. */
 class GatewayConfigTest {
   private static final String GOOD =
       """
@@ -88,44 +88,44 @@
 
   @Test
   void messagesNameInvalidKey() {
-    Map<String[], String> faults = new LinkedHashMap<>();
-    faults.put(new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"here\""}, "listen: ");
-    faults.put(
+    Map<String[], String> messageByChange = new LinkedHashMap<>();
+    messageByChange.put(new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"here\""}, "listen: ");
+    messageByChange.put(
         new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"127.0.0.4:99999\""},
         "listen: ");
-    faults.put(new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":7"}, "listen: ");
-    faults.put(new String[] {"fc1f30d27a5be964", "xyz"}, "seed: ");
-    faults.put(new String[] {"\"changelog\"", "\"chanjelog\""}, "changelog: is missing");
-    faults.put(new String[] {"\"known\"", "\"knwon\""}, "known: is missing");
-    faults.put(new String[] {"{\"seq\":3,\"results\"", "{\"seq\":-1,\"results\""}, "known.seq: ");
-    faults.put(
+    messageByChange.put(new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":7"}, "listen: ");
+    messageByChange.put(new String[] {"fc1f30d27a5be964", "xyz"}, "seed: ");
+    messageByChange.put(new String[] {"\"changelog\"", "\"chanjelog\""}, "changelog: is missing");
+    messageByChange.put(new String[] {"\"known\"", "\"knwon\""}, "known: is missing");
+    messageByChange.put(new String[] {"{\"seq\":3,\"results\"", "{\"seq\":-1,\"results\""}, "known.seq: ");
+    messageByChange.put(
         new String[] {"\"results\":[", "\"results\":5,\"x\":["}, "known.results: is not a list");
-    faults.put(
+    messageByChange.put(
         new String[] {"127.1.0.9:4100", "127.1.0.999:4100"},
         "known.results[0].fleet.hosts[0].dial: ");
-    faults.put(
+    messageByChange.put(
         new String[] {"\"site\":\"east\"", "\"site\":\"west\""},
         "known.results[0].fleet.hosts[0].site");
-    faults.put(new String[] {"s-00c41f7a", "c41f7a"}, "known.results[0].fleet.hosts[0].host: ");
-    faults.put(new String[] {"\"sockets\":512", "\"sockets\":0"}, "limits.sockets: ");
-    faults.put(
+    messageByChange.put(new String[] {"s-00c41f7a", "c41f7a"}, "known.results[0].fleet.hosts[0].host: ");
+    messageByChange.put(new String[] {"\"sockets\":512", "\"sockets\":0"}, "limits.sockets: ");
+    messageByChange.put(
         new String[] {"\"keepalive\":5000000000", "\"keepalive\":\"5s\""},
         "settings.limits.keepalive: ");
-    faults.put(
+    messageByChange.put(
         new String[] {"\"giveUp\":1000000000", "\"giveUp\":0"}, "settings.classes[0].giveUp: ");
-    faults.put(
+    messageByChange.put(
         new String[] {"\"allowedOn\":[0]", "\"allowedOn\":[1]"}, "settings.classes[0].allowedOn: ");
-    faults.put(
+    messageByChange.put(
         new String[] {"{\"name\":\"a\"", "{\"nam\":\"a\""}, "settings.classes[0].name: is missing");
-    faults.put(
+    messageByChange.put(
         new String[] {"\"settings\":{", "\"settings\":7,\"x\":{"}, "settings: is not an object");
-    faults.forEach(
-        (change, message) -> {
+    messageByChange.forEach(
+        (change, expected) -> {
           assertTrue(GOOD.contains(change[0]), change[0]);
           String text = GOOD.replace(change[0], change[1]);
-          String said =
-              assertThrows(ConfigException.class, () -> parse(text), message).getMessage();
-          assertTrue(said.startsWith(message), said);
+          String message =
+              assertThrows(ConfigException.class, () -> parse(text), expected).getMessage();
+          assertTrue(message.startsWith(expected), message);
         });
   }
 
--- a/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
+++ b/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
@@ -16,8 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The settings of an installation: defaults, messages, and what a hostile file must not bring
- * about.
+ * The settings of an installation: defaults, error messages, and rejection of hostile files.
  */
 class LocalSettingsParserTest {
   private static final String GOSSIP =
@@ -30,20 +29,20 @@
 
   @TempDir Path folder;
 
-  private LocalSettings read(String inside) throws IOException, ConfigException {
-    return text(
+  private LocalSettings read(String elements) throws IOException, ConfigException {
+    return readDocument(
         "<?xml version=\"1.0\"?>\n<reachloom xmlns=\"urn:reachloom:settings:1\">\n"
-            + inside
+            + elements
             + "\n</reachloom>\n");
   }
 
-  private LocalSettings text(String whole) throws IOException, ConfigException {
+  private LocalSettings readDocument(String document) throws IOException, ConfigException {
     return LocalSettings.read(
-        Files.writeString(folder.resolve("s.xml"), whole).toString(), Map.of());
+        Files.writeString(folder.resolve("s.xml"), document).toString(), Map.of());
   }
 
-  private String refused(String inside) {
-    return assertThrows(ConfigException.class, () -> read(inside)).getMessage();
+  private String errorOf(String elements) {
+    return assertThrows(ConfigException.class, () -> read(elements)).getMessage();
   }
 
   @Test
@@ -57,16 +56,16 @@
 
   @Test
   void appliesDefaultsAndResolvesFilesRelativeToSettings() throws Exception {
-    GossipSettings g = read(GOSSIP).gossip().orElseThrow();
-    assertEquals(4096, g.bytesPerSecond());
-    assertEquals(1_000_000_000, g.periodNanos());
-    assertEquals(folder.resolve("g1.key"), g.keyFile());
-    assertEquals(Path.of("/etc/g1.crt"), g.certificateFile());
-    assertEquals(7947, g.seeds().get(0).getPort());
-    assertEquals(null, g.revocationFile());
+    GossipSettings gossip = read(GOSSIP).gossip().orElseThrow();
+    assertEquals(4096, gossip.bytesPerSecond());
+    assertEquals(1_000_000_000, gossip.periodNanos());
+    assertEquals(folder.resolve("g1.key"), gossip.keyFile());
+    assertEquals(Path.of("/etc/g1.crt"), gossip.certificateFile());
+    assertEquals(7947, gossip.seeds().get(0).getPort());
+    assertEquals(null, gossip.revocationFile());
     Path file = folder.resolve("s.xml");
     assertEquals(
-        g,
+        gossip,
         LocalSettings.read(null, Map.of(LocalSettings.FILE_VARIABLE, file.toString()))
             .gossip()
             .orElseThrow());
@@ -83,23 +82,23 @@
 
   @Test
   void readsPlaceAndIssuersOfConfiguration() throws Exception {
-    ConfigurationSettings c =
+    ConfigurationSettings configuration =
         read(GOSSIP.replace("</gossip>", CONFIGURATION))
             .gossip()
             .orElseThrow()
             .configuration()
             .orElseThrow();
-    assertEquals(0x0207, c.place());
-    assertEquals(2, c.quorum());
-    assertEquals(folder.resolve("c3.crt"), c.issuers().get(2).certificateFile());
+    assertEquals(0x0207, configuration.place());
+    assertEquals(2, configuration.quorum());
+    assertEquals(folder.resolve("c3.crt"), configuration.issuers().get(2).certificateFile());
     assertTrue(read(GOSSIP).gossip().orElseThrow().configuration().isEmpty());
-    String again = refused(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"c3\"", "\"c1\"")));
-    assertEquals(folder.resolve("s.xml") + ":10: issuer: name: 'c1' stands here twice", again);
-    String region = refused(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"2\"", "\"0\"")));
+    String duplicate = errorOf(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"c3\"", "\"c1\"")));
+    assertEquals(folder.resolve("s.xml") + ":10: issuer: name: 'c1' stands here twice", duplicate);
+    String region = errorOf(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"2\"", "\"0\"")));
     assertTrue(
         region.startsWith(folder.resolve("s.xml") + ":7: ") && region.contains("region"), region);
     String none =
-        refused(GOSSIP.replace("</gossip>", "<configuration region=\"1\" zone=\"1\"/></gossip>"));
+        errorOf(GOSSIP.replace("</gossip>", "<configuration region=\"1\" zone=\"1\"/></gossip>"));
     assertTrue(none.contains("issuer"), none);
     String one = "<issuer name=\"x%d\" address=\"127.0.0.1:1\" certificate=\"x.crt\"/>";
     String six = IntStream.range(0, 6).mapToObj(one::formatted).collect(Collectors.joining());
@@ -107,7 +106,7 @@
         GOSSIP.replace(
             "</gossip>", CONFIGURATION.replace("</conf", six + "</conf"))); // nine are allowed
     String ten =
-        refused(
+        errorOf(
             GOSSIP.replace(
                 "</gossip>", CONFIGURATION.replace("</conf", six + one.formatted(9) + "</conf")));
     assertTrue(ten.contains("issuer"), ten);
@@ -130,13 +129,13 @@
     String start = folder.resolve("s.xml") + ":3: ";
     for (String value :
         List.of("999", "0", "-1", "86400001", "99999999999999999999", "1.5", "soon", "")) {
-      String message = refused("<clients idleTimeoutMs=\"" + value + "\"/>");
+      String message = errorOf("<clients idleTimeoutMs=\"" + value + "\"/>");
       assertTrue(message.startsWith(start) && message.contains("idleTimeoutMs"), message);
     }
-    String missing = refused("<clients/>");
+    String missing = errorOf("<clients/>");
     assertTrue(missing.startsWith(start) && missing.contains("idleTimeoutMs"), missing);
     assertTrue(
-        refused("<clients idleTimeoutMs=\"5000\"/><clients idleTimeoutMs=\"5000\"/>")
+        errorOf("<clients idleTimeoutMs=\"5000\"/><clients idleTimeoutMs=\"5000\"/>")
             .startsWith(start));
   }
 
@@ -154,35 +153,35 @@
   @Test
   void messagesNameFileLineAndElement() {
     String start = folder.resolve("s.xml") + ":3: ";
-    String cap = refused(GOSSIP.replace("<gossip", "<gossip bytesPerSecond=\"12\""));
+    String cap = errorOf(GOSSIP.replace("<gossip", "<gossip bytesPerSecond=\"12\""));
     assertTrue(cap.startsWith(start) && cap.contains("gossip") && cap.contains("12"), cap);
-    String address = refused(GOSSIP.replace("127.0.0.1:7946", "localhost:7946"));
+    String address = errorOf(GOSSIP.replace("127.0.0.1:7946", "localhost:7946"));
     assertTrue(address.startsWith(start) && address.contains("listen"), address);
     assertEquals(
         start + "gossip: listen: '127.0.0.1:99999' is not an address of the form 10.0.0.1:4100",
-        refused(GOSSIP.replace("127.0.0.1:7946", "127.0.0.1:99999")));
-    assertTrue(refused(GOSSIP.replace("cluster=\"east\"", "")).contains("cluster"));
-    assertTrue(refused("<gosip/>").contains("gosip"));
-    assertTrue(refused(GOSSIP + GOSSIP).contains("gossip"));
+        errorOf(GOSSIP.replace("127.0.0.1:7946", "127.0.0.1:99999")));
+    assertTrue(errorOf(GOSSIP.replace("cluster=\"east\"", "")).contains("cluster"));
+    assertTrue(errorOf("<gosip/>").contains("gosip"));
+    assertTrue(errorOf(GOSSIP + GOSSIP).contains("gossip"));
   }
 
   @Test
   void rejectsMalformedOrHostileFiles() {
     assertTrue(
-        assertThrows(ConfigException.class, () -> text("<reachloom"))
+        assertThrows(ConfigException.class, () -> readDocument("<reachloom"))
             .getMessage()
             .contains("s.xml:"));
-    assertThrows(ConfigException.class, () -> text(""));
+    assertThrows(ConfigException.class, () -> readDocument(""));
     assertThrows(ConfigException.class, () -> LocalSettings.read(folder + "/none.xml", Map.of()));
     String entity =
         "<!DOCTYPE r [<!ENTITY x SYSTEM \"file:///etc/hostname\">]>"
             + "<reachloom xmlns=\"urn:reachloom:settings:1\">&x;</reachloom>";
-    String message = assertThrows(ConfigException.class, () -> text(entity)).getMessage();
+    String message = assertThrows(ConfigException.class, () -> readDocument(entity)).getMessage();
     assertTrue(message.contains("DOCTYPE"), message);
     String huge =
         "<reachloom xmlns=\"urn:reachloom:settings:1\">" + " ".repeat(1 << 20) + "</reachloom>";
     assertTrue(
-        assertThrows(ConfigException.class, () -> text(huge)).getMessage().contains("larger"));
+        assertThrows(ConfigException.class, () -> readDocument(huge)).getMessage().contains("larger"));
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/config/MergePatchTest.java
+++ b/gateway/src/test/java/reachloom/config/MergePatchTest.java
@@ -10,11 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Documents for all gateways: the merge of RFC 7396, and what may not stand in one. */
+/** Merge patches for all gateways: the rules of RFC 7396, and rejected documents. */
 class MergePatchTest {
   /**
-   * The examples of RFC 7396, appendix A, whose patch is an object: the value, the patch, the
-   * result.
+   * The examples of RFC 7396, appendix A, whose patch is an object: target, patch and result.
    */
   private static final String[][] EXAMPLES = {
     {"{'a':'b'}", "{'a':'c'}", "{'a':'c'}"},
@@ -32,7 +31,7 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private static String refused(String document) {
+  private static String errorOf(String document) {
     return assertThrows(
             ConfigException.class, () -> MergePatch.read(document.getBytes(StandardCharsets.UTF_8)))
         .getMessage();
@@ -55,13 +54,13 @@
   @Test
   void rejectsGatewaySpecificKeysAndInvalidDocuments() {
     assertEquals(
-        "name: is each gateway's own, and can't be set for all", refused("{\"name\":\"g1\"}"));
-    assertTrue(refused("{\"settings\":{\"selfIndex\":3}}").startsWith("settings.selfIndex: "));
-    assertTrue(refused("{\"listen\":null}").startsWith("listen: "));
-    assertEquals("the document is not an object", refused("[1]"));
-    assertTrue(refused("{\n\"a\":1,\n\"b\"}").startsWith("the document is not JSON: line 3: "));
-    assertTrue(refused("{\"a\":1,\"a\":2}").contains("Duplicate"), "which of the two is meant?");
-    assertTrue(refused("{} {}").contains("not JSON"));
-    assertTrue(refused("").contains("not an object") || refused("").contains("not JSON"));
+        "name: is each gateway's own, and can't be set for all", errorOf("{\"name\":\"g1\"}"));
+    assertTrue(errorOf("{\"settings\":{\"selfIndex\":3}}").startsWith("settings.selfIndex: "));
+    assertTrue(errorOf("{\"listen\":null}").startsWith("listen: "));
+    assertEquals("the document is not an object", errorOf("[1]"));
+    assertTrue(errorOf("{\n\"a\":1,\n\"b\"}").startsWith("the document is not JSON: line 3: "));
+    assertTrue(errorOf("{\"a\":1,\"a\":2}").contains("Duplicate"), "a duplicate key is ambiguous");
+    assertTrue(errorOf("{} {}").contains("not JSON"));
+    assertTrue(errorOf("").contains("not an object") || errorOf("").contains("not JSON"));
   }
 }
--- a/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
+++ b/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
@@ -16,8 +16,8 @@
 import reachloom.scheduler.QueryScheduler;
 
 /**
- * Shared evidence over the simulator's messages: what goes out, what comes of it, and engines that
- * start anew.
+ * Peer reports in messages of the simulator: which are sent, how received ones are handled, and
+ * engines whose process is replaced.
  */
 class PeerReportExchangeTest {
   private static final long SECOND = 1_000_000_000;
@@ -34,12 +34,12 @@
             + "]}");
   }
 
-  private static String start(int self, boolean peers, double price) {
+  private static String newInstance(int selfIndex, boolean peers, double price) {
     return "{\"cmd\":\"NewInstance\",\"gatewayId\":\"g"
-        + self
+        + selfIndex
         + "\",\"entropy\":1,\"bootInfo\":{"
         + "\"balancers\":3,\"selfIndex\":"
-        + self
+        + selfIndex
         + ",\"limits\":{\"peers\":"
         + peers
         + ",\"maxAttempts\":3},\"deductions\":{\"peer\":"
@@ -49,7 +49,7 @@
         + "\"goalTime\":1000000000,\"worth\":1}]}}";
   }
 
-  private static String list(int sheet, long since, String state) {
+  private static String defineList(int sheet, long since, String state) {
     return "{\"cmd\":\"DefineList\",\"sheet\":"
         + sheet
         + ",\"hosts\":[{\"node\":\"e\",\"state\":\""
@@ -59,7 +59,7 @@
         + "}]}";
   }
 
-  private static String changed(int sheet, String how) {
+  private static String backendsChanged(int sheet, String how) {
     return "{\"cmd\":\"BackendsChanged\",\"gatewayId\":\"g0\",\"how\":\""
         + how
         + "\",\"sheet\":"
@@ -67,7 +67,7 @@
         + "}";
   }
 
-  private static String wake() {
+  private static String deadlineHit() {
     return "{\"cmd\":\"DeadlineHit\",\"gatewayId\":\"g0\",\"nonce\":0}";
   }
 
@@ -84,14 +84,14 @@
         + "\",\"spent\":1000000}";
   }
 
-  private List<JsonNode> published() throws Exception {
+  private List<JsonNode> publishedMessages() throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     byte[] in = (String.join("\n", batches) + "\n").getBytes(StandardCharsets.UTF_8);
     SimulatorAdapterProbe.serve(
         QueryScheduler::new, new ByteArrayInputStream(in), out, new PrintStream(err, true));
     assertEquals("", err.toString());
-    List<JsonNode> sent = new ArrayList<>();
+    List<JsonNode> published = new ArrayList<>();
     for (String line : out.toString(StandardCharsets.UTF_8).split("\n")) {
       assertFalse(line.contains("BailOut"), line);
       new ObjectMapper()
@@ -100,46 +100,46 @@
           .forEach(
               a -> {
                 if (a.path("cmd").asText().equals("Publish")) {
-                  sent.add(a);
+                  published.add(a);
                 }
               });
     }
     batches.clear();
-    return sent;
+    return published;
   }
 
-  private void trouble(boolean peers, double price) {
-    batch(SECOND, list(1, 0, "up"), start(0, peers, price), changed(1, "full"));
+  private void addBatchesWithTimeouts(boolean peers, double price) {
+    batch(SECOND, defineList(1, 0, "up"), newInstance(0, peers, price), backendsChanged(1, "full"));
     batch(2 * SECOND, query(1, "T"));
     batch(2 * SECOND + 1, query(2, "T"));
-    batch(3 * SECOND, wake());
+    batch(3 * SECOND, deadlineHit());
   }
 
   @Test
   void publishesFailuresIfAllowedAndWorthThePrice() throws Exception {
-    trouble(true, 0);
-    List<JsonNode> sent = published();
+    addBatchesWithTimeouts(true, 0);
+    List<JsonNode> sent = publishedMessages();
     assertTrue(!sent.isEmpty() && sent.size() <= 2, sent.toString());
     assertTrue(sent.get(0).path("peer").asInt() > 0, "not to itself");
     assertTrue(sent.get(0).path("raw").binaryValue().length <= 256);
-    trouble(false, 0);
-    assertEquals(List.of(), published());
-    trouble(true, 0.001);
-    assertEquals(List.of(), published());
+    addBatchesWithTimeouts(false, 0);
+    assertEquals(List.of(), publishedMessages());
+    addBatchesWithTimeouts(true, 0.001);
+    assertEquals(List.of(), publishedMessages());
   }
 
   @Test
   void ignoresReportsOnReplacedAndRemovedEngines() throws Exception {
-    trouble(true, 0);
-    String raw = published().get(0).path("raw").asText();
-    String said =
+    addBatchesWithTimeouts(true, 0);
+    String raw = publishedMessages().get(0).path("raw").asText();
+    String message =
         "{\"cmd\":\"NeighbourSays\",\"gatewayId\":\"g0\",\"neighbour\":1,\"raw\":\"" + raw + "\"}";
-    batch(SECOND, list(1, 0, "up"), start(0, true, 0), changed(1, "full"));
-    batch(2 * SECOND, list(2, SECOND, "up"), changed(2, "update"), said, wake());
-    batch(3 * SECOND, list(3, SECOND, "removed"), changed(3, "update"), said, wake());
+    batch(SECOND, defineList(1, 0, "up"), newInstance(0, true, 0), backendsChanged(1, "full"));
+    batch(2 * SECOND, defineList(2, SECOND, "up"), backendsChanged(2, "update"), message, deadlineHit());
+    batch(3 * SECOND, defineList(3, SECOND, "removed"), backendsChanged(3, "update"), message, deadlineHit());
     batch(
         4 * SECOND,
         "{\"cmd\":\"NeighbourSays\",\"gatewayId\":\"g0\",\"neighbour\":2,\"raw\":\"AAAA\"}");
-    assertEquals(List.of(), published());
+    assertEquals(List.of(), publishedMessages());
   }
 }
--- a/gateway/src/test/java/reachloom/simulator/SimulatorAdapterProbe.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterProbe.java
@@ -8,11 +8,11 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 
-/** Opens the simulator's front to tests of other packages. */
+/** Gives tests of other packages access to {@link SimulatorAdapter} with a scheduler of their own. */
 public final class SimulatorAdapterProbe {
   private SimulatorAdapterProbe() {}
 
-  /** Plays batches to modules of that factory. */
+  /** Serves batches with schedulers of the given factory. */
   public static void serve(
       Function<SchedulerActions, SchedulerEvents> factory,
       InputStream in,
--- a/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
@@ -19,12 +19,12 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 
-/** The adapter on lines of text. */
+/** Replies of the adapter to batches of events, and its handling of invalid input. */
 class SimulatorAdapterTest {
   private static final String START =
       "{\"cmd\":\"NewInstance\",\"gatewayId\":\"gateway_0\",\"entropy\":1,"
           + "\"bootInfo\":{\"classes\":[{\"goalTime\":1000000000,\"giveUp\":5000000000,\"worth\":1,"
-          + "\"effect\":\"repeatable\",\"unheard\":3}],\"kinds\":[\"k\"]}}";
+          + "\"effect\":\"repeatable\",\"unknown\":3}],\"kinds\":[\"k\"]}}";
   private static final String LIST =
       "{\"cmd\":\"DefineList\",\"sheet\":0,\"hosts\":[{\"node\":\"node.NAME\"}]},"
           + "{\"cmd\":\"BackendsChanged\",\"gatewayId\":\"gateway_0\",\"how\":\"restored\",\"generation\":1,"
@@ -120,17 +120,17 @@
 
   @Test
   void skipsUnknownEventsAndReportsThemOnce() throws IOException {
-    String odd = "{\"cmd\":\"Odd\",\"gatewayId\":\"gateway_0\"}";
-    serve(batch(1, START, odd, odd));
+    String unknown = "{\"cmd\":\"Unknown\",\"gatewayId\":\"gateway_0\"}";
+    serve(batch(1, START, unknown, unknown));
     assertEquals(0, status);
     assertEquals(
-        "reachloom: event 'Odd' is not known and skipped\n", err.toString(StandardCharsets.UTF_8));
+        "reachloom: event 'Unknown' is not known and skipped\n", err.toString(StandardCharsets.UTF_8));
   }
 
   @Test
   void reportsFailureOfInstanceWhoseSchedulerThrows() throws IOException {
     String[] replies =
-        serve(SimulatorAdapterTest::broken, batch(1, START, order("01"), order("02")));
+        serve(SimulatorAdapterTest::failingScheduler, batch(1, START, order("01"), order("02")));
     assertEquals(
         "{\"batch\":1,\"actions\":[{\"cmd\":\"BailOut\",\"gatewayId\":\"gateway_0\","
             + "\"words\":\"java.lang.IllegalStateException: broken on purpose\"}]}",
@@ -141,7 +141,7 @@
   @Test
   void distinguishesLoadWaitFromMemoryWait() throws IOException {
     List<ProgressKind> kinds = new ArrayList<>();
-    String note =
+    String progress =
         "{\"cmd\":\"Progress\",\"gatewayId\":\"gateway_0\",\"handle\":\"01\","
             + "\"sort\":3,\"amount\":";
     serve(
@@ -152,11 +152,11 @@
                     kinds.add(((ProgressReport) arguments[1]).kind());
                   }
                 }),
-        batch(1, START, note + "1}", note + "2}"));
+        batch(1, START, progress + "1}", progress + "2}"));
     assertEquals(List.of(ProgressKind.MEMORY_WAIT, ProgressKind.LOAD_WAIT), kinds);
   }
 
-  private static SchedulerEvents broken(SchedulerActions actions) {
+  private static SchedulerEvents failingScheduler(SchedulerActions actions) {
     return events(
         (method, arguments) -> {
           if (method.equals("onQuery")) {
@@ -165,13 +165,13 @@
         });
   }
 
-  private static SchedulerEvents events(BiConsumer<String, Object[]> heard) {
+  private static SchedulerEvents events(BiConsumer<String, Object[]> listener) {
     return (SchedulerEvents)
         Proxy.newProxyInstance(
             SchedulerEvents.class.getClassLoader(),
             new Class<?>[] {SchedulerEvents.class},
             (proxy, method, arguments) -> {
-              heard.accept(method.getName(), arguments);
+              listener.accept(method.getName(), arguments);
               return null;
             });
   }
--- a/gateway/src/test/java/reachloom/time/MonotonicClockTest.java
+++ b/gateway/src/test/java/reachloom/time/MonotonicClockTest.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/** The clock under steps of the wall clock. */
 class MonotonicClockTest {
   private static final long SECOND = 1_000_000_000;
   private static final long HOUR = 3_600 * SECOND;
@@ -13,9 +14,9 @@
   private final AtomicLong wall = new AtomicLong(1_700_000_000 * SECOND);
   private final MonotonicClock clock = new MonotonicClock(elapsed::get, wall::get);
 
-  private void pass(long time) {
-    elapsed.addAndGet(time);
-    wall.addAndGet(time);
+  private void advance(long nanos) {
+    elapsed.addAndGet(nanos);
+    wall.addAndGet(nanos);
   }
 
   @Test
@@ -23,21 +24,21 @@
     long start = clock.now();
     assertEquals(wall.get(), start);
     wall.addAndGet(-HOUR);
-    pass(SECOND);
+    advance(SECOND);
     assertEquals(start + SECOND, clock.now());
     wall.addAndGet(2 * HOUR);
-    pass(SECOND);
+    advance(SECOND);
     assertEquals(start + 2 * SECOND, clock.now());
   }
 
   @Test
   void reportsEachStepOnceAndIgnoresSmallDifferences() {
-    pass(SECOND);
+    advance(SECOND);
     wall.addAndGet(SECOND / 20);
     assertEquals(0, clock.wallClockStep());
     wall.addAndGet(-SECOND / 20 - HOUR);
     assertEquals(-HOUR, clock.wallClockStep());
-    pass(SECOND);
+    advance(SECOND);
     assertEquals(0, clock.wallClockStep());
     wall.addAndGet(HOUR + 3 * SECOND);
     assertEquals(HOUR + 3 * SECOND, clock.wallClockStep());
