--- a/decisions/src/main/java/reachloom/balancing/SlotRotation.java
+++ b/decisions/src/main/java/reachloom/balancing/SlotRotation.java
@@ -14,7 +14,7 @@
   /** The number of the gateway, from 0, that owns a slot of the engine of the given name. */
   public static int owner(String name, long slot, int gateways) {
     long step = Math.max(1, Math.round(gateways * GOLDEN_RATIO));
-    while (divisor(step, gateways) > 1) {
+    while (greatestCommonDivisor(step, gateways) > 1) {
       step++;
     }
     long first = Math.floorMod(EngineSubset.hash(name), gateways);
@@ -35,7 +35,7 @@
     return -1;
   }
 
-  private static long divisor(long a, long b) {
-    return b == 0 ? a : divisor(b, a % b);
+  private static long greatestCommonDivisor(long a, long b) {
+    return b == 0 ? a : greatestCommonDivisor(b, a % b);
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/TenantQuotas.java
+++ b/decisions/src/main/java/reachloom/scheduler/TenantQuotas.java
@@ -11,7 +11,7 @@
  * together; each gateway enforces an equal part.
  */
 final class TenantQuotas {
-  /** Minimum size of a bucket; it is the quota of a second if that is more. */
+  /** Minimum capacity of a bucket; the quota of one second if that is larger. */
   private static final double MIN_BURST = 5;
 
   private final List<TokenBucket> buckets = new ArrayList<>();
