--- a/decisions/src/main/java/reachloom/scheduler/AttemptMigration.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptMigration.java
@@ -9,7 +9,7 @@
  * is cancelled; the event of its end then leads to a retry.
  */
 final class AttemptMigration {
-  /** Extrapolated over predicted time from which the query plan is taken to be bad. */
+  /** Extrapolated over predicted time from which the query plan counts as bad. */
   private static final double BAD_PLAN_FACTOR = 4;
 
   /** Remaining over predicted time from which a new attempt is worth its start. */
--- a/decisions/src/main/java/reachloom/scheduler/AttemptRecord.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptRecord.java
@@ -13,7 +13,7 @@
   /** Threads that the attempt occupies at its engine. */
   final int threads;
 
-  /** Memory that the attempt is taken to occupy at its engine, in MB. */
+  /** Memory that the attempt is assumed to occupy at its engine, in MB. */
   final double memoryMb;
 
   /** Seconds that the attempt is predicted to take on an engine of latency ratio 1. */
--- a/decisions/src/main/java/reachloom/scheduler/LoadReports.java
+++ b/decisions/src/main/java/reachloom/scheduler/LoadReports.java
@@ -9,7 +9,7 @@
   /** Older reports are ignored. */
   static final long MAX_AGE_NANOS = 2_000 * PER_MILLISECOND;
 
-  /** Stands in for a missing report: no load. */
+  /** Replaces a missing report: no load. */
   private static final LoadReport NONE = new LoadReport(0, 0, 0, 0);
 
   /** The latest load report of one engine; private to {@link LoadReports}. */
--- a/decisions/src/main/java/reachloom/scheduler/OutlierDetector.java
+++ b/decisions/src/main/java/reachloom/scheduler/OutlierDetector.java
@@ -129,7 +129,7 @@
 
   /**
    * Counts the errors of a query that is done. A query that failed on several engines and was
-   * served by none is taken to be invalid, and its errors do not count.
+   * served by none is assumed to be invalid, and its errors do not count.
    */
   private void attributeErrors(long nowNanos, QueryRecord query, boolean served) {
     List<EngineRecord> engines =
