--- a/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
+++ b/decisions/src/main/java/reachloom/balancing/PoolShareEstimator.java
@@ -2,9 +2,9 @@
 
 /**
  * Estimates this gateway's share of the pool from the memory of its own queries in flight and the
- * memory in use that engines report, as the number of gateways with as much traffic that would make
- * up the fleet. A gateway with several times the mean traffic is thus not limited to an equal share
- * while other gateways leave theirs unused.
+ * memory in use that engines report; {@link #inversePoolShare} returns its inverse. A gateway with
+ * several times the mean traffic is thus not limited to an equal share while other gateways leave
+ * theirs unused.
  *
  * <p>Memory is the measure since gateways and engines know it in the same unit, and since only
  * running queries count: shares by arrivals, or by work against busy cores, add up to several times
@@ -54,10 +54,10 @@
   }
 
   /**
-   * The number of gateways with as much traffic as this one that would make up the fleet, at most
-   * the number of the settings.
+   * One divided by this gateway's share of the pool: the number of gateways that would use the
+   * whole pool if each had as much traffic as this one; at most the number of the settings.
    */
-  public double fleetSize(double poolMemoryMb) {
+  public double inversePoolShare(double poolMemoryMb) {
     if (reports < MIN_REPORTS || utilization < MIN_UTILIZATION || ownMemoryMb <= 0) {
       return gateways;
     }
--- a/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
@@ -19,7 +19,8 @@
  * and increase).
  */
 final class ConcurrencyLimiter implements EngineListener, ForwardingListener {
-  private static final double INITIAL_THREADS_PER_CORE = 8;
+  /** The initial limit of an engine, and the maximum to which it grows without pressure. */
+  private static final double MAX_THREADS_PER_CORE = 8;
 
   /** Throughput of an engine peaks at one to two threads per core. */
   private static final double MIN_THREADS_PER_CORE = 2;
@@ -66,7 +67,7 @@
   /** Share of recent signals with pressure below which the pool is calm. */
   private static final double POOL_CALM_SHARE = 0.1;
 
-  /** Weight of the newest signal: a gateway gets a few per second. */
+  /** The share covers about the last ten signals; a gateway gets a few per second. */
   private static final double NEWEST_SIGNAL_WEIGHT = 0.1;
 
   private static final double MIN_WORK_SECONDS = 1e-3;
@@ -105,8 +106,8 @@
   /** Engines whose limit ticks may change or that have attempts in flight. */
   private final Set<EngineRecord> active = new LinkedHashSet<>();
 
-  /** Number of gateways with as much traffic as this one that would make up the fleet. */
-  private double fleetSize;
+  /** See {@link #inversePoolShare()}. */
+  private double inversePoolShare;
 
   /** Moving average of recent signals of all engines, each 1 for pressure or 0. */
   private double pressedSignalShare = POOL_PRESSED_SHARE; // neither under pressure nor calm
@@ -116,7 +117,7 @@
     this.estimator = estimator;
     this.reports = reports;
     this.poolShare = new PoolShareEstimator(settings.gateways());
-    this.fleetSize = settings.gateways();
+    this.inversePoolShare = settings.gateways();
     this.maxQueryThreads =
         settings.classes().stream().mapToInt(QueryClass::threads).max().orElse(1);
   }
@@ -146,9 +147,12 @@
     return pool.inFlight.threads();
   }
 
-  /** The number of gateways with as much traffic as this one that would make up the fleet. */
-  double fleetSize() {
-    return fleetSize;
+  /**
+   * One divided by this gateway's share of the pool: the number of gateways that would use the
+   * whole pool if each had as much traffic as this one.
+   */
+  double inversePoolShare() {
+    return inversePoolShare;
   }
 
   // ---- What is in flight ----
@@ -166,7 +170,10 @@
     pool.inFlight.remove(attempt);
   }
 
-  /** Has ticks adjust the limit of an engine, after the growth that it missed while inactive. */
+  /**
+   * Applies the growth that the limit of an inactive engine has missed, and lets each tick adjust
+   * it while the engine is active.
+   */
   void activate(long nowNanos, EngineRecord engine) {
     Limit limit = engine.limit;
     if (active.add(engine) && limit.objectiveShare < CALM_OBJECTIVE_SHARE) {
@@ -269,7 +276,7 @@
     Limit limit = engine.limit;
     if (isBusy(nowNanos, engine)
         && limit.inFlight.threads() + query.queryClass.threads()
-            > limit.cores * MIN_THREADS_PER_CORE / fleetSize) {
+            > limit.cores * MIN_THREADS_PER_CORE / inversePoolShare) {
       return false; // the engine itself reports overload, and our share of it is used up
     }
     return fits(limit, limit.isPressed(nowNanos), query);
@@ -292,7 +299,7 @@
     return limit.memoryMb <= 0
         || limit.inFlight.isEmpty()
         || limit.inFlight.memoryMb() + estimator.memoryMb(query)
-            <= limit.memoryMb * PLANNED_MEMORY_SHARE / fleetSize;
+            <= limit.memoryMb * PLANNED_MEMORY_SHARE / inversePoolShare;
   }
 
   /** The limit of an engine, in threads. */
@@ -307,10 +314,10 @@
 
   // ---- Ticks ----
 
-  /** Updates the estimate of {@link #fleetSize()}; called at each tick. */
-  void updateFleetSize(long nowNanos) {
+  /** Updates the estimate of {@link #inversePoolShare()}; called at each tick. */
+  void updateInversePoolShare(long nowNanos) {
     poolShare.recordOwnMemory(nowNanos, pool.inFlight.memoryMb());
-    fleetSize = poolShare.fleetSize(pool.memoryMb);
+    inversePoolShare = poolShare.inversePoolShare(pool.memoryMb);
   }
 
   /** Adjusts the limits of active engines, and deactivates those that ticks no longer change. */
@@ -363,10 +370,10 @@
         limit.objectiveShare > SLOW_OBJECTIVE_SHARE
             ? MIN_THREADS_PER_CORE_WHEN_SLOW
             : MIN_THREADS_PER_CORE;
-    return Math.max(maxQueryThreads, limit.cores * perCore / fleetSize);
+    return Math.max(maxQueryThreads, limit.cores * perCore / inversePoolShare);
   }
 
   private double maxThreads(Limit limit) {
-    return Math.max(maxQueryThreads, limit.cores * INITIAL_THREADS_PER_CORE / fleetSize);
+    return Math.max(maxQueryThreads, limit.cores * MAX_THREADS_PER_CORE / inversePoolShare);
   }
 }
--- a/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
+++ b/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
@@ -6,9 +6,10 @@
 import reachloom.scheduler.api.SchedulerSettings;
 
 /**
- * Estimates service time, work and memory of a query. The client's estimates are corrected by what
- * queries of the same class turned out to need; without an estimate the average of the class
- * counts. Work is the processor time of all threads of a query.
+ * Estimates service time, work and memory of a query. For service time and memory the client's
+ * estimates are corrected by what queries of the same class turned out to need; for work they are
+ * used as they are. Without an estimate the average of the class counts. Work is the processor time
+ * of all threads of a query.
  */
 final class CostEstimator {
   /** Minimum weight of the newest query in the averages of its class. */
@@ -17,7 +18,7 @@
   /** Work of a class without any known cost, as a share of its deadline; high for slow start. */
   private static final double UNKNOWN_WORK_DEADLINE_SHARE = 0.25;
 
-  /** Reserved over expected memory: running out of memory costs more than spare memory. */
+  /** Factor from expected to reserved memory: running out costs more than spare memory. */
   private static final double RESERVATION_MARGIN = 1.2;
 
   /** Priority weight per work, relative to the mean, above which queries take precedence. */
@@ -108,7 +109,7 @@
     return reservesMemory && statistics(query).memoryMb.count() > 0 ? memoryMb(query) : 0;
   }
 
-  /** The latency objective of a query of that class with the given work, in seconds. */
+  /** The latency objective of the query's class for the given work, in seconds. */
   double objectiveSeconds(QueryRecord query, double workSeconds) {
     QueryClass c = query.queryClass;
     return Nanoseconds.toSeconds(c.latencyObjectiveNanos())
--- a/decisions/src/main/java/reachloom/scheduler/HealthCheckBudget.java
+++ b/decisions/src/main/java/reachloom/scheduler/HealthCheckBudget.java
@@ -69,7 +69,10 @@
         || recentQueries.sum(nowNanos) * ENGINES_PER_QUERY >= engineCount * expense * expense;
   }
 
-  /** Whether checks on behalf of a query are worth it; only above the mean weight if scarce. */
+  /**
+   * Whether checks on behalf of a query are worth it; if checks are scarce, only for queries whose
+   * class has at least the mean weight.
+   */
   boolean isWorthChecks(QueryRecord query, boolean poolIsCalm) {
     boolean scarce = poolIsCalm || checksPerQuery < MAX_CHECKS_PER_QUERY / 2;
     return !scarce || !estimator.isBelowMeanWeight(query);
--- a/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
+++ b/decisions/src/main/java/reachloom/scheduler/LatencyRatios.java
@@ -12,7 +12,7 @@
   /** Weight of the newest answer. */
   private static final double NEWEST_WEIGHT = 0.2;
 
-  /** Limits the effect of a single fast answer. */
+  /** Limits the effect of several answers that are much faster than predicted. */
   private static final double MIN_RATIO = 0.25;
 
   /** Limits the effect of a single slow answer. */
--- a/decisions/src/main/java/reachloom/scheduler/LoadScore.java
+++ b/decisions/src/main/java/reachloom/scheduler/LoadScore.java
@@ -42,7 +42,8 @@
   }
 
   private double of(long nowNanos, QueryRecord query, EngineRecord engine) {
-    double threads = (engine.inFlight.threads() + query.queryClass.threads()) * limiter.fleetSize();
+    double threads =
+        (engine.inFlight.threads() + query.queryClass.threads()) * limiter.inversePoolShare();
     LoadReport report = reports.recent(nowNanos, engine);
     double load = outliers.loadFactor(engine) * (1 + threads / engine.cores) * ratios.of(engine);
     load *= 1 + report.utilization() + report.queueLength() / engine.cores;
--- a/decisions/src/main/java/reachloom/scheduler/OutlierDetector.java
+++ b/decisions/src/main/java/reachloom/scheduler/OutlierDetector.java
@@ -8,14 +8,18 @@
 
 /**
  * Outlier detection: ejects failing engines for a while, with exponential backoff. After an
- * ejection an engine is tried with one query at a time until it serves one. Errors, connection
- * resets, failed connects and timeouts found by {@link AttemptMonitor} count as failures.
+ * ejection an engine gets at most one query per second until its error rate has fallen to the
+ * threshold. Errors, connection resets, failed connects and timeouts found by {@link
+ * AttemptMonitor} count as failures.
  */
 final class OutlierDetector implements ForwardingListener {
   /** Weight of the newest outcome in the error rate of an engine. */
   private static final double NEWEST_WEIGHT = 0.2;
 
-  /** Error rate above which an engine is ejected: three consecutive failures reach it. */
+  /**
+   * Error rate above which an engine is ejected: two consecutive failures of an engine without
+   * errors exceed it (0.36).
+   */
   private static final double EJECTION_ERROR_RATE = 0.35;
 
   /** Relative load added per unit of the error rate. */
@@ -70,7 +74,10 @@
 
   // ---- Outcomes ----
 
-  /** Keeps an engine that was ejected from getting a second query before it serves the first. */
+  /**
+   * Keeps an engine that was ejected from getting another query for {@link #BASE_EJECTION_NANOS},
+   * whether or not it serves this one.
+   */
   @Override
   public void onForwarded(long nowNanos, AttemptRecord attempt) {
     EngineHealth health = attempt.engine.health;
@@ -115,8 +122,8 @@
   }
 
   /**
-   * Handles an attempt that timed out without any signal. If the engine as a whole is unresponsive,
-   * it is ejected; else it is only chosen less.
+   * Counts an abandoned attempt as a failure: one that timed out, or whose engine process was
+   * replaced. If the engine as a whole is unresponsive, it is ejected; else it is only chosen less.
    */
   void onUnresponsive(long nowNanos, EngineRecord engine, boolean engineIsUnresponsive) {
     recordFailure(nowNanos, engine, engineIsUnresponsive ? 0 : NO_EJECTION);
--- a/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/QueryScheduler.java
@@ -21,7 +21,8 @@
  *
  * <p>Not thread-safe: all events have to come on one thread. Deterministic: time comes with the
  * events and random numbers from the seed, so that the same events lead to the same actions. Before
- * {@link #onStart}, events about queries and engines are ignored, since none is known.
+ * {@link #onStart}, events that name an engine, a query or an attempt are ignored, since none is
+ * known; {@link #onQuery}, {@link #onEndpoints} and {@link #onTimer} must not be called.
  */
 public final class QueryScheduler implements SchedulerEvents {
   private static final long TICK_TOKEN = 0;
@@ -187,7 +188,7 @@
     }
     parts.dispatcher.extendAfterStall(nowNanos);
     parts.clock.tick(nowNanos);
-    parts.limiter.updateFleetSize(nowNanos);
+    parts.limiter.updateInversePoolShare(nowNanos);
     parts.keyOrdering.forgetIdle(nowNanos);
     parts.engines.forgetRemoved();
     parts.monitor.onTick(nowNanos, parts.limiter.activeEngines());
--- a/decisions/src/main/java/reachloom/scheduler/RandomPair.java
+++ b/decisions/src/main/java/reachloom/scheduler/RandomPair.java
@@ -13,7 +13,7 @@
   private final SplittableRandom random;
   private final SlowStart slowStart;
 
-  /** Creates a drawing with the given source of random numbers. */
+  /** Creates an instance with the given source of random numbers. */
   RandomPair(SplittableRandom random, SlowStart slowStart) {
     this.random = random;
     this.slowStart = slowStart;
--- a/decisions/src/main/java/reachloom/scheduler/ReleasePolicy.java
+++ b/decisions/src/main/java/reachloom/scheduler/ReleasePolicy.java
@@ -7,7 +7,10 @@
  * can no longer finish in time or has waited for capacity long enough.
  */
 final class ReleasePolicy {
-  /** Ticks by which a query is rejected early, since the next tick may be after its deadline. */
+  /**
+   * Ticks of the scheduler by which a query is rejected early, since the next tick may be after its
+   * deadline.
+   */
   private static final int DEADLINE_MARGIN_TICKS = 2;
 
   private final PendingQueue pending;
@@ -75,8 +78,9 @@
   }
 
   /**
-   * Whether older queries do not block the query. Queries bound to a kind or zone wait for other
-   * engines; queries with a report request waited for the reports and not for capacity.
+   * Whether older queries do not block the query. Queries bound to a kind or zone do not wait for
+   * the same engines as the others; queries with a report request waited for the reports and not
+   * for capacity.
    */
   private static boolean isIndependent(QueryRecord query) {
     return !query.reportRequest.isEmpty()
--- a/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
+++ b/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
@@ -10,7 +10,8 @@
  * holds by the clock of an observer.
  */
 final class RetryBudget implements ForwardingListener {
-  private static final int WINDOW_MARGIN_TICKS = 2;
+  /** In ticks of the platform's clock. */
+  private static final int WINDOW_MARGIN_CLOCK_TICKS = 2;
 
   private final SchedulingRules rules;
   private final SlidingWindowSum queries;
@@ -19,7 +20,7 @@
   /** Creates a budget without queries and retries. */
   RetryBudget(SchedulerSettings settings) {
     rules = settings.rules();
-    long margin = WINDOW_MARGIN_TICKS * settings.tickNanos();
+    long margin = WINDOW_MARGIN_CLOCK_TICKS * settings.tickNanos();
     queries = new SlidingWindowSum(rules.retryBudgetWindowNanos() - margin);
     retries = new SlidingWindowSum(rules.retryBudgetWindowNanos() + margin);
   }
--- a/decisions/src/main/java/reachloom/scheduler/RetryPolicy.java
+++ b/decisions/src/main/java/reachloom/scheduler/RetryPolicy.java
@@ -11,8 +11,8 @@
  * only while they remember the key; any other query only if no attempt may have run.
  */
 final class RetryPolicy {
-  /** Safety margin at the end of the window of an idempotency key. */
-  private static final int KEY_WINDOW_MARGIN_TICKS = 2;
+  /** Safety margin at the end of an idempotency key's window, in ticks of the platform's clock. */
+  private static final int KEY_WINDOW_MARGIN_CLOCK_TICKS = 2;
 
   /** The first attempt of a query that may have run; private to {@link RetryPolicy}. */
   static final class FirstExecution {
@@ -39,7 +39,7 @@
     this.estimator = estimator;
     this.engines = engines;
     this.maxAttempts = settings.limits().maxAttempts();
-    this.keyWindowMarginNanos = KEY_WINDOW_MARGIN_TICKS * settings.tickNanos();
+    this.keyWindowMarginNanos = KEY_WINDOW_MARGIN_CLOCK_TICKS * settings.tickNanos();
     this.sendsRetryAfter = settings.limits().retryAfter();
   }
 
--- a/decisions/src/main/java/reachloom/scheduler/SlowStart.java
+++ b/decisions/src/main/java/reachloom/scheduler/SlowStart.java
@@ -18,7 +18,10 @@
  * since it may have used its part before a restart.
  */
 final class SlowStart implements EngineListener, ForwardingListener {
-  /** Slots per window of the rule; a query that is too large for a slot is never sent. */
+  /**
+   * Slots per window of the rule; few, since a query whose work exceeds this gateway's share of a
+   * slot is not sent to the engine in that slot.
+   */
   private static final int SLOTS_PER_WINDOW = 2;
 
   /** Share of the budget that is used, since a window overlaps one slot more than fit in it. */
--- a/decisions/src/main/java/reachloom/scheduler/TickClock.java
+++ b/decisions/src/main/java/reachloom/scheduler/TickClock.java
@@ -26,7 +26,10 @@
     lastTickNanos = nowNanos;
   }
 
-  /** The length of a stall that ends now, in nanoseconds, or 0; each stall is returned once. */
+  /**
+   * The time by which a stall that ends now exceeds the threshold, in nanoseconds, or 0; each stall
+   * is returned once.
+   */
   long takeStall(long nowNanos) {
     long stall = nowNanos - lastTickNanos - STALL_THRESHOLD_NANOS;
     if (stall <= 0) {
--- a/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
+++ b/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
@@ -2,7 +2,8 @@
 
 /**
  * Predicts how long a query that does not fit would wait: the queued work divided by the total
- * limit of its eligible engines, plus the time that earlier queries of its key need.
+ * limit of its eligible engines, plus the time that the other queries of its key
+ * still need.
  */
 final class WaitPredictor {
   private final PendingQueue pending;
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerEvents.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerEvents.java
@@ -35,8 +35,8 @@
   /**
    * Returns whether an attempt may still start. A front end calls this immediately before it sends
    * the first byte, since the attempt may have waited for a connection; a front end that sends each
-   * attempt as soon as it is forwarded need not call it. An attempt that may not start has ended as
-   * {@link AttemptOutcome#NOT_SENT}.
+   * attempt as soon as it is forwarded need not call it. If false, the front end must not send the
+   * attempt, and reports its end as {@link AttemptOutcome#NOT_SENT}.
    */
   default boolean mayStart(long nowNanos, String queryId, int attempt) {
     return true;
@@ -65,7 +65,7 @@
    * A health check has ended.
    *
    * @param answered whether the engine answered
-   * @param report its load, or null
+   * @param report its load; null if the engine sent none
    */
   void onHealthCheck(long nowNanos, String engine, boolean answered, LoadReport report);
 }
--- a/decisions/src/test/java/reachloom/balancing/BalancingTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -126,18 +126,18 @@
   void estimatesLargerShareForGatewayWithMuchTraffic() {
     // 30,000 of 100,000 MB are in use, 3,000 of them by this gateway: ten such gateways would make up
     // the fleet.
-    assertEquals(10, estimator(200, 0.3, 3_000).fleetSize(100_000), 1);
+    assertEquals(10, estimator(200, 0.3, 3_000).inversePoolShare(100_000), 1);
   }
 
   @Test
   void keepsEqualShareForGatewayWithLittleTraffic() {
-    assertEquals(200, estimator(200, 0.3, 50).fleetSize(100_000));
+    assertEquals(200, estimator(200, 0.3, 50).inversePoolShare(100_000));
   }
 
   @Test
   void correctsGatewayCountOfSettingsThatIsTooHigh() {
     // There are 200 gateways, each with 150 of the 30,000 MB; the settings name 600.
-    assertEquals(200, estimator(600, 0.3, 150).fleetSize(100_000), 20);
+    assertEquals(200, estimator(600, 0.3, 150).inversePoolShare(100_000), 20);
   }
 
   @Test
@@ -147,7 +147,7 @@
       double shares = 0;
       for (double own : new double[] {0.2, 0.3, 0.5}) {
         shares +=
-            1 / estimator(100, utilization, own * utilization * 100_000).fleetSize(100_000);
+            1 / estimator(100, utilization, own * utilization * 100_000).inversePoolShare(100_000);
       }
       assertEquals(1, shares, 0.1, "at a utilization of " + utilization);
     }
@@ -159,20 +159,24 @@
     for (int i = 0; i < 400; i++) {
       estimator.recordOwnMemory((10 + i / 40) * SECOND, 1_500);
     }
-    assertEquals(20, estimator.fleetSize(100_000), 3);
+    assertEquals(20, estimator.inversePoolShare(100_000), 3);
   }
 
   @Test
   void usesGatewayCountOfSettingsWithoutEnoughData() {
-    assertEquals(200, estimator(200, 0.01, 3_000).fleetSize(100_000), "the pool is hardly used");
-    assertEquals(200, estimator(200, 0, 3_000).fleetSize(100_000), "engines report no memory");
     assertEquals(
-        200, estimator(200, 0.3, 0).fleetSize(100_000), "no query in flight, or unknown memory");
+        200, estimator(200, 0.01, 3_000).inversePoolShare(100_000), "the pool is hardly used");
+    assertEquals(
+        200, estimator(200, 0, 3_000).inversePoolShare(100_000), "engines report no memory");
+    assertEquals(
+        200,
+        estimator(200, 0.3, 0).inversePoolShare(100_000),
+        "no query in flight, or unknown memory");
     PoolShareEstimator unreported = new PoolShareEstimator(200);
     for (int i = 0; i < 500; i++) {
       unreported.recordOwnMemory(i * SECOND / 40, 3_000);
     }
-    assertEquals(200, unreported.fleetSize(100_000), "no reports");
+    assertEquals(200, unreported.inversePoolShare(100_000), "no reports");
   }
 
   @Test
