--- a/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
+++ b/decisions/src/main/java/reachloom/discovery/EndpointWatch.java
@@ -29,7 +29,7 @@
    */
   public static final long CATCH_UP_QUIET_NANOS = HEARTBEAT_INTERVAL_NANOS / 10;
 
-  /** Maximum time that a start waits for the log, so that a log that is down delays no gateway. */
+  /** Maximum time that a start waits for the log, so that a log that is down hardly delays it. */
   public static final long MAX_CATCH_UP_NANOS = 400 * NANOS_PER_MILLISECOND;
 
   /**
@@ -53,7 +53,7 @@
   public enum FrameAction {
     /** Ignore the frame: it is a heartbeat, or an event that was applied before. */
     IGNORE,
-    /** Apply the event: it is the next one. */
+    /** Apply the event: it is the next one, the log skips numbers, or it has the complete list. */
     APPLY,
     /** Request the complete list from the log, since events are missing before this one. */
     REQUEST_COMPLETE_LIST,
--- a/gateway/src/main/java/reachloom/config/GatewayConfig.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfig.java
@@ -29,7 +29,8 @@
  *     {@code knownEngines}
  * @param knownEngines the endpoint list as of that event
  * @param settings the settings of the scheduler
- * @param names the names of the classes, tenants, zones and kinds that the settings identify by index
+ * @param names the names of the classes, tenants, zones, kinds and load report fields that the
+ *     settings identify by index
  * @param transport timeouts and limits of connections
  */
 public record GatewayConfig(
@@ -65,7 +66,8 @@
   /**
    * Timeouts and limits of connections.
    *
-   * @param dialTimeoutNanos the timeout of connects to engines and of health checks
+   * @param dialTimeoutNanos the timeout of connects to engines, of health checks, and of waiting
+   *     for the other side to close a connection
    * @param keepaliveNanos the idle time after which engines close a connection
    * @param maxStreamsPerConnection the maximum number of concurrent attempts on a connection to an
    *     engine
--- a/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettingsParser.java
@@ -77,7 +77,8 @@
   /**
    * Reads a settings file.
    *
-   * @throws ConfigException if the file is invalid; the message names file, line and element
+   * @throws ConfigException if the file cannot be read or is invalid; the message names the file,
+   *     and line and element if the content is invalid
    */
   static LocalSettings read(Path file) throws ConfigException {
     byte[] text = readBytes(file);
@@ -164,12 +165,12 @@
    */
   @Override
   public void error(SAXParseException e) {
-    boolean namesAttributeOfFault =
+    boolean reportsSameFault =
         fault != null
             && e.getMessage().startsWith("cvc-attribute")
             && !fault.getMessage().startsWith("cvc-attribute")
             && e.getLineNumber() == fault.getLineNumber();
-    fault = fault == null || namesAttributeOfFault ? e : fault;
+    fault = fault == null || reportsSameFault ? e : fault;
   }
 
   @Override
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -45,6 +45,11 @@
   private final Map<String, Double> reportedLevels = new LinkedHashMap<>();
   private long nextAssessmentNanos;
 
+  /**
+   * Creates an exchange without reports.
+   *
+   * @param price what the platform asks for a message; see {@link ReportScheduler}
+   */
   PeerReportExchange(
       SchedulerEvents scheduler,
       ActionWriter actions,
@@ -85,7 +90,10 @@
     return (int) checksum.getValue();
   }
 
-  /** Records the outcome of an attempt. */
+  /**
+   * Records the outcome of an attempt; one that did not serve its query does not count if the query
+   * has finished.
+   */
   void onAttemptEnded(long nowNanos, AttemptResult result) {
     Optional<OutcomeWindow.Observation> observation =
         OutcomeWindow.Observation.of(result.outcome(), !result.queryFinished());
--- a/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
@@ -41,7 +41,10 @@
  * <p>Not thread-safe.
  */
 public final class SimulatorAdapter {
-  /** The field {@code bill} is the cost in milliseconds times this factor, plus the memory. */
+  /**
+   * The field {@code bill} is the cost in milliseconds times this factor, plus the memory in units
+   * of 4 MB.
+   */
   private static final long BILL_COST_FACTOR = 4096;
 
   private static final double BILL_MEMORY_UNIT_MB = 4;
