--- a/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
@@ -161,7 +161,7 @@
   @Test
   void rejectsQueryWhenAllAllowedEnginesAreRemoved() {
     SchedulerHarness harness = new SchedulerHarness();
-    harness.longKinds = List.of(1);
+    harness.kindsOfLongClass = List.of(1);
     harness.start(up("a"), engine("b", EngineState.UP, 1, 0));
     harness.arrive("q", LONG, 1);
     assertEquals(List.of("forward q b"), harness.takeActions());
@@ -223,7 +223,7 @@
   @Test
   void failsNonIdempotentQueryThatMayHaveRun() {
     SchedulerHarness harness = new SchedulerHarness();
-    harness.longIdempotency = Idempotency.NOT_IDEMPOTENT;
+    harness.idempotencyOfLongClass = Idempotency.NOT_IDEMPOTENT;
     harness.start(up("a"), up("b"));
     harness.arrive("q", LONG, 1);
     harness.takeActions();
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void failsQueryWhenOnlyACellDetectsDuplicates() {
+  void failsInsteadOfRejectingWhenOnlyACellDetectsDuplicates() {
     SchedulerHarness harness = new SchedulerHarness();
     harness.deduplicationScope = DeduplicationScope.CELL;
     harness.start(up("a"), up("b"));
@@ -282,7 +282,8 @@
     for (int i = 0; i < 200; i++) {
       harness.arrive("q" + i, QUICK, 0.1);
     }
-    // The budget is 2.5 * 0.3 of eight cores for one second: 6 seconds of work.
+    // Upper bound of the budget: 2.5 * 0.3 of eight cores for one second is 6 seconds of work.
+    // With the factor 0.85 for cores at capacity, and at the age of 1 s, it is 5.2 seconds.
     long sent = count(harness.takeActions(), "forward");
     assertTrue(sent > 0 && sent * 0.1 < 6, "sent " + sent);
     harness.advance(10 * SECOND);
@@ -294,7 +295,7 @@
   }
 
   @Test
-  void fastErrorsDoNotAttractQueries() {
+  void engineWithErrorsGetsFewQueries() {
     SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 40; i++) {
       harness.arrive("q" + i, QUICK, 0.1);
@@ -306,11 +307,11 @@
       harness.arrive("r" + i, QUICK, 0.1);
     }
     long forwarded = harness.takeActions().stream().filter(a -> a.endsWith(" a")).count();
-    assertTrue(forwarded < 8, forwarded + " of 30 to the engine with fast errors");
+    assertTrue(forwarded < 8, forwarded + " of 30 to the engine with errors");
   }
 
   @Test
-  void invalidQueryIsNotHeldAgainstEngines() {
+  void invalidQueriesDoNotEjectEngines() {
     SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 20; i++) { // invalid queries: an error on each engine
       harness.arrive("bad" + i, QUICK, 0.1);
@@ -326,7 +327,7 @@
     }
     for (String e : List.of("a", "b", "c")) {
       long sent = harness.actions.stream().filter(l -> l.endsWith(" " + e)).count();
-      assertTrue(sent > 10, e + " " + sent);
+      assertTrue(sent > 10, sent + " queries to " + e);
     }
   }
 
@@ -545,7 +546,7 @@
   }
 
   @Test
-  void poolLimitBindsWhereEngineLimitsDoNot() {
+  void enforcesPoolLimitBelowEngineLimits() {
     for (int gateways : new int[] {1, 3, 300}) {
       SchedulerHarness harness = new SchedulerHarness();
       harness.gateways = gateways;
@@ -597,7 +598,7 @@
       for (int i = 0; i < 40; i++) {
         harness.advance(SECOND); // too few queries for periodic checks
         harness.takeActions();
-        boolean isValuable = i % 10 == 9; // weight 8; with nine of weight 1 the mean is 1.7
+        boolean isValuable = i % 10 == 9; // weight 8; the mean of the three classes is 7
         harness.arrive("q" + i, isValuable ? LONG : QUICK, 0.1);
         List<String> taken = new ArrayList<>(harness.takeActions());
         checks[isValuable ? 1 : 0] += count(taken, "check");
@@ -677,8 +678,8 @@
     harness.gateways = 300;
     harness.loadReports = true;
     harness.start(up("a"));
-    for (int i = 0; i < 5; i++) {
-      harness.arrive("p" + i, QUICK, 0.1); // each pays for two checks
+    for (int i = 0; i < 5; i++) { // earn credit for two checks, the maximum with one engine
+      harness.arrive("p" + i, QUICK, 0.1);
     }
     harness.listEndpoints(pool(30, 0));
     harness.takeActions();
@@ -687,7 +688,8 @@
     checks.forEach(check -> harness.report(check.substring("check ".length()), 1));
     List<String> others = harness.takeActions();
     assertEquals(2, count(others, "check"), others.toString());
-    assertTrue(others.stream().noneMatch(checks::contains));
+    assertTrue(
+        others.stream().noneMatch(checks::contains), "same engines checked again: " + others);
   }
 
   @Test
@@ -787,12 +789,12 @@
 
   @Test
   void sameEventsLeadToSameActions() {
-    List<String> first = script();
-    assertEquals(first, script());
+    List<String> first = actionsOfScenario();
+    assertEquals(first, actionsOfScenario());
     assertTrue(first.size() > 50);
   }
 
-  private static List<String> script() {
+  private static List<String> actionsOfScenario() {
     SchedulerHarness harness = new SchedulerHarness().start(up("a"), up("b"), up("c"));
     for (int i = 0; i < 120; i++) {
       harness.arrive("q" + i, i % 3, 0.2 + i % 5);
@@ -832,7 +834,9 @@
       harness.advance(50 * MILLISECOND);
       sent[run] = (int) count(harness.takeActions(), "forward late");
     }
-    assertTrue(sent[0] > 0 && sent[1] >= 3 * sent[0], sent[0] + " and " + sent[1]);
+    assertTrue(
+        sent[0] > 0 && sent[1] >= 3 * sent[0],
+        sent[0] + " queries with an equal share, " + sent[1] + " with a tenth of the pool's use");
   }
 
   @Test
@@ -851,8 +855,7 @@
     long usedCount = used.stream().distinct().count();
     assertTrue(
         usedCount <= 8 && usedCount >= 4, "used " + usedCount + " engines");
-    // With more in flight than these engines can serve, the gateway uses others as well,
-    // as it does when they are removed.
+    // With more in flight than these engines can serve, the gateway uses others as well.
     for (int i = 0; i < 200; i++) {
       harness.arrive("w" + i, LONG, 1);
     }
--- a/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
+++ b/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
@@ -47,9 +47,9 @@
   int gateways = 1;
   int selfIndex;
   long seed = 7;
-  Idempotency longIdempotency = Idempotency.IDEMPOTENT;
+  Idempotency idempotencyOfLongClass = Idempotency.IDEMPOTENT;
   DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
-  List<Integer> longKinds = List.of();
+  List<Integer> kindsOfLongClass = List.of();
   boolean ordered;
   long orderSettleNanos;
   long idempotencyWindowNanos = 15 * SECOND;
@@ -90,12 +90,12 @@
                 20 * SECOND,
                 8,
                 0.3,
-                longIdempotency,
+                idempotencyOfLongClass,
                 deduplicationScope,
                 idempotencyWindowNanos,
                 false,
                 false,
-                longKinds,
+                kindsOfLongClass,
                 List.of(),
                 2,
                 false,
--- a/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
@@ -105,7 +105,10 @@
     }
   }
 
-  /** A hundred gateways with ten engines each get four queries per second of half a second. */
+  /**
+   * A hundred gateways share ten engines; each gateway gets four queries per second, which take
+   * half a second.
+   */
   @Test
   void lowTrafficOfManyGatewaysUsesWarmingEngine() {
     int gateways = 100;
@@ -155,9 +158,10 @@
   @Test
   void gatewaysWithoutNumberDrawSlotsAtRandom() {
     List<Long> sent = run(20, false, false, false);
-    assertTrue(sent.size() > 200);
+    assertTrue(sent.size() > 200, sent.size() + " queries to the warming engine");
     double most = maxBudgetShare(sent, new SchedulerHarness().nowNanos);
-    assertTrue(most <= 2, most + ": without numbers a slot may have two or three owners, or none");
+    // Without numbers a slot may have two or three owners, or none.
+    assertTrue(most <= 2, "share of the budget in a window: " + most);
   }
 
   @Test
@@ -176,7 +180,7 @@
     }
     assertTrue(harness.scheduler.mayStart(harness.nowNanos, id, 0));
     harness.nowNanos += 600 * MILLISECOND; // a slow connect
-    assertFalse(harness.scheduler.mayStart(harness.nowNanos, id, 0), "the slot is over, and another gateway owns the next one");
+    assertFalse(harness.scheduler.mayStart(harness.nowNanos, id, 0), "its slot is over");
   }
 
   @Test
