--- a/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
+++ b/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
@@ -9,8 +9,9 @@
  * counted over a slightly shorter and retries over a slightly longer window, so that the limit also
  * holds by the clock of an observer.
  */
-final class RetryBudget implements AttemptListener {
-  private static final int WINDOW_MARGIN_TICKS = 2;
+final class RetryBudget implements ForwardingListener {
+  /** In ticks of the platform's clock. */
+  private static final int WINDOW_MARGIN_CLOCK_TICKS = 2;
 
   private final SchedulingRules rules;
   private final SlidingWindowSum queries;
@@ -19,7 +20,7 @@
   /** Creates a budget without queries and retries. */
   RetryBudget(SchedulerSettings settings) {
     rules = settings.rules();
-    long margin = WINDOW_MARGIN_TICKS * settings.tickNanos();
+    long margin = WINDOW_MARGIN_CLOCK_TICKS * settings.tickNanos();
     queries = new SlidingWindowSum(rules.retryBudgetWindowNanos() - margin);
     retries = new SlidingWindowSum(rules.retryBudgetWindowNanos() + margin);
   }
--- a/decisions/src/main/java/reachloom/scheduler/SchedulerParts.java
+++ b/decisions/src/main/java/reachloom/scheduler/SchedulerParts.java
@@ -36,7 +36,7 @@
   /** Creates the parts of a scheduler that starts now. */
   SchedulerParts(SchedulerActions actions, long nowNanos, long seed, SchedulerSettings settings) {
     SplittableRandom random = new SplittableRandom(seed);
-    int self = // random if the settings have none
+    int self = // random if the settings have no number
         settings.selfIndex() >= 0 ? settings.selfIndex() : random.nextInt(settings.gateways());
 
     // State of engines and queries.
@@ -73,7 +73,7 @@
     EngineSelector selector = new EngineSelector(candidates, randomPair, score, limiter, reports);
     migration = new AttemptMigration(estimator, retryPolicy, candidates, eligibility, canceller);
 
-    // Fate of queries.
+    // Admission, dispatch and outcomes of queries.
     HealthCheckBudget checkBudget = new HealthCheckBudget(settings, estimator);
     healthChecks = new HealthCheckScheduler(actions, checkBudget, engines, selector, limiter);
     WaitPredictor waitPredictor =
@@ -83,7 +83,7 @@
     ReleasePolicy releasePolicy =
         new ReleasePolicy(pending, keyOrdering, healthChecks, selector, retryPolicy);
     rejector = new QueryRejector(actions, queries, outliers, retryPolicy, waitPredictor);
-    List<AttemptListener> listeners =
+    List<ForwardingListener> listeners =
         List.of(retryBudget, healthChecks, limiter, slowStart, monitor, outliers);
     AttemptForwarder forwarder = new AttemptForwarder(actions, settings, estimator, listeners);
     dispatcher = new QueryDispatcher(clock, pending, releasePolicy, forwarder, rejector);
--- a/decisions/src/main/java/reachloom/scheduler/SlowStart.java
+++ b/decisions/src/main/java/reachloom/scheduler/SlowStart.java
@@ -17,8 +17,11 @@
  * keep the budget whatever their traffic. A gateway that started within a slot does not use it,
  * since it may have used its part before a restart.
  */
-final class SlowStart implements EngineListener, AttemptListener {
-  /** Slots per window of the rule; a query that is too large for a slot is never sent. */
+final class SlowStart implements EngineListener, ForwardingListener {
+  /**
+   * Slots per window of the rule; few, since a query whose work exceeds this gateway's share of a
+   * slot is not sent to the engine in that slot.
+   */
   private static final int SLOTS_PER_WINDOW = 2;
 
   /** Share of the budget that is used, since a window overlaps one slot more than fit in it. */
@@ -76,10 +79,10 @@
   // ---- Engines that are warming up ----
 
   @Override
-  public void onEngineListed(long nowNanos, EngineRecord engine, boolean asChange) {
+  public void onEngineListed(long nowNanos, EngineRecord engine, boolean isIncremental) {
     long since = engine.endpoint().incarnation();
     if (since > 0) {
-      engine.warmUp.startedAtNanos = incarnationTimes.ownTime(nowNanos, since, asChange);
+      engine.warmUp.startedAtNanos = incarnationTimes.toLocalNanos(nowNanos, since, isIncremental);
       engine.warmUp.warmAtNanos = engine.warmUp.startedAtNanos + rules.slowStartNanos();
     }
   }
--- a/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
+++ b/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
@@ -2,7 +2,8 @@
 
 /**
  * Predicts how long a query that does not fit would wait: the queued work divided by the total
- * limit of its eligible engines, plus the time that earlier queries of its key need.
+ * limit of its eligible engines, plus the time that the other queries of its key
+ * still need.
  */
 final class WaitPredictor {
   private final PendingQueue pending;
@@ -39,7 +40,7 @@
     if (left < 0 || work <= 0) {
       return left < 0;
     }
-    // With a limit of that much it would not wait longer, so that not all engines need be visited.
+    // With this total limit the wait is not longer, so that the other engines need not be visited.
     double enough = left > 0 ? work / left : Double.MAX_VALUE;
     return work / limitThreads(nowNanos, query, enough) > left;
   }
--- a/gateway/src/test/java/reachloom/MainTest.java
+++ b/gateway/src/test/java/reachloom/MainTest.java
@@ -24,31 +24,31 @@
   }
 
   @Test
-  void unknownOrMissingCommandsPrintUsageOnStandardError()
+  void printsUsageToStandardErrorForUnknownOrMissingCommand()
       throws IOException, InterruptedException {
     assertEquals(2, run());
-    assertEquals(2, run("unheard"));
+    assertEquals(2, run("unknown"));
     assertEquals(0, out.size());
     assertTrue(err.toString().contains("usage: reachloom"));
   }
 
   @Test
-  void helpPrintsUsageOnStandardOutput() throws IOException, InterruptedException {
+  void helpPrintsUsageToStandardOutput() throws IOException, InterruptedException {
     assertEquals(0, run("--help"));
     assertTrue(out.toString().contains("simulator-adapter"));
     assertTrue(out.toString().contains("warm-up"));
-    assertFalse(out.toString().contains("benchlink"), "former names are hidden");
+    assertFalse(out.toString().contains("benchlink"), "deprecated names are not listed");
     assertFalse(out.toString().contains("rehearse"));
     assertEquals(0, err.size());
   }
 
   @ParameterizedTest
   @CsvSource({"benchlink, simulator-adapter", "rehearse, warm-up"})
-  void formerNamesOfCommandsStillWorkAndSaySoOnStandardErrorAlone(String former, String present) {
+  void deprecatedCommandsWorkWithWarningOnStandardError(String deprecated, String present) {
     PrintStream errors = new PrintStream(err, true);
-    assertEquals(present, Main.currentName(former, errors));
+    assertEquals(present, Main.currentName(deprecated, errors));
     assertEquals(
-        "reachloom: the command '" + former + "' is deprecated; use '" + present + "'\n",
+        "reachloom: the command '" + deprecated + "' is deprecated; use '" + present + "'\n",
         err.toString());
     err.reset();
     assertEquals(present, Main.currentName(present, errors));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void unknownOptionsAndTooManyWordsAreBadUse() throws Exception {
+  void unknownOptionsAndExtraArgumentsAreUsageErrors() throws Exception {
     assertEquals(2, run("--strange"));
     assertEquals(2, run("version", "more"));
     assertEquals(2, run("check-config"));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void checkConfigTellsHowLongClientsMayRestWhereThatIsSet(@TempDir Path folder) throws Exception {
+  void checkConfigPrintsClientIdleTimeoutIfSet(@TempDir Path folder) throws Exception {
     String start = "<reachloom xmlns=\"urn:reachloom:settings:1\">";
     Path set =
         Files.writeString(
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void checkConfigNamesWhatIsWrong(@TempDir Path folder) throws Exception {
+  void checkConfigPrintsInvalidKey(@TempDir Path folder) throws Exception {
     Path file = Files.writeString(folder.resolve("c.json"), "{\"settings\":{\"classes\":[]}}");
     assertEquals(2, run("check-config", file.toString()));
     assertEquals(
