--- a/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
@@ -25,7 +25,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private final LocalMember self;
+  private final DisseminationMember self;
   private final RevisionLog log;
   private final PeerTable peers;
   private final RevisionActivation activation;
--- a/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
@@ -91,7 +91,7 @@
   boolean add(
       String sender,
       boolean fromAskedPeer,
-      RevisionMessage.Piece chunk,
+      RevisionMessage.Chunk chunk,
       RevisionLog.Entry baseHeld) {
     boolean differs = isEmpty() || chunk.of() != chunks.length || chunk.base() != baseNumber;
     if (!fits(chunk, baseHeld)
@@ -113,7 +113,7 @@
     return true;
   }
 
-  private boolean fits(RevisionMessage.Piece chunk, RevisionLog.Entry baseHeld) {
+  private boolean fits(RevisionMessage.Chunk chunk, RevisionLog.Entry baseHeld) {
     boolean last = chunk.index() == chunk.of() - 1;
     return chunk.number() == revision.number()
         && chunk.of() >= 1
--- a/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -87,7 +87,7 @@
    * not make the document is backed off.
    */
   Optional<byte[]> onChunk(
-      long nowNanos, Peer sender, RevisionMessage.Piece chunk, RevisionLog log, PeerTable peers) {
+      long nowNanos, Peer sender, RevisionMessage.Chunk chunk, RevisionLog log, PeerTable peers) {
     RevisionLog.Entry baseHeld =
         chunk.base() == 0 ? null : log.withDocument(chunk.base(), 0).orElse(null);
     boolean fromAskedPeer = peer != null && sender.name().equals(peer.name());
@@ -107,7 +107,7 @@
     return document;
   }
 
-  private void expectMore(long nowNanos, RevisionMessage.Piece chunk) {
+  private void expectMore(long nowNanos, RevisionMessage.Chunk chunk) {
     attempts = 0;
     boolean last = chunk.index() >= lastOfWindow || chunk.index() == chunk.of() - 1;
     boolean windowComplete = assembly.firstMissing() > lastOfWindow;
--- a/decisions/src/main/java/reachloom/revision/ConsensusNode.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -81,11 +81,11 @@
                     .ifPresent(document -> markChosen(nowNanos, chosen.notice(), document)));
     state
         .accepted()
-        .ifPresent(accepted -> repository.draft(accepted.revision(), accepted.document()));
+        .ifPresent(accepted -> repository.addProposal(accepted.revision(), accepted.document()));
   }
 
   private void markChosen(long nowNanos, RevisionMessage.Notice notice, byte[] document) {
-    repository.proved(nowNanos, notice.revision(), notice.votes(), document);
+    repository.addChosen(nowNanos, notice.revision(), notice.votes(), document);
   }
 
   /** How many votes of so many issuers prove a revision: a majority. */
@@ -187,7 +187,7 @@
   // ---- What operators see ----
 
   /** The newest number that is known to be chosen, and saved; 0 for none. */
-  public long number() {
+  public long newestNumber() {
     return acceptor.state().newestNumber();
   }
 
@@ -271,7 +271,7 @@
     }
 
     @Override
-    public void onPiece(RevisionMessage.Piece message) {
+    public void onChunk(RevisionMessage.Chunk message) {
       // the member takes it
     }
 
--- a/decisions/src/main/java/reachloom/revision/LocalMember.java
+++ b/decisions/src/main/java/reachloom/revision/DisseminationMember.java
@@ -12,10 +12,10 @@
  * @param quorum how many votes of issuers prove a revision
  * @param signatures proves the votes of the issuers
  */
-public record LocalMember(
+public record DisseminationMember(
     String name, int place, List<Peer> issuers, int quorum, SignatureScheme signatures) {
   /** Copies the issuers. */
-  public LocalMember {
+  public DisseminationMember {
     issuers = List.copyOf(issuers);
   }
 
--- a/decisions/src/main/java/reachloom/revision/EagerPush.java
+++ b/decisions/src/main/java/reachloom/revision/EagerPush.java
@@ -9,7 +9,7 @@
  * The eager part of epidemic dissemination (rumour mongering): who has got the document of the
  * newest revision announces it to a few random members that are not known to hold it, in a few
  * rounds. A member announces to its own zone, an issuer to one member of each place a round. Whom
- * this misses is left to {@link AntiEntropy} and {@link AcknowledgementReminder}.
+ * this misses is left to {@link RevisionAntiEntropy} and {@link AcknowledgementReminder}.
  *
  * <p>Times are nanoseconds of the clock handed in; confined to the thread of {@link
  * RevisionDissemination}.
--- a/decisions/src/main/java/reachloom/revision/FetchScheduler.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -89,7 +89,7 @@
   }
 
   /** Takes a chunk; gives the document if that completes it. */
-  Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Piece chunk) {
+  Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     if (fetch == null) {
       return Optional.empty();
     }
--- a/decisions/src/main/java/reachloom/revision/NewestRevisionQuery.java
+++ b/decisions/src/main/java/reachloom/revision/NewestRevisionQuery.java
@@ -77,6 +77,6 @@
   }
 
   private void ask(long nowNanos, Peer peer) {
-    messenger.send(nowNanos, peer, AntiEntropy.WANT_NEWEST);
+    messenger.send(nowNanos, peer, RevisionAntiEntropy.WANT_NEWEST);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/NoticeSender.java
+++ b/decisions/src/main/java/reachloom/revision/NoticeSender.java
@@ -104,7 +104,7 @@
     if (!newest.hasDocument()) {
       return Optional.empty();
     }
-    RevisionMessage.Piece chunk = wholeChange(newest, baseFor(newest, receiver));
+    RevisionMessage.Chunk chunk = wholeChange(newest, baseFor(newest, receiver));
     boolean fits =
         chunk.bytes().length <= Chunks.CHUNK_BYTES
             && messenger.fitOnePacket(List.of(newest.notice(), chunk));
@@ -118,15 +118,15 @@
         : log.newestWithDocumentBelow(newest.number());
   }
 
-  private static RevisionMessage.Piece wholeChange(
+  private static RevisionMessage.Chunk wholeChange(
       RevisionLog.Entry newest, Optional<RevisionLog.Entry> base) {
     byte[] document = newest.document();
     if (base.isPresent()) {
       byte[] delta = Delta.encode(base.get().document(), document);
       if (delta.length < document.length) {
-        return new RevisionMessage.Piece(newest.number(), base.get().number(), 0, 1, delta);
+        return new RevisionMessage.Chunk(newest.number(), base.get().number(), 0, 1, delta);
       }
     }
-    return new RevisionMessage.Piece(newest.number(), 0, 0, 1, document);
+    return new RevisionMessage.Chunk(newest.number(), 0, 0, 1, document);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/PeerTable.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -51,7 +51,7 @@
   /** As many as the membership table holds. */
   private static final int MAX_PEERS = 2_048;
 
-  private final LocalMember self;
+  private final DisseminationMember self;
   private final Set<String> issuers = new TreeSet<>();
   private final List<Peer> otherIssuers;
   private final SplittableRandom random;
@@ -61,7 +61,7 @@
   private boolean issuerHeard;
   private long issuerHeardAtNanos;
 
-  PeerTable(LocalMember self, SplittableRandom random) {
+  PeerTable(DisseminationMember self, SplittableRandom random) {
     otherIssuers = self.otherIssuers();
     this.self = self;
     self.issuers().forEach(issuer -> issuers.add(issuer.name()));
@@ -69,7 +69,7 @@
   }
 
   /** This member, which is not among its peers. */
-  LocalMember self() {
+  DisseminationMember self() {
     return self;
   }
 
--- a/decisions/src/main/java/reachloom/revision/ProposalCache.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -59,7 +59,7 @@
 
   /** A piece has come, which may complete fetches. */
   void piece(
-      long nowNanos, Peer sender, RevisionMessage.Piece piece, RevisionLog log, PeerTable peers) {
+      long nowNanos, Peer sender, RevisionMessage.Chunk piece, RevisionLog log, PeerTable peers) {
     for (ChunkedFetch fetch : List.copyOf(fetches)) {
       Optional<byte[]> document = fetch.onChunk(nowNanos, sender, piece, log, peers);
       if (document.isPresent()) {
--- a/decisions/src/main/java/reachloom/revision/ProposalResponder.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalResponder.java
@@ -64,7 +64,7 @@
     fetching = Optional.of(request); // where it is being fetched, this may be a newer ballot
     if (!alreadyFetching) {
       refetchAtNanos = nowNanos + FETCH_INTERVAL_NANOS;
-      repository.fetchDraft(
+      repository.fetchProposal(
           nowNanos, revision, group.other(sender).orElseThrow(), got -> onFetched(revision, got));
     }
   }
@@ -84,7 +84,7 @@
     RevisionMessage.Propose request = fetching.orElseThrow();
     fetching = Optional.empty();
     if (document.isPresent()) {
-      repository.draft(revision, document.get());
+      repository.addProposal(revision, document.get());
       String proposer = request.ballot().issuer();
       answer(
           clockNanos.getAsLong(),
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -337,7 +337,7 @@
     DocumentRetrieval asked = retrieval;
     Optional<Peer> holder = asked.nextHolder(group.others());
     if (holder.isPresent()) {
-      repository.fetchDraft(
+      repository.fetchProposal(
           nowNanos, asked.revision(), holder.get(), got -> onFetched(nowNanos, asked, got));
     } else {
       backOff(nowNanos);
@@ -358,7 +358,7 @@
   // ---- Phase two ----
 
   private void propose(long nowNanos, Revision revision, byte[] document) {
-    repository.draft(revision, document);
+    repository.addProposal(revision, document);
     AcceptRound next = new AcceptRound(ballot, number, revision, document, group.quorum());
     Optional<RevisionMessage> own =
         acceptor.propose(next.request(), group.self(), Optional.of(document));
--- a/decisions/src/main/java/reachloom/revision/AntiEntropy.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
@@ -15,7 +15,7 @@
  * <p>Times are nanoseconds of the clock handed in; confined to the thread of {@link
  * RevisionDissemination}.
  */
-final class AntiEntropy {
+final class RevisionAntiEntropy {
   /** For zones to tell their own, before an issuer tells who is behind. */
   private static final long ZONE_GRACE_NANOS = 1_000_000_000;
 
@@ -34,7 +34,7 @@
   /** A peer that was asked for the newest notice, as it claims to know that number. */
   private record Question(long claimedNumber, long answerDueAtNanos) {}
 
-  private final LocalMember self;
+  private final DisseminationMember self;
   private final RevisionLog log;
   private final PeerTable peers;
   private final PeerMessenger messenger;
@@ -42,7 +42,7 @@
   private final TreeMap<String, Question> questions = new TreeMap<>(); // by name of the peer
   private long nextExchangeAtNanos;
 
-  AntiEntropy(
+  RevisionAntiEntropy(
       RevisionLog log,
       PeerTable peers,
       PeerMessenger messenger,
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -17,7 +17,7 @@
  *
  * <ul>
  *   <li>{@link EagerPush} announces a revision when its document has come;
- *   <li>{@link AntiEntropy} finds out who is behind, and asks, or tells; {@link
+ *   <li>{@link RevisionAntiEntropy} finds out who is behind, and asks, or tells; {@link
  *       NewestRevisionQuery} asks where this member starts with nothing;
  *   <li>{@link RevisionFetcher} gets documents, and {@link ChunkServer} gives them;
  *   <li>{@link RevisionActivation} has the host put them in force;
@@ -32,8 +32,8 @@
   /** What puts a revision in force at this member. */
   public interface Host {
     /**
-     * Puts a revision in force, in its own time; {@link RevisionDissemination#inForce} or {@link
-     * RevisionDissemination#refused} tells how it ended, also from within this call. The next is
+     * Puts a revision in force, in its own time; {@link RevisionDissemination#onInForce} or {@link
+     * RevisionDissemination#onRejected} tells how it ended, also from within this call. The next is
      * handed over only then.
      */
     void apply(long nowNanos, Revision revision, byte[] document);
@@ -45,7 +45,7 @@
   /** Between two ticks: more is a standstill of this process. */
   private static final long STANDSTILL_NANOS = 1_000_000_000;
 
-  private final LocalMember self;
+  private final DisseminationMember self;
   private final Host host;
   private final RevisionMessageSender sender;
   private final RevisionLog log = new RevisionLog();
@@ -60,14 +60,14 @@
   private final EagerPush push;
   private final AcknowledgementTracker tracker;
   private final AcknowledgementReminder reminder;
-  private final AntiEntropy antiEntropy;
+  private final RevisionAntiEntropy antiEntropy;
   private final NewestRevisionQuery query;
   private final DisseminationStatus status;
   private long lastTickNanos;
 
   /** A member that starts with nothing. */
   public RevisionDissemination(
-      LocalMember self,
+      DisseminationMember self,
       SplittableRandom random,
       RevisionMessageSender sender,
       Host host,
@@ -90,17 +90,17 @@
     push = new EagerPush(self.isIssuer(), log, peers, notices);
     tracker = new AcknowledgementTracker(log, peers, activation, messenger, firstReportAtNanos);
     reminder = new AcknowledgementReminder(log, peers, tracker, notices);
-    antiEntropy = new AntiEntropy(log, peers, messenger, notices, firstReportAtNanos);
+    antiEntropy = new RevisionAntiEntropy(log, peers, messenger, notices, firstReportAtNanos);
     query = new NewestRevisionQuery(peers, messenger, tracker, random, firstQueryAtNanos);
     status = new DisseminationStatus(log, peers, activation, fetcher, tracker);
-    peers(List.of());
+    setPeers(List.of());
   }
 
   /**
    * Replaces the members that are present, without this one; to be called when they have changed,
    * at most once a tick.
    */
-  public void peers(Collection<Peer> present) {
+  public void setPeers(Collection<Peer> present) {
     peers.setPresent(present);
     tracker.onPeersChanged();
   }
@@ -116,7 +116,7 @@
    * Takes messages from a member whose identity is proved. Those of the consensus among issuers are
    * ignored here; they are for the consensus node.
    */
-  public void hear(long nowNanos, Peer from, List<RevisionMessage> messages) {
+  public void receive(long nowNanos, Peer from, List<RevisionMessage> messages) {
     if (from.name().equals(self.name())) {
       return;
     }
@@ -135,7 +135,7 @@
       onNotice(nowNanos, from, notice);
     } else if (message instanceof RevisionMessage.Want request) {
       chunkServer.onRequest(nowNanos, from, request);
-    } else if (message instanceof RevisionMessage.Piece chunk && !distrusted) {
+    } else if (message instanceof RevisionMessage.Chunk chunk && !distrusted) {
       onChunk(nowNanos, from, chunk);
     } else if (message instanceof RevisionMessage.Acknowledgement acknowledgement) {
       tracker.onAcknowledgement(from, acknowledgement);
@@ -223,7 +223,7 @@
     }
   }
 
-  private void onChunk(long nowNanos, Peer from, RevisionMessage.Piece chunk) {
+  private void onChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     fetcher
         .onChunk(nowNanos, from, chunk)
         .ifPresent(
@@ -300,14 +300,14 @@
   // ---- The host ----
 
   /** The host has that revision in force. */
-  public void inForce(long nowNanos, long number) {
+  public void onInForce(long nowNanos, long number) {
     if (activation.onInForce(number)) {
       onActivationEnded(nowNanos);
     }
   }
 
   /** The host can't put that revision in force; the one before stays. */
-  public void refused(long nowNanos, long number, String reason) {
+  public void onRejected(long nowNanos, long number, String reason) {
     if (activation.onRejected(number, reason)) {
       onActivationEnded(nowNanos);
     }
@@ -321,7 +321,7 @@
   // ---- The consensus node of an issuer ----
 
   @Override
-  public void proved(long nowNanos, Revision revision, List<Vote> votes, byte[] document) {
+  public void addChosen(long nowNanos, Revision revision, List<Vote> votes, byte[] document) {
     if (!RevisionVerifier.isWellFormed(revision, votes) || !revision.describes(document)) {
       host.alarm(nowNanos, notIssued(revision, document));
       return;
@@ -362,12 +362,12 @@
   }
 
   @Override
-  public void draft(Revision revision, byte[] document) {
+  public void addProposal(Revision revision, byte[] document) {
     proposals.hold(revision, document);
   }
 
   @Override
-  public void fetchDraft(
+  public void fetchProposal(
       long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted) {
     Optional<byte[]> held = document(revision);
     if (held.isPresent() || !RevisionVerifier.isWellFormed(revision, List.of())) {
@@ -385,7 +385,7 @@
   }
 
   /** The status of this member, in lines of printable ASCII. */
-  public List<String> lines(long nowNanos) {
+  public List<String> statusLines(long nowNanos) {
     return status.lines(nowNanos);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
@@ -57,12 +57,12 @@
   }
 
   /** Takes a chunk of the newest revision; gives its document if that completes it. */
-  Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Piece chunk) {
+  Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     return scheduler.onChunk(nowNanos, from, chunk);
   }
 
   /** Takes a chunk of a proposal; who waits for the document is told. */
-  void onProposalChunk(long nowNanos, Peer from, RevisionMessage.Piece chunk) {
+  void onProposalChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     proposals.piece(nowNanos, from, chunk, log, peers);
   }
 
--- a/decisions/src/main/java/reachloom/revision/RevisionMessage.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessage.java
@@ -24,7 +24,7 @@
     void onWant(Want message);
 
     /** A part of a document. */
-    void onPiece(Piece message);
+    void onChunk(Chunk message);
 
     /** A member tells what it has in force. */
     void onAcknowledgement(Acknowledgement message);
@@ -78,7 +78,7 @@
    *     the whole document is wanted
    * @param baseMark the mark of the base; with base 0 that of the wanted revision itself, since two
    *     issuers may have proposals with one number
-   * @param from the index of the first piece that is wanted
+   * @param from the index of the first chunk that is wanted
    */
   record Want(long number, long base, long baseMark, int from) implements RevisionMessage {
     @Override
@@ -92,14 +92,14 @@
    *
    * @param number the revision
    * @param base the revision that the delta starts from; 0 where the bytes are the document's own
-   * @param index the index of this piece, from 0
-   * @param of how many pieces there are
-   * @param bytes the piece's content; not copied
+   * @param index the index of this chunk, from 0
+   * @param of how many chunks there are
+   * @param bytes the content of the chunk; not copied
    */
-  record Piece(long number, long base, int index, int of, byte[] bytes) implements RevisionMessage {
+  record Chunk(long number, long base, int index, int of, byte[] bytes) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
-      handler.onPiece(this);
+      handler.onChunk(this);
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/RevisionRepository.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionRepository.java
@@ -18,13 +18,13 @@
    * @param votes those of a majority
    * @param document the revision's document
    */
-  void proved(long nowNanos, Revision revision, List<Vote> votes, byte[] document);
+  void addChosen(long nowNanos, Revision revision, List<Vote> votes, byte[] document);
 
   /** The document of a revision, chosen or only proposed, if it is held. */
   Optional<byte[]> document(Revision revision);
 
   /** Holds the document of a proposed revision, for the other issuers to fetch. */
-  void draft(Revision revision, byte[] document);
+  void addProposal(Revision revision, byte[] document);
 
   /**
    * Fetches the document of a proposed revision.
@@ -33,6 +33,6 @@
    * @param onCompleted is given the document, or nothing where it cannot be had; also from within
    *     this call
    */
-  void fetchDraft(
+  void fetchProposal(
       long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted);
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
@@ -16,10 +16,10 @@
   private static final int MAX_VOTES = 9;
   private static final int MAX_NAME_LENGTH = 64;
 
-  private final LocalMember self;
+  private final DisseminationMember self;
   private final TokenBucket proofs = new TokenBucket(PROOFS_PER_SECOND, PROOFS_PER_SECOND);
 
-  RevisionVerifier(LocalMember self) {
+  RevisionVerifier(DisseminationMember self) {
     this.self = self;
   }
 
--- a/decisions/src/main/java/reachloom/revision/TransferQueue.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -33,8 +33,8 @@
       end = Math.min(Chunks.count(bytes.length), from + Chunks.WINDOW);
     }
 
-    RevisionMessage.Piece nextChunk() {
-      return new RevisionMessage.Piece(
+    RevisionMessage.Chunk nextChunk() {
+      return new RevisionMessage.Chunk(
           number, baseNumber, next, Chunks.count(bytes.length), Chunks.slice(bytes, next));
     }
   }
--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -56,7 +56,7 @@
     assertEquals(2, second.get(0).number());
     assertTrue(net.await(2 * SECOND, net::agree));
     assertEquals("{\"a\":2}", net.node(5).document());
-    assertEquals(2, net.node(5).consensus.number());
+    assertEquals(2, net.node(5).consensus.newestNumber());
   }
 
   @Test
@@ -252,7 +252,7 @@
     net.node(4).start();
     net.node(5).start();
     assertTrue(net.await(3 * SECOND, net::agree));
-    assertEquals(2, net.node(5).consensus.number());
+    assertEquals(2, net.node(5).consensus.newestNumber());
     List<ProposalResult> three = net.node(5).propose("three");
     assertTrue(net.await(SECOND, () -> over(three)));
     assertEquals(3, three.get(0).number());
@@ -309,13 +309,13 @@
     assertTrue(net.await(2 * SECOND, () -> over(one)));
     assertEquals(Kind.ISSUED, last(one));
     assertEquals(Optional.empty(), net.node(2).disk.state.newest());
-    assertEquals(0, net.node(2).consensus.number(), "what is not saved counts as unknown");
+    assertEquals(0, net.node(2).consensus.newestNumber(), "what is not saved counts as unknown");
     List<ProposalResult> refused = net.node(2).propose("refused");
     assertEquals(Kind.NOT_SAVED, last(refused));
     assertTrue(over(refused));
     net.node(2).disk.broken = false;
     assertTrue(net.await(2 * SECOND, net::agree));
-    assertEquals(1, net.node(2).consensus.number());
+    assertEquals(1, net.node(2).consensus.newestNumber());
   }
 
   @Test
@@ -343,7 +343,7 @@
     assertEquals(Kind.ABSTAINS, last(net.node(3).propose("no")));
     net.pass(70 * SECOND);
     assertEquals(4, net.node(3).disk.state.firstVotingNumber());
-    assertEquals(1, net.node(3).consensus.number(), "it learns all the same");
+    assertEquals(1, net.node(3).consensus.newestNumber(), "it learns all the same");
     net.node(2).crash(); // two of three are up, and one of them abstains
     List<ProposalResult> none = net.node(1).propose("none");
     net.pass(9 * SECOND);
@@ -501,7 +501,7 @@
 
   private static Revision draft(SimulatedIssuers.Node at, String document) {
     Revision r = Revision.after(null, document.getBytes(), 1, "c4");
-    at.draft(r, document.getBytes());
+    at.addProposal(r, document.getBytes());
     return r;
   }
 
--- a/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -111,7 +111,7 @@
           .skip(1)
           .forEach(
               n ->
-                  n.dissemination.hear(
+                  n.dissemination.receive(
                       net.now, forking.peer, List.of(sameNumber, nextOfOther, afterThat)));
       net.run(2);
     }
@@ -122,7 +122,7 @@
               assertEquals(first, n.dissemination.newest().orElseThrow().revision());
               assertEquals(3, n.alarms.size(), "one alarm for each of the three");
               assertTrue(
-                  n.dissemination.lines(net.now).stream()
+                  n.dissemination.statusLines(net.now).stream()
                       .anyMatch(l -> l.startsWith("fork: another revision 1 ")));
             });
     net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 2));
@@ -149,10 +149,10 @@
 
   /** A chunk with a wrong byte, a notice whose votes are of another revision; the rest as it is. */
   private static RevisionMessage corrupted(RevisionMessage message) {
-    if (message instanceof RevisionMessage.Piece chunk && chunk.bytes().length > 0) {
+    if (message instanceof RevisionMessage.Chunk chunk && chunk.bytes().length > 0) {
       byte[] bytes = chunk.bytes().clone();
       bytes[0]++;
-      return new RevisionMessage.Piece(
+      return new RevisionMessage.Chunk(
           chunk.number(), chunk.base(), chunk.index(), chunk.of(), bytes);
     }
     if (message instanceof RevisionMessage.Notice notice) {
@@ -203,7 +203,7 @@
     net.run(5);
     assertInForceEverywhere(net, at, 2, 5);
     assertTrue(
-        net.nodes.get(1).dissemination.lines(net.now).stream()
+        net.nodes.get(1).dissemination.statusLines(net.now).stream()
             .noneMatch(line -> line.contains(Long.toString(UNISSUED))));
   }
 
@@ -222,7 +222,7 @@
     net.run(4); // 3 s after it resumed
     assertEquals(4, paused.inForce());
     assertTrue(
-        paused.dissemination.lines(net.now).stream().noneMatch(l -> l.startsWith("rested")),
+        paused.dissemination.statusLines(net.now).stream().noneMatch(l -> l.startsWith("rested")),
         "no peer is backed off");
   }
 
@@ -273,7 +273,7 @@
     assertEquals(26, told.stream().mapToInt(RevisionMessage.Census::inForce).sum());
     SimulatedNetwork.Node one = net.members().get(0);
     assertEquals(2, one.applied, "it is not tried again");
-    assertTrue(one.dissemination.lines(net.now).contains("revision 2 refused: key x: not known"));
+    assertTrue(one.dissemination.statusLines(net.now).contains("revision 2 refused: key x: not known"));
     net.members().forEach(n -> n.rejecting = false);
     net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 3));
     net.run(5);
@@ -317,7 +317,7 @@
     one.start();
     net.run(5);
     assertEquals(30, net.countInForce(1));
-    String line = net.members().get(5).dissemination.lines(net.now).get(0);
+    String line = net.members().get(5).dissemination.statusLines(net.now).get(0);
     assertTrue(
         line.matches(
             "revision 1 in force, newest known 1 since [0-9.]+ s, "
@@ -332,10 +332,10 @@
     Revision draft =
         Revision.after(
             net.nodes.get(0).dissemination.newest().orElseThrow().revision(), document, 1, "i0");
-    net.nodes.get(0).dissemination.draft(draft, document);
+    net.nodes.get(0).dissemination.addProposal(draft, document);
     List<Optional<byte[]>> got = new ArrayList<>();
-    net.nodes.get(1).dissemination.fetchDraft(net.now, draft, net.nodes.get(0).peer, got::add);
-    net.nodes.get(2).dissemination.fetchDraft(net.now, draft, net.nodes.get(3).peer, got::add);
+    net.nodes.get(1).dissemination.fetchProposal(net.now, draft, net.nodes.get(0).peer, got::add);
+    net.nodes.get(2).dissemination.fetchProposal(net.now, draft, net.nodes.get(3).peer, got::add);
     net.run(8);
     assertEquals(2, got.size());
     assertTrue(draft.describes(got.get(0).orElseThrow()));
--- a/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
@@ -113,13 +113,13 @@
       if (real) {
         dissemination =
             new RevisionDissemination(
-                new LocalMember(
+                new DisseminationMember(
                     name, 1, peers(), ConsensusNode.quorum(nodes.size()), new Hashes(name)),
                 random.split(),
                 this,
                 this,
                 now);
-        dissemination.peers(peers().stream().filter(p -> !p.name().equals(name)).toList());
+        dissemination.setPeers(peers().stream().filter(p -> !p.name().equals(name)).toList());
       }
       RevisionRepository repository = real ? dissemination : this;
       consensus =
@@ -184,7 +184,7 @@
 
     private void receive(Peer sender, List<RevisionMessage> messages) {
       if (real) {
-        dissemination.hear(now, sender, messages);
+        dissemination.receive(now, sender, messages);
         consensus.receive(now, sender, messages);
         look();
         return;
@@ -227,7 +227,7 @@
       if (!real && newest != null && document(newest.revision()).isEmpty()) {
         nodes.values().stream()
             .filter(o -> o != this)
-            .forEach(o -> fetchDraft(now, newest.revision(), o.peer(), got -> {}));
+            .forEach(o -> fetchProposal(now, newest.revision(), o.peer(), got -> {}));
       }
     }
 
@@ -239,9 +239,9 @@
     }
 
     @Override
-    public void proved(long at, Revision revision, List<Vote> votes, byte[] document) {
+    public void addChosen(long at, Revision revision, List<Vote> votes, byte[] document) {
       if (document != null) {
-        draft(revision, document);
+        addProposal(revision, document);
       }
       take(new RevisionMessage.Notice(revision, votes));
     }
@@ -254,13 +254,13 @@
     }
 
     @Override
-    public void draft(Revision revision, byte[] document) {
+    public void addProposal(Revision revision, byte[] document) {
       assertTrue(revision.describes(document));
       documents.put(revision.mark(), document);
     }
 
     @Override
-    public void fetchDraft(long at, Revision revision, Peer from, Consumer<Optional<byte[]>> then) {
+    public void fetchProposal(long at, Revision revision, Peer from, Consumer<Optional<byte[]>> then) {
       Node holder = nodes.get(from.name());
       int asked = life;
       boolean[] done = new boolean[1];
@@ -268,7 +268,7 @@
           got -> {
             if (!done[0] && life == asked) {
               done[0] = true;
-              got.ifPresent(document -> draft(revision, document));
+              got.ifPresent(document -> addProposal(revision, document));
               then.accept(got);
             }
           };
@@ -308,7 +308,7 @@
 
     @Override
     public void apply(long at, Revision revision, byte[] document) {
-      dissemination.inForce(at, revision.number());
+      dissemination.onInForce(at, revision.number());
     }
 
     @Override
@@ -460,6 +460,6 @@
             n ->
                 n.number() == up.get(0).number()
                     && n.document() != null
-                    && n.consensus.number() == n.number());
+                    && n.consensus.newestNumber() == n.number());
   }
 }
--- a/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
@@ -100,8 +100,8 @@
       up = true;
       incarnation++;
       int started = incarnation;
-      LocalMember self =
-          new LocalMember(
+      DisseminationMember self =
+          new DisseminationMember(
               peer.name(),
               peer.place(),
               issuers,
@@ -156,7 +156,7 @@
       if (up && now < pausedUntilNanos) {
         schedule(pausedUntilNanos, () -> receive(from, messages));
       } else if (up) {
-        dissemination.hear(now, from, messages);
+        dissemination.receive(now, from, messages);
       }
     }
 
@@ -185,7 +185,7 @@
         return 100 + notice.votes().size() * 76;
       }
       return 30
-          + (message instanceof RevisionMessage.Piece chunk ? chunk.bytes().length : 0)
+          + (message instanceof RevisionMessage.Chunk chunk ? chunk.bytes().length : 0)
           + (message instanceof RevisionMessage.Census sum ? 10 * sum.lacking().size() : 0);
     }
 
@@ -212,10 +212,10 @@
 
     private void finishApplying(long number) {
       if (rejecting) {
-        dissemination.refused(now, number, "key x: not known");
+        dissemination.onRejected(now, number, "key x: not known");
       } else {
         inForceAtNanos.putIfAbsent(number, now);
-        dissemination.inForce(now, number);
+        dissemination.onInForce(now, number);
       }
     }
 
@@ -290,7 +290,7 @@
           now,
           () -> {
             presenceUpdateScheduled = false;
-            nodes.stream().filter(n -> n.up).forEach(n -> n.dissemination.peers(presentPeers(n)));
+            nodes.stream().filter(n -> n.up).forEach(n -> n.dissemination.setPeers(presentPeers(n)));
           });
     }
   }
@@ -338,10 +338,10 @@
     for (int i = 0; i < issuers.size(); i++) {
       Node acceptor = nodes.get(i);
       if (i == by || acceptor.up && !cut.test(proposer, acceptor)) { // who accepts holds it
-        acceptor.dissemination.draft(notice.revision(), document);
+        acceptor.dissemination.addProposal(notice.revision(), document);
       }
     }
-    proposer.dissemination.proved(now, notice.revision(), notice.votes(), document);
+    proposer.dissemination.addChosen(now, notice.revision(), notice.votes(), document);
     return notice;
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -12,7 +12,7 @@
 import reachloom.gateway.EventLoop;
 import reachloom.gossip.PiggybackPayload;
 import reachloom.revision.ConsensusNode;
-import reachloom.revision.LocalMember;
+import reachloom.revision.DisseminationMember;
 import reachloom.revision.Peer;
 import reachloom.revision.Revision;
 import reachloom.revision.RevisionDissemination;
@@ -75,8 +75,8 @@
         configuration.issuers().stream()
             .map(issuer -> new Peer(issuer.name(), PackedAddress.pack(issuer.address()), 0))
             .toList();
-    LocalMember self =
-        new LocalMember(name, configuration.place(), issuers, configuration.quorum(), seal());
+    DisseminationMember self =
+        new DisseminationMember(name, configuration.place(), issuers, configuration.quorum(), seal());
     dissemination =
         new RevisionDissemination(self, new SplittableRandom(seed), sender, this, loop.now());
   }
@@ -124,7 +124,7 @@
 
   /** The status of this instance, in lines of printable ASCII. */
   List<String> lines(long now) {
-    List<String> lines = new ArrayList<>(dissemination.lines(now));
+    List<String> lines = new ArrayList<>(dissemination.statusLines(now));
     if (consensusNode != null) {
       lines.addAll(consensusNode.statusLines());
     }
@@ -140,7 +140,7 @@
 
   @Override
   public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
-    dissemination.hear(now, sender, words);
+    dissemination.receive(now, sender, words);
     if (consensusNode != null) {
       consensusNode.receive(now, sender, words);
     }
@@ -148,7 +148,7 @@
 
   @Override
   public void onPeers(long now, Collection<Peer> present) {
-    dissemination.peers(present);
+    dissemination.setPeers(present);
   }
 
   @Override
@@ -173,9 +173,9 @@
 
   private void installed(long number, String rejection) {
     if (rejection.isEmpty()) {
-      dissemination.inForce(loop.now(), number);
+      dissemination.onInForce(loop.now(), number);
     } else {
-      dissemination.refused(loop.now(), number, rejection);
+      dissemination.onRejected(loop.now(), number, rejection);
     }
   }
 
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
@@ -52,7 +52,7 @@
       return RevisionFields.size(notice.revision()) + RevisionFields.size(notice.votes());
     } else if (message instanceof RevisionMessage.Want) {
       return 3 * Long.BYTES + Short.BYTES;
-    } else if (message instanceof RevisionMessage.Piece piece) {
+    } else if (message instanceof RevisionMessage.Chunk piece) {
       return 2 * Long.BYTES + 3 * Short.BYTES + piece.bytes().length;
     } else if (message instanceof RevisionMessage.Acknowledgement acknowledgement) {
       return 2 * Long.BYTES + GossipCodec.text(acknowledgement.refusal());
@@ -139,7 +139,7 @@
   }
 
   private static RevisionMessage readPiece(ByteBuffer in) {
-    return new RevisionMessage.Piece(
+    return new RevisionMessage.Chunk(
         RevisionFields.readNumber(in),
         RevisionFields.readNumber(in),
         RevisionFields.readUnsignedShort(in),
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void onPiece(RevisionMessage.Piece message) {
+  public void onChunk(RevisionMessage.Chunk message) {
     out.put(RevisionMessageCodec.PIECE)
         .putLong(message.number())
         .putLong(message.base())
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -97,7 +97,7 @@
         name,
         Integer.toString(settings.configuration().orElseThrow().issuers().size()),
         settings.listen(),
-        Long.toString(consensus.number()),
+        Long.toString(consensus.newestNumber()),
         directory);
   }
 
@@ -193,7 +193,7 @@
       }
     }
     return RolloutStatus.of(
-        consensus.number(), node.revisions().dissemination().censuses(), present);
+        consensus.newestNumber(), node.revisions().dissemination().censuses(), present);
   }
 
   /**
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -58,7 +58,7 @@
           new RevisionMessage.Have(7, -5, 8),
           new RevisionMessage.Notice(REVISION, List.of(VOTE, VOTE, VOTE)),
           new RevisionMessage.Want(8, 7, -5, 3),
-          new RevisionMessage.Piece(8, 0, 1, 2, new byte[] {1, 2, 3}),
+          new RevisionMessage.Chunk(8, 0, 1, 2, new byte[] {1, 2, 3}),
           new RevisionMessage.Acknowledgement(7, -5, "settings: no"),
           new RevisionMessage.Census(0x0203, 7, 58, 57, 1, List.of("g9"), 4_000),
           new RevisionMessage.Prepare(BALLOT, 8),
--- a/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -70,7 +70,7 @@
 
   @Test
   void piece() {
-    RevisionMessage.Piece piece = golden("piece", RevisionMessage.Piece.class);
+    RevisionMessage.Chunk piece = golden("piece", RevisionMessage.Chunk.class);
     assertEquals(8, piece.number());
     assertEquals(7, piece.base());
     assertEquals(25, piece.index());
@@ -80,7 +80,7 @@
 
   @Test
   void emptyPiece() {
-    RevisionMessage.Piece piece = golden("piece-empty", RevisionMessage.Piece.class);
+    RevisionMessage.Chunk piece = golden("piece-empty", RevisionMessage.Chunk.class);
     assertEquals(8, piece.number());
     assertEquals(0, piece.base());
     assertEquals(0, piece.index());
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -19,7 +19,7 @@
 import reachloom.revision.ConsensusNode;
 import reachloom.revision.ConsensusState;
 import reachloom.revision.ConsensusStore;
-import reachloom.revision.LocalMember;
+import reachloom.revision.DisseminationMember;
 import reachloom.revision.Peer;
 import reachloom.revision.ProposalResult;
 import reachloom.revision.Revision;
@@ -120,7 +120,7 @@
       SignatureScheme seal = new Stamp(node.name);
       dissemination =
           new RevisionDissemination(
-              new LocalMember(
+              new DisseminationMember(
                   node.name, place(node), issuers, ConsensusNode.quorum(plan.control), seal),
               random.split(),
               node.gossip,
@@ -145,7 +145,7 @@
 
     @Override
     public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
-      dissemination.hear(now, sender, words);
+      dissemination.receive(now, sender, words);
       if (council != null) {
         council.receive(now, sender, words);
       }
@@ -153,7 +153,7 @@
 
     @Override
     public void onPeers(long now, Collection<Peer> present) {
-      dissemination.peers(present);
+      dissemination.setPeers(present);
     }
 
     @Override
@@ -171,7 +171,7 @@
           cluster.agenda.now() + APPLY,
           () -> {
             if (node.up && since == upSince) {
-              dissemination.inForce(node.clock(), revision.number());
+              dissemination.onInForce(node.clock(), revision.number());
               inForce(this, revision.number());
             }
           });
