--- a/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
@@ -12,7 +12,7 @@
  */
 final class AcknowledgementAggregator {
   /** What a member has in force, or rejects where the reason is not empty. */
-  private record Acknowledged(long number, long mark, String rejection) {}
+  private record Acknowledged(long number, long fingerprint, String rejection) {}
 
   private static final int MAX_MEMBERS = 2_048;
 
@@ -30,12 +30,12 @@
    * @param rejection why the revision can't be put in force; empty where it is in force
    * @return whether that is new
    */
-  boolean record(String member, long number, long mark, String rejection) {
+  boolean record(String member, long number, long fingerprint, String rejection) {
     if (byMember.size() >= MAX_MEMBERS && !byMember.containsKey(member)) {
       return false;
     }
     String kept = rejection.substring(0, Math.min(MAX_REJECTION_LENGTH, rejection.length()));
-    Acknowledged acknowledged = new Acknowledged(number, mark, kept);
+    Acknowledged acknowledged = new Acknowledged(number, fingerprint, kept);
     return !acknowledged.equals(byMember.put(member, acknowledged));
   }
 
@@ -45,10 +45,10 @@
    *
    * @return whether that is new
    */
-  boolean recordInForce(String member, long number, long mark) {
+  boolean recordInForce(String member, long number, long fingerprint) {
     Acknowledged before = byMember.get(member);
     boolean rejectsNewer = before != null && !before.rejection.isEmpty() && before.number > number;
-    return !rejectsNewer && record(member, number, mark, "");
+    return !rejectsNewer && record(member, number, fingerprint, "");
   }
 
   /** Forgets all members but those. */
@@ -70,7 +70,7 @@
       Acknowledged acknowledged, RevisionLog.Entry revision, boolean inForce) {
     return acknowledged != null
         && acknowledged.number == revision.number()
-        && acknowledged.mark == revision.mark()
+        && acknowledged.fingerprint == revision.fingerprint()
         && acknowledged.rejection.isEmpty() == inForce;
   }
 
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
@@ -109,19 +109,19 @@
 
   private void recordSelf() {
     RevisionMessage.Acknowledgement own = activation.acknowledgement();
-    changed |= aggregator.record(self.name(), own.number(), own.mark(), own.refusal());
+    changed |= aggregator.record(self.name(), own.number(), own.fingerprint(), own.refusal());
   }
 
   /** A packet tells what its sender has in force. */
   void onHave(Peer sender, RevisionMessage.Have have) {
     if (peers.isInZone(sender)) {
-      changed |= aggregator.recordInForce(sender.name(), have.inForce(), have.mark());
+      changed |= aggregator.recordInForce(sender.name(), have.inForce(), have.fingerprint());
     }
   }
 
   void onAcknowledgement(Peer sender, RevisionMessage.Acknowledgement told) {
     if (peers.isInZone(sender)) {
-      changed |= aggregator.record(sender.name(), told.number(), told.mark(), told.refusal());
+      changed |= aggregator.record(sender.name(), told.number(), told.fingerprint(), told.refusal());
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
@@ -16,7 +16,7 @@
  */
 final class ChunkAssembly {
   private final Revision revision;
-  private final long mark;
+  private final long fingerprint;
 
   /** Whether deltas are asked for at all: not for a proposal, which is no successor of any yet. */
   private final boolean deltaAllowed;
@@ -30,7 +30,7 @@
 
   ChunkAssembly(Revision revision, boolean deltaAllowed) {
     this.revision = revision;
-    this.mark = revision.mark();
+    this.fingerprint = revision.fingerprint();
     this.deltaAllowed = deltaAllowed;
   }
 
@@ -78,7 +78,7 @@
     }
     boolean whole = base == null || first > 0 && baseNumber == 0;
     return new RevisionMessage.Want(
-        revision.number(), whole ? 0 : base.number(), whole ? mark : base.mark(), first);
+        revision.number(), whole ? 0 : base.number(), whole ? fingerprint : base.fingerprint(), first);
   }
 
   /**
--- a/decisions/src/main/java/reachloom/revision/ChunkServer.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkServer.java
@@ -45,19 +45,19 @@
   private Optional<byte[]> find(Peer from, RevisionMessage.Want request) {
     boolean whole = request.base() == 0;
     Optional<byte[]> proved =
-        log.withDocument(request.number(), whole ? request.baseMark() : 0)
+        log.withDocument(request.number(), whole ? request.baseFingerprint() : 0)
             .map(RevisionLog.Entry::document);
     if (proved.isPresent() || !whole || !peers.isIssuer(from.name())) {
       return proved;
     }
-    return proposals.document(request.number(), request.baseMark());
+    return proposals.document(request.number(), request.baseFingerprint());
   }
 
   private void queue(long nowNanos, Peer from, RevisionMessage.Want request, byte[] document) {
     Optional<byte[]> delta =
         request.base() == 0
             ? Optional.empty()
-            : log.withDocument(request.base(), request.baseMark())
+            : log.withDocument(request.base(), request.baseFingerprint())
                 .map(base -> Delta.encode(base.document(), document))
                 .filter(encoded -> encoded.length < document.length);
     transfers.add(
--- a/decisions/src/main/java/reachloom/revision/NoticeSender.java
+++ b/decisions/src/main/java/reachloom/revision/NoticeSender.java
@@ -114,7 +114,7 @@
   /** What the receiver has in force; where that is not known, the revision before the newest. */
   private Optional<RevisionLog.Entry> baseFor(RevisionLog.Entry newest, PeerState receiver) {
     return receiver != null && receiver.inForceNumber > 0
-        ? log.withDocument(receiver.inForceNumber, receiver.inForceMark)
+        ? log.withDocument(receiver.inForceNumber, receiver.inForceFingerprint)
         : log.newestWithDocumentBelow(newest.number());
   }
 
--- a/decisions/src/main/java/reachloom/revision/PeerTable.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -31,8 +31,8 @@
     /** The revision that it has in force, by its own word; 0 for none. */
     long inForceNumber;
 
-    /** The mark ({@link Revision#mark}) of the revision that it has in force. */
-    long inForceMark;
+    /** The fingerprint ({@link Revision#fingerprint}) of the revision that it has in force. */
+    long inForceFingerprint;
 
     /** The newest revision that was announced to it; 0 for none. */
     long announcedNumber;
@@ -114,7 +114,7 @@
     if (state != null) {
       state.knownNumber = have.known();
       state.inForceNumber = have.inForce();
-      state.inForceMark = have.mark();
+      state.inForceFingerprint = have.fingerprint();
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/ProposalCache.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -23,20 +23,20 @@
 
   private record Proposal(Revision revision, byte[] document) {}
 
-  private final Map<Long, Proposal> proposals = new LinkedHashMap<>(); // by mark
+  private final Map<Long, Proposal> proposals = new LinkedHashMap<>(); // by fingerprint
   private final List<ChunkedFetch> fetches = new ArrayList<>();
 
   /** Holds the document of a proposed revision; it is not copied. */
   void hold(Revision revision, byte[] document) {
-    proposals.put(revision.mark(), new Proposal(revision, document));
+    proposals.put(revision.fingerprint(), new Proposal(revision, document));
     if (proposals.size() > MAX_DOCUMENTS) {
       proposals.remove(proposals.keySet().iterator().next());
     }
   }
 
-  /** The document of the proposed revision with that number and mark. */
-  Optional<byte[]> document(long number, long mark) {
-    return Optional.ofNullable(proposals.get(mark))
+  /** The document of the proposed revision with that number and fingerprint. */
+  Optional<byte[]> document(long number, long fingerprint) {
+    return Optional.ofNullable(proposals.get(fingerprint))
         .filter(proposal -> proposal.revision().number() == number)
         .map(Proposal::document);
   }
--- a/decisions/src/main/java/reachloom/revision/Revision.java
+++ b/decisions/src/main/java/reachloom/revision/Revision.java
@@ -66,7 +66,7 @@
   }
 
   /** The first eight bytes of the {@link #chain}, as a short form to compare by. */
-  public long mark() {
+  public long fingerprint() {
     return ByteBuffer.wrap(chain()).getLong();
   }
 
@@ -91,6 +91,6 @@
 
   @Override
   public int hashCode() {
-    return Long.hashCode(mark());
+    return Long.hashCode(fingerprint());
   }
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionActivation.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionActivation.java
@@ -30,8 +30,8 @@
     }
     log.newest()
         .filter(RevisionLog.Entry::hasDocument)
-        .filter(newest -> newest.mark() != log.have().mark())
-        .filter(newest -> rejected == null || rejected.mark() != newest.mark())
+        .filter(newest -> newest.fingerprint() != log.have().fingerprint())
+        .filter(newest -> rejected == null || rejected.fingerprint() != newest.fingerprint())
         .ifPresent(newest -> apply(nowNanos, newest));
   }
 
@@ -84,8 +84,8 @@
     boolean rejectedNewer =
         rejected != null && (log.inForce().isEmpty() || rejected.number() > have.inForce());
     return rejectedNewer
-        ? new RevisionMessage.Acknowledgement(rejected.number(), rejected.mark(), rejection)
-        : new RevisionMessage.Acknowledgement(have.inForce(), have.mark(), "");
+        ? new RevisionMessage.Acknowledgement(rejected.number(), rejected.fingerprint(), rejection)
+        : new RevisionMessage.Acknowledgement(have.inForce(), have.fingerprint(), "");
   }
 
   /** Raises an alarm, once, where the host takes too long. */
@@ -105,7 +105,7 @@
   /** The last revision that was rejected, and why, for the status lines; not if it is in force. */
   Optional<String> rejectionLine() {
     return Optional.ofNullable(rejected)
-        .filter(entry -> entry.mark() != log.have().mark())
+        .filter(entry -> entry.fingerprint() != log.have().fingerprint())
         .map(entry -> "revision " + entry.number() + " refused: " + rejection);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -240,7 +240,7 @@
     byte[] held =
         document != null
             ? document
-            : proposals.document(revision.number(), revision.mark()).orElse(null);
+            : proposals.document(revision.number(), revision.fingerprint()).orElse(null);
     log.add(nowNanos, revision, votes, held);
     query.onNewRevision();
     push.stop();
@@ -356,9 +356,9 @@
 
   @Override
   public Optional<byte[]> document(Revision revision) {
-    return log.withDocument(revision.number(), revision.mark())
+    return log.withDocument(revision.number(), revision.fingerprint())
         .map(RevisionLog.Entry::document)
-        .or(() -> proposals.document(revision.number(), revision.mark()));
+        .or(() -> proposals.document(revision.number(), revision.fingerprint()));
   }
 
   @Override
--- a/decisions/src/main/java/reachloom/revision/RevisionLog.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionLog.java
@@ -29,11 +29,11 @@
   /**
    * A proved revision.
    *
-   * @param mark {@link Revision#mark} of the revision
+   * @param fingerprint {@link Revision#fingerprint} of the revision
    * @param votes the proof: the votes of a majority of the issuers
    * @param document null until it is held
    */
-  record Entry(Revision revision, long mark, List<Vote> votes, byte[] document) {
+  record Entry(Revision revision, long fingerprint, List<Vote> votes, byte[] document) {
     long number() {
       return revision.number();
     }
@@ -58,7 +58,7 @@
   private static final int MAX_FORKS = 8;
 
   private final TreeMap<Long, Entry> entries = new TreeMap<>(); // by number
-  private final TreeMap<Long, Revision> forks = new TreeMap<>(); // by mark
+  private final TreeMap<Long, Revision> forks = new TreeMap<>(); // by fingerprint
   private Entry inForce; // null for none
   private long newestSinceNanos;
 
@@ -92,7 +92,7 @@
 
   /** Takes in a newer revision; {@code document} is null where it is not held yet. */
   void add(long nowNanos, Revision revision, List<Vote> votes, byte[] document) {
-    Entry entry = new Entry(revision, revision.mark(), List.copyOf(votes), document);
+    Entry entry = new Entry(revision, revision.fingerprint(), List.copyOf(votes), document);
     entries.put(revision.number(), entry);
     newestSinceNanos = nowNanos;
     trim();
@@ -101,7 +101,7 @@
   /** Keeps the document of a revision that was taken in without it. */
   void addDocument(long number, byte[] document) {
     Entry entry = entries.get(number);
-    entries.put(number, new Entry(entry.revision, entry.mark, entry.votes, document));
+    entries.put(number, new Entry(entry.revision, entry.fingerprint, entry.votes, document));
     trim();
   }
 
@@ -128,7 +128,7 @@
 
   /** Remembers a revision that contradicts those that are held; whether it was not known yet. */
   boolean addFork(Revision revision) {
-    return forks.size() < MAX_FORKS && forks.putIfAbsent(revision.mark(), revision) == null;
+    return forks.size() < MAX_FORKS && forks.putIfAbsent(revision.fingerprint(), revision) == null;
   }
 
   /** The newest that is proved. */
@@ -161,10 +161,10 @@
     return Optional.empty();
   }
 
-  /** The revision with that number and mark if its document is held; mark 0 matches each. */
-  Optional<Entry> withDocument(long number, long mark) {
+  /** The revision with that number and fingerprint if its document is held; fingerprint 0 matches each. */
+  Optional<Entry> withDocument(long number, long fingerprint) {
     Entry entry = entries.get(number);
-    boolean matches = entry != null && entry.hasDocument() && (mark == 0 || mark == entry.mark);
+    boolean matches = entry != null && entry.hasDocument() && (fingerprint == 0 || fingerprint == entry.fingerprint);
     return matches ? Optional.of(entry) : Optional.empty();
   }
 
@@ -192,11 +192,11 @@
   RevisionMessage.Have have() {
     return new RevisionMessage.Have(
         inForce == null ? 0 : inForce.number(),
-        inForce == null ? 0 : inForce.mark,
+        inForce == null ? 0 : inForce.fingerprint,
         newestWithDocument().map(Entry::number).orElse(0L));
   }
 
-  /** The forks that were seen, in the order of their marks. */
+  /** The forks that were seen, in the order of their fingerprints. */
   List<Revision> forks() {
     return List.copyOf(forks.values());
   }
--- a/decisions/src/main/java/reachloom/revision/RevisionMessage.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessage.java
@@ -52,10 +52,10 @@
    * What the sender has in force and knows; travels in each packet.
    *
    * @param inForce the number of the revision in force at the sender; 0 for none
-   * @param mark the {@link Revision#mark()} of that revision
+   * @param fingerprint the {@link Revision#fingerprint()} of that revision
    * @param known the newest number that the sender holds with its document; 0 for none
    */
-  record Have(long inForce, long mark, long known) implements RevisionMessage {
+  record Have(long inForce, long fingerprint, long known) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
       handler.onHave(this);
@@ -76,11 +76,11 @@
    * @param number the wanted revision; 0 where only the newest {@link Notice} is wanted
    * @param base the revision in force at the sender, whose document a delta may start from; 0 where
    *     the whole document is wanted
-   * @param baseMark the mark of the base; with base 0 that of the wanted revision itself, since two
+   * @param baseFingerprint the fingerprint of the base; with base 0 that of the wanted revision itself, since two
    *     issuers may have proposals with one number
    * @param from the index of the first chunk that is wanted
    */
-  record Want(long number, long base, long baseMark, int from) implements RevisionMessage {
+  record Want(long number, long base, long baseFingerprint, int from) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
       handler.onWant(this);
@@ -107,10 +107,10 @@
    * A member tells those that count for its zone what it has in force.
    *
    * @param number the revision in force
-   * @param mark its {@link Revision#mark()}
+   * @param fingerprint its {@link Revision#fingerprint()}
    * @param refusal why a newer revision cannot be put in force; empty where nothing is wrong
    */
-  record Acknowledgement(long number, long mark, String refusal) implements RevisionMessage {
+  record Acknowledgement(long number, long fingerprint, String refusal) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
       handler.onAcknowledgement(this);
--- a/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
@@ -41,8 +41,8 @@
         LongStream.rangeClosed(1, 100).filter(n -> log.withDocument(n, 0).isPresent()).count(),
         "64 KiB of documents");
     assertEquals(99, log.newestWithDocumentBelow(100).orElseThrow().number());
-    long otherMark = log.get(100).orElseThrow().mark() + 1;
-    assertEquals(Optional.empty(), log.withDocument(100, otherMark), "another with that number");
+    long otherFingerprint = log.get(100).orElseThrow().fingerprint() + 1;
+    assertEquals(Optional.empty(), log.withDocument(100, otherFingerprint), "another with that number");
   }
 
   @Test
--- a/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
@@ -250,13 +250,13 @@
     public Optional<byte[]> document(Revision revision) {
       return real
           ? dissemination.document(revision)
-          : Optional.ofNullable(documents.get(revision.mark()));
+          : Optional.ofNullable(documents.get(revision.fingerprint()));
     }
 
     @Override
     public void addProposal(Revision revision, byte[] document) {
       assertTrue(revision.describes(document));
-      documents.put(revision.mark(), document);
+      documents.put(revision.fingerprint(), document);
     }
 
     @Override
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
@@ -15,7 +15,7 @@
   public void onHave(RevisionMessage.Have message) {
     out.put(RevisionMessageCodec.HAVE)
         .putLong(message.inForce())
-        .putLong(message.mark())
+        .putLong(message.fingerprint())
         .putLong(message.known());
   }
 
@@ -31,7 +31,7 @@
     out.put(RevisionMessageCodec.WANT)
         .putLong(message.number())
         .putLong(message.base())
-        .putLong(message.baseMark())
+        .putLong(message.baseFingerprint())
         .putShort((short) message.from());
   }
 
@@ -48,7 +48,7 @@
 
   @Override
   public void onAcknowledgement(RevisionMessage.Acknowledgement message) {
-    out.put(RevisionMessageCodec.ACKNOWLEDGEMENT).putLong(message.number()).putLong(message.mark());
+    out.put(RevisionMessageCodec.ACKNOWLEDGEMENT).putLong(message.number()).putLong(message.fingerprint());
     GossipCodec.put(out, message.refusal());
   }
 
--- a/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -38,7 +38,7 @@
   void have() {
     RevisionMessage.Have have = golden("have", RevisionMessage.Have.class);
     assertEquals(0x0102030405060708L, have.inForce());
-    assertEquals(MARK, have.mark());
+    assertEquals(MARK, have.fingerprint());
     assertEquals(Long.MAX_VALUE, have.known());
   }
 
@@ -64,7 +64,7 @@
     RevisionMessage.Want want = golden("want", RevisionMessage.Want.class);
     assertEquals(8, want.number());
     assertEquals(7, want.base());
-    assertEquals(MARK, want.baseMark());
+    assertEquals(MARK, want.baseFingerprint());
     assertEquals(65_535, want.from());
   }
 
@@ -93,7 +93,7 @@
     RevisionMessage.Acknowledgement acknowledgement =
         golden("acknowledgement", RevisionMessage.Acknowledgement.class);
     assertEquals(8, acknowledgement.number());
-    assertEquals(MARK, acknowledgement.mark());
+    assertEquals(MARK, acknowledgement.fingerprint());
     assertEquals("", acknowledgement.refusal());
   }
 
@@ -102,7 +102,7 @@
     RevisionMessage.Acknowledgement acknowledgement =
         golden("acknowledgement-refused", RevisionMessage.Acknowledgement.class);
     assertEquals(9, acknowledgement.number());
-    assertEquals(MARK, acknowledgement.mark());
+    assertEquals(MARK, acknowledgement.fingerprint());
     assertEquals("settings: 'x' is not known (line 3)", acknowledgement.refusal());
   }
 
@@ -199,7 +199,7 @@
   void theHashChainOfARevision() {
     Revision revision = golden("propose", RevisionMessage.Propose.class).revision();
     assertArrayEquals(stored("revision-chain"), revision.chain());
-    assertEquals(ByteBuffer.wrap(stored("revision-chain")).getLong(), revision.mark());
+    assertEquals(ByteBuffer.wrap(stored("revision-chain")).getLong(), revision.fingerprint());
   }
 
   /** A message of a kind not known here, then one with a field more than is known here. */
@@ -210,7 +210,7 @@
     assertEquals(2, read.size());
     RevisionMessage.Have have = assertInstanceOf(RevisionMessage.Have.class, read.get(0));
     assertEquals(7, have.inForce());
-    assertEquals(MARK, have.mark());
+    assertEquals(MARK, have.fingerprint());
     assertEquals(8, have.known());
     RevisionMessage.Acknowledgement acknowledgement =
         assertInstanceOf(RevisionMessage.Acknowledgement.class, read.get(1));
