--- a/decisions/src/main/java/reachloom/revision/AcceptRound.java
+++ b/decisions/src/main/java/reachloom/revision/AcceptRound.java
@@ -5,8 +5,8 @@
 
 /**
  * Phase two of Paxos for one ballot and one revision: collects votes until a majority has accepted
- * it. Only votes of its own ballot are counted: signatures say nothing of ballots, and votes of
- * several ballots do not make a majority. Confined to the thread of its {@link Proposer}.
+ * it. Only votes for its own ballot are counted: signatures do not cover the ballot, and votes for
+ * different ballots do not add up to a majority. Confined to the thread of its {@link Proposer}.
  */
 final class AcceptRound implements BallotRound {
   private final Ballot ballot;
@@ -17,9 +17,9 @@
   private final Map<String, Vote> votes = new TreeMap<>();
 
   /**
-   * A round without votes.
+   * Creates a round without votes.
    *
-   * @param number the number that the promises of this ballot were given for
+   * @param number the revision number of this ballot's promises
    */
   AcceptRound(Ballot ballot, long number, Revision revision, byte[] document, int quorum) {
     this.ballot = ballot;
@@ -34,12 +34,12 @@
     return new RevisionMessage.Propose(ballot, revision);
   }
 
-  /** The proposed document. */
+  /** Returns the proposed document. */
   byte[] document() {
     return document;
   }
 
-  /** Whether an answer of that sender holds a vote that is not counted yet and is its own. */
+  /** Returns whether an answer holds a valid vote of its sender that is not counted yet. */
   boolean isNewVote(RevisionMessage.Accepted answer, String sender, SignatureScheme signatures) {
     return answer.ballot().equals(ballot)
         && answer.number() == number
@@ -63,7 +63,7 @@
     return votes.size() >= quorum;
   }
 
-  /** The revision with the votes of a majority: the proof that it is chosen. */
+  /** Returns the revision with the votes of a majority, which prove that it is chosen. */
   RevisionMessage.Notice notice() {
     return new RevisionMessage.Notice(revision, votes.values().stream().limit(quorum).toList());
   }
--- a/decisions/src/main/java/reachloom/revision/Acceptor.java
+++ b/decisions/src/main/java/reachloom/revision/Acceptor.java
@@ -6,27 +6,28 @@
 import reachloom.revision.ConsensusState.ChosenRevision;
 
 /**
- * The acceptor of Paxos, with one instance a revision number. It answers only from what is saved:
- * while the store cannot be written, it is silent, as an issuer that is down.
+ * The Paxos acceptor of one issuer, with one Paxos instance per revision number. It answers only
+ * after its state is saved: while the store cannot be written, it does not answer, like an issuer
+ * that is down.
  *
- * <p>An issuer that has lost its store may have promised and accepted what it no longer knows. With
- * its newest chosen revision at k, an acceptor votes on number k + 1 at most, and k was accepted by
- * a majority that knew k - 1 to be chosen. A majority of the others thus tells of k - 1 at least,
- * and what was forgotten is of that number + 2 at most. From the third on it votes again. (What
- * others tell to know is what they hold the document of; therefore an acceptor holds that of k - 1
- * before it accepts k.) This counts on one lost store at a time: of two that were lost together
- * each might ask the other.
+ * <p>An issuer that has lost its store may have made promises and accepted revisions that it no
+ * longer knows. If its newest chosen revision was k, it has voted on k + 1 at most, and k was
+ * accepted by a majority that knew k - 1 to be chosen. A majority of the other issuers therefore
+ * reports k - 1 or higher, and the forgotten votes are for that number + 2 at most; from that number
+ * + 3 on the issuer may vote again. (Issuers report the newest revision whose document they hold;
+ * therefore an acceptor must hold the document of k - 1 before it accepts k.) This is safe for one
+ * lost store at a time: if two are lost together, each might rely on the other's answer.
  *
  * <p>Confined to the thread of its {@link ConsensusNode}.
  */
 final class Acceptor {
   /**
-   * After a lost store: how many numbers after the newest known to a majority of the others this
-   * issuer may have voted on.
+   * Numbers past the newest one known to a majority of the others that this issuer may have voted
+   * on before it lost its store.
    */
   private static final long MAX_FORGOTTEN_NUMBERS = 2;
 
-  /** A round that is further ahead is not honest: it would leave none to go on with. */
+  /** Maximum increase of the round; a larger one is malicious, as it could exhaust the rounds. */
   private static final long MAX_ROUND_LEAP = 1L << 32;
 
   private final String issuer;
@@ -41,19 +42,19 @@
     state = store.load().orElseGet(ConsensusState::lost);
   }
 
-  /** What was saved last. */
+  /** Returns the state that was saved last. */
   ConsensusState state() {
     return state;
   }
 
-  /** Whether this issuer may vote on that number, which is the next one alone. */
+  /** Returns whether this issuer may vote on that number; only the next number qualifies. */
   private boolean mayVoteOn(long number) {
     return number == state.newestNumber() + 1 && state.mayVote();
   }
 
   /**
-   * Whether a ballot may be answered at all: it is its sender's own, and of a round that can be
-   * exceeded.
+   * Returns whether a ballot may be answered: it belongs to its sender, and its round is within
+   * {@link #MAX_ROUND_LEAP} of the promised one.
    */
   boolean isPlausible(Ballot ballot, String sender) {
     return ballot.issuer().equals(sender)
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Answers phase one: a {@link RevisionMessage.Promise}, which is saved, or a {@link
-   * RevisionMessage.Rejected}; empty where the request may not be answered or the store fails.
+   * Handles phase one. Returns a {@link RevisionMessage.Promise}, which is saved, or a {@link
+   * RevisionMessage.Rejected}; empty if the request may not be answered or the store fails.
    */
   Optional<RevisionMessage> prepare(RevisionMessage.Prepare request, String sender) {
     Ballot ballot = request.ballot();
@@ -84,8 +85,8 @@
   }
 
   /**
-   * Whether a revision may be accepted once its document is held: it follows the newest chosen one,
-   * whose document is held, and is not too large.
+   * Returns whether a revision may be accepted once its document is held: it follows the newest
+   * chosen one, whose document is held, and is not too large.
    */
   boolean mayFollow(Revision revision) {
     return state.holdsNewestDocument()
@@ -96,11 +97,11 @@
   }
 
   /**
-   * Answers phase two: a {@link RevisionMessage.Accepted} with this issuer's vote, which rests on
-   * what is saved, or a {@link RevisionMessage.Rejected}; empty where the request may not be
-   * answered or the store fails.
+   * Handles phase two. Returns a {@link RevisionMessage.Accepted} with this issuer's vote, which is
+   * saved first, or a {@link RevisionMessage.Rejected}; empty if the request may not be answered or
+   * the store fails.
    *
-   * @param document the proposed document; empty where it is not held, which gives no vote
+   * @param document the proposed document; empty if it is not held, in which case there is no vote
    */
   Optional<RevisionMessage> propose(
       RevisionMessage.Propose request, String sender, Optional<byte[]> document) {
@@ -114,10 +115,10 @@
     }
     Optional<AcceptedProposal> underThisBallot =
         state.accepted().filter(accepted -> accepted.ballot().equals(ballot));
-    boolean twoUnderOneBallot =
+    boolean conflictsWithinBallot =
         underThisBallot.isPresent() && !underThisBallot.get().revision().equals(revision);
-    if (twoUnderOneBallot || document.filter(revision::describes).isEmpty()) {
-      return Optional.empty(); // nor is a document accepted that is not the announced one
+    if (conflictsWithinBallot || document.filter(revision::describes).isEmpty()) {
+      return Optional.empty(); // also if the document does not match the revision
     }
     AcceptedProposal proposal = new AcceptedProposal(ballot, revision, document.get());
     if (underThisBallot.isEmpty() && !save(state.withAccepted(proposal))) {
@@ -128,27 +129,29 @@
   }
 
   /**
-   * Takes over that a revision was chosen, where it is newer than the newest known one, or brings
-   * the document of that one. Where it cannot be saved it stays unknown.
+   * Records a chosen revision if it is newer than the newest known one, or supplies the missing
+   * document of that one. If it cannot be saved, it remains unknown.
    *
-   * @param document the document, where it is held
+   * @param document the document, if it is held
    */
   void learn(RevisionMessage.Notice notice, Optional<byte[]> document) {
     Revision revision = notice.revision();
     boolean newer = revision.number() > state.newestNumber();
-    boolean bringsDocument =
+    boolean suppliesDocument =
         document.isPresent()
             && !state.holdsNewestDocument()
             && state.newestRevision().filter(revision::equals).isPresent();
-    if (newer || bringsDocument) {
+    if (newer || suppliesDocument) {
       Optional<byte[]> held = document.or(() -> state.acceptedDocument(revision));
       save(state.withNewest(new ChosenRevision(notice, held)));
     }
   }
 
   /**
-   * After a lost store: a majority of the others knows nothing newer than that number, which bounds
-   * what this issuer may have forgotten.
+   * Sets the first number to vote on after a lost store.
+   *
+   * @param number the newest number known to a majority of the others, which bounds the votes that
+   *     this issuer may have forgotten
    */
   void rejoin(long number) {
     boolean valid = number >= 0 && number < Long.MAX_VALUE - MAX_FORGOTTEN_NUMBERS;
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
@@ -6,29 +6,28 @@
 import java.util.TreeMap;
 
 /**
- * What each member of the own place has in force, by its own word, and the sum of it for the
- * issuers. Every member keeps this; only those that {@link AggregatorElection} names report it.
- * Bounded; confined to the thread of {@link RevisionDissemination}.
+ * Collects the acknowledgements of the members of the own place, and counts them for the issuers. Every member keeps this; only those that {@link AggregatorElection} elects report
+ * it. Bounded; confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementAggregator {
-  /** What a member has in force, or rejects where the reason is not empty. */
+  /** The revision that a member has in force, or rejects if {@code rejection} is not empty. */
   private record Acknowledged(long number, long fingerprint, String rejection) {}
 
   private static final int MAX_MEMBERS = 2_048;
 
-  /** Members that the sum names as lacking the newest. */
+  /** Maximum number of members that the counts name as lacking the newest revision. */
   private static final int MAX_NAMED = 8;
 
-  /** Characters of a reason that are kept. */
+  /** Maximum number of characters kept of a reason for a rejection. */
   private static final int MAX_REJECTION_LENGTH = 120;
 
   private final TreeMap<String, Acknowledged> byMember = new TreeMap<>();
 
   /**
-   * Notes what a member has in force, or rejects.
+   * Records the revision that a member has in force, or rejects.
    *
-   * @param rejection why the revision can't be put in force; empty where it is in force
-   * @return whether that is new
+   * @param rejection why the revision can't be put in force; empty if it is in force
+   * @return whether that is a change
    */
   boolean record(String member, long number, long fingerprint, String rejection) {
     if (byMember.size() >= MAX_MEMBERS && !byMember.containsKey(member)) {
@@ -40,10 +39,10 @@
   }
 
   /**
-   * Notes what a member has in force, as told by each of its packets. That it rejects a newer one
-   * is told by acknowledgements only, and stays.
+   * Records the revision that a member has in force, as reported by each of its packets. A recorded
+   * rejection of a newer revision is kept, since only acknowledgements report rejections.
    *
-   * @return whether that is new
+   * @return whether that is a change
    */
   boolean recordInForce(String member, long number, long fingerprint) {
     Acknowledged before = byMember.get(member);
@@ -51,22 +50,22 @@
     return !rejectsNewer && record(member, number, fingerprint, "");
   }
 
-  /** Forgets all members but those. */
+  /** Removes all members except those. */
   void retainOnly(Collection<String> present) {
     byMember.keySet().retainAll(present);
   }
 
-  /** Whether a member has that revision in force. */
+  /** Returns whether a member has that revision in force. */
   boolean isInForceAt(String member, RevisionLog.Entry revision) {
-    return concerns(byMember.get(member), revision, true);
+    return hasAcknowledged(byMember.get(member), revision, true);
   }
 
-  /** Whether a member rejects that revision. */
+  /** Returns whether a member rejects that revision. */
   boolean isRejectedAt(String member, RevisionLog.Entry revision) {
-    return concerns(byMember.get(member), revision, false);
+    return hasAcknowledged(byMember.get(member), revision, false);
   }
 
-  private static boolean concerns(
+  private static boolean hasAcknowledged(
       Acknowledged acknowledged, RevisionLog.Entry revision, boolean inForce) {
     return acknowledged != null
         && acknowledged.number == revision.number()
@@ -75,10 +74,10 @@
   }
 
   /**
-   * The sum over those members.
+   * Counts the acknowledgements of those members.
    *
-   * @param newestForMillis for how long the newest revision is known; told as the time for which
-   *     the first member lacks it
+   * @param newestForMillis the time since the newest revision was added; reported as the time for
+   *     which members have lacked it
    */
   RevisionMessage.Census summarize(
       int place, RevisionLog.Entry newest, Collection<String> members, long newestForMillis) {
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementReminder.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementReminder.java
@@ -3,20 +3,20 @@
 import reachloom.revision.PeerTable.PeerState;
 
 /**
- * An aggregator announces the newest revision again to the members of its zone that have not
- * acknowledged it. Times are nanoseconds of the clock handed in; confined to the thread of {@link
- * RevisionDissemination}.
+ * Sends reminders at an aggregator: announces the newest revision again to the members of its zone
+ * that have not acknowledged it. Times are nanoseconds of the clock that the caller passes in;
+ * confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementReminder {
-  /** By then the rounds of {@link EagerPush} have gone through a zone. */
+  /** Delay of the first reminder, by which the rounds of {@link EagerPush} have covered a zone. */
   private static final long FIRST_REMINDER_NANOS = 600_000_000;
 
-  /** Between two reminders of one member, doubling. */
+  /** Interval between two reminders of one member; doubles up to {@link #MAX_DOUBLINGS} times. */
   private static final long REPEAT_NANOS = 1_000_000_000;
 
   private static final int MAX_DOUBLINGS = 1;
 
-  /** 10 KB a second. */
+  /** Limits reminders to 10 KB/s. */
   private static final int REMINDERS_PER_TICK = 2;
 
   private final RevisionLog log;
@@ -32,12 +32,12 @@
     this.notices = notices;
   }
 
-  /** There is a newer revision: nobody has been reminded of it. */
+  /** Resets the number of reminders for a newer revision. */
   void onNewRevision() {
     peers.zonePeers().forEach(state -> state.reminders = 0);
   }
 
-  /** Sends the reminders that are due, as far as the budget allows. */
+  /** Sends the reminders that are due, as far as the byte budget allows. */
   void tick(long nowNanos) {
     RevisionLog.Entry newest = log.newest().filter(RevisionLog.Entry::hasDocument).orElse(null);
     if (!tracker.isAggregator()
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
@@ -10,16 +10,16 @@
 import java.util.TreeMap;
 
 /**
- * At an issuer: the sums that the aggregators of each place sent last. Bounded by places and by
- * aggregators of a place. Times are nanoseconds of the clock handed in; confined to the thread of
- * {@link RevisionDissemination}.
+ * The latest acknowledgement counts that an issuer has received from the aggregators of each place.
+ * Bounded by places and by aggregators per place. Times are nanoseconds of the clock that the caller
+ * passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementSummary {
-  private record Received(RevisionMessage.Census sum, long atNanos) {}
+  private record Received(RevisionMessage.Census census, long atNanos) {}
 
   private static final int MAX_PLACES = 256;
 
-  /** Of a place: while members come and go, more than the elected ones aggregate for a moment. */
+  /** Per place; while members join and leave, more than the elected ones aggregate temporarily. */
   private static final int MAX_AGGREGATORS = 4;
 
   private static final long MAX_AGE_NANOS = 60_000_000_000L;
@@ -31,46 +31,46 @@
   /** By place, then by name of the aggregator. */
   private final TreeMap<Integer, TreeMap<String, Received>> byPlace = new TreeMap<>();
 
-  /** Takes in the sum that an aggregator sent. */
-  void record(long nowNanos, String aggregator, RevisionMessage.Census sum) {
-    if (byPlace.size() >= MAX_PLACES && !byPlace.containsKey(sum.place())) {
+  /** Records the counts of an aggregator. */
+  void record(long nowNanos, String aggregator, RevisionMessage.Census census) {
+    if (byPlace.size() >= MAX_PLACES && !byPlace.containsKey(census.place())) {
       return;
     }
-    TreeMap<String, Received> ofPlace = byPlace.computeIfAbsent(sum.place(), k -> new TreeMap<>());
+    TreeMap<String, Received> ofPlace = byPlace.computeIfAbsent(census.place(), k -> new TreeMap<>());
     ofPlace.values().removeIf(r -> nowNanos - r.atNanos > MAX_AGE_NANOS);
-    ofPlace.put(aggregator, new Received(sum, nowNanos));
-    if (ofPlace.size() > MAX_AGGREGATORS) { // some aggregated only as long as they saw few others
+    ofPlace.put(aggregator, new Received(census, nowNanos));
+    if (ofPlace.size() > MAX_AGGREGATORS) { // a member that sees few others may elect itself temporarily
       ofPlace.remove(
           Collections.min(ofPlace.entrySet(), Comparator.comparingLong(e -> e.getValue().atNanos))
               .getKey());
     }
   }
 
-  /** The best informed sum: of the newest revision, of equals that with the most in force. */
+  /** Returns the counts of the newest revision; among equals, those with the most in force. */
   private static Received best(Collection<Received> sums) {
     Received best = null;
     for (Received r : sums) {
       boolean better =
           best == null
-              || r.sum.number() > best.sum.number()
-              || r.sum.number() == best.sum.number() && r.sum.inForce() > best.sum.inForce();
+              || r.census.number() > best.census.number()
+              || r.census.number() == best.census.number() && r.census.inForce() > best.census.inForce();
       best = better ? r : best;
     }
     return best;
   }
 
-  /** The best informed sum of each place, in the order of places. */
+  /** Returns for each place, in order, the counts of the newest revision with the most in force. */
   List<RevisionMessage.Census> bestPerPlace() {
     return byPlace.values().stream()
         .filter(ofPlace -> !ofPlace.isEmpty())
-        .map(ofPlace -> best(ofPlace.values()).sum)
+        .map(ofPlace -> best(ofPlace.values()).census)
         .toList();
   }
 
   /**
-   * One status line for each place.
+   * Returns one status line per place.
    *
-   * @param present how many members this issuer sees at each place
+   * @param present number of members that this issuer sees at each place
    */
   List<String> statusLines(long nowNanos, Map<Integer, Integer> present) {
     TreeMap<Integer, Integer> seen = new TreeMap<>(present);
@@ -87,34 +87,34 @@
       return prefix + "seen " + seen + ", nothing told";
     }
     Received best = best(ofPlace);
-    return prefix + describe(best.sum) + age(nowNanos, best) + agreement(best.sum, ofPlace);
+    return prefix + describe(best.census) + age(nowNanos, best) + agreement(best.census, ofPlace);
   }
 
-  private static String describe(RevisionMessage.Census sum) {
+  private static String describe(RevisionMessage.Census census) {
     String since =
-        sum.longest() == 0
+        census.longest() == 0
             ? ""
-            : String.format(Locale.ROOT, " for %.1f s", sum.longest() / MILLIS_PER_SECOND);
+            : String.format(Locale.ROOT, " for %.1f s", census.longest() / MILLIS_PER_SECOND);
     return String.format(
         Locale.ROOT,
         "revision %d, members %d, in force %d, refused %d, lacking %s%s",
-        sum.number(),
-        sum.members(),
-        sum.inForce(),
-        sum.refused(),
-        sum.lacking().isEmpty() ? "none" : String.join(" ", sum.lacking()),
+        census.number(),
+        census.members(),
+        census.inForce(),
+        census.refused(),
+        census.lacking().isEmpty() ? "none" : String.join(" ", census.lacking()),
         since);
   }
 
   private static String age(long nowNanos, Received received) {
     double seconds = (nowNanos - received.atNanos) / NANOS_PER_SECOND;
-    return String.format(Locale.ROOT, ", told %.1f s ago", seconds);
+    return String.format(Locale.ROOT, ", reported %.1f s ago", seconds);
   }
 
   private static String agreement(RevisionMessage.Census best, Collection<Received> ofPlace) {
     boolean agreed =
         ofPlace.stream()
-            .map(Received::sum)
+            .map(Received::census)
             .allMatch(s -> s.number() == best.number() && s.inForce() == best.inForce());
     return agreed ? "" : ", counters differ";
   }
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
@@ -8,19 +8,19 @@
 import reachloom.scheduler.state.TokenBucket;
 
 /**
- * Tells where revisions are in force. Each member acknowledges to the aggregators of its zone;
- * these send the sum to the issuers after a change and at regular intervals; an issuer keeps the
- * sums. Times are nanoseconds of the clock handed in; confined to the thread of {@link
- * RevisionDissemination}.
+ * Tracks which members have a revision in force. Each member sends an acknowledgement to the
+ * aggregators of its zone; these send the counts to the issuers after a change and at regular
+ * intervals; an issuer keeps the counts. Times are nanoseconds of the clock that the caller passes
+ * in; confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementTracker {
-  /** Between two sums that tell nothing new. */
+  /** Interval of reports without a change. */
   static final long REPORT_INTERVAL_NANOS = 2_000_000_000;
 
-  /** Between two sums after a change. */
+  /** Minimum interval of reports after changes. */
   private static final long CHANGE_INTERVAL_NANOS = 250_000_000;
 
-  /** To those that ask for an acknowledgement by a reminder. */
+  /** Limit for acknowledgements in response to reminders. */
   private static final int ACKNOWLEDGEMENTS_PER_SECOND = 4;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -35,15 +35,15 @@
   private final TokenBucket repeats =
       new TokenBucket(ACKNOWLEDGEMENTS_PER_SECOND, ACKNOWLEDGEMENTS_PER_SECOND);
 
-  /** Aggregators that this member owes an acknowledgement. */
-  private final Set<String> unacknowledged = new TreeSet<>();
+  /** Aggregators to which an acknowledgement is still to be sent. */
+  private final Set<String> pendingAcknowledgements = new TreeSet<>();
 
-  /** Issuers that are owed the sum of the zone, if this member is an aggregator. */
-  private final Set<String> unreported = new TreeSet<>();
+  /** Issuers to which the counts of the zone are still to be sent, if this is an aggregator. */
+  private final Set<String> pendingReports = new TreeSet<>();
 
   private List<String> aggregators = List.of();
-  private List<String> zoneMembers = List.of(); // in order, this one included unless an issuer
-  private boolean changed;
+  private List<String> zoneMembers = List.of(); // sorted; includes this one unless it is an issuer
+  private boolean countsChanged;
   private long nextChangeReportAtNanos;
   private long nextReportAtNanos;
 
@@ -61,7 +61,7 @@
     nextReportAtNanos = firstReportAtNanos;
   }
 
-  /** Elects the aggregators anew where the members of the zone have changed. */
+  /** Repeats the election of aggregators if the members of the zone have changed. */
   void onPeersChanged() {
     Set<String> present = new TreeSet<>();
     peers.zonePeers().forEach(state -> present.add(state.peer.name()));
@@ -76,57 +76,57 @@
     aggregator.retainOnly(present);
     List<String> before = aggregators;
     aggregators = AggregatorElection.elect(self.place(), members);
-    aggregators.stream().filter(name -> !before.contains(name)).forEach(unacknowledged::add);
-    unacknowledged.retainAll(aggregators);
+    aggregators.stream().filter(name -> !before.contains(name)).forEach(pendingAcknowledgements::add);
+    pendingAcknowledgements.retainAll(aggregators);
     if (isAggregator() && !before.contains(self.name())) {
-      unreported.clear();
+      pendingReports.clear();
       recordSelf();
     }
-    changed = true;
+    countsChanged = true;
   }
 
-  /** Whether this member aggregates for its zone. */
+  /** Returns whether this member aggregates for its zone. */
   boolean isAggregator() {
     return !self.isIssuer() && aggregators.contains(self.name());
   }
 
-  /** The members of the own zone, this one included unless it is an issuer. */
+  /** Returns the number of members of the own zone, including this one unless it is an issuer. */
   int zoneSize() {
     return zoneMembers.size();
   }
 
-  /** There is a newer revision: the sums change with it. */
+  /** Handles a newer revision, which changes the counts. */
   void onNewRevision() {
-    changed = true;
+    countsChanged = true;
   }
 
-  /** This member has put a revision in force, or rejected it. */
+  /** Records the outcome of a revision at this member, and schedules its acknowledgement. */
   void onActivationEnded() {
     recordSelf();
-    unacknowledged.addAll(aggregators);
-    unacknowledged.remove(self.name());
+    pendingAcknowledgements.addAll(aggregators);
+    pendingAcknowledgements.remove(self.name());
   }
 
   private void recordSelf() {
     RevisionMessage.Acknowledgement own = activation.acknowledgement();
-    changed |= aggregator.record(self.name(), own.number(), own.fingerprint(), own.refusal());
+    countsChanged |= aggregator.record(self.name(), own.number(), own.fingerprint(), own.refusal());
   }
 
-  /** A packet tells what its sender has in force. */
+  /** Records the revision in force at the sender of a packet. */
   void onHave(Peer sender, RevisionMessage.Have have) {
     if (peers.isInZone(sender)) {
-      changed |= aggregator.recordInForce(sender.name(), have.inForce(), have.fingerprint());
+      countsChanged |= aggregator.recordInForce(sender.name(), have.inForce(), have.fingerprint());
     }
   }
 
-  void onAcknowledgement(Peer sender, RevisionMessage.Acknowledgement told) {
+  void onAcknowledgement(Peer sender, RevisionMessage.Acknowledgement acknowledgement) {
     if (peers.isInZone(sender)) {
-      changed |= aggregator.record(sender.name(), told.number(), told.fingerprint(), told.refusal());
+      countsChanged |= aggregator.record(sender.name(), acknowledgement.number(), acknowledgement.fingerprint(), acknowledgement.refusal());
     }
   }
 
   /**
-   * A member of the zone has announced a revision that is in force here: it wants to be told so.
+   * Repeats the acknowledgement for a member of the zone that has announced a revision again.
    */
   void acknowledgeAgain(long nowNanos, Peer sender) {
     if (peers.isInZone(sender) && repeats.take(nowNanos)) {
@@ -134,74 +134,74 @@
     }
   }
 
-  /** Whether that member of the zone has acknowledged a revision, in force or rejected. */
+  /** Returns whether that member has acknowledged a revision as in force or rejected. */
   boolean hasAcknowledged(String member, RevisionLog.Entry revision) {
     return aggregator.isInForceAt(member, revision) || aggregator.isRejectedAt(member, revision);
   }
 
   /**
-   * At an issuer: takes in the sum that an aggregator sent, if the revision is known here.
+   * Records, at an issuer, the counts of an aggregator if their revision is known.
    *
-   * @return whether the sender may aggregate for the place of the sum
+   * @return whether the sender may aggregate for the place of the counts
    */
-  boolean onSum(long nowNanos, Peer sender, RevisionMessage.Census sum) {
-    if (!isAccepted(sender, sum)) {
+  boolean onCensus(long nowNanos, Peer sender, RevisionMessage.Census census) {
+    if (!isAuthorized(sender, census)) {
       return false;
     }
-    if (sum.number() <= log.newestNumber()) {
-      summary.record(nowNanos, sender.name(), sum);
+    if (census.number() <= log.newestNumber()) {
+      summary.record(nowNanos, sender.name(), census);
     }
     return true;
   }
 
-  private boolean isAccepted(Peer sender, RevisionMessage.Census sum) {
-    if (!self.isIssuer() || sender.place() != sum.place() || peers.isIssuer(sender.name())) {
+  private boolean isAuthorized(Peer sender, RevisionMessage.Census census) {
+    if (!self.isIssuer() || sender.place() != census.place() || peers.isIssuer(sender.name())) {
       return false;
     }
     Set<String> present = new TreeSet<>(Set.of(sender.name()));
     peers
         .peersByPlace()
-        .getOrDefault(sum.place(), List.of())
+        .getOrDefault(census.place(), List.of())
         .forEach(state -> present.add(state.peer.name()));
-    return AggregatorElection.isCandidate(sum.place(), present, sender.name());
+    return AggregatorElection.isCandidate(census.place(), present, sender.name());
   }
 
-  /** Makes the sum due at the issuers, after a change or at the regular interval. */
+  /** Schedules a report to the issuers after a change or at the regular interval. */
   void tick(long nowNanos) {
-    boolean due = changed && nowNanos >= nextChangeReportAtNanos || nowNanos >= nextReportAtNanos;
+    boolean due = countsChanged && nowNanos >= nextChangeReportAtNanos || nowNanos >= nextReportAtNanos;
     if (isAggregator() && due) {
-      changed = false;
+      countsChanged = false;
       nextChangeReportAtNanos = nowNanos + CHANGE_INTERVAL_NANOS;
       nextReportAtNanos = nowNanos + REPORT_INTERVAL_NANOS;
-      self.issuers().forEach(issuer -> unreported.add(issuer.name()));
+      self.issuers().forEach(issuer -> pendingReports.add(issuer.name()));
     }
   }
 
-  /** Sends the acknowledgements that are due, as far as the budget allows. */
+  /** Sends the pending acknowledgements that the byte budget allows. */
   void flushAcknowledgements(long nowNanos) {
-    for (String name : List.copyOf(unacknowledged)) {
+    for (String name : List.copyOf(pendingAcknowledgements)) {
       Optional<PeerState> state = peers.find(name);
       if (state.isEmpty()
-          || activation.isUntouched()
+          || activation.isInitial()
           || messenger.send(nowNanos, state.get().peer, activation.acknowledgement())) {
-        unacknowledged.remove(name);
+        pendingAcknowledgements.remove(name);
       }
     }
   }
 
-  /** Sends the sum to the issuers that are owed it, as far as the budget allows. */
+  /** Sends the pending reports to the issuers, as far as the byte budget allows. */
   void flushReports(long nowNanos) {
-    if (unreported.isEmpty()) {
+    if (pendingReports.isEmpty()) {
       return;
     }
-    RevisionMessage.Census sum = sum(nowNanos);
+    RevisionMessage.Census census = census(nowNanos);
     self.issuers().stream()
-        .filter(issuer -> unreported.contains(issuer.name()))
-        .filter(issuer -> messenger.send(nowNanos, issuer, sum))
-        .forEach(issuer -> unreported.remove(issuer.name()));
+        .filter(issuer -> pendingReports.contains(issuer.name()))
+        .filter(issuer -> messenger.send(nowNanos, issuer, census))
+        .forEach(issuer -> pendingReports.remove(issuer.name()));
   }
 
-  private RevisionMessage.Census sum(long nowNanos) {
+  private RevisionMessage.Census census(long nowNanos) {
     return log.newest()
         .map(
             newest ->
@@ -216,7 +216,7 @@
                     self.place(), 0, zoneMembers.size(), 0, 0, List.of(), 0));
   }
 
-  /** At an issuer: the sums that the aggregators sent. */
+  /** Returns, at an issuer, the counts that the aggregators have sent. */
   AcknowledgementSummary summary() {
     return summary;
   }
--- a/decisions/src/main/java/reachloom/revision/AggregatorElection.java
+++ b/decisions/src/main/java/reachloom/revision/AggregatorElection.java
@@ -5,12 +5,12 @@
 import java.util.TreeMap;
 
 /**
- * Which members of a place aggregate the acknowledgements of all its members for the issuers.
- * Rendezvous hashing (highest random weight): each member finds the same names without a message,
- * as far as all see the same members.
+ * Elects the members of a place that aggregate the acknowledgements of all its members for the
+ * issuers. Uses rendezvous hashing (highest random weight): members that see the same members elect the same aggregators
+ * without exchanging messages.
  */
 final class AggregatorElection {
-  /** Aggregators of a place: one may fail, and the other goes on. */
+  /** Number of aggregators per place, so that one may fail. */
   static final int AGGREGATORS = 2;
 
   // The hash is FNV-1a, with the finalizer of MurmurHash3.
@@ -20,7 +20,7 @@
 
   private AggregatorElection() {}
 
-  /** The aggregators of a place among the members that are present there. */
+  /** Returns the aggregators of a place among the members that are present there. */
   static List<String> elect(int place, Collection<String> members) {
     TreeMap<Long, String> lowest = new TreeMap<>();
     for (String name : members) {
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Whether a member may be an aggregator of that place, though it does not see all the members
-   * that are seen here.
+   * Returns whether a member may be an aggregator of that place, allowing for members that it does
+   * not see but this one does.
    */
   static boolean isCandidate(int place, Collection<String> members, String name) {
     long own = rank(place, name);
--- a/decisions/src/main/java/reachloom/revision/Ballot.java
+++ b/decisions/src/main/java/reachloom/revision/Ballot.java
@@ -1,14 +1,14 @@
 package reachloom.revision;
 
 /**
- * A ballot of Paxos: a proposer's right to be voted for, until a higher one is promised. The higher
- * round wins; of equal rounds the issuer whose name sorts later.
+ * A Paxos ballot number. A ballot is valid until a higher one is promised. Ballots are ordered by
+ * round, then by the name of the issuer.
  *
- * @param round counts from 1; 0 in {@link #NONE} alone
- * @param issuer the name of the issuer that proposes under it; never null
+ * @param round the round, from 1; 0 only in {@link #NONE}
+ * @param issuer the name of the issuer that proposes under this ballot; never null
  */
 public record Ballot(long round, String issuer) implements Comparable<Ballot> {
-  /** Lower than each ballot that is used. */
+  /** Lower than every ballot of a proposer. */
   public static final Ballot NONE = new Ballot(0, "");
 
   @Override
--- a/decisions/src/main/java/reachloom/revision/BallotBackoff.java
+++ b/decisions/src/main/java/reachloom/revision/BallotBackoff.java
@@ -3,14 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * How long a proposer rests after it has met a higher ballot: a random time whose mean doubles with
- * each rest in a row, so that two proposers do not keep overtaking each other.
+ * Exponential backoff of a proposer whose ballot was preempted by a higher one. Delays are random,
+ * and their mean doubles with each consecutive one, so that two proposers do not keep preempting
+ * each other.
  */
 final class BallotBackoff {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** The mean of the first rest: two round trips to another region. */
-  private static final long INITIAL_MEAN_NANOS = 150 * MILLISECOND;
+  /** Mean of the first delay: two round trips to another region. */
+  private static final long INITIAL_MEAN_NANOS = 150 * NANOS_PER_MILLI;
 
   private static final int MAX_DOUBLINGS = 4;
 
@@ -21,14 +22,14 @@
     this.random = random;
   }
 
-  /** The next rest in nanoseconds: from half to one and a half times the mean. */
+  /** Returns the next delay in nanoseconds: from 0.5 to 1.5 times the mean. */
   long nextDelayNanos() {
     long meanNanos = INITIAL_MEAN_NANOS << doublings;
     doublings = Math.min(MAX_DOUBLINGS, doublings + 1);
     return meanNanos / 2 + random.nextLong(meanNanos);
   }
 
-  /** Begins anew after a revision was chosen. */
+  /** Resets the mean delay after a revision was chosen. */
   void reset() {
     doublings = 0;
   }
--- a/decisions/src/main/java/reachloom/revision/BallotRound.java
+++ b/decisions/src/main/java/reachloom/revision/BallotRound.java
@@ -1,13 +1,13 @@
 package reachloom.revision;
 
-/** A request of one ballot to all issuers, and the answers to it: one of the phases of Paxos. */
+/** One phase of a Paxos ballot: a request to all issuers, and their answers. */
 sealed interface BallotRound permits PromiseRound, AcceptRound {
-  /** What each issuer is asked. */
+  /** Returns the request that is sent to each issuer. */
   RevisionMessage request();
 
-  /** Whether the issuer with that name has answered. */
+  /** Returns whether the issuer with that name has answered. */
   boolean hasAnswered(String issuer);
 
-  /** Whether a majority has answered. */
+  /** Returns whether a majority has answered. */
   boolean hasQuorum();
 }
--- a/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
@@ -7,10 +7,9 @@
 import java.util.TreeSet;
 
 /**
- * Puts the document of one revision together from its chunks, or from those of a delta to a
- * document that is held. The result is compared with the digest of the revision; where it differs,
- * the peer that sent the chunks is to blame if there was only one, else all are asked anew from one
- * peer.
+ * Assembles the document of one revision from its chunks, or from the chunks of a delta to a held
+ * document, and verifies the digest. If the digest differs and one peer sent all chunks, that peer
+ * is reported; otherwise the chunks are requested again from a single peer.
  *
  * <p>Confined to the thread of {@link RevisionDissemination}.
  */
@@ -18,13 +17,13 @@
   private final Revision revision;
   private final long fingerprint;
 
-  /** Whether deltas are asked for at all: not for a proposal, which is no successor of any yet. */
+  /** Whether deltas are requested; false for a proposal, which follows no held revision yet. */
   private final boolean deltaAllowed;
 
   private final Set<String> senders = new TreeSet<>();
   private byte[][] chunks = new byte[0][];
-  private long baseNumber; // of the chunks that are held; 0 where they are of the whole document
-  private RevisionLog.Entry base; // which a delta is asked for, or null
+  private long baseNumber; // of the held chunks; 0 if they are of the whole document
+  private RevisionLog.Entry base; // of the requested delta, or null
   private boolean singleSender;
   private boolean deltaFailed;
 
@@ -34,7 +33,7 @@
     this.deltaAllowed = deltaAllowed;
   }
 
-  /** Whether no chunk has come so far. */
+  /** Returns whether no chunk has been received so far. */
   boolean isEmpty() {
     return chunks.length == 0;
   }
@@ -43,7 +42,7 @@
     return !isEmpty() && firstMissing() >= chunks.length;
   }
 
-  /** The index of the first chunk that is missing. */
+  /** Returns the index of the first missing chunk. */
   int firstMissing() {
     for (int i = 0; i < chunks.length; i++) {
       if (chunks[i] == null) {
@@ -53,8 +52,8 @@
     return chunks.length;
   }
 
-  /** Another peer is asked from now on. */
-  void senderChanges() {
+  /** Handles a switch to another peer. */
+  void onPeerChanged() {
     if (singleSender) {
       clear();
     }
@@ -67,7 +66,7 @@
   }
 
   /**
-   * The request for what is missing.
+   * Returns the request for the missing chunks.
    *
    * @param newestHeld the newest revision whose document is held, as the base of a delta; or null
    */
@@ -82,21 +81,21 @@
   }
 
   /**
-   * Takes a chunk; false where it does not fit or is held already.
+   * Adds a chunk; false if it does not fit or is already held.
    *
-   * @param fromAskedPeer whether it comes from the peer that is being asked: only that one may
-   *     replace chunks of a different base or count
-   * @param baseHeld the base that the chunk names, if its document is held; else null
+   * @param fromCurrentPeer whether the current peer sent it: only that peer may replace chunks of a
+   *     different base or count
+   * @param baseHeld the base of the chunk, if its document is held; else null
    */
   boolean add(
       String sender,
-      boolean fromAskedPeer,
+      boolean fromCurrentPeer,
       RevisionMessage.Chunk chunk,
       RevisionLog.Entry baseHeld) {
     boolean differs = isEmpty() || chunk.of() != chunks.length || chunk.base() != baseNumber;
     if (!fits(chunk, baseHeld)
-        || differs && !fromAskedPeer && !isEmpty()
-        || singleSender && !fromAskedPeer) {
+        || differs && !fromCurrentPeer && !isEmpty()
+        || singleSender && !fromCurrentPeer) {
       return false;
     }
     if (differs) {
@@ -127,7 +126,7 @@
             : baseHeld != null && !deltaFailed);
   }
 
-  /** The document of which all chunks are here; empty where they do not make it. */
+  /** Returns the document of the complete chunks; empty if size or digest do not match. */
   Optional<byte[]> assemble() {
     ByteBuffer all = ByteBuffer.allocate(Arrays.stream(chunks).mapToInt(c -> c.length).sum());
     Arrays.stream(chunks).forEach(all::put);
@@ -138,8 +137,8 @@
   }
 
   /**
-   * Drops chunks that do not make the document; gives the peer that sent all of them. With chunks
-   * of several it can't be told who was wrong: from then on they are taken from one peer only.
+   * Drops chunks that do not match the digest, and returns the peer that sent all of them. If several
+   * peers sent them, the faulty one is unknown: from then on chunks are accepted from one peer only.
    */
   Optional<String> discard() {
     Optional<String> onlySender =
--- a/decisions/src/main/java/reachloom/revision/ChunkServer.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkServer.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Answers requests of other members: for the newest notice, and for the chunks of a document or of
- * a delta. Documents of proposals are given to issuers only. Times are nanoseconds of the clock
- * handed in; confined to the thread of {@link RevisionDissemination}.
+ * Answers requests of other members for the newest notice, and for the chunks of a document or of a
+ * delta. Documents of proposals are sent only to issuers. Times are nanoseconds of the clock that
+ * the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class ChunkServer {
   private final RevisionLog log;
@@ -30,7 +30,7 @@
   /** Queues the answer to a request. */
   void onRequest(long nowNanos, Peer from, RevisionMessage.Want request) {
     if (request.number() == 0) {
-      // What was announced before may have been lost.
+      // An earlier announcement may have been lost.
       notices.enqueue(nowNanos, from, EagerPush.ROUND_INTERVAL_NANOS);
       return;
     }
--- a/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -5,43 +5,43 @@
 import java.util.function.Consumer;
 
 /**
- * The transfer of one document to this member, chunk by chunk, from one peer at a time: when to
- * ask, and when an answer is overdue. Whom to ask is the caller's choice. Times are nanoseconds of
- * the clock handed in; confined to the thread of {@link RevisionDissemination}.
+ * The chunked transfer of one document to this member, from one peer at a time: sends requests and
+ * detects overdue answers. The caller selects the peer. Times are nanoseconds of the clock that the
+ * caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class ChunkedFetch {
-  /** Without a chunk for so long, the request is repeated. */
+  /** Time without a chunk after which the request is repeated. */
   private static final long ANSWER_TIMEOUT_NANOS = 400_000_000;
 
-  /** More time for the first answer of the largest document: its sender finishes others first. */
+  /** Extra time for the first chunk of the largest document: its sender serves others first. */
   private static final long LARGEST_FIRST_ANSWER_NANOS = 1_000_000_000;
 
-  /** For chunks that the last one of a window has overtaken. */
+  /** Time to wait for chunks that the last one of a window has overtaken. */
   private static final long REORDERING_NANOS = 30_000_000;
 
-  /** With one peer, whatever it sends. */
+  /** Maximum time with one peer, even if it sends chunks. */
   private static final long MAX_PEER_TIME_NANOS = 6_000_000_000L;
 
   final Revision revision;
 
-  /** Who waits for the document of a proposal; null for a revision that is proved. */
+  /** Receives the document of a proposal; null for a proved revision. */
   final Consumer<Optional<byte[]>> onCompleted;
 
-  /** The peer that is being asked, or null. */
+  /** The current peer, or null. */
   Peer peer;
 
-  /** When the peer is given up, whatever it sends. */
+  /** When the current peer is given up, even if it sends chunks. */
   long giveUpAtNanos;
 
-  /** Requests to the peer since its last chunk. */
+  /** Number of requests to the current peer since its last chunk. */
   int attempts;
 
-  /** How many peers were asked. */
-  int peersAsked;
+  /** Number of peers tried; for a proposal, also of unanswered requests. */
+  int peersTried;
 
   private final ChunkAssembly assembly;
-  private long answerDueAtNanos; // 0 where no answer is expected
-  private int lastOfWindow;
+  private long answerDueAtNanos; // 0 if no answer is expected
+  private int lastIndexOfWindow;
 
   ChunkedFetch(Revision revision, Consumer<Optional<byte[]>> onCompleted) {
     this.revision = revision;
@@ -49,18 +49,18 @@
     assembly = new ChunkAssembly(revision, onCompleted == null);
   }
 
-  /** Goes on with that peer; what has come from others stays where it may. */
-  void ask(long nowNanos, Peer next) {
-    assembly.senderChanges();
+  /** Switches to another peer; keeps the chunks of earlier ones where that is allowed. */
+  void switchTo(long nowNanos, Peer next) {
+    assembly.onPeerChanged();
     peer = next;
     attempts = 0;
-    peersAsked++;
+    peersTried++;
     answerDueAtNanos = 0;
     giveUpAtNanos = nowNanos + MAX_PEER_TIME_NANOS;
   }
 
   /**
-   * Sends a request if no answer is expected, or it is overdue.
+   * Sends a request if no answer is expected, or the expected one is overdue.
    *
    * @param newestHeld the newest revision whose document is held, as the base of a delta; or null
    */
@@ -69,32 +69,32 @@
     if (due
         && sender.send(
             nowNanos, peer.name(), peer.address(), List.of(assembly.request(newestHeld)))) {
-      requested(nowNanos);
+      onRequestSent(nowNanos);
     }
   }
 
-  private void requested(long nowNanos) {
+  private void onRequestSent(long nowNanos) {
     attempts++;
     int first = assembly.firstMissing();
-    lastOfWindow = first + Chunks.WINDOW - 1;
-    long moreNanos =
+    lastIndexOfWindow = first + Chunks.WINDOW - 1;
+    long extraNanos =
         first > 0 ? 0 : LARGEST_FIRST_ANSWER_NANOS * revision.size() / Revision.MAX_DOCUMENT_BYTES;
-    answerDueAtNanos = nowNanos + ANSWER_TIMEOUT_NANOS + moreNanos;
+    answerDueAtNanos = nowNanos + ANSWER_TIMEOUT_NANOS + extraNanos;
   }
 
   /**
-   * Takes a chunk; gives the document if that completes it. A peer that alone sent chunks which do
-   * not make the document is backed off.
+   * Handles a chunk; returns the document if that completes it. If the chunks do not match the
+   * digest and all came from one peer, that peer is backed off.
    */
   Optional<byte[]> onChunk(
       long nowNanos, Peer sender, RevisionMessage.Chunk chunk, RevisionLog log, PeerTable peers) {
     RevisionLog.Entry baseHeld =
         chunk.base() == 0 ? null : log.withDocument(chunk.base(), 0).orElse(null);
-    boolean fromAskedPeer = peer != null && sender.name().equals(peer.name());
-    if (!assembly.add(sender.name(), fromAskedPeer, chunk, baseHeld)) {
+    boolean fromCurrentPeer = peer != null && sender.name().equals(peer.name());
+    if (!assembly.add(sender.name(), fromCurrentPeer, chunk, baseHeld)) {
       return Optional.empty();
     }
-    if (fromAskedPeer && answerDueAtNanos != 0) {
+    if (fromCurrentPeer && answerDueAtNanos != 0) {
       expectMore(nowNanos, chunk);
     }
     if (!assembly.isComplete()) {
@@ -102,40 +102,40 @@
     }
     Optional<byte[]> document = assembly.assemble();
     if (document.isEmpty()) {
-      startAnew(nowNanos, peers);
+      restart(nowNanos, peers);
     }
     return document;
   }
 
   private void expectMore(long nowNanos, RevisionMessage.Chunk chunk) {
     attempts = 0;
-    boolean last = chunk.index() >= lastOfWindow || chunk.index() == chunk.of() - 1;
-    boolean windowComplete = assembly.firstMissing() > lastOfWindow;
+    boolean last = chunk.index() >= lastIndexOfWindow || chunk.index() == chunk.of() - 1;
+    boolean windowComplete = assembly.firstMissing() > lastIndexOfWindow;
     answerDueAtNanos =
         windowComplete ? 0 : nowNanos + (last ? REORDERING_NANOS : ANSWER_TIMEOUT_NANOS);
   }
 
-  private void startAnew(long nowNanos, PeerTable peers) {
+  private void restart(long nowNanos, PeerTable peers) {
     assembly
         .discard()
         .ifPresent(
             name ->
                 peers.backoff().penalize(nowNanos, name, PeerBackoff.Misbehaviour.INVALID_DATA, 0));
     answerDueAtNanos = 0;
-    peer = onCompleted == null ? null : peer; // a proposal is had from its proposer alone
+    peer = onCompleted == null ? null : peer; // a proposal is fetched only from its proposer
   }
 
-  /** Whether no chunk has come so far. */
+  /** Returns whether no chunk has been received so far. */
   boolean isEmpty() {
     return assembly.isEmpty();
   }
 
-  /** Whether the answer that is expected is overdue. */
+  /** Returns whether the expected answer is overdue. */
   boolean isLate(long nowNanos) {
     return answerDueAtNanos != 0 && nowNanos >= answerDueAtNanos;
   }
 
-  /** Moves all deadlines: time in which this process stood still does not count. */
+  /** Moves all deadlines: the time of a process pause does not count. */
   void shift(long byNanos) {
     answerDueAtNanos += answerDueAtNanos == 0 ? 0 : byNanos;
     giveUpAtNanos += byNanos;
--- a/decisions/src/main/java/reachloom/revision/ConsensusEnvironment.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusEnvironment.java
@@ -1,10 +1,10 @@
 package reachloom.revision;
 
 /**
- * What an issuer's consensus works on, made outside this package.
+ * The dependencies of a {@link ConsensusNode}, which are implemented outside this package.
  *
  * @param signatures signs this issuer's votes and verifies those of others
- * @param store where this issuer's state is kept
+ * @param store persists this issuer's state
  * @param repository the revisions and documents of the member that the issuer belongs to
  * @param sender sends messages to the other issuers
  */
--- a/decisions/src/main/java/reachloom/revision/ConsensusNode.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -9,26 +9,27 @@
 import java.util.function.Consumer;
 
 /**
- * One issuer among the issuers: together they choose the next revision, one number after another,
- * by Paxos with one instance a number. Each signs what it has accepted and saved; the votes of a
- * majority are the proof that members ask for. Any issuer may propose; a higher ballot fences an
- * older one off.
+ * One issuer's node in the consensus among issuers. The issuers choose the revisions in order of
+ * their numbers by Paxos, with one instance per revision number. Each issuer signs the revision
+ * that it has accepted and saved; the votes of a majority are the proof that members verify. Any
+ * issuer may propose; a higher ballot preempts a lower one.
  *
- * <p>Issuers may crash, pause, and lose messages in any way. One that lies can hold the others up,
- * and, since acceptors rest on its word for what others have accepted, bring about two proved
- * revisions of one number, which members do not take.
+ * <p>The protocol tolerates issuers that crash, pause, or lose messages. It does not tolerate
+ * Byzantine issuers: one that sends false messages can block the others, and, since issuers trust
+ * its report of what it has accepted, can cause two proved revisions with one number (a fork),
+ * which members reject.
  *
- * <p>Times are nanoseconds of the clock that is handed in. All calls come from one thread, that of
- * the issuer's event loop, and results are reported on it.
+ * <p>Times are nanoseconds of the clock that the caller passes in. All calls come from the thread
+ * of the issuer's event loop, and results are reported on that thread.
  */
 public final class ConsensusNode {
-  private static final long SECOND = 1_000_000_000; // nanoseconds
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  /** How many issuers settings may name at most. */
+  /** Maximum number of issuers in the settings. */
   public static final int MAX_ISSUERS = 9;
 
-  /** A longer time between two events is a pause, after which nothing older is issued. */
-  private static final long STANDSTILL_NANOS = 3 * SECOND;
+  /** A longer gap between two events is a process pause; older requests are then withdrawn. */
+  private static final long PAUSE_THRESHOLD_NANOS = 3 * NANOS_PER_SECOND;
 
   private final IssuerGroup group;
   private final RevisionRepository repository;
@@ -39,18 +40,18 @@
   private final Deque<Runnable> pendingReports = new ArrayDeque<>();
   private long lastEventNanos;
 
-  /** The newest number that proposer and responder have been told of. */
-  private long settledNumber;
+  /** The newest chosen number that proposer and responder have been notified of. */
+  private long lastNotifiedNumber;
 
   /**
-   * An issuer that starts from what its store holds.
+   * Creates a node that resumes from the state in its store.
    *
    * @param name this issuer's name
-   * @param issuers all issuers that the settings name, this one among them
-   * @param random draws the random parts of waits
-   * @param nowNanos the time of the start
-   * @throws IllegalArgumentException if this issuer is not named, or more than {@link #MAX_ISSUERS}
-   *     are
+   * @param issuers all issuers in the settings, including this one
+   * @param random source of the random parts of delays
+   * @param nowNanos the start time
+   * @throws IllegalArgumentException if {@code issuers} lacks this issuer or has more than {@link
+   *     #MAX_ISSUERS} entries
    */
   public ConsensusNode(
       String name,
@@ -65,11 +66,11 @@
     proposer = new Proposer(group, environment, acceptor, random, new ProposerEvents());
     lostStore = new LostStoreRecovery(group.quorum(), nowNanos);
     lastEventNanos = nowNanos;
-    settledNumber = acceptor.state().newestNumber();
+    lastNotifiedNumber = acceptor.state().newestNumber();
     restore(nowNanos);
   }
 
-  /** Hands what the store held to the member. */
+  /** Passes the stored revisions and documents to the repository. */
   private void restore(long nowNanos) {
     ConsensusState state = acceptor.state();
     state
@@ -88,7 +89,7 @@
     repository.addChosen(nowNanos, notice.revision(), notice.votes(), document);
   }
 
-  /** How many votes of so many issuers prove a revision: a majority. */
+  /** Returns the number of votes that prove a revision: a majority of that many issuers. */
   public static int quorum(int issuers) {
     return issuers / 2 + 1;
   }
@@ -96,10 +97,9 @@
   // ---- Events ----
 
   /**
-   * Messages have come in one packet.
+   * Handles the messages of one packet.
    *
-   * @param sender the member that sent them, which has been authenticated; those of members that
-   *     are no issuers are ignored
+   * @param sender the authenticated sender; messages of members that are not issuers are ignored
    */
   public void receive(long nowNanos, Peer sender, List<RevisionMessage> messages) {
     beginEvent(nowNanos);
@@ -110,7 +110,7 @@
     endEvent();
   }
 
-  /** Does what is due; to be called each 50 to 100 ms. */
+  /** Runs the timers that are due; to be called every 50 to 100 ms. */
   public void tick(long nowNanos) {
     beginEvent(nowNanos);
     recoverLostStore(nowNanos);
@@ -119,11 +119,11 @@
   }
 
   /**
-   * Takes a document that is to be issued. One that waits when the next one is given is skipped.
+   * Submits a document to be issued. It supersedes a submitted document that is not proposed yet.
    *
-   * @param document is copied
-   * @param client is told what has become of it, twice where the first result is not the last
-   *     ({@link ProposalResult#isFinal}); also from within this call
+   * @param document the document; copied
+   * @param client receives the result, possibly from within this call; receives a second one if
+   *     the first is not final ({@link ProposalResult#isFinal})
    */
   public void propose(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
     beginEvent(nowNanos);
@@ -134,8 +134,8 @@
   private void beginEvent(long nowNanos) {
     long gapNanos = nowNanos - lastEventNanos;
     lastEventNanos = nowNanos;
-    if (gapNanos > STANDSTILL_NANOS) {
-      proposer.onStandstill(nowNanos, gapNanos);
+    if (gapNanos > PAUSE_THRESHOLD_NANOS) {
+      proposer.onPause(nowNanos, gapNanos);
     }
     proposer.expire(nowNanos);
     learn(nowNanos);
@@ -147,7 +147,7 @@
     }
   }
 
-  /** Takes over what the member has come to know, and what could not be saved before. */
+  /** Learns the newest revision from the repository; repeated until the store has saved it. */
   private void learn(long nowNanos) {
     repository.newest().ifPresent(newest -> learn(nowNanos, newest));
   }
@@ -160,12 +160,12 @@
         revision.number() == before.newestNumber() && !before.holdsNewestDocument();
     if (newer || documentMissing) {
       Optional<byte[]> held = repository.document(revision);
-      // It may be held for a proposal alone: others may count on it from now on.
+      // It may be held only as a proposal; others may now rely on this issuer to hold it.
       held.ifPresent(document -> markChosen(nowNanos, newest, document));
       acceptor.learn(newest, held);
     }
-    if (revision.number() > settledNumber) {
-      settledNumber = revision.number();
+    if (revision.number() > lastNotifiedNumber) {
+      lastNotifiedNumber = revision.number();
       responder.onNewest();
       proposer.onNewest(nowNanos, revision);
     }
@@ -179,19 +179,19 @@
     if (known.isPresent()) {
       acceptor.rejoin(known.getAsLong());
     } else if (lostStore.isQueryDue(nowNanos)) {
-      // What they know travels in each packet, whatever is asked.
+      // Each reply packet carries the number that its sender knows, whatever the request.
       group.sendToOthers(nowNanos, new RevisionMessage.Want(0, 0, 0, 0));
     }
   }
 
-  // ---- What operators see ----
+  // ---- Status ----
 
-  /** The newest number that is known to be chosen, and saved; 0 for none. */
+  /** Returns the newest chosen number that this issuer has saved; 0 for none. */
   public long newestNumber() {
     return acceptor.state().newestNumber();
   }
 
-  /** What there is to tell, in lines of ASCII. */
+  /** Returns the status of this issuer as lines of ASCII text. */
   public List<String> statusLines() {
     ConsensusState state = acceptor.state();
     return List.of(
@@ -220,7 +220,7 @@
     return "store was lost, takes part from revision " + from + " on";
   }
 
-  /** Takes the messages of one packet; those between members alone are no matter of consensus. */
+  /** Handles the messages of one packet; ignores those that the dissemination handles. */
   private final class Receiver implements RevisionMessage.Handler {
     private final long nowNanos;
     private final String sender;
@@ -262,31 +262,31 @@
 
     @Override
     public void onNotice(RevisionMessage.Notice message) {
-      // the member checks and takes it
+      // verified and stored by RevisionDissemination
     }
 
     @Override
     public void onWant(RevisionMessage.Want message) {
-      // the member answers it
+      // answered by RevisionDissemination
     }
 
     @Override
     public void onChunk(RevisionMessage.Chunk message) {
-      // the member takes it
+      // handled by RevisionDissemination
     }
 
     @Override
     public void onAcknowledgement(RevisionMessage.Acknowledgement message) {
-      // the member counts it
+      // counted by RevisionDissemination
     }
 
     @Override
     public void onCensus(RevisionMessage.Census message) {
-      // the member counts it
+      // counted by RevisionDissemination
     }
   }
 
-  /** What the proposer tells this node. */
+  /** Handles the events of this node's proposer. */
   private final class ProposerEvents implements ProposerListener {
     @Override
     public void onChosen(long nowNanos, RevisionMessage.Notice notice, byte[] document) {
--- a/decisions/src/main/java/reachloom/revision/ConsensusStore.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusStore.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * Where an issuer keeps its {@link ConsensusState}. Whatever it says to others rests on what was
- * saved before: an issuer that forgets what it promised or accepted could help to choose two
- * revisions of one number. Called from the thread of its {@link ConsensusNode} alone.
+ * Durable storage of an issuer's {@link ConsensusState}. The state is saved before a message that
+ * depends on it is sent: an issuer that forgets a promise or an accepted proposal could help to
+ * choose two revisions with one number. Called only from the thread of its {@link ConsensusNode}.
  */
 public interface ConsensusStore {
-  /** The state that was saved last; empty where there is none, which means that it was lost. */
+  /** Loads the state that was saved last; empty if there is none, which means that it was lost. */
   Optional<ConsensusState> load();
 
   /**
-   * Saves a state in such a way that it outlives this process and its machine.
+   * Saves a state durably, so that it survives a crash of the process or the machine.
    *
-   * @return false where that failed; the state that was saved before then still holds
+   * @return false if that failed; the state saved before then remains valid
    */
   boolean save(ConsensusState state);
 }
--- a/decisions/src/main/java/reachloom/revision/Delta.java
+++ b/decisions/src/main/java/reachloom/revision/Delta.java
@@ -4,8 +4,9 @@
 import java.util.Arrays;
 
 /**
- * The difference between two documents: the length of their common prefix, of their common suffix,
- * and the bytes of the target between them. A change of one key of a document is a few bytes.
+ * Binary delta between two documents: the length of their common prefix, the length of their common
+ * suffix, and the bytes of the target between these. The delta of a change of one key has a few
+ * bytes.
  *
  * <pre>
  * delta = prefixLength:4 suffixLength:4 middle    big-endian
@@ -16,7 +17,7 @@
 
   private Delta() {}
 
-  /** The delta from one document to another. */
+  /** Encodes the delta from one document to another. */
   static byte[] encode(byte[] base, byte[] target) {
     int shorter = Math.min(base.length, target.length);
     int mismatch = Arrays.mismatch(base, target);
@@ -35,8 +36,8 @@
   }
 
   /**
-   * The document that a delta makes of another; null where the delta is malformed, does not fit the
-   * base, or would make a document above {@link Revision#MAX_DOCUMENT_BYTES}.
+   * Applies a delta to a document; returns null if the delta is malformed, does not fit the base, or
+   * would result in a document larger than {@link Revision#MAX_DOCUMENT_BYTES}.
    */
   static byte[] apply(byte[] base, byte[] delta) {
     if (delta.length < HEADER_BYTES) {
--- a/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
+++ b/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The status lines of {@link RevisionDissemination}: printable ASCII, for operators. */
+/** Formats the status lines of {@link RevisionDissemination} as printable ASCII. */
 final class DisseminationStatus {
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -29,7 +29,7 @@
     this.tracker = tracker;
   }
 
-  /** All lines, in a fixed order. */
+  /** Returns all lines in a fixed order. */
   List<String> lines(long nowNanos) {
     List<String> lines = new ArrayList<>();
     lines.add(summaryLine(nowNanos));
@@ -51,15 +51,15 @@
   private String summaryLine(long nowNanos) {
     String since =
         log.newest().isEmpty() ? "" : " since " + seconds(nowNanos - log.newestSinceNanos());
-    String heard =
-        peers.hasHeardIssuer() ? seconds(nowNanos - peers.issuerHeardAtNanos()) + " ago" : "never";
+    String issuerMessageAge =
+        peers.hasIssuerMessage() ? seconds(nowNanos - peers.lastIssuerMessageAtNanos()) + " ago" : "never";
     return "revision "
         + log.have().inForce()
         + " in force, newest known "
         + log.newestNumber()
         + since
         + ", issuers heard "
-        + heard;
+        + issuerMessageAge;
   }
 
   private static String forkLine(Revision fork) {
@@ -67,7 +67,7 @@
         + fork.number()
         + " by "
         + fork.issuer()
-        + " is proved and not taken";
+        + " is proved and was rejected";
   }
 
   private static String seconds(long nanos) {
--- a/decisions/src/main/java/reachloom/revision/DocumentRetrieval.java
+++ b/decisions/src/main/java/reachloom/revision/DocumentRetrieval.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * A document that others have accepted and this issuer does not hold: it is fetched from one of
- * those that have it after the other. Belongs to one ballot of a {@link Proposer}.
+ * Retrieval of a document that other issuers have accepted and this issuer does not hold: its
+ * holders are tried one after another. Belongs to one ballot of a {@link Proposer}.
  */
 final class DocumentRetrieval {
   private final Revision revision;
@@ -19,12 +19,12 @@
     this.holders = new ArrayDeque<>(holders);
   }
 
-  /** Whose document is fetched. */
+  /** Returns the revision whose document is fetched. */
   Revision revision() {
     return revision;
   }
 
-  /** Whom to ask next, of the issuers that can be reached; empty where all have been asked. */
+  /** Returns the next holder to try, out of the other issuers; empty once all have been tried. */
   Optional<Peer> nextHolder(List<Peer> others) {
     Optional<Peer> holder = Optional.empty();
     while (holder.isEmpty() && !holders.isEmpty()) {
--- a/decisions/src/main/java/reachloom/revision/EagerPush.java
+++ b/decisions/src/main/java/reachloom/revision/EagerPush.java
@@ -6,35 +6,35 @@
 import reachloom.revision.PeerTable.PeerState;
 
 /**
- * The eager part of epidemic dissemination (rumour mongering): who has got the document of the
- * newest revision announces it to a few random members that are not known to hold it, in a few
- * rounds. A member announces to its own zone, an issuer to one member of each place a round. Whom
- * this misses is left to {@link RevisionAntiEntropy} and {@link AcknowledgementReminder}.
+ * The push part of epidemic dissemination (rumor mongering): a member that has received the document
+ * of the newest revision announces it in a few rounds to random members that are not known to hold
+ * it. A member announces to its own zone, an issuer to one member of each place per round. {@link
+ * RevisionAntiEntropy} and {@link AcknowledgementReminder} cover the members that this misses.
  *
- * <p>Times are nanoseconds of the clock handed in; confined to the thread of {@link
+ * <p>Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
  * RevisionDissemination}.
  */
 final class EagerPush {
-  /** Rounds of an issuer with a revision that it has issued itself. */
+  /** Number of rounds of an issuer for a revision that it has issued itself. */
   static final int ISSUE_ROUNDS = 3;
 
-  /** Rounds of an issuer with a revision that another one has issued. */
+  /** Number of rounds of an issuer for a revision that another issuer has issued. */
   static final int RELAY_ROUNDS = 1;
 
-  /** Between two rounds: long enough to hear from some who have got it from others. */
+  /** Interval of rounds: long enough to learn of some members that received it from others. */
   static final long ROUND_INTERVAL_NANOS = 100_000_000;
 
-  /** Members of the own zone that are told in a round. */
+  /** Number of members of the own zone that are notified per round. */
   private static final int FANOUT = 3;
 
-  /** With three members each, one of 400 is told by nobody. */
+  /** Number of rounds of a member; with a fanout of 3 they miss one member in 400. */
   private static final int ROUNDS = 2;
 
   private final boolean issuer;
   private final RevisionLog log;
   private final PeerTable peers;
   private final NoticeSender notices;
-  private final Deque<PeerState> targets = new ArrayDeque<>(); // of the present round
+  private final Deque<PeerState> targets = new ArrayDeque<>(); // of the current round
   private int roundsLeft;
   private long nextRoundAtNanos;
 
@@ -45,21 +45,21 @@
     this.notices = notices;
   }
 
-  /** Pushes nothing any more: there is a newer revision, whose document is not held yet. */
+  /** Stops the push: there is a newer revision, whose document is not held yet. */
   void stop() {
     targets.clear();
     roundsLeft = 0;
   }
 
-  /** Pushes the newest, whose document is held, from now on; {@code issuerRounds} if an issuer. */
+  /** Starts to push the newest revision; an issuer runs {@code issuerRounds} rounds. */
   void start(long nowNanos, int issuerRounds) {
-    // A large document is announced to one member at a time, so that few wait for it here.
+    // A large document is announced to one member at a time, to limit the pending transfers.
     int memberRounds = notices.isInline() ? ROUNDS : ROUNDS * FANOUT;
     roundsLeft = issuer ? issuerRounds : memberRounds;
     nextRoundAtNanos = nowNanos;
   }
 
-  /** Draws the targets of the next round where it is due. */
+  /** Selects random targets if the next round is due. */
   void tick(long nowNanos) {
     if (roundsLeft <= 0
         || nowNanos < nextRoundAtNanos
@@ -83,14 +83,14 @@
     }
   }
 
-  /** Announces the newest to the targets, as far as the budget allows. */
+  /** Announces the newest revision to the targets, as far as the byte budget allows. */
   void flush(long nowNanos) {
-    while (!targets.isEmpty() && isServed(nowNanos, targets.peek())) {
+    while (!targets.isEmpty() && announceTo(nowNanos, targets.peek())) {
       targets.poll();
     }
   }
 
-  private boolean isServed(long nowNanos, PeerState target) {
+  private boolean announceTo(long nowNanos, PeerState target) {
     return target.knownNumber >= log.newestNumber() || notices.sendNewest(nowNanos, target.peer);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/FetchScheduler.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -12,17 +12,17 @@
 import reachloom.revision.PeerTable.PeerState;
 
 /**
- * Fetches the document of the newest revision: which peer is asked, and when another one is. Times
- * are nanoseconds of the clock handed in; confined to the thread of {@link RevisionDissemination}.
+ * Fetches the document of the newest revision: selects the peer, and when to switch to another one.
+ * Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class FetchScheduler {
-  /** Between two peers, on average, once some were asked in vain. */
-  private static final long PAUSE_NANOS = 500_000_000;
+  /** Mean pause before the next peer, if several have failed or none is available. */
+  private static final long MEAN_PAUSE_NANOS = 500_000_000;
 
-  /** Requests to one peer without a chunk, where it has sent some before. */
+  /** Maximum unanswered requests to a peer once chunks are held; without chunks it is one. */
   private static final int MAX_ATTEMPTS = 2;
 
-  /** Peers that are asked one after the other, before there are pauses. */
+  /** Number of peers that are tried without a pause in between. */
   private static final int PEERS_WITHOUT_PAUSE = 4;
 
   private static final int MAX_SOURCES = 8;
@@ -32,7 +32,7 @@
   private final RevisionMessageSender sender;
   private final SplittableRandom random;
 
-  /** Peers that announced the revision, by name; the first ones are kept. */
+  /** Peers that have announced the revision, by name; limited to the first ones. */
   private final Map<String, Peer> sources = new LinkedHashMap<>();
 
   private ChunkedFetch fetch; // null while nothing is fetched
@@ -46,25 +46,25 @@
     this.random = random;
   }
 
-  /** Fetches the document of that revision from now on, and of no other. */
+  /** Starts to fetch the document of that revision; replaces a fetch in progress. */
   void start(long nowNanos, Revision revision) {
     sources.clear();
     fetch = new ChunkedFetch(revision, null);
     nextRequestAtNanos = nowNanos;
   }
 
-  /** Fetches nothing any more: the document of the newest is held. */
+  /** Stops fetching: the document of the newest revision is held. */
   void stop() {
     sources.clear();
     fetch = null;
   }
 
-  /** Whether the document of that revision is being fetched. */
+  /** Returns whether the document of that revision is being fetched. */
   boolean isFetching(Revision revision) {
     return fetch != null && fetch.revision.equals(revision);
   }
 
-  /** A peer says that it holds the document of the newest. */
+  /** Adds a peer that reports to hold the document of the newest revision. */
   void addSource(Peer peer) {
     if (fetch != null && sources.size() < MAX_SOURCES) {
       sources.put(peer.name(), peer);
@@ -72,23 +72,24 @@
   }
 
   /**
-   * A peer has announced the newest just now. It announces a large one when nobody waits for it
-   * there, so that it is asked at once, unless another of the own zone is.
+   * Handles a peer's announcement of the newest revision. A peer announces a large document when it
+   * has no pending transfers; the request is therefore sent to it immediately, unless chunks are
+   * held already, or another peer is selected and the announcing one is not in the own zone.
    */
   void onAnnounced(long nowNanos, Peer peer) {
     addSource(peer);
-    boolean free =
+    boolean canRequest =
         fetch != null
             && fetch.isEmpty()
             && !peers.backoff().isBackedOff(nowNanos, peer.name())
             && (fetch.peer == null || peers.isInZone(peer));
-    if (free) {
-      fetch.ask(nowNanos, peer);
+    if (canRequest) {
+      fetch.switchTo(nowNanos, peer);
       nextRequestAtNanos = nowNanos;
     }
   }
 
-  /** Takes a chunk; gives the document if that completes it. */
+  /** Handles a chunk; returns the document if that completes it. */
   Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     if (fetch == null) {
       return Optional.empty();
@@ -100,8 +101,8 @@
     return document;
   }
 
-  /** Sends a request where one is due, to another peer where the present one does not answer. */
-  void step(long nowNanos) {
+  /** Sends a request if one is due; switches to another peer if the current one is unresponsive. */
+  void flush(long nowNanos) {
     if (fetch == null || nowNanos < nextRequestAtNanos) {
       return;
     }
@@ -110,7 +111,7 @@
       peers.backoff().penalize(nowNanos, fetch.peer.name(), Misbehaviour.UNRESPONSIVE, 0);
       fetch.peer = null;
     }
-    if (fetch.peer == null && !askNext(nowNanos, unresponsive)) {
+    if (fetch.peer == null && !selectNextPeer(nowNanos, unresponsive)) {
       return;
     }
     if (nowNanos >= nextRequestAtNanos) {
@@ -126,24 +127,24 @@
     return silent || nowNanos >= fetch.giveUpAtNanos;
   }
 
-  /** Turns to the next peer; false where there is none to ask now. */
-  private boolean askNext(long nowNanos, boolean unresponsive) {
+  /** Selects the next peer; false if none is available now. */
+  private boolean selectNextPeer(long nowNanos, boolean unresponsive) {
     Optional<Peer> next = choosePeer(nowNanos);
-    if (next.isEmpty() || unresponsive && fetch.peersAsked >= PEERS_WITHOUT_PAUSE) {
-      nextRequestAtNanos = nowNanos + PAUSE_NANOS / 2 + random.nextLong(PAUSE_NANOS);
+    if (next.isEmpty() || unresponsive && fetch.peersTried >= PEERS_WITHOUT_PAUSE) {
+      nextRequestAtNanos = nowNanos + MEAN_PAUSE_NANOS / 2 + random.nextLong(MEAN_PAUSE_NANOS);
     }
-    next.ifPresent(peer -> fetch.ask(nowNanos, peer));
+    next.ifPresent(peer -> fetch.switchTo(nowNanos, peer));
     return next.isPresent();
   }
 
   /**
-   * A peer that has the document: one of the own zone, else another one that announced it, else an
-   * issuer. Where many want a large document, the first of a zone to have it can't serve them all;
-   * therefore every other request goes to an issuer.
+   * Returns a peer that has the document: one of the own zone, else another one that announced it,
+   * else an issuer. If many members request a large document, the first holder of a zone can't serve
+   * them all; therefore every second peer is an issuer.
    */
   private Optional<Peer> choosePeer(long nowNanos) {
     Optional<Peer> issuer = peers.randomIssuer(nowNanos);
-    if (fetch.peersAsked % 2 == 1 && issuer.isPresent()) {
+    if (fetch.peersTried % 2 == 1 && issuer.isPresent()) {
       return issuer;
     }
     return chooseHolder(nowNanos, peers.zonePeers(), peers::isInZone)
@@ -152,14 +153,14 @@
         .or(() -> chooseHolder(nowNanos, peers.all(), peer -> true));
   }
 
-  /** At random one of the sources that match, or of the candidates that hold the document. */
+  /** Returns a random matching source, or a random candidate that holds the document. */
   private Optional<Peer> chooseHolder(
       long nowNanos, Collection<PeerState> candidates, Predicate<Peer> sourceFilter) {
-    List<Peer> open = new ArrayList<>();
+    List<Peer> eligible = new ArrayList<>();
     sources.values().stream()
         .filter(sourceFilter)
         .filter(peer -> !peers.backoff().isBackedOff(nowNanos, peer.name()))
-        .forEach(open::add);
+        .forEach(eligible::add);
     peers
         .sample(
             candidates,
@@ -167,18 +168,18 @@
             state ->
                 state.knownNumber == fetch.revision.number()
                     && !peers.backoff().isBackedOff(nowNanos, state.peer.name()))
-        .forEach(state -> open.add(state.peer));
-    return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
+        .forEach(state -> eligible.add(state.peer));
+    return eligible.isEmpty() ? Optional.empty() : Optional.of(eligible.get(random.nextInt(eligible.size())));
   }
 
-  /** Moves all deadlines: time in which this process stood still does not count. */
+  /** Moves all deadlines: the time of a process pause does not count. */
   void shift(long byNanos) {
     if (fetch != null) {
       fetch.shift(byNanos);
     }
   }
 
-  /** What is being fetched, and from whom, for the status lines. */
+  /** Returns the status line of the fetch in progress: revision and peer. */
   Optional<String> statusLine() {
     if (fetch == null) {
       return Optional.empty();
--- a/decisions/src/main/java/reachloom/revision/IssuerGroup.java
+++ b/decisions/src/main/java/reachloom/revision/IssuerGroup.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * All issuers that the settings name: how many make a majority, and how this one reaches the
- * others. Immutable but for the sender's byte budget.
+ * All issuers in the settings: the size of a majority, and sending to the other issuers. Immutable
+ * except for the sender's byte budget.
  */
 final class IssuerGroup {
   private final String self;
@@ -16,11 +16,11 @@
   private final RevisionMessageSender sender;
 
   /**
-   * A group with its members in the order of their names.
+   * Creates a group, ordered by name.
    *
    * @param self the name of this issuer
-   * @param issuers all issuers, this one among them
-   * @throws IllegalArgumentException if this one is not among them, or there are too many
+   * @param issuers all issuers, including this one
+   * @throws IllegalArgumentException if {@code issuers} lacks this issuer or has too many entries
    */
   IssuerGroup(String self, List<Peer> issuers, RevisionMessageSender sender) {
     this.self = self;
@@ -29,42 +29,42 @@
     quorum = ConsensusNode.quorum(others.size());
     if (others.remove(self) == null || others.size() >= ConsensusNode.MAX_ISSUERS) {
       throw new IllegalArgumentException(
-          self + " is not one of 1 to " + ConsensusNode.MAX_ISSUERS + " issuers");
+          self + " is not in the list of issuers, or the list exceeds " + ConsensusNode.MAX_ISSUERS);
     }
   }
 
-  /** The name of this issuer. */
+  /** Returns the name of this issuer. */
   String self() {
     return self;
   }
 
-  /** How many issuers are a majority. */
+  /** Returns the number of issuers that form a majority. */
   int quorum() {
     return quorum;
   }
 
-  /** How many issuers there are, this one included. */
+  /** Returns the number of issuers, including this one. */
   int size() {
     return others.size() + 1;
   }
 
-  /** All issuers but this one, by name. */
+  /** Returns all issuers except this one, ordered by name. */
   List<Peer> others() {
     return List.copyOf(others.values());
   }
 
-  /** The issuer with that name, unless it is this one or none. */
+  /** Returns the issuer with that name; empty for this issuer or an unknown name. */
   Optional<Peer> other(String name) {
     return Optional.ofNullable(others.get(name));
   }
 
-  /** Sends a message to another issuer; false where there was no room, or none has that name. */
+  /** Sends a message to another issuer; false if the byte budget or the name does not allow it. */
   boolean send(long nowNanos, String to, RevisionMessage message) {
     Peer peer = others.get(to);
     return peer != null && sender.send(nowNanos, to, peer.address(), List.of(message));
   }
 
-  /** Sends a message to each other issuer; one that finds no room is dropped. */
+  /** Sends a message to each other issuer; drops it where the byte budget is used up. */
   void sendToOthers(long nowNanos, RevisionMessage message) {
     others.keySet().forEach(to -> send(nowNanos, to, message));
   }
--- a/decisions/src/main/java/reachloom/revision/LostStoreRecovery.java
+++ b/decisions/src/main/java/reachloom/revision/LostStoreRecovery.java
@@ -5,17 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * How an issuer that has lost its store finds out from which number on it may vote again: it asks
- * the others what they know. Answers count only once no message from before the loss can be on its
- * way any more. See {@link Acceptor} for why this is safe.
+ * Determines the number from which an issuer that has lost its store may vote again, by querying
+ * the other issuers for their newest known numbers. Answers count only once no message from before
+ * the loss can still be in transit. {@link Acceptor} explains why this is safe.
  */
 final class LostStoreRecovery {
-  private static final long SECOND = 1_000_000_000; // nanoseconds
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  /** No message is older than that: gossip rejects those of 30 s and more. */
-  private static final long MAX_MESSAGE_AGE_NANOS = 60 * SECOND;
+  /** Upper bound for the age of a message; gossip rejects messages of 30 s and more. */
+  private static final long MAX_MESSAGE_AGE_NANOS = 60 * NANOS_PER_SECOND;
 
-  private static final long QUERY_INTERVAL_NANOS = 5 * SECOND;
+  private static final long QUERY_INTERVAL_NANOS = 5 * NANOS_PER_SECOND;
 
   private final int quorum;
   private final long startedAtNanos;
@@ -23,16 +23,16 @@
   private long nextQueryNanos;
 
   /**
-   * Begins at the start of the process.
+   * Starts the recovery at the start of the process.
    *
-   * @param quorum how many of the others have to answer
+   * @param quorum number of other issuers that must answer
    */
   LostStoreRecovery(int quorum, long startedAtNanos) {
     this.quorum = quorum;
     this.startedAtNanos = startedAtNanos;
   }
 
-  /** Another issuer tells the newest number that it knows. */
+  /** Records the newest number that another issuer reports to know. */
   void onKnownNumber(long nowNanos, String issuer, long number) {
     if (nowNanos - startedAtNanos >= MAX_MESSAGE_AGE_NANOS) {
       knownNumbers.put(issuer, number);
@@ -40,8 +40,9 @@
   }
 
   /**
-   * What a majority of the others knows at most. Of all majorities that which knows least is taken:
-   * one that tells too much cannot shorten the abstention of others.
+   * Returns the highest number known to a majority of the others; empty until a majority has
+   * answered. Any majority gives a safe bound; the one with the lowest numbers is used, so that a
+   * single issuer that reports too high a number does not prolong the abstention.
    */
   OptionalLong knownToMajority() {
     return knownNumbers.size() < quorum
@@ -49,7 +50,7 @@
         : knownNumbers.values().stream().sorted().skip(quorum - 1L).mapToLong(n -> n).findFirst();
   }
 
-  /** Whether the others have to be asked again; then the next query is due an interval later. */
+  /** Returns whether a query is due, and if so, schedules the next one. */
   boolean isQueryDue(long nowNanos) {
     if (nowNanos < nextQueryNanos) {
       return false;
--- a/decisions/src/main/java/reachloom/revision/NewestRevisionQuery.java
+++ b/decisions/src/main/java/reachloom/revision/NewestRevisionQuery.java
@@ -3,18 +3,18 @@
 import java.util.SplittableRandom;
 
 /**
- * A member that starts with nothing, or has stood still, asks members at random for the newest
- * revision until it knows one: one of its zone, and an issuer. Pauses grow. Times are nanoseconds
- * of the clock handed in; confined to the thread of {@link RevisionDissemination}.
+ * Queries for the newest revision when a member starts without state or resumes after a process
+ * pause: requests go to a random member of its zone and to a random issuer, at growing intervals,
+ * until a revision is known. Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class NewestRevisionQuery {
-  /** The first pause between two queries, on average; it doubles. */
+  /** Mean interval after the first query; it doubles with each query. */
   static final long INTERVAL_NANOS = 500_000_000;
 
   private static final int MAX_DOUBLINGS = 4;
-  private static final int QUERIES_AFTER_STANDSTILL = 2;
+  private static final int QUERIES_AFTER_PAUSE = 2;
 
-  /** One of so many that start with nothing asks an issuer at once, the others their zone. */
+  /** One in this many starting members queries an issuer first, the others only their zone. */
   private static final int FIRST_QUERY_TO_ISSUER = 8;
 
   private final PeerTable peers;
@@ -38,19 +38,19 @@
     nextQueryAtNanos = firstQueryAtNanos;
   }
 
-  /** A newer revision is known: there is nothing to look for. */
+  /** Stops the queries: a newer revision is known. */
   void onNewRevision() {
     queriesLeft = 0;
   }
 
-  /** This process has stood still: newer revisions may have been missed. */
-  void onStandstill(long nowNanos) {
+  /** Restarts the queries after a process pause: newer revisions may have been missed. */
+  void onPause(long nowNanos) {
     queries = 1;
-    queriesLeft = Math.max(queriesLeft, QUERIES_AFTER_STANDSTILL);
+    queriesLeft = Math.max(queriesLeft, QUERIES_AFTER_PAUSE);
     nextQueryAtNanos = nowNanos;
   }
 
-  /** Asks, where that is due. */
+  /** Sends the queries that are due. */
   void tick(long nowNanos) {
     if (queriesLeft <= 0 || nowNanos < nextQueryAtNanos) {
       return;
@@ -60,23 +60,23 @@
             peers.zonePeers(),
             1,
             state -> !peers.backoff().isBackedOff(nowNanos, state.peer.name()))
-        .forEach(state -> ask(nowNanos, state.peer));
-    if (asksIssuer()) {
-      peers.randomIssuer(nowNanos).ifPresent(issuer -> ask(nowNanos, issuer));
+        .forEach(state -> query(nowNanos, state.peer));
+    if (shouldQueryIssuer()) {
+      peers.randomIssuer(nowNanos).ifPresent(issuer -> query(nowNanos, issuer));
     }
     queriesLeft--;
     long meanNanos = INTERVAL_NANOS << Math.min(queries++, MAX_DOUBLINGS);
     nextQueryAtNanos = nowNanos + meanNanos / 2 + random.nextLong(meanNanos);
   }
 
-  /** Where all start at once, a few ask the issuers at first, and the others their zone. */
-  private boolean asksIssuer() {
+  /** Limits the load of issuers if all members start at once: few of them query issuers first. */
+  private boolean shouldQueryIssuer() {
     return queries > 0
         || tracker.isAggregator() && tracker.zoneSize() > 1
         || random.nextInt(FIRST_QUERY_TO_ISSUER) == 0;
   }
 
-  private void ask(long nowNanos, Peer peer) {
+  private void query(long nowNanos, Peer peer) {
     messenger.send(nowNanos, peer, RevisionAntiEntropy.WANT_NEWEST);
   }
 }
--- a/decisions/src/main/java/reachloom/revision/NoticeSender.java
+++ b/decisions/src/main/java/reachloom/revision/NoticeSender.java
@@ -8,21 +8,21 @@
 import reachloom.revision.PeerTable.PeerState;
 
 /**
- * Announces the newest revision to members: the notice, and with it the whole change where both fit
- * one packet. Keeps the members that are owed an announcement until the budget allows it. Times are
- * nanoseconds of the clock handed in; confined to the thread of {@link RevisionDissemination}.
+ * Announces the newest revision to members: sends the notice, together with the whole change if both
+ * fit into one packet. Keeps pending announcements until the byte budget allows them. Times are
+ * nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class NoticeSender {
-  /** A member that has been told is not told again within that time. */
+  /** Minimum interval between two announcements to one member. */
   static final long REPEAT_INTERVAL_NANOS = 500_000_000;
 
-  private static final int MAX_OWED = 64;
+  private static final int MAX_PENDING = 64;
 
   private final RevisionLog log;
   private final PeerTable peers;
   private final PeerMessenger messenger;
   private final TransferQueue transfers;
-  private final Map<String, Peer> owed = new LinkedHashMap<>(); // by name
+  private final Map<String, Peer> pending = new LinkedHashMap<>(); // by name
 
   NoticeSender(RevisionLog log, PeerTable peers, PeerMessenger messenger, TransferQueue transfers) {
     this.log = log;
@@ -31,44 +31,44 @@
     this.transfers = transfers;
   }
 
-  /** Announces the newest to a member soon, unless it was told within the repeat interval. */
+  /** Queues an announcement to a member, unless one was sent within the repeat interval. */
   void enqueue(long nowNanos, Peer peer) {
     enqueue(nowNanos, peer, REPEAT_INTERVAL_NANOS);
   }
 
-  /** Announces the newest to a member soon, unless it was told within that interval. */
+  /** Queues an announcement to a member, unless one was sent within that interval. */
   void enqueue(long nowNanos, Peer peer, long intervalNanos) {
-    boolean justTold =
+    boolean recentlyNotified =
         peers
             .find(peer.name())
             .filter(state -> state.announcedNumber == log.newestNumber())
             .filter(state -> nowNanos - state.announcedAtNanos < intervalNanos)
             .isPresent();
-    // Who announces a revision has its document: the other will ask for that next.
+    // An announcement implies that the document is held: the receiver requests it next.
     boolean documentHeld = log.newest().filter(RevisionLog.Entry::hasDocument).isPresent();
-    if (documentHeld && owed.size() < MAX_OWED && !justTold) {
-      owed.put(peer.name(), peer);
+    if (documentHeld && pending.size() < MAX_PENDING && !recentlyNotified) {
+      pending.put(peer.name(), peer);
     }
   }
 
-  /** Announces the newest to a member soon, in any case. */
+  /** Queues an announcement to a member, regardless of earlier ones. */
   void enqueueAlways(Peer peer) {
-    owed.put(peer.name(), peer);
+    pending.put(peer.name(), peer);
   }
 
-  /** Sends what is owed, as far as the budget allows. */
+  /** Sends the pending announcements that the byte budget allows. */
   void flush(long nowNanos) {
-    for (Peer peer : List.copyOf(owed.values())) {
+    for (Peer peer : List.copyOf(pending.values())) {
       if (!sendNewest(nowNanos, peer)) {
         return;
       }
-      owed.remove(peer.name());
+      pending.remove(peer.name());
     }
   }
 
   /**
-   * Announces the newest to a member now; false where its document is not held, or the budget has
-   * no room.
+   * Announces the newest revision to a member now; false if its document is not held or the byte
+   * budget is used up.
    */
   boolean sendNewest(long nowNanos, Peer to) {
     RevisionLog.Entry newest = log.newest().filter(RevisionLog.Entry::hasDocument).orElse(null);
@@ -89,36 +89,36 @@
     return true;
   }
 
-  /** Whether the newest document, or the change to it, goes out with the notice. */
+  /** Returns whether the newest document, or the delta to it, is sent along with the notice. */
   boolean isInline() {
     return log.newest().flatMap(newest -> inlineChunk(newest, null)).isPresent();
   }
 
-  /** Whether others wait for a large document: who hears of it now would come to wait, too. */
+  /** Returns whether large transfers are pending: a member notified now would have to wait. */
   boolean isCongested() {
     return !transfers.isIdle() && !isInline();
   }
 
-  /** The whole change in one chunk, if it fits a packet beside the notice; receiver may be null. */
+  /** Returns the whole change as a chunk if a packet holds it and the notice; receiver may be null. */
   private Optional<RevisionMessage> inlineChunk(RevisionLog.Entry newest, PeerState receiver) {
     if (!newest.hasDocument()) {
       return Optional.empty();
     }
-    RevisionMessage.Chunk chunk = wholeChange(newest, baseFor(newest, receiver));
+    RevisionMessage.Chunk chunk = changeChunk(newest, baseFor(newest, receiver));
     boolean fits =
         chunk.bytes().length <= Chunks.CHUNK_BYTES
             && messenger.fitOnePacket(List.of(newest.notice(), chunk));
     return fits ? Optional.of(chunk) : Optional.empty();
   }
 
-  /** What the receiver has in force; where that is not known, the revision before the newest. */
+  /** Returns the revision in force at the receiver; if unknown, the one before the newest. */
   private Optional<RevisionLog.Entry> baseFor(RevisionLog.Entry newest, PeerState receiver) {
     return receiver != null && receiver.inForceNumber > 0
         ? log.withDocument(receiver.inForceNumber, receiver.inForceFingerprint)
         : log.newestWithDocumentBelow(newest.number());
   }
 
-  private static RevisionMessage.Chunk wholeChange(
+  private static RevisionMessage.Chunk changeChunk(
       RevisionLog.Entry newest, Optional<RevisionLog.Entry> base) {
     byte[] document = newest.document();
     if (base.isPresent()) {
--- a/decisions/src/main/java/reachloom/revision/PeerBackoff.java
+++ b/decisions/src/main/java/reachloom/revision/PeerBackoff.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * Peers that are asked for nothing for a while, as they did not answer, did not prove what they
- * claim, or sent invalid data. Bounded. Times are nanoseconds of the clock handed in; confined to
- * the thread of {@link RevisionDissemination}.
+ * Exponential backoff of peers that did not answer, did not prove a claimed revision, or sent
+ * invalid data: no requests are sent to them. Bounded. Times are nanoseconds of the clock that the
+ * caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class PeerBackoff {
   /** Why a peer is backed off. */
   enum Misbehaviour {
-    /** It did not answer; a packet may have been lost, or it is overloaded. */
+    /** It did not answer: a packet may have been lost, or the peer is overloaded. */
     UNRESPONSIVE,
     /** It did not prove a revision that it claims to know; its backoff doubles. */
     UNPROVEN_CLAIM,
@@ -31,16 +31,16 @@
 
   private static final int MAX_BACKED_OFF = 256;
 
-  /** After the first offence: an honest peer may just have had a packet lost. */
+  /** First backoff; short, since an honest peer may just have lost a packet. */
   private static final long FIRST_BACKOFF_NANOS = 2_000_000_000;
 
-  /** Doublings of the backoff at most: 512 s. */
+  /** Maximum number of doublings, for a backoff of 512 s. */
   private static final int MAX_DOUBLINGS = 8;
 
   private final TreeMap<String, Backoff> backoffs = new TreeMap<>(); // by name of the peer
 
   /**
-   * Backs a peer off: it is asked for nothing for a while.
+   * Starts or extends the backoff of a peer, during which no requests are sent to it.
    *
    * @param claimedNumber the revision that it did not prove; 0 for none
    */
@@ -48,7 +48,7 @@
     Backoff backoff = backoffs.get(name);
     if (backoff == null) {
       if (backoffs.size() >= MAX_BACKED_OFF) {
-        dropShortest();
+        evictEarliest();
       }
       backoff = new Backoff();
       backoffs.put(name, backoff);
@@ -60,15 +60,15 @@
     backoff.claimedNumber = Math.max(backoff.claimedNumber, claimedNumber);
   }
 
-  private void dropShortest() {
+  private void evictEarliest() {
     Comparator<Map.Entry<String, Backoff>> byEnd =
         Comparator.comparingLong(e -> e.getValue().untilNanos);
     backoffs.remove(Collections.min(backoffs.entrySet(), byEnd).getKey());
   }
 
   /**
-   * A peer has sent what belongs to that revision, if late: its backoff ends, unless it has sent
-   * invalid data or claims a newer revision.
+   * Ends the backoff of a peer that has sent data of that revision, even late, unless the peer has
+   * sent invalid data or claims a newer revision.
    */
   void forgive(String name, long number) {
     Backoff backoff = backoffs.get(name);
@@ -82,25 +82,25 @@
     return backoff != null && nowNanos < backoff.untilNanos;
   }
 
-  /** Whether a peer is backed off for invalid data; what it sends is ignored then. */
+  /** Returns whether a peer is backed off for invalid data; its notices and chunks are ignored. */
   boolean isDistrusted(long nowNanos, String name) {
     return isBackedOff(nowNanos, name) && backoffs.get(name).sentInvalidData;
   }
 
-  /** Moves all ends of backoffs: time in which this process stood still does not count. */
+  /** Moves the ends of all backoffs: the time of a process pause does not count. */
   void shift(long byNanos) {
     backoffs.values().forEach(b -> b.untilNanos += byNanos);
   }
 
-  /** The peers that are backed off, for the status lines. */
+  /** Returns a status line for each peer that is backed off. */
   List<String> statusLines(long nowNanos) {
     return backoffs.entrySet().stream()
         .filter(e -> nowNanos < e.getValue().untilNanos)
         .map(
             e ->
-                "rested: "
+                "backed off: "
                     + e.getKey()
-                    + (e.getValue().sentInvalidData ? " (told what is not so)" : ""))
+                    + (e.getValue().sentInvalidData ? " (sent invalid data)" : ""))
         .toList();
   }
 }
--- a/decisions/src/main/java/reachloom/revision/PeerMessenger.java
+++ b/decisions/src/main/java/reachloom/revision/PeerMessenger.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Sends messages to members by the address that they are known under. */
+/** Sends messages to members at their known addresses. */
 final class PeerMessenger {
   private final RevisionMessageSender sender;
 
@@ -10,17 +10,17 @@
     this.sender = sender;
   }
 
-  /** Sends a message; false where the budget of the second has no room for it. */
+  /** Sends a message; false if it exceeds the byte budget of the current second. */
   boolean send(long nowNanos, Peer to, RevisionMessage message) {
     return send(nowNanos, to, List.of(message));
   }
 
-  /** Sends messages in one packet; false where the budget of the second has no room for them. */
+  /** Sends messages in one packet; false if they exceed the byte budget of the current second. */
   boolean send(long nowNanos, Peer to, List<RevisionMessage> messages) {
     return sender.send(nowNanos, to.name(), to.address(), messages);
   }
 
-  /** Whether the messages fit one packet together. */
+  /** Returns whether the messages fit into one packet. */
   boolean fitOnePacket(List<RevisionMessage> messages) {
     return messages.stream().mapToInt(sender::encodedBytes).sum() <= sender.maxPacketBytes();
   }
--- a/decisions/src/main/java/reachloom/revision/PeerTable.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -13,22 +13,22 @@
 import java.util.function.Predicate;
 
 /**
- * The other members that are present, and what each is known to hold. Iteration is by name, so that
- * the same events and the same seed give the same choices. Times are nanoseconds of the clock
- * handed in; confined to the thread of {@link RevisionDissemination}.
+ * The other members that are present, with the state that each has reported. Iteration is ordered by
+ * name, so that the same events and the same seed result in the same choices. Times are nanoseconds
+ * of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class PeerTable {
-  /** Another member that is present, with what its messages told. */
+  /** Another present member, with the state from its messages. */
   static final class PeerState {
     final Peer peer;
 
-    /** When a message of it came last, nanoseconds. */
-    long heardAtNanos = Long.MIN_VALUE / 2;
+    /** When its last message was received, in nanoseconds. */
+    long lastMessageAtNanos = Long.MIN_VALUE / 2;
 
-    /** The newest revision whose document it holds, by its own word; 0 for none. */
+    /** The newest revision whose document it reports to hold; 0 for none. */
     long knownNumber;
 
-    /** The revision that it has in force, by its own word; 0 for none. */
+    /** The revision that it reports to have in force; 0 for none. */
     long inForceNumber;
 
     /** The fingerprint ({@link Revision#fingerprint}) of the revision that it has in force. */
@@ -37,10 +37,10 @@
     /** The newest revision that was announced to it; 0 for none. */
     long announcedNumber;
 
-    /** When it was announced last, nanoseconds. */
+    /** When the last announcement to it was sent, in nanoseconds. */
     long announcedAtNanos = Long.MIN_VALUE / 2;
 
-    /** How often it was reminded of the newest revision without an acknowledgement. */
+    /** Number of reminders of the newest revision without an acknowledgement. */
     int reminders;
 
     PeerState(Peer peer) {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** As many as the membership table holds. */
+  /** Capacity of the membership table. */
   private static final int MAX_PEERS = 2_048;
 
   private final DisseminationMember self;
@@ -58,8 +58,8 @@
   private TreeMap<String, PeerState> peers = new TreeMap<>();
   private final TreeMap<Integer, List<PeerState>> peersByPlace = new TreeMap<>();
   private final PeerBackoff backoff = new PeerBackoff();
-  private boolean issuerHeard;
-  private long issuerHeardAtNanos;
+  private boolean issuerMessageReceived;
+  private long lastIssuerMessageAtNanos;
 
   PeerTable(DisseminationMember self, SplittableRandom random) {
     otherIssuers = self.otherIssuers();
@@ -68,17 +68,17 @@
     this.random = random;
   }
 
-  /** This member, which is not among its peers. */
+  /** Returns this member, which is not among its peers. */
   DisseminationMember self() {
     return self;
   }
 
-  /** Which peers, present or not, are asked for nothing for a while. */
+  /** Returns the backoff of peers, present or not. */
   PeerBackoff backoff() {
     return backoff;
   }
 
-  /** Replaces the members that are present; what is known of those that stay is kept. */
+  /** Replaces the present members; keeps the state of those that remain. */
   void setPresent(Collection<Peer> present) {
     TreeMap<String, PeerState> next = new TreeMap<>();
     peersByPlace.clear();
@@ -96,19 +96,19 @@
     peers = next;
   }
 
-  /** Something has come from that member. */
-  void onHeard(long nowNanos, Peer from) {
+  /** Records that a message from a member was received. */
+  void onMessage(long nowNanos, Peer from) {
     if (isIssuer(from.name())) {
-      issuerHeard = true;
-      issuerHeardAtNanos = nowNanos;
+      issuerMessageReceived = true;
+      lastIssuerMessageAtNanos = nowNanos;
     }
     PeerState state = peers.get(from.name());
     if (state != null) {
-      state.heardAtNanos = nowNanos;
+      state.lastMessageAtNanos = nowNanos;
     }
   }
 
-  /** A member tells what it holds, and what it has in force. */
+  /** Records the state that a member reports. */
   void onHave(Peer from, RevisionMessage.Have have) {
     PeerState state = peers.get(from.name());
     if (state != null) {
@@ -118,7 +118,7 @@
     }
   }
 
-  /** A member announces a revision, whose document it holds. */
+  /** Records that a member has announced a revision, whose document it holds. */
   void onAnnounced(Peer from, long number) {
     PeerState state = peers.get(from.name());
     if (state != null) {
@@ -126,65 +126,65 @@
     }
   }
 
-  /** Whether anything has come from an issuer so far. */
-  boolean hasHeardIssuer() {
-    return issuerHeard;
+  /** Returns whether a message from an issuer was received so far. */
+  boolean hasIssuerMessage() {
+    return issuerMessageReceived;
   }
 
-  /** When something came from an issuer last, nanoseconds. */
-  long issuerHeardAtNanos() {
-    return issuerHeardAtNanos;
+  /** Returns when the last message from an issuer was received, in nanoseconds. */
+  long lastIssuerMessageAtNanos() {
+    return lastIssuerMessageAtNanos;
   }
 
   boolean isIssuer(String name) {
     return issuers.contains(name);
   }
 
-  /** Whether that is a member of the own zone; issuers belong to none. */
+  /** Returns whether that is a member of the own zone; issuers belong to no zone. */
   boolean isInZone(Peer p) {
     return p.place() == self.place() && !isIssuer(p.name());
   }
 
-  /** Another issuer that is not backed off, chosen at random. */
+  /** Returns a random other issuer that is not backed off. */
   Optional<Peer> randomIssuer(long nowNanos) {
-    List<Peer> open =
+    List<Peer> eligible =
         otherIssuers.stream().filter(i -> !backoff.isBackedOff(nowNanos, i.name())).toList();
-    return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
+    return eligible.isEmpty() ? Optional.empty() : Optional.of(eligible.get(random.nextInt(eligible.size())));
   }
 
-  /** All that are present. */
+  /** Returns all present members. */
   Collection<PeerState> all() {
     return peers.values();
   }
 
-  /** The member of that name if it is present. */
+  /** Returns the member with that name if it is present. */
   Optional<PeerState> find(String name) {
     return Optional.ofNullable(peers.get(name));
   }
 
-  /** The members of the own zone, without this one and without issuers. */
+  /** Returns the members of the own zone, without this one and without issuers. */
   List<PeerState> zonePeers() {
     return peersByPlace.getOrDefault(self.place(), List.of());
   }
 
-  /** The members by place, without issuers. */
+  /** Returns the members by place, without issuers. */
   Map<Integer, List<PeerState>> peersByPlace() {
     return peersByPlace;
   }
 
-  /** At most {@code count} of the candidates that match, drawn at random without replacement. */
+  /** Draws up to {@code count} matching candidates at random, without replacement. */
   List<PeerState> sample(Collection<PeerState> candidates, int count, Predicate<PeerState> filter) {
-    List<PeerState> open = new ArrayList<>(candidates.size());
+    List<PeerState> eligible = new ArrayList<>(candidates.size());
     for (PeerState state : candidates) {
       if (filter.test(state)) {
-        open.add(state);
+        eligible.add(state);
       }
     }
     List<PeerState> drawn = new ArrayList<>();
-    while (drawn.size() < count && !open.isEmpty()) {
-      int last = open.size() - 1;
-      Collections.swap(open, random.nextInt(last + 1), last);
-      drawn.add(open.remove(last));
+    while (drawn.size() < count && !eligible.isEmpty()) {
+      int last = eligible.size() - 1;
+      Collections.swap(eligible, random.nextInt(last + 1), last);
+      drawn.add(eligible.remove(last));
     }
     return drawn;
   }
--- a/decisions/src/main/java/reachloom/revision/PromiseRound.java
+++ b/decisions/src/main/java/reachloom/revision/PromiseRound.java
@@ -7,7 +7,7 @@
 
 /**
  * Phase one of Paxos for one ballot and one revision number: collects promises until a majority has
- * answered. Confined to the thread of its {@link Proposer}.
+ * promised. Confined to the thread of its {@link Proposer}.
  */
 final class PromiseRound implements BallotRound {
   private final Ballot ballot;
@@ -26,12 +26,12 @@
     return new RevisionMessage.Prepare(ballot, number);
   }
 
-  /** Whether a promise answers this round's request. */
+  /** Returns whether a promise answers this round's request. */
   boolean isAnsweredBy(RevisionMessage.Promise promise) {
     return promise.ballot().equals(ballot) && promise.number() == number;
   }
 
-  /** Records an issuer's promise; a repeated one replaces the one before. */
+  /** Records an issuer's promise; a repeated promise replaces the earlier one. */
   void add(String issuer, RevisionMessage.Promise promise) {
     promises.put(issuer, promise);
   }
@@ -47,8 +47,8 @@
   }
 
   /**
-   * What has to be proposed: of the revisions that others have accepted the one of the highest
-   * ballot, since it may have been chosen already. Empty where the proposer is free.
+   * Returns the revision that was accepted under the highest ballot. It must be proposed, since it
+   * may already be chosen. Empty if no issuer has accepted one; any value may then be proposed.
    */
   Optional<Revision> highestAccepted() {
     RevisionMessage.Promise highest = null;
@@ -62,7 +62,7 @@
     return highest == null ? Optional.empty() : highest.accepted();
   }
 
-  /** The issuers that have accepted a revision, and so hold its document; by name. */
+  /** Returns the names of the issuers that have accepted a revision and thus hold its document. */
   List<String> holdersOf(Revision revision) {
     return promises.entrySet().stream()
         .filter(entry -> entry.getValue().accepted().filter(revision::equals).isPresent())
--- a/decisions/src/main/java/reachloom/revision/ProposalCache.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalCache.java
@@ -8,17 +8,17 @@
 import java.util.function.Consumer;
 
 /**
- * The documents of revisions that issuers have proposed or accepted, for the other issuers to
- * fetch, and the fetches of such documents that are under way. Bounded; the oldest document goes
- * first. Confined to the thread of its member.
+ * The documents of revisions that issuers have proposed or accepted, which other issuers may fetch,
+ * and the fetches of such documents in progress. Bounded; the oldest document is evicted first.
+ * Confined to the thread of its member.
  */
 final class ProposalCache {
-  /** One of each issuer, about. */
+  /** About one document per issuer. */
   private static final int MAX_DOCUMENTS = 8;
 
   private static final int MAX_FETCHES = 4;
 
-  /** How often a holder is asked before a fetch is given up. */
+  /** Maximum number of requests to a holder before a fetch is abandoned. */
   private static final int MAX_ATTEMPTS = 6;
 
   private record Proposal(Revision revision, byte[] document) {}
@@ -26,7 +26,7 @@
   private final Map<Long, Proposal> proposals = new LinkedHashMap<>(); // by fingerprint
   private final List<ChunkedFetch> fetches = new ArrayList<>();
 
-  /** Holds the document of a proposed revision; it is not copied. */
+  /** Caches the document of a proposed revision; the array is not copied. */
   void hold(Revision revision, byte[] document) {
     proposals.put(revision.fingerprint(), new Proposal(revision, document));
     if (proposals.size() > MAX_DOCUMENTS) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The document of the proposed revision with that number and fingerprint. */
+  /** Returns the document of the proposed revision with that number and fingerprint. */
   Optional<byte[]> document(long number, long fingerprint) {
     return Optional.ofNullable(proposals.get(fingerprint))
         .filter(proposal -> proposal.revision().number() == number)
@@ -42,10 +42,10 @@
   }
 
   /**
-   * Begins to fetch a document.
+   * Starts fetching a document.
    *
-   * @param onCompleted is given the document, or nothing where it cannot be had; from within this
-   *     call where too many fetches are under way
+   * @param onCompleted receives the document, or empty if it cannot be fetched; called from within
+   *     this call if too many fetches are in progress
    */
   void fetch(long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted) {
     if (fetches.size() >= MAX_FETCHES) {
@@ -53,15 +53,15 @@
       return;
     }
     ChunkedFetch fetch = new ChunkedFetch(revision, onCompleted);
-    fetch.ask(nowNanos, from);
+    fetch.switchTo(nowNanos, from);
     fetches.add(fetch);
   }
 
-  /** A piece has come, which may complete fetches. */
-  void piece(
-      long nowNanos, Peer sender, RevisionMessage.Chunk piece, RevisionLog log, PeerTable peers) {
+  /** Handles a chunk, which may complete fetches. */
+  void onChunk(
+      long nowNanos, Peer sender, RevisionMessage.Chunk chunk, RevisionLog log, PeerTable peers) {
     for (ChunkedFetch fetch : List.copyOf(fetches)) {
-      Optional<byte[]> document = fetch.onChunk(nowNanos, sender, piece, log, peers);
+      Optional<byte[]> document = fetch.onChunk(nowNanos, sender, chunk, log, peers);
       if (document.isPresent()) {
         fetches.remove(fetch);
         hold(fetch.revision, document.get());
@@ -70,10 +70,10 @@
     }
   }
 
-  /** Asks again, or gives up, where it is time. */
-  void step(long nowNanos, RevisionMessageSender sender) {
+  /** Sends the requests that are due; abandons fetches that have failed. */
+  void flush(long nowNanos, RevisionMessageSender sender) {
     for (ChunkedFetch fetch : List.copyOf(fetches)) {
-      if (isSpent(fetch, nowNanos) || nowNanos >= fetch.giveUpAtNanos) {
+      if (isExhausted(fetch, nowNanos) || nowNanos >= fetch.giveUpAtNanos) {
         fetches.remove(fetch);
         fetch.onCompleted.accept(Optional.empty());
       } else {
@@ -82,12 +82,12 @@
     }
   }
 
-  /** Whether its holder has not answered in time, so often that it is given up. */
-  private static boolean isSpent(ChunkedFetch fetch, long nowNanos) {
-    return fetch.attempts > 0 && fetch.isLate(nowNanos) && fetch.peersAsked++ >= MAX_ATTEMPTS;
+  /** Counts a request that the holder left unanswered; returns whether there were too many. */
+  private static boolean isExhausted(ChunkedFetch fetch, long nowNanos) {
+    return fetch.attempts > 0 && fetch.isLate(nowNanos) && fetch.peersTried++ >= MAX_ATTEMPTS;
   }
 
-  /** The process was paused for so long: all deadlines move. */
+  /** Moves all deadlines: the time of a process pause does not count. */
   void shift(long byNanos) {
     fetches.forEach(fetch -> fetch.shift(byNanos));
   }
--- a/decisions/src/main/java/reachloom/revision/ProposalQueue.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalQueue.java
@@ -9,25 +9,26 @@
 import reachloom.revision.ProposalResult.Kind;
 
 /**
- * The documents that clients gave to this issuer, each until its last result is reported. One waits
- * at most, the newest; one is proposed at a time; a few are unresolved: they were proposed and
- * given up, and may yet be chosen. Confined to the thread of its {@link Proposer}.
+ * The documents that clients have submitted to this issuer, each held until its final result is
+ * reported. At most one is waiting (the newest), and at most one is being proposed. A few are
+ * unresolved: they were proposed and withdrawn, and may still be chosen. Confined to the thread of
+ * its {@link Proposer}.
  */
 final class ProposalQueue {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * A document that is not issued by then is not proposed any more: members need a part of the 10 s
-   * that a change may take, too.
+   * Time after which a document is withdrawn. It is less than the 10 s that a change may take, as
+   * members need part of these to put the revision in force.
    */
-  private static final long TIMEOUT_NANOS = 8_000 * MILLISECOND;
+  private static final long TIMEOUT_NANOS = 8_000 * NANOS_PER_MILLI;
 
   private static final int MAX_UNRESOLVED = 4;
 
-  /** A document as a client gave it. */
+  /** A document that a client has submitted. */
   private record Request(byte[] document, Consumer<ProposalResult> client, long receivedAtNanos) {}
 
-  /** A request that has become a revision of the log, if it is chosen. */
+  /** A request with the revision under which its document is proposed. */
   private record NumberedRequest(Request request, Revision revision) {
     long number() {
       return revision.number();
@@ -37,19 +38,19 @@
   private final BiConsumer<Consumer<ProposalResult>, ProposalResult> reporter;
   private final Deque<NumberedRequest> unresolved = new ArrayDeque<>();
 
-  /** The request that is to be proposed next, or null. */
+  /** The request to propose next, or null. */
   private Request waiting;
 
-  /** The request that is being proposed, or null. */
+  /** The request being proposed, or null. */
   private NumberedRequest current;
 
-  /** Whether others may have been asked to accept the current one, so that it may be chosen. */
-  private boolean currentSent;
+  /** Whether the current revision may have been sent to other issuers, so that it may be chosen. */
+  private boolean currentProposed;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
-   * @param reporter tells a client a result, after the present event
+   * @param reporter reports a result to a client once the current event is handled
    */
   ProposalQueue(BiConsumer<Consumer<ProposalResult>, ProposalResult> reporter) {
     this.reporter = reporter;
@@ -57,66 +58,66 @@
 
   // ---- Requests ----
 
-  /** Takes a document, in place of one that waits. */
+  /** Adds a document, which supersedes the waiting one. */
   void add(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
     if (waiting != null) {
       report(
-          waiting, Kind.SUPERSEDED, 0, "a newer document was given before this one was proposed");
+          waiting, Kind.SUPERSEDED, 0, "a newer document was submitted before this one was proposed");
     }
     waiting = new Request(document.clone(), client, nowNanos);
   }
 
-  /** Whether a document waits to be proposed. */
+  /** Returns whether a document is waiting to be proposed. */
   boolean hasWaiting() {
     return waiting != null;
   }
 
-  /** Whether a document is being proposed. */
+  /** Returns whether a document is being proposed. */
   boolean hasCurrent() {
     return current != null;
   }
 
-  /** Whether there is nothing to propose. */
+  /** Returns whether there is nothing to propose. */
   boolean isIdle() {
     return waiting == null && current == null;
   }
 
-  /** Whether that revision is the one that is being proposed. */
+  /** Returns whether that revision is being proposed. */
   boolean isCurrent(Revision revision) {
     return current != null && current.revision().equals(revision);
   }
 
-  /** The revision that is being proposed; there has to be one. */
+  /** Returns the revision that is being proposed; there must be one. */
   Revision currentRevision() {
     return current.revision();
   }
 
-  /** Its document. */
+  /** Returns the document that is being proposed; there must be one. */
   byte[] currentDocument() {
     return current.request().document();
   }
 
-  /** Begins to propose the document that waits; there has to be one, and no current one. */
+  /** Makes the waiting document the current one; requires a waiting and no current one. */
   void startWaiting(Revision newest, long issuedAtMillis, String issuer) {
     Revision next = Revision.after(newest, waiting.document(), issuedAtMillis, issuer);
     current = new NumberedRequest(waiting, next);
-    currentSent = false;
+    currentProposed = false;
     waiting = null;
   }
 
-  /** Others may be asked to accept the current one from now on. */
-  void markCurrentSent() {
-    currentSent = true;
+  /** Records that the current revision is about to be sent to other issuers. */
+  void markCurrentProposed() {
+    currentProposed = true;
   }
 
-  // ---- Requests that are given up ----
+  // ---- Withdrawal ----
 
-  /** Whether the waiting document has waited for too long. */
+  /** Returns whether the waiting document has reached its timeout. */
   boolean isWaitingExpired(long nowNanos) {
     return waiting != null && nowNanos - waiting.receivedAtNanos() >= TIMEOUT_NANOS;
   }
 
-  /** Whether the current document has been proposed for too long. */
+  /** Returns whether the current document has reached its timeout. */
   boolean isCurrentExpired(long nowNanos) {
     return current != null && nowNanos - current.request().receivedAtNanos() >= TIMEOUT_NANOS;
   }
@@ -126,24 +127,24 @@
     withdrawWaiting(Kind.NO_MAJORITY, noMajority(nowNanos - waiting.receivedAtNanos()));
   }
 
-  /** Gives up the current document after its timeout; see {@link #withdrawCurrent}. */
+  /** Withdraws the current document after its timeout; see {@link #withdrawCurrent}. */
   boolean expireCurrent(long nowNanos) {
     return withdrawCurrent(
         Kind.NO_MAJORITY, noMajority(nowNanos - current.request().receivedAtNanos()));
   }
 
   private static String noMajority(long afterNanos) {
-    return "no majority of the issuers answered within " + afterNanos / MILLISECOND + " ms";
+    return "no majority of the issuers answered within " + afterNanos / NANOS_PER_MILLI + " ms";
   }
 
-  /** Withdraws the waiting document, which nobody else has seen. */
+  /** Withdraws the waiting document, which has not been sent to any other issuer. */
   void withdrawWaiting(Kind kind, String text) {
     Request request = waiting;
     waiting = null;
     report(request, kind, 0, text + "; it is withdrawn");
   }
 
-  /** Tells the client of the waiting document that this issuer does not vote. */
+  /** Rejects the waiting document because this issuer does not vote. */
   void rejectWaiting(ProposalResult abstains) {
     Request request = waiting;
     waiting = null;
@@ -151,52 +152,52 @@
   }
 
   /**
-   * Gives up the current document.
+   * Withdraws the current document.
    *
-   * @return whether it may yet be chosen, since others may have been asked to accept it; its client
-   *     then gets a second result
+   * @return whether it may still be chosen, since it may have been sent to other issuers; its client
+   *     then receives a second result
    */
   boolean withdrawCurrent(Kind kind, String text) {
-    NumberedRequest given = current;
+    NumberedRequest proposal = current;
     current = null;
-    if (!currentSent) {
-      report(given.request(), kind, 0, text + "; it is withdrawn");
+    if (!currentProposed) {
+      report(proposal.request(), kind, 0, text + "; it is withdrawn");
       return false;
     }
     if (unresolved.size() >= MAX_UNRESOLVED) {
       unresolved.poll();
     }
-    unresolved.add(given);
+    unresolved.add(proposal);
     report(
-        given.request(),
+        proposal.request(),
         kind,
-        given.number(),
-        text + "; it was proposed and may yet be issued as revision " + given.number());
+        proposal.number(),
+        text + "; it was proposed and may yet be issued as revision " + proposal.number());
     return true;
   }
 
-  // ---- Requests that are decided ----
+  // ---- Decided requests ----
 
-  /** A newer revision is chosen: what was proposed up to its number is decided. */
+  /** Reports the results of all proposals up to the number of a newer chosen revision. */
   void settle(Revision newest) {
     for (Iterator<NumberedRequest> i = unresolved.iterator(); i.hasNext(); ) {
-      NumberedRequest given = i.next();
-      if (given.number() <= newest.number()) {
+      NumberedRequest proposal = i.next();
+      if (proposal.number() <= newest.number()) {
         i.remove();
-        settle(given, newest, false);
+        settle(proposal, newest, false);
       }
     }
     if (current != null && current.number() <= newest.number()) {
-      NumberedRequest given = current;
+      NumberedRequest proposal = current;
       current = null;
-      settle(given, newest, true);
+      settle(proposal, newest, true);
     }
   }
 
-  private void settle(NumberedRequest given, Revision newest, boolean mayBeRepeated) {
-    Request request = given.request();
-    long number = given.number();
-    if (isChosen(given.revision(), newest)) {
+  private void settle(NumberedRequest proposal, Revision newest, boolean mayBeRepeated) {
+    Request request = proposal.request();
+    long number = proposal.number();
+    if (isChosen(proposal.revision(), newest)) {
       report(request, Kind.ISSUED, number, "issued as revision " + number);
     } else if (newest.number() > number + 1) {
       report(
@@ -207,7 +208,7 @@
               + number
               + "; revision "
               + newest.number()
-              + " is proved, and whether it was issued before is not known");
+              + " is already chosen, and it is not known whether this document was issued");
     } else if (mayBeRepeated && waiting == null) {
       waiting = request;
     } else {
--- a/decisions/src/main/java/reachloom/revision/ProposalResponder.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalResponder.java
@@ -4,17 +4,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * Answers the requests of other issuers' proposers: gets the document that a vote needs, asks the
- * {@link Acceptor}, and tells an issuer that is behind what has been chosen. Confined to the thread
- * of its {@link ConsensusNode}.
+ * Answers the requests of other issuers' proposers: fetches the document that a vote requires,
+ * calls the {@link Acceptor}, and sends the newest chosen revision to an issuer that is behind.
+ * Confined to the thread of its {@link ConsensusNode}.
  */
 final class ProposalResponder {
-  private static final long SECOND = 1_000_000_000; // nanoseconds
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  /** A document that is being fetched is not asked for again within that time. */
-  private static final long FETCH_INTERVAL_NANOS = 3 * SECOND;
+  /** Minimum interval between two fetches of the same document. */
+  private static final long FETCH_INTERVAL_NANOS = 3 * NANOS_PER_SECOND;
 
-  /** Asks for the newest chosen revision. */
+  /** Requests the newest chosen revision. */
   private static final RevisionMessage NEWEST_WANTED = new RevisionMessage.Want(0, 0, 0, 0);
 
   private final IssuerGroup group;
@@ -28,9 +28,9 @@
   private long refetchAtNanos;
 
   /**
-   * One that fetches nothing.
+   * Creates a responder without a fetch in progress.
    *
-   * @param clockNanos the time of the present event
+   * @param clockNanos the time of the current event
    */
   ProposalResponder(
       IssuerGroup group,
@@ -43,25 +43,25 @@
     this.clockNanos = clockNanos;
   }
 
-  /** Another issuer begins phase one. */
+  /** Handles another issuer's request of phase one. */
   void onPrepare(long nowNanos, RevisionMessage.Prepare request, String sender) {
-    answer(nowNanos, sender, request.number(), acceptor.prepare(request, sender));
+    reply(nowNanos, sender, request.number(), acceptor.prepare(request, sender));
   }
 
-  /** Another issuer begins phase two; the answer may wait for the document. */
+  /** Handles another issuer's request of phase two; the reply may wait for the document. */
   void onPropose(long nowNanos, RevisionMessage.Propose request, String sender) {
     Revision revision = request.revision();
     boolean mayBeAccepted =
         acceptor.isPlausible(request.ballot(), sender)
             && acceptor.mayFollow(revision)
             && request.ballot().compareTo(acceptor.state().promised()) >= 0;
-    Optional<byte[]> document = mayBeAccepted ? held(revision) : Optional.empty();
+    Optional<byte[]> document = mayBeAccepted ? findDocument(revision) : Optional.empty();
     if (!mayBeAccepted || document.isPresent()) {
-      answer(nowNanos, sender, revision.number(), acceptor.propose(request, sender, document));
+      reply(nowNanos, sender, revision.number(), acceptor.propose(request, sender, document));
       return;
     }
     boolean alreadyFetching = isFetching(revision) && nowNanos < refetchAtNanos;
-    fetching = Optional.of(request); // where it is being fetched, this may be a newer ballot
+    fetching = Optional.of(request); // the same revision may now have a higher ballot
     if (!alreadyFetching) {
       refetchAtNanos = nowNanos + FETCH_INTERVAL_NANOS;
       repository.fetchProposal(
@@ -69,7 +69,7 @@
     }
   }
 
-  private Optional<byte[]> held(Revision revision) {
+  private Optional<byte[]> findDocument(Revision revision) {
     return acceptor.state().acceptedDocument(revision).or(() -> repository.document(revision));
   }
 
@@ -86,7 +86,7 @@
     if (document.isPresent()) {
       repository.addProposal(revision, document.get());
       String proposer = request.ballot().issuer();
-      answer(
+      reply(
           clockNanos.getAsLong(),
           proposer,
           revision.number(),
@@ -94,13 +94,13 @@
     }
   }
 
-  /** A newer revision is chosen: what is being fetched is not needed any more. */
+  /** Cancels the fetch in progress: a newer revision is chosen, so no vote is needed. */
   void onNewest() {
     fetching = Optional.empty();
   }
 
-  /** Sends the acceptor's reply; without one the sender or this issuer may be behind. */
-  private void answer(long nowNanos, String sender, long number, Optional<RevisionMessage> reply) {
+  /** Sends the acceptor's reply; without a reply, helps the sender or this issuer catch up. */
+  private void reply(long nowNanos, String sender, long number, Optional<RevisionMessage> reply) {
     ConsensusState state = acceptor.state();
     if (reply.isPresent()) {
       group.send(nowNanos, sender, reply.get());
--- a/decisions/src/main/java/reachloom/revision/ProposalResult.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalResult.java
@@ -1,41 +1,41 @@
 package reachloom.revision;
 
 /**
- * What has become of a document that was given to an issuer.
+ * The result for a document that was submitted to an issuer.
  *
- * @param kind how it ended, or why that is not known yet
- * @param number the number that it was issued or proposed under; 0 where it was not proposed
- * @param text the same in words, for an operator
+ * @param kind the outcome, or why it is not known yet
+ * @param number the revision number of the issued or proposed document; 0 if it was not proposed
+ * @param text a description for operators
  */
 public record ProposalResult(Kind kind, long number, String text) {
-  /** How it ended. Operators' files name these constants: they keep their names. */
+  /** The outcome. The names of these constants are written to result files and must not change. */
   public enum Kind {
-    /** It is revision {@code number} of the log, which a majority of the issuers has signed. */
+    /** The document is revision {@code number} of the log, signed by a majority of the issuers. */
     ISSUED,
-    /** A newer document or another revision took its place: it was not issued and will not be. */
+    /** The document was not and will not be issued: a newer document or revision superseded it. */
     SUPERSEDED,
     /**
-     * It was proposed, but later revisions were chosen before it was known whether it was issued as
-     * well.
+     * The document was proposed, but later revisions were chosen before it was known whether this
+     * one was issued as well.
      */
     OVERTAKEN,
     /**
-     * Too few issuers answered. With number 0 it is withdrawn; else it was proposed and may yet be
-     * issued, by this issuer or another, and a second result tells what became of it as soon as
-     * that is known here.
+     * Too few issuers answered. With number 0 the document is withdrawn; otherwise it was proposed
+     * and may still be issued, by this issuer or another. A second result then follows as soon as
+     * the outcome is known.
      */
     NO_MAJORITY,
-    /** This issuer's process was paused; the same holds as for {@link #NO_MAJORITY}. */
+    /** This issuer's process was paused; the number has the meaning of {@link #NO_MAJORITY}. */
     STOOD_STILL,
-    /** It is empty, or larger than {@link Revision#MAX_DOCUMENT_BYTES}. */
+    /** The document is empty or larger than {@link Revision#MAX_DOCUMENT_BYTES}. */
     BAD_SIZE,
-    /** This issuer's store cannot be written; the same holds as for {@link #NO_MAJORITY}. */
+    /** This issuer's store can't be written; the number has the meaning of {@link #NO_MAJORITY}. */
     NOT_SAVED,
-    /** This issuer has lost its store and does not vote yet: another one has to be asked. */
+    /** This issuer has lost its store and does not vote yet; submit to another issuer. */
     ABSTAINS
   }
 
-  /** The result of a document of that many bytes, which is not within the bounds. */
+  /** Returns the result for a document whose size is not within the limits. */
   static ProposalResult badSize(int bytes) {
     return new ProposalResult(
         Kind.BAD_SIZE,
@@ -47,7 +47,7 @@
             + " are allowed");
   }
 
-  /** The result at an issuer that may not vote before a number that it may not know. */
+  /** Returns the result of an issuer that does not vote yet; the first number may be unknown. */
   static ProposalResult abstains(long firstVotingNumber) {
     String until =
         firstVotingNumber == ConsensusState.UNKNOWN_NUMBER
@@ -56,12 +56,12 @@
     return new ProposalResult(
         Kind.ABSTAINS,
         0,
-        "this issuer has lost its store and takes no part "
+        "this issuer has lost its store and does not vote "
             + until
-            + ": give the document to another one");
+            + ": submit the document to another issuer");
   }
 
-  /** Whether no further result follows for the same document. */
+  /** Returns whether no further result follows for the same document. */
   public boolean isFinal() {
     return number == 0 || kind == Kind.ISSUED || kind == Kind.SUPERSEDED || kind == Kind.OVERTAKEN;
   }
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -6,37 +6,37 @@
 import reachloom.revision.ProposalResult.Kind;
 
 /**
- * The proposer of Paxos at one issuer: proposes one revision number after another, each under
- * ballots of its own. A ballot begins with a {@link PromiseRound}; its outcome tells whether
- * something that others have accepted has to be finished first, under its own number, or a document
- * of the {@link ProposalQueue} may be proposed; an {@link AcceptRound} then asks for the votes.
+ * The Paxos proposer of one issuer. Proposes revision numbers in order, each under its own ballots.
+ * A ballot starts with a {@link PromiseRound}. If its promises report an accepted revision, that
+ * one is proposed again; otherwise a document of the {@link ProposalQueue} is proposed. An {@link
+ * AcceptRound} then requests the votes.
  *
  * <p>Confined to the thread of its {@link ConsensusNode}; times are nanoseconds of the clock that
- * is handed in.
+ * the caller passes in.
  */
 final class Proposer {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Silence after which a request is repeated: longer than a way round the earth and back. */
-  private static final long RETRY_INTERVAL_NANOS = 300 * MILLISECOND;
+  /** Initial retry interval of a request: longer than a worldwide round trip. */
+  private static final long RETRY_INTERVAL_NANOS = 300 * NANOS_PER_MILLI;
 
-  private static final long MAX_RETRY_INTERVAL_NANOS = 1_000 * MILLISECOND;
+  private static final long MAX_RETRY_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** How long a document that others have accepted is fetched for. */
-  private static final long FETCH_TIMEOUT_NANOS = 3_000 * MILLISECOND;
+  /** Time limit for fetching a document that other issuers have accepted. */
+  private static final long FETCH_TIMEOUT_NANOS = 3_000 * NANOS_PER_MILLI;
 
   private static final String UNWRITABLE_STORE = "this issuer's store can't be written";
 
   private enum Phase {
-    /** No ballot is under way. */
+    /** No ballot is in progress. */
     IDLE,
-    /** {@link #promiseRound} is under way. */
+    /** {@link #promiseRound} is in progress. */
     PREPARING,
-    /** {@link #retrieval} is under way. */
+    /** {@link #retrieval} is in progress. */
     FETCHING,
-    /** {@link #acceptRound} is under way. */
+    /** {@link #acceptRound} is in progress. */
     PROPOSING,
-    /** A higher ballot was met. */
+    /** Waits before the next ballot, after a higher ballot or a failure. */
     BACKING_OFF
   }
 
@@ -51,33 +51,33 @@
 
   private Phase phase = Phase.IDLE;
 
-  /** The ballot under way, or the last one. */
+  /** The current ballot, or the last one. */
   private Ballot ballot = Ballot.NONE;
 
   /** The revision number that the ballot is for. */
   private long number;
 
-  /** The highest round that this proposer has used or met. */
+  /** The highest round that this proposer has used or received. */
   private long highestRound;
 
-  /** Null but while preparing. */
+  /** Null except in phase {@link Phase#PREPARING}. */
   private PromiseRound promiseRound;
 
-  /** Null but while proposing. */
+  /** Null except in phase {@link Phase#PROPOSING}. */
   private AcceptRound acceptRound;
 
-  /** Null but while fetching. */
+  /** Null except in phase {@link Phase#FETCHING}. */
   private DocumentRetrieval retrieval;
 
-  /** When the present phase repeats its request, or ends. */
+  /** When the current phase repeats its request, or ends. */
   private long deadlineNanos;
 
   private long retryIntervalNanos = RETRY_INTERVAL_NANOS;
 
   /**
-   * An idle proposer.
+   * Creates an idle proposer.
    *
-   * @param acceptor the same issuer's acceptor, which answers each request first
+   * @param acceptor the acceptor of the same issuer, which answers each request first
    */
   Proposer(
       IssuerGroup group,
@@ -97,7 +97,7 @@
 
   // ---- Documents of clients ----
 
-  /** Takes a document that is to be issued; its client is told what becomes of it. */
+  /** Queues a document to be issued; the result is reported to its client. */
   void submit(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
     if (document.length == 0 || document.length > Revision.MAX_DOCUMENT_BYTES) {
       listener.report(client, ProposalResult.badSize(document.length));
@@ -115,37 +115,37 @@
     return ProposalResult.abstains(acceptor.state().firstVotingNumber());
   }
 
-  /** Gives up documents that are too old; those that were proposed are for others to finish. */
+  /** Withdraws expired documents; other issuers may still complete one that was proposed. */
   void expire(long nowNanos) {
     if (queue.isWaitingExpired(nowNanos)) {
       queue.expireWaiting(nowNanos);
     }
     if (queue.isCurrentExpired(nowNanos)) {
-      afterWithdrawal(nowNanos, queue.expireCurrent(nowNanos));
+      onWithdrawn(nowNanos, queue.expireCurrent(nowNanos));
     }
   }
 
-  /** This process was paused for so long: what was to be issued may have been overtaken. */
-  void onStandstill(long nowNanos, long gapNanos) {
-    String text = "this issuer stood still for " + gapNanos / MILLISECOND + " ms";
+  /** Withdraws all documents after a process pause: newer ones may have been issued meanwhile. */
+  void onPause(long nowNanos, long gapNanos) {
+    String text = "this issuer's process was paused for " + gapNanos / NANOS_PER_MILLI + " ms";
     if (queue.hasWaiting()) {
       queue.withdrawWaiting(Kind.STOOD_STILL, text);
     }
     if (queue.hasCurrent()) {
-      afterWithdrawal(nowNanos, queue.withdrawCurrent(Kind.STOOD_STILL, text));
+      onWithdrawn(nowNanos, queue.withdrawCurrent(Kind.STOOD_STILL, text));
     }
   }
 
-  private void afterWithdrawal(long nowNanos, boolean mayBeChosen) {
+  private void onWithdrawn(long nowNanos, boolean mayBeChosen) {
     endBallot(Phase.IDLE);
     if (mayBeChosen) {
       recovery.restart(nowNanos);
     }
   }
 
-  // ---- Time ----
+  // ---- Timers ----
 
-  /** Does what is due; to be called each 50 to 100 ms. */
+  /** Runs the timers that are due; to be called every 50 to 100 ms. */
   void tick(long nowNanos) {
     recovery.observe(nowNanos, acceptor.state().acceptedRevision());
     if (phase == Phase.BACKING_OFF && nowNanos >= deadlineNanos) {
@@ -153,15 +153,15 @@
     }
     switch (phase) {
       case IDLE -> startIfDue(nowNanos);
-      case PREPARING -> repeatIfDue(nowNanos, promiseRound);
-      case PROPOSING -> repeatIfDue(nowNanos, acceptRound);
+      case PREPARING -> retryIfDue(nowNanos, promiseRound);
+      case PROPOSING -> retryIfDue(nowNanos, acceptRound);
       case FETCHING -> {
         if (nowNanos >= deadlineNanos) {
           backOff(nowNanos);
         }
       }
       case BACKING_OFF -> {
-        // until its deadline
+        // ends at its deadline
       }
     }
   }
@@ -175,7 +175,7 @@
     }
   }
 
-  private void repeatIfDue(long nowNanos, BallotRound round) {
+  private void retryIfDue(long nowNanos, BallotRound round) {
     if (queue.isIdle() && !recovery.hasUnfinished()) {
       endBallot(Phase.IDLE);
     } else if (nowNanos >= deadlineNanos) {
@@ -189,7 +189,7 @@
     deadlineNanos = nowNanos + backoff.nextDelayNanos();
   }
 
-  /** Leaves the ballot under way. */
+  /** Ends the current ballot. */
   private void endBallot(Phase next) {
     phase = next;
     promiseRound = null;
@@ -205,7 +205,7 @@
     request(nowNanos, round);
   }
 
-  /** Sends the request of a round to all that have not answered it. */
+  /** Sends the request of a round to all issuers that have not answered it. */
   private void request(long nowNanos, BallotRound round) {
     boolean allSent = true;
     for (Peer peer : group.others()) {
@@ -216,11 +216,11 @@
     deadlineNanos = allSent ? nowNanos + retryIntervalNanos : nowNanos;
   }
 
-  /** Another issuer has promised a higher ballot. */
+  /** Handles a rejection: another issuer has promised a higher ballot. */
   void onRejected(long nowNanos, RevisionMessage.Rejected answer) {
-    boolean underWay = phase != Phase.IDLE && phase != Phase.BACKING_OFF;
+    boolean inProgress = phase != Phase.IDLE && phase != Phase.BACKING_OFF;
     Ballot higher = answer.promised();
-    if (underWay
+    if (inProgress
         && answer.ballot().equals(ballot)
         && higher.compareTo(ballot) > 0
         && acceptor.isPlausible(higher, higher.issuer())) {
@@ -229,7 +229,7 @@
     }
   }
 
-  /** A newer revision is chosen: what was proposed up to its number is decided. */
+  /** Handles a newer chosen revision, which decides all proposals up to its number. */
   void onNewest(long nowNanos, Revision newest) {
     if (number <= newest.number() && phase != Phase.IDLE) {
       endBallot(Phase.IDLE);
@@ -252,7 +252,7 @@
       return;
     }
     if (!acceptor.state().holdsNewestDocument()) {
-      return; // it is being fetched
+      return; // the document is being fetched
     }
     number = acceptor.state().newestNumber() + 1;
     long round = Math.max(highestRound, acceptor.state().promised().round()) + 1;
@@ -267,10 +267,10 @@
     promiseRound = next;
     promiseRound.add(group.self(), promise);
     startRound(nowNanos, Phase.PREPARING, promiseRound);
-    choose(nowNanos);
+    selectValue(nowNanos);
   }
 
-  /** Without its own store it may not even ask: a ballot of that round may be used again. */
+  /** Backs off without sending a request: an unsaved round might be used for a second ballot. */
   private void onUnwritableStore(long nowNanos) {
     if (queue.hasWaiting()) {
       queue.withdrawWaiting(Kind.NOT_SAVED, UNWRITABLE_STORE);
@@ -278,37 +278,37 @@
     backOff(nowNanos);
   }
 
-  /** Another issuer answers phase one. */
+  /** Handles another issuer's promise. */
   void onPromise(long nowNanos, RevisionMessage.Promise answer, String sender) {
-    if (phase == Phase.PREPARING && promiseRound.isAnsweredBy(answer) && isSound(answer)) {
+    if (phase == Phase.PREPARING && promiseRound.isAnsweredBy(answer) && isConsistent(answer)) {
       promiseRound.add(sender, answer);
-      choose(nowNanos);
+      selectValue(nowNanos);
     }
   }
 
-  /** What was accepted was so under a lower ballot, and may follow what is chosen. */
-  private boolean isSound(RevisionMessage.Promise answer) {
+  /** Checks that the reported revision has a lower ballot and may follow the newest chosen one. */
+  private boolean isConsistent(RevisionMessage.Promise answer) {
     Optional<Revision> accepted = answer.accepted();
     boolean underLowerBallot = answer.acceptedUnder().compareTo(ballot) < 0;
     return accepted.isEmpty() || underLowerBallot && acceptor.mayFollow(accepted.get());
   }
 
   /**
-   * With a majority of promises: what was accepted under the highest ballot is finished, else a
-   * document of this issuer is proposed.
+   * Selects the value to propose once a majority has promised: the revision accepted under the
+   * highest ballot, else a document of this issuer.
    */
-  private void choose(long nowNanos) {
+  private void selectValue(long nowNanos) {
     if (!promiseRound.hasQuorum()) {
       return;
     }
     Optional<Revision> accepted = promiseRound.highestAccepted();
     if (accepted.isPresent()) {
-      finish(nowNanos, accepted.get());
+      proposeAccepted(nowNanos, accepted.get());
       return;
     }
     if (!queue.hasCurrent() && queue.hasWaiting()) {
       Revision newest = acceptor.state().newestRevision().orElse(null);
-      queue.startWaiting(newest, nowNanos / MILLISECOND, group.self());
+      queue.startWaiting(newest, nowNanos / NANOS_PER_MILLI, group.self());
     }
     if (queue.hasCurrent()) {
       propose(nowNanos, queue.currentRevision(), queue.currentDocument());
@@ -317,9 +317,9 @@
     }
   }
 
-  // ---- What others have accepted ----
+  // ---- Revisions that other issuers have accepted ----
 
-  private void finish(long nowNanos, Revision accepted) {
+  private void proposeAccepted(long nowNanos, Revision accepted) {
     Optional<byte[]> held =
         acceptor.state().acceptedDocument(accepted).or(() -> repository.document(accepted));
     if (held.isPresent()) {
@@ -334,24 +334,24 @@
   }
 
   private void fetchFromNextHolder(long nowNanos) {
-    DocumentRetrieval asked = retrieval;
-    Optional<Peer> holder = asked.nextHolder(group.others());
+    DocumentRetrieval fetch = retrieval;
+    Optional<Peer> holder = fetch.nextHolder(group.others());
     if (holder.isPresent()) {
       repository.fetchProposal(
-          nowNanos, asked.revision(), holder.get(), got -> onFetched(nowNanos, asked, got));
+          nowNanos, fetch.revision(), holder.get(), got -> onFetched(nowNanos, fetch, got));
     } else {
       backOff(nowNanos);
     }
   }
 
-  private void onFetched(long askedAtNanos, DocumentRetrieval asked, Optional<byte[]> document) {
-    if (retrieval != asked) {
+  private void onFetched(long sentAtNanos, DocumentRetrieval fetch, Optional<byte[]> document) {
+    if (retrieval != fetch) {
       return; // its ballot has ended
     }
-    if (document.filter(asked.revision()::describes).isPresent()) {
-      propose(askedAtNanos, asked.revision(), document.get());
+    if (document.filter(fetch.revision()::describes).isPresent()) {
+      propose(sentAtNanos, fetch.revision(), document.get());
     } else {
-      fetchFromNextHolder(askedAtNanos);
+      fetchFromNextHolder(sentAtNanos);
     }
   }
 
@@ -364,30 +364,30 @@
         acceptor.propose(next.request(), group.self(), Optional.of(document));
     if (own.isEmpty() || !(own.get() instanceof RevisionMessage.Accepted accepted)) {
       if (own.isEmpty() && queue.isCurrent(revision)) {
-        afterWithdrawal(nowNanos, queue.withdrawCurrent(Kind.NOT_SAVED, UNWRITABLE_STORE));
+        onWithdrawn(nowNanos, queue.withdrawCurrent(Kind.NOT_SAVED, UNWRITABLE_STORE));
       }
-      backOff(nowNanos); // the store fails, or another one's ballot has come in between
+      backOff(nowNanos); // the store failed, or a higher ballot was promised meanwhile
       return;
     }
     if (queue.isCurrent(revision)) {
-      queue.markCurrentSent();
+      queue.markCurrentProposed();
     }
     endBallot(Phase.PROPOSING);
     acceptRound = next;
     acceptRound.add(accepted.vote());
     startRound(nowNanos, Phase.PROPOSING, acceptRound);
-    count(nowNanos);
+    finishIfChosen(nowNanos);
   }
 
-  /** Another issuer answers phase two. */
+  /** Handles another issuer's vote. */
   void onAccepted(long nowNanos, RevisionMessage.Accepted answer, String sender) {
     if (phase == Phase.PROPOSING && acceptRound.isNewVote(answer, sender, signatures)) {
       acceptRound.add(answer.vote());
-      count(nowNanos);
+      finishIfChosen(nowNanos);
     }
   }
 
-  private void count(long nowNanos) {
+  private void finishIfChosen(long nowNanos) {
     if (acceptRound.hasQuorum()) {
       RevisionMessage.Notice notice = acceptRound.notice();
       byte[] document = acceptRound.document();
--- a/decisions/src/main/java/reachloom/revision/ProposerListener.java
+++ b/decisions/src/main/java/reachloom/revision/ProposerListener.java
@@ -2,11 +2,11 @@
 
 import java.util.function.Consumer;
 
-/** Is told what comes of a {@link Proposer}'s work. */
+/** Listener for the outcomes of a {@link Proposer}. */
 interface ProposerListener {
-  /** A revision has its majority of votes. */
+  /** Handles a revision that has received the votes of a majority. */
   void onChosen(long nowNanos, RevisionMessage.Notice notice, byte[] document);
 
-  /** A client is to be told a result, once the present event has been dealt with. */
+  /** Reports a result to a client once the current event is handled. */
   void report(Consumer<ProposalResult> client, ProposalResult result);
 }
--- a/decisions/src/main/java/reachloom/revision/RecoverySchedule.java
+++ b/decisions/src/main/java/reachloom/revision/RecoverySchedule.java
@@ -4,14 +4,15 @@
 import java.util.SplittableRandom;
 
 /**
- * When a proposer takes up a revision that this issuer has accepted and that nobody finishes: its
- * own proposer may be down. The time is random, so that not all issuers begin at once.
+ * Schedules when a proposer proposes a revision that this issuer has accepted but that is not chosen
+ * yet: the issuer that proposed it may be down. The delay is random, so that not all issuers start
+ * at once.
  */
 final class RecoverySchedule {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** The wait; a random part of up to as much is added. */
-  private static final long DELAY_NANOS = 2_000 * MILLISECOND;
+  /** Minimum delay; a random delay of up to the same length is added. */
+  private static final long DELAY_NANOS = 2_000 * NANOS_PER_MILLI;
 
   private final SplittableRandom random;
   private Optional<Revision> unfinished = Optional.empty();
@@ -21,26 +22,26 @@
     this.random = random;
   }
 
-  /** Notes what this issuer has accepted; the wait begins with each other revision. */
+  /** Records the revision that this issuer has accepted; a different one restarts the delay. */
   void observe(long nowNanos, Optional<Revision> accepted) {
-    boolean other = !accepted.equals(unfinished);
+    boolean changed = !accepted.equals(unfinished);
     unfinished = accepted;
-    if (other && accepted.isPresent()) {
+    if (changed && accepted.isPresent()) {
       restart(nowNanos);
     }
   }
 
-  /** Begins the wait anew. */
+  /** Restarts the delay. */
   void restart(long nowNanos) {
     dueAtNanos = nowNanos + DELAY_NANOS + random.nextLong(DELAY_NANOS);
   }
 
-  /** Whether a revision is accepted here and not known to be chosen. */
+  /** Returns whether this issuer has accepted a revision that is not known to be chosen. */
   boolean hasUnfinished() {
     return unfinished.isPresent();
   }
 
-  /** Whether such a revision has waited for long enough. */
+  /** Returns whether the delay for such a revision has elapsed. */
   boolean isDue(long nowNanos) {
     return unfinished.isPresent() && nowNanos >= dueAtNanos;
   }
--- a/decisions/src/main/java/reachloom/revision/Revision.java
+++ b/decisions/src/main/java/reachloom/revision/Revision.java
@@ -7,35 +7,35 @@
 import java.util.Arrays;
 
 /**
- * Identifies one revision of the configuration, without its document; a link of a hash chain. Two
- * revisions with one number and another {@link #chain} are a fork. Immutable; equal by number and
- * chain.
+ * Identifies one revision of the configuration, without its document; an element of a hash chain.
+ * Two revisions with the same number and different {@link #chain} hashes are a fork. Immutable;
+ * equal by number and chain hash.
  *
  * @param number its number in the log, from 1
- * @param previous the {@link #chain} of the revision before; not copied
- * @param digest the SHA-256 of its document; not copied
- * @param size the bytes of its document
- * @param issuedAt when it was issued, Unix milliseconds
- * @param issuer the name of the issuer that proposed it first
+ * @param previous the {@link #chain} hash of the previous revision; not copied
+ * @param digest the SHA-256 hash of its document; not copied
+ * @param size the size of its document in bytes
+ * @param issuedAt the time of issue in Unix milliseconds
+ * @param issuer the name of the issuer that first proposed it
  */
 public record Revision(
     long number, byte[] previous, byte[] digest, int size, long issuedAt, String issuer) {
-  /** Bytes of a SHA-256. */
+  /** Length of a SHA-256 hash in bytes. */
   public static final int HASH_BYTES = 32;
 
   /**
-   * The largest document, in bytes: at the planned 17 KB a second a member can pass one on in about
-   * 1 s.
+   * Maximum size of a document in bytes. At the planned 17 KB/s a member forwards such a document
+   * in about 1 s.
    */
   public static final int MAX_DOCUMENT_BYTES = 16 * 1024;
 
-  /** What the first revision of a log is chained to. */
+  /** The previous hash of the first revision of a log. */
   private static final byte[] ROOT = new byte[HASH_BYTES];
 
   /**
-   * The next revision.
+   * Creates the next revision.
    *
-   * @param before the revision before; null for the first of a log
+   * @param before the previous revision; null for the first of a log
    * @param issuedAt Unix milliseconds
    */
   public static Revision after(Revision before, byte[] document, long issuedAt, String issuer) {
@@ -48,14 +48,14 @@
         issuer);
   }
 
-  /** What the revision after that one names as the one before; null stands for no revision. */
+  /** Returns the {@link #previous()} hash of the revision after that one; null for the first. */
   public static byte[] chain(Revision of) {
     return of == null ? ROOT.clone() : of.chain();
   }
 
   /**
-   * SHA-256 over all fields, the chain of the revision before included: what issuers sign, and what
-   * the next revision names. A new array at each call.
+   * Returns the SHA-256 hash over all fields, including the chain hash of the previous revision.
+   * Issuers sign it, and the next revision refers to it. Each call returns a new array.
    */
   public byte[] chain() {
     byte[] name = issuer.getBytes(StandardCharsets.UTF_8);
@@ -65,12 +65,12 @@
     return hash(all.array());
   }
 
-  /** The first eight bytes of the {@link #chain}, as a short form to compare by. */
+  /** Returns the first eight bytes of the {@link #chain} hash, a short form for comparison. */
   public long fingerprint() {
     return ByteBuffer.wrap(chain()).getLong();
   }
 
-  /** Whether that is this revision's document: of its size, and with its digest. */
+  /** Returns whether a document has this revision's size and digest. */
   public boolean describes(byte[] document) {
     return document.length == size && Arrays.equals(hash(document), digest);
   }
@@ -79,7 +79,7 @@
     try {
       return MessageDigest.getInstance("SHA-256").digest(bytes);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("each Java platform has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available", e);
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/RevisionActivation.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionActivation.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * Has the host put revisions in force, one at a time, and keeps how the last one ended. Times are
- * nanoseconds of the clock handed in; confined to the thread of {@link RevisionDissemination}.
+ * Passes revisions to the host one at a time, and keeps the outcome of the last one. Times are
+ * nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class RevisionActivation {
-  /** By then the host should have put a revision in force, or rejected it. */
+  /** Time after which an alarm reports that the host has neither applied nor rejected a revision. */
   private static final long OVERDUE_NANOS = 30_000_000_000L;
 
   private final RevisionLog log;
@@ -23,7 +23,7 @@
     this.host = host;
   }
 
-  /** Hands the newest over, if its document is held and the host is done with the one before. */
+  /** Passes the newest revision to the host if its document is held and the host is idle. */
   void offerNewest(long nowNanos) {
     if (applying != null) {
       return;
@@ -42,7 +42,7 @@
     host.apply(nowNanos, entry.revision(), entry.document());
   }
 
-  /** The host has a revision in force; false where it was not handed that one. */
+  /** Records that the host has a revision in force; false if the host was not given that one. */
   boolean onInForce(long number) {
     if (!isApplying(number)) {
       return false;
@@ -52,7 +52,7 @@
     return true;
   }
 
-  /** The host can't put a revision in force; false where it was not handed that one. */
+  /** Records that the host rejects a revision; false if the host was not given that one. */
   boolean onRejected(long number, String reason) {
     if (!isApplying(number)) {
       return false;
@@ -67,18 +67,18 @@
     return applying != null && applying.number() == number;
   }
 
-  /** Whether that revision is in force, or was the last one to be rejected. */
-  boolean isDone(long number) {
+  /** Returns whether that revision is in force, or was the last one to be rejected. */
+  boolean isCompleted(long number) {
     return log.inForce().filter(e -> e.number() == number).isPresent()
         || rejected != null && rejected.number() == number;
   }
 
-  /** Whether no revision has been put in force or rejected so far. */
-  boolean isUntouched() {
+  /** Returns whether no revision has been put in force or rejected so far. */
+  boolean isInitial() {
     return log.inForce().isEmpty() && rejected == null;
   }
 
-  /** What this member tells the aggregators of its zone. */
+  /** Returns this member's acknowledgement to the aggregators of its zone. */
   RevisionMessage.Acknowledgement acknowledgement() {
     RevisionMessage.Have have = log.have();
     boolean rejectedNewer =
@@ -88,21 +88,21 @@
         : new RevisionMessage.Acknowledgement(have.inForce(), have.fingerprint(), "");
   }
 
-  /** Raises an alarm, once, where the host takes too long. */
+  /** Raises one alarm per revision if the host takes too long. */
   void checkOverdue(long nowNanos) {
     if (applying != null && !overdueReported && nowNanos - applyingSinceNanos > OVERDUE_NANOS) {
       overdueReported = true;
       host.alarm(
-          nowNanos, "revision " + applying.number() + " is not in force after 30 s, nor refused");
+          nowNanos, "revision " + applying.number() + " is neither in force nor refused after 30 s");
     }
   }
 
-  /** The number of the revision that is being put in force. */
+  /** Returns the number of the revision that the host is putting in force. */
   Optional<Long> applyingNumber() {
     return Optional.ofNullable(applying).map(RevisionLog.Entry::number);
   }
 
-  /** The last revision that was rejected, and why, for the status lines; not if it is in force. */
+  /** Returns the status line of the last rejected revision; empty if that one is in force now. */
   Optional<String> rejectionLine() {
     return Optional.ofNullable(rejected)
         .filter(entry -> entry.fingerprint() != log.have().fingerprint())
--- a/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
@@ -7,39 +7,39 @@
 import reachloom.revision.PeerBackoff.Misbehaviour;
 
 /**
- * The repairing part of epidemic dissemination (anti-entropy): members compare what they hold by
- * the numbers that ride on each packet, and the one that is behind asks, or is told. Issuers tell
- * each other what they hold at regular intervals. A member that may have missed much does not wait
- * for that: see {@link NewestRevisionQuery}.
+ * The anti-entropy part of epidemic dissemination. Each packet carries the number of the newest
+ * revision that its sender holds; a receiver that is behind requests the newest notice, and a
+ * receiver that is ahead sends it. Issuers exchange their state at regular intervals. A member that
+ * may have missed several revisions does not wait for that, but uses {@link NewestRevisionQuery}.
  *
- * <p>Times are nanoseconds of the clock handed in; confined to the thread of {@link
+ * <p>Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
  * RevisionDissemination}.
  */
 final class RevisionAntiEntropy {
-  /** For zones to tell their own, before an issuer tells who is behind. */
+  /** Time for a zone to notify its own members, before an issuer notifies those behind. */
   private static final long ZONE_GRACE_NANOS = 1_000_000_000;
 
-  /** The same for an aggregator that is behind. */
+  /** Time before an issuer notifies an aggregator that is behind. */
   private static final long AGGREGATOR_GRACE_NANOS =
       EagerPush.ISSUE_ROUNDS * EagerPush.ROUND_INTERVAL_NANOS;
 
-  private static final int MAX_QUESTIONS = 8;
+  private static final int MAX_PENDING_QUERIES = 8;
 
-  /** For the answer to a question for the newest revision. */
+  /** Time limit for the answer to a query for the newest revision. */
   private static final long ANSWER_TIMEOUT_NANOS = 1_500_000_000;
 
-  /** The request for the newest notice. */
+  /** Requests the newest notice. */
   static final RevisionMessage.Want WANT_NEWEST = new RevisionMessage.Want(0, 0, 0, 0);
 
-  /** A peer that was asked for the newest notice, as it claims to know that number. */
-  private record Question(long claimedNumber, long answerDueAtNanos) {}
+  /** A query to a peer that claims to know that revision number. */
+  private record PendingQuery(long claimedNumber, long answerDueAtNanos) {}
 
   private final DisseminationMember self;
   private final RevisionLog log;
   private final PeerTable peers;
   private final PeerMessenger messenger;
   private final NoticeSender notices;
-  private final TreeMap<String, Question> questions = new TreeMap<>(); // by name of the peer
+  private final TreeMap<String, PendingQuery> pendingQueries = new TreeMap<>(); // by name of the peer
   private long nextExchangeAtNanos;
 
   RevisionAntiEntropy(
@@ -56,70 +56,70 @@
     nextExchangeAtNanos = firstExchangeAtNanos;
   }
 
-  /** A packet tells the newest number that its sender holds: who is behind is told, or asks. */
+  /** Compares the newest number at a packet's sender: notifies the sender, or sends a query. */
   void onHave(long nowNanos, Peer sender, RevisionMessage.Have have) {
     if (have.known() > log.newestNumber()) {
-      ask(nowNanos, sender, have.known());
+      queryNewest(nowNanos, sender, have.known());
     } else if (have.known() < log.newestNumber()
         && !notices.isCongested()
-        && (peers.isInZone(sender) || mayTellOthersZone(nowNanos))) {
+        && (peers.isInZone(sender) || mayNotifyOtherZones(nowNanos))) {
       notices.enqueue(nowNanos, sender);
     }
   }
 
-  private boolean mayTellOthersZone(long nowNanos) {
+  private boolean mayNotifyOtherZones(long nowNanos) {
     return self.isIssuer() && nowNanos - log.newestSinceNanos() > ZONE_GRACE_NANOS;
   }
 
-  /** At an issuer: an aggregator tells which revision it has summed up. */
-  void onSum(long nowNanos, Peer sender, RevisionMessage.Census sum) {
-    if (sum.number() > log.newestNumber()) {
-      ask(nowNanos, sender, sum.number());
-    } else if (sum.number() < log.newestNumber()
+  /** Compares, at an issuer, the number of an aggregator's counts with the newest revision. */
+  void onCensus(long nowNanos, Peer sender, RevisionMessage.Census census) {
+    if (census.number() > log.newestNumber()) {
+      queryNewest(nowNanos, sender, census.number());
+    } else if (census.number() < log.newestNumber()
         && nowNanos - log.newestSinceNanos() > AGGREGATOR_GRACE_NANOS) {
       notices.enqueue(nowNanos, sender);
     }
   }
 
-  /** Asks a peer that claims to know a newer revision for its proof; once, until it is due. */
-  private void ask(long nowNanos, Peer peer, long claimedNumber) {
-    if (!questions.containsKey(peer.name())
-        && questions.size() < MAX_QUESTIONS
+  /** Requests the proof of a newer revision that a peer claims to know; one query per peer. */
+  private void queryNewest(long nowNanos, Peer peer, long claimedNumber) {
+    if (!pendingQueries.containsKey(peer.name())
+        && pendingQueries.size() < MAX_PENDING_QUERIES
         && !peers.backoff().isBackedOff(nowNanos, peer.name())
         && messenger.send(nowNanos, peer, WANT_NEWEST)) {
-      questions.put(peer.name(), new Question(claimedNumber, nowNanos + ANSWER_TIMEOUT_NANOS));
+      pendingQueries.put(peer.name(), new PendingQuery(claimedNumber, nowNanos + ANSWER_TIMEOUT_NANOS));
     }
   }
 
-  /** A peer has sent a notice; the number that it was asked to prove, if it was asked. */
+  /** Handles a notice of a peer; returns the number that its pending query was for, if any. */
   OptionalLong onAnswer(Peer sender) {
-    Question question = questions.remove(sender.name());
-    return question == null ? OptionalLong.empty() : OptionalLong.of(question.claimedNumber);
+    PendingQuery pendingQuery = pendingQueries.remove(sender.name());
+    return pendingQuery == null ? OptionalLong.empty() : OptionalLong.of(pendingQuery.claimedNumber);
   }
 
-  /** This process has stood still: no peer is to blame for an answer that did not come. */
-  void onStandstill() {
-    questions.clear();
+  /** Drops the pending queries after a process pause: their peers are not penalized. */
+  void onPause() {
+    pendingQueries.clear();
   }
 
-  /** Gives up questions whose answer is overdue. */
+  /** Drops overdue queries and penalizes their peers. */
   void tick(long nowNanos) {
-    for (Map.Entry<String, Question> entry : List.copyOf(questions.entrySet())) {
-      Question question = entry.getValue();
-      if (nowNanos >= question.answerDueAtNanos) {
-        questions.remove(entry.getKey());
+    for (Map.Entry<String, PendingQuery> entry : List.copyOf(pendingQueries.entrySet())) {
+      PendingQuery pendingQuery = entry.getValue();
+      if (nowNanos >= pendingQuery.answerDueAtNanos) {
+        pendingQueries.remove(entry.getKey());
         peers
             .backoff()
             .penalize(
-                nowNanos, entry.getKey(), Misbehaviour.UNPROVEN_CLAIM, question.claimedNumber);
+                nowNanos, entry.getKey(), Misbehaviour.UNPROVEN_CLAIM, pendingQuery.claimedNumber);
       }
     }
   }
 
   /**
-   * At an issuer, at regular intervals: tells the other issuers what it holds, so that one that was
-   * cut off learns what it missed; and aggregators from which nothing has come for long, as they
-   * may not know that this issuer has restarted and can't prove who they are.
+   * Sends this issuer's state at regular intervals: to the other issuers, so that one that was cut
+   * off learns what it missed; and to aggregators that have sent nothing for long, as they may not
+   * know that this issuer has restarted and can't authenticate them.
    */
   void exchange(long nowNanos) {
     if (!self.isIssuer() || nowNanos < nextExchangeAtNanos) {
@@ -134,12 +134,12 @@
               List<String> names = members.stream().map(state -> state.peer.name()).toList();
               AggregatorElection.elect(place, names).stream()
                   .flatMap(name -> peers.find(name).stream())
-                  .filter(state -> isSilent(nowNanos, state))
+                  .filter(state -> isInactive(nowNanos, state))
                   .forEach(state -> messenger.send(nowNanos, state.peer, log.have()));
             });
   }
 
-  private static boolean isSilent(long nowNanos, PeerTable.PeerState state) {
-    return nowNanos - state.heardAtNanos > 2 * AcknowledgementTracker.REPORT_INTERVAL_NANOS;
+  private static boolean isInactive(long nowNanos, PeerTable.PeerState state) {
+    return nowNanos - state.lastMessageAtNanos > 2 * AcknowledgementTracker.REPORT_INTERVAL_NANOS;
   }
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -10,40 +10,40 @@
 import reachloom.revision.RevisionLog.Classification;
 
 /**
- * Spreads revisions of the configuration to all members by epidemic dissemination: this member's
- * part of it. It hears of a revision, checks its proof, fetches its document, has the host put it
- * in force, announces it to others, and tells where it is in force. At an issuer, the consensus
- * node hands in what was decided. This class passes events on; the rules are in the parts:
+ * Disseminates configuration revisions to all members with an epidemic protocol; each member runs
+ * one instance. It receives a revision, verifies its proof, fetches its document, passes it to the
+ * host, announces it to other members, and reports where it is in force. At an issuer, the consensus
+ * node adds the chosen revisions. This class dispatches events to its parts:
  *
  * <ul>
- *   <li>{@link EagerPush} announces a revision when its document has come;
- *   <li>{@link RevisionAntiEntropy} finds out who is behind, and asks, or tells; {@link
- *       NewestRevisionQuery} asks where this member starts with nothing;
- *   <li>{@link RevisionFetcher} gets documents, and {@link ChunkServer} gives them;
- *   <li>{@link RevisionActivation} has the host put them in force;
- *   <li>{@link AcknowledgementTracker} counts where they are, and {@link AcknowledgementReminder}
- *       reminds the members that lack one.
+ *   <li>{@link EagerPush} announces a revision once its document is held;
+ *   <li>{@link RevisionAntiEntropy} detects members that are behind, and requests or sends the
+ *       newest notice; {@link NewestRevisionQuery} requests it when a member starts without state;
+ *   <li>{@link RevisionFetcher} fetches documents, and {@link ChunkServer} serves them;
+ *   <li>{@link RevisionActivation} has the host put revisions in force;
+ *   <li>{@link AcknowledgementTracker} counts the members that have one in force, and {@link
+ *       AcknowledgementReminder} reminds the others.
  * </ul>
  *
- * <p>Pure: no I/O; times are nanoseconds of the clock handed in; the same events and the same seed
- * give the same messages. All calls come from one thread, which the parts are confined to.
+ * <p>Does no I/O; times are nanoseconds of the clock that the caller passes in; the same events and
+ * the same seed result in the same messages. All calls come from one thread.
  */
 public final class RevisionDissemination implements RevisionRepository {
-  /** What puts a revision in force at this member. */
+  /** The host process, which puts revisions in force at this member. */
   public interface Host {
     /**
-     * Puts a revision in force, in its own time; {@link RevisionDissemination#onInForce} or {@link
-     * RevisionDissemination#onRejected} tells how it ended, also from within this call. The next is
-     * handed over only then.
+     * Puts a revision in force asynchronously. The host reports the outcome with {@link
+     * RevisionDissemination#onInForce} or {@link RevisionDissemination#onRejected}, possibly from
+     * within this call; only then is the next revision passed.
      */
     void apply(long nowNanos, Revision revision, byte[] document);
 
-    /** Something that an operator has to know, once each time that it comes up. */
+    /** Reports a condition that requires an operator's attention, once per occurrence. */
     void alarm(long nowNanos, String message);
   }
 
-  /** Between two ticks: more is a standstill of this process. */
-  private static final long STANDSTILL_NANOS = 1_000_000_000;
+  /** A longer gap between two ticks is a process pause. */
+  private static final long PAUSE_THRESHOLD_NANOS = 1_000_000_000;
 
   private final DisseminationMember self;
   private final Host host;
@@ -65,7 +65,7 @@
   private final DisseminationStatus status;
   private long lastTickNanos;
 
-  /** A member that starts with nothing. */
+  /** Creates a member that starts without state. */
   public RevisionDissemination(
       DisseminationMember self,
       SplittableRandom random,
@@ -76,7 +76,7 @@
     this.host = host;
     this.sender = sender;
     lastTickNanos = nowNanos;
-    // Members that start together do not all ask and report together. The order of draws is fixed.
+    // Random offsets spread the load of members that start together. The order of draws is fixed.
     long firstQueryAtNanos = nowNanos + random.nextLong(NewestRevisionQuery.INTERVAL_NANOS);
     long firstReportAtNanos =
         nowNanos + random.nextLong(AcknowledgementTracker.REPORT_INTERVAL_NANOS);
@@ -97,15 +97,15 @@
   }
 
   /**
-   * Replaces the members that are present, without this one; to be called when they have changed,
-   * at most once a tick.
+   * Replaces the present members, without this one; to be called when they have changed, at most
+   * once per tick.
    */
   public void setPeers(Collection<Peer> present) {
     peers.setPresent(present);
     tracker.onPeersChanged();
   }
 
-  /** What rides on each packet of this member. */
+  /** Returns the state that each packet of this member carries. */
   public RevisionMessage.Have have() {
     return log.have();
   }
@@ -113,19 +113,19 @@
   // ---- Messages ----
 
   /**
-   * Takes messages from a member whose identity is proved. Those of the consensus among issuers are
-   * ignored here; they are for the consensus node.
+   * Handles messages of an authenticated member. Messages of the consensus among issuers are ignored
+   * here; {@link ConsensusNode} handles them.
    */
   public void receive(long nowNanos, Peer from, List<RevisionMessage> messages) {
     if (from.name().equals(self.name())) {
       return;
     }
-    peers.onHeard(nowNanos, from);
+    peers.onMessage(nowNanos, from);
     boolean distrusted = peers.backoff().isDistrusted(nowNanos, from.name());
     for (RevisionMessage message : messages) {
       dispatch(nowNanos, from, message, distrusted);
     }
-    step(nowNanos);
+    flush(nowNanos);
   }
 
   private void dispatch(long nowNanos, Peer from, RevisionMessage message, boolean distrusted) {
@@ -139,8 +139,8 @@
       onChunk(nowNanos, from, chunk);
     } else if (message instanceof RevisionMessage.Acknowledgement acknowledgement) {
       tracker.onAcknowledgement(from, acknowledgement);
-    } else if (message instanceof RevisionMessage.Census sum) {
-      onSum(nowNanos, from, sum);
+    } else if (message instanceof RevisionMessage.Census census) {
+      onCensus(nowNanos, from, census);
     }
   }
 
@@ -153,9 +153,9 @@
     antiEntropy.onHave(nowNanos, from, have);
   }
 
-  private void onSum(long nowNanos, Peer from, RevisionMessage.Census sum) {
-    if (tracker.onSum(nowNanos, from, sum)) {
-      antiEntropy.onSum(nowNanos, from, sum);
+  private void onCensus(long nowNanos, Peer from, RevisionMessage.Census census) {
+    if (tracker.onCensus(nowNanos, from, census)) {
+      antiEntropy.onCensus(nowNanos, from, census);
     }
   }
 
@@ -172,7 +172,7 @@
       case OLDER -> notices.enqueue(nowNanos, from);
       case NEWER, FORK -> {
         if (!verifier.tryAcquire(nowNanos)) {
-          return; // it will be announced again
+          return; // over the rate limit; the sender will announce the revision again
         }
         if (!verifier.isProved(revision, notice.votes())) {
           peers.backoff().penalize(nowNanos, from.name(), Misbehaviour.INVALID_DATA, 0);
@@ -200,13 +200,11 @@
     }
   }
 
-  /**
-   * Who announces a revision has its document; an aggregator also wants to be told of this member.
-   */
+  /** Handles a known revision: its sender has the document; an aggregator expects a reply. */
   private void onKnownAnnounced(long nowNanos, Peer from, Revision revision) {
     peers.onAnnounced(from, revision.number());
     fetcher.onAnnounced(nowNanos, from, revision);
-    if (activation.isDone(revision.number())) {
+    if (activation.isCompleted(revision.number())) {
       tracker.acknowledgeAgain(nowNanos, from);
     }
   }
@@ -215,11 +213,11 @@
     if (log.addFork(revision)) {
       host.alarm(
           nowNanos,
-          "two revisions are proved that can't both be: number "
+          "fork: rejected revision "
               + revision.number()
               + " by "
               + revision.issuer()
-              + " is not taken");
+              + ", which is proved but conflicts with the revision log");
     }
   }
 
@@ -234,7 +232,7 @@
     fetcher.onProposalChunk(nowNanos, from, chunk);
   }
 
-  /** A newer revision is proved; {@code document} is null where it is not at hand. */
+  /** Adds a newer proved revision; {@code document} is null if it is not held. */
   private void learn(
       long nowNanos, Revision revision, List<Vote> votes, byte[] document, int issuerRounds) {
     byte[] held =
@@ -253,21 +251,21 @@
     }
   }
 
-  /** The document of the newest is held: it goes on to others, and to the host. */
+  /** Announces the newest revision, whose document is now held, and passes it to the host. */
   private void onDocumentHeld(long nowNanos, int issuerRounds) {
     fetcher.stop();
     push.start(nowNanos, issuerRounds);
     activation.offerNewest(nowNanos);
   }
 
-  // ---- The clock ----
+  // ---- Timers ----
 
-  /** Does what is due by the clock; to be called each 50 to 100 ms. */
+  /** Runs the timers that are due; to be called every 50 to 100 ms. */
   public void tick(long nowNanos) {
     long gapNanos = nowNanos - lastTickNanos;
     lastTickNanos = nowNanos;
-    if (gapNanos > STANDSTILL_NANOS) {
-      onStandstill(nowNanos, gapNanos);
+    if (gapNanos > PAUSE_THRESHOLD_NANOS) {
+      onPause(nowNanos, gapNanos);
     }
     activation.checkOverdue(nowNanos);
     antiEntropy.tick(nowNanos);
@@ -276,21 +274,21 @@
     reminder.tick(nowNanos);
     tracker.tick(nowNanos);
     antiEntropy.exchange(nowNanos);
-    step(nowNanos);
+    flush(nowNanos);
   }
 
-  /** This process has stood still for so long: no peer is to blame for what did not come. */
-  private void onStandstill(long nowNanos, long gapNanos) {
+  /** Handles a pause of this process: no peer is penalized for answers missed meanwhile. */
+  private void onPause(long nowNanos, long gapNanos) {
     peers.backoff().shift(gapNanos);
     fetcher.shift(gapNanos);
-    antiEntropy.onStandstill();
-    query.onStandstill(nowNanos);
+    antiEntropy.onPause();
+    query.onPause(nowNanos);
   }
 
-  /** Sends what is due as far as the budget of the second allows: small messages come first. */
-  private void step(long nowNanos) {
+  /** Sends the pending messages that the byte budget allows, small ones first. */
+  private void flush(long nowNanos) {
     tracker.flushAcknowledgements(nowNanos);
-    fetcher.step(nowNanos);
+    fetcher.flush(nowNanos);
     notices.flush(nowNanos);
     push.flush(nowNanos);
     tracker.flushReports(nowNanos);
@@ -299,14 +297,14 @@
 
   // ---- The host ----
 
-  /** The host has that revision in force. */
+  /** Handles the host's report that a revision is in force. */
   public void onInForce(long nowNanos, long number) {
     if (activation.onInForce(number)) {
       onActivationEnded(nowNanos);
     }
   }
 
-  /** The host can't put that revision in force; the one before stays. */
+  /** Handles the host's report that it rejects a revision; the previous one stays in force. */
   public void onRejected(long nowNanos, long number, String reason) {
     if (activation.onRejected(number, reason)) {
       onActivationEnded(nowNanos);
@@ -336,7 +334,7 @@
       log.addDocument(revision.number(), document);
       onDocumentHeld(nowNanos, EagerPush.ISSUE_ROUNDS);
     }
-    step(nowNanos);
+    flush(nowNanos);
   }
 
   private static String notIssued(Revision revision, byte[] document) {
@@ -346,7 +344,7 @@
         + document.length
         + " bytes, of "
         + Revision.MAX_DOCUMENT_BYTES
-        + " at most, or is not the one that it names";
+        + " at most, or does not match the revision's size and digest";
   }
 
   @Override
@@ -377,14 +375,14 @@
     fetcher.fetchProposal(nowNanos, revision, from, onCompleted);
   }
 
-  // ---- For operators ----
+  // ---- Status ----
 
-  /** At an issuer: the best informed sum of each place. */
+  /** Returns, at an issuer, the best acknowledgement counts of each place. */
   public List<RevisionMessage.Census> censuses() {
     return tracker.summary().bestPerPlace();
   }
 
-  /** The status of this member, in lines of printable ASCII. */
+  /** Returns the status of this member as lines of printable ASCII text. */
   public List<String> statusLines(long nowNanos) {
     return status.lines(nowNanos);
   }
--- a/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * Gets documents to this member: that of the newest revision from any member that holds it, and at
- * an issuer those of proposals from the issuers that propose them. Times are nanoseconds of the
- * clock handed in; confined to the thread of {@link RevisionDissemination}.
+ * Fetches documents: that of the newest revision from any member that holds it, and at an issuer
+ * those of proposals from the issuers that propose them. Times are nanoseconds of the clock that the
+ * caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class RevisionFetcher {
   private final RevisionLog log;
@@ -29,39 +29,39 @@
     scheduler = new FetchScheduler(peers, log, sender, random);
   }
 
-  /** Fetches the document of the newest revision from now on. */
+  /** Starts to fetch the document of the newest revision. */
   void start(long nowNanos, Revision newest) {
     scheduler.start(nowNanos, newest);
   }
 
-  /** The document of the newest revision is held. */
+  /** Stops fetching: the document of the newest revision is held. */
   void stop() {
     scheduler.stop();
   }
 
-  /** Whether the document of that revision is being fetched. */
+  /** Returns whether the document of that revision is being fetched. */
   boolean isFetching(Revision revision) {
     return scheduler.isFetching(revision);
   }
 
-  /** A peer says that it holds the document of the newest revision. */
+  /** Adds a peer that reports to hold the document of the newest revision. */
   void addSource(Peer peer) {
     scheduler.addSource(peer);
   }
 
-  /** A peer has announced the newest revision once more. */
+  /** Handles a repeated announcement of the newest revision. */
   void onAnnounced(long nowNanos, Peer peer, Revision announced) {
     if (scheduler.isFetching(announced)) {
       scheduler.onAnnounced(nowNanos, peer);
     }
   }
 
-  /** Takes a chunk of the newest revision; gives its document if that completes it. */
+  /** Handles a chunk of the newest revision; returns the document if that completes it. */
   Optional<byte[]> onChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     return scheduler.onChunk(nowNanos, from, chunk);
   }
 
-  /** Takes a chunk of a proposal; who waits for the document is told. */
+  /** Handles a chunk of a proposal; passes a complete document to the callback of its fetch. */
   void onProposalChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
     proposals.piece(nowNanos, from, chunk, log, peers);
   }
@@ -69,27 +69,27 @@
   /**
    * Fetches the document of a proposal from the issuer that proposes it.
    *
-   * @param onCompleted is given the document, or nothing where it can't be had
+   * @param onCompleted receives the document, or empty if it can't be fetched
    */
   void fetchProposal(
       long nowNanos, Revision proposal, Peer proposer, Consumer<Optional<byte[]>> onCompleted) {
     proposals.fetch(nowNanos, proposal, proposer, onCompleted);
-    proposals.step(nowNanos, sender);
+    proposals.flush(nowNanos, sender);
   }
 
   /** Sends the requests that are due. */
-  void step(long nowNanos) {
-    scheduler.step(nowNanos);
-    proposals.step(nowNanos, sender);
+  void flush(long nowNanos) {
+    scheduler.flush(nowNanos);
+    proposals.flush(nowNanos, sender);
   }
 
-  /** Moves all deadlines: time in which this process stood still does not count. */
+  /** Moves all deadlines: the time of a process pause does not count. */
   void shift(long byNanos) {
     scheduler.shift(byNanos);
     proposals.shift(byNanos);
   }
 
-  /** What is being fetched, and from whom, for the status lines. */
+  /** Returns the status line of the fetch in progress: revision and peer. */
   Optional<String> statusLine() {
     return scheduler.statusLine();
   }
--- a/decisions/src/main/java/reachloom/revision/RevisionLog.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionLog.java
@@ -7,31 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * The newest revisions that are proved, with the documents that are held of them; which of them is
- * in force here; and the revisions that contradict them (forks). Bounded: old revisions are dropped
- * first, but never the newest, the newest whose document is held, or the one in force.
+ * The newest proved revisions with the documents that are held, the revision in force at this
+ * member, and the revisions that conflict with them (forks). Bounded: the oldest revisions are
+ * dropped first, but never the newest, the newest whose document is held, or the one in force.
  *
  * <p>Confined to the thread of {@link RevisionDissemination}.
  */
 final class RevisionLog {
-  /** What a proved revision is to those that are held. */
+  /** The relation of a proved revision to the revisions in the log. */
   enum Classification {
-    /** It comes after all that are held. */
+    /** It is newer than all revisions in the log. */
     NEWER,
-    /** It is held, with its document or without. */
+    /** It is in the log, with or without its document. */
     KNOWN,
-    /** It comes before the newest one that is held, and contradicts none. */
+    /** It is older than the newest revision in the log, and conflicts with none. */
     OLDER,
-    /** It contradicts one that is held, or follows one that does. */
+    /** It conflicts with a revision in the log, or follows one that does. */
     FORK
   }
 
   /**
    * A proved revision.
    *
-   * @param fingerprint {@link Revision#fingerprint} of the revision
+   * @param fingerprint the {@link Revision#fingerprint} of the revision
    * @param votes the proof: the votes of a majority of the issuers
-   * @param document null until it is held
+   * @param document its document; null until it is held
    */
   record Entry(Revision revision, long fingerprint, List<Vote> votes, byte[] document) {
     long number() {
@@ -42,19 +42,19 @@
       return document != null;
     }
 
-    /** The revision with its proof, as a message. */
+    /** Returns the revision with its proof, as a message. */
     RevisionMessage.Notice notice() {
       return new RevisionMessage.Notice(revision, votes);
     }
   }
 
-  /** Bases for deltas: a member that missed a burst of ten still gets a delta. */
+  /** Bases for deltas; enough for a delta to a member that has missed ten revisions in a row. */
   private static final int MAX_ENTRIES = 16;
 
-  /** Bytes of all documents that are held. */
+  /** Maximum total size of the held documents. */
   private static final int MAX_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
 
-  /** Forks that are remembered; the first one is an alarm already. */
+  /** Maximum number of stored forks; the first one already raises an alarm. */
   private static final int MAX_FORKS = 8;
 
   private final TreeMap<Long, Entry> entries = new TreeMap<>(); // by number
@@ -62,7 +62,7 @@
   private Entry inForce; // null for none
   private long newestSinceNanos;
 
-  /** What a proved revision is to those that are held. */
+  /** Classifies a proved revision relative to the revisions in the log. */
   Classification classify(Revision revision) {
     Entry same = entries.get(revision.number());
     if (same != null) {
@@ -70,11 +70,11 @@
     }
     Entry before = entries.get(revision.number() - 1);
     Entry after = entries.get(revision.number() + 1);
-    boolean contradicts =
+    boolean conflicts =
         before != null && !follows(before.revision, revision)
             || after != null && !follows(revision, after.revision)
             || followsFork(revision);
-    if (contradicts) {
+    if (conflicts) {
       return Classification.FORK;
     }
     boolean newer = entries.isEmpty() || revision.number() > entries.lastKey();
@@ -90,7 +90,7 @@
     return Arrays.equals(before.chain(), revision.previous());
   }
 
-  /** Takes in a newer revision; {@code document} is null where it is not held yet. */
+  /** Adds a newer revision; {@code document} is null if it is not held yet. */
   void add(long nowNanos, Revision revision, List<Vote> votes, byte[] document) {
     Entry entry = new Entry(revision, revision.fingerprint(), List.copyOf(votes), document);
     entries.put(revision.number(), entry);
@@ -98,7 +98,7 @@
     trim();
   }
 
-  /** Keeps the document of a revision that was taken in without it. */
+  /** Adds the document of a revision that was added without it. */
   void addDocument(long number, byte[] document) {
     Entry entry = entries.get(number);
     entries.put(number, new Entry(entry.revision, entry.fingerprint, entry.votes, document));
@@ -126,32 +126,32 @@
     return entries.values().stream().mapToInt(e -> e.hasDocument() ? e.document.length : 0).sum();
   }
 
-  /** Remembers a revision that contradicts those that are held; whether it was not known yet. */
+  /** Stores a conflicting revision; returns whether it is new and there was room for it. */
   boolean addFork(Revision revision) {
     return forks.size() < MAX_FORKS && forks.putIfAbsent(revision.fingerprint(), revision) == null;
   }
 
-  /** The newest that is proved. */
+  /** Returns the newest proved revision. */
   Optional<Entry> newest() {
     return entries.isEmpty() ? Optional.empty() : Optional.of(entries.lastEntry().getValue());
   }
 
-  /** The number of the newest that is proved; 0 for none. */
+  /** Returns the number of the newest proved revision; 0 for none. */
   long newestNumber() {
     return entries.isEmpty() ? 0 : entries.lastKey();
   }
 
-  /** When the newest was taken in, nanoseconds; of no meaning while there is none. */
+  /** Returns when the newest revision was added, in nanoseconds; undefined while there is none. */
   long newestSinceNanos() {
     return newestSinceNanos;
   }
 
-  /** The newest whose document is held. */
+  /** Returns the newest revision whose document is held. */
   Optional<Entry> newestWithDocument() {
     return newestWithDocumentBelow(Long.MAX_VALUE);
   }
 
-  /** The newest below that number whose document is held. */
+  /** Returns the newest revision below that number whose document is held. */
   Optional<Entry> newestWithDocumentBelow(long number) {
     for (Entry entry : entries.headMap(number, false).descendingMap().values()) {
       if (entry.hasDocument()) {
@@ -161,21 +161,21 @@
     return Optional.empty();
   }
 
-  /** The revision with that number and fingerprint if its document is held; fingerprint 0 matches each. */
+  /** Returns the revision with that number and fingerprint if its document is held; fingerprint 0 matches any. */
   Optional<Entry> withDocument(long number, long fingerprint) {
     Entry entry = entries.get(number);
     boolean matches = entry != null && entry.hasDocument() && (fingerprint == 0 || fingerprint == entry.fingerprint);
     return matches ? Optional.of(entry) : Optional.empty();
   }
 
-  /** The revision with that number, with its document or without. */
+  /** Returns the revision with that number, with or without its document. */
   Optional<Entry> get(long number) {
     return Optional.ofNullable(entries.get(number));
   }
 
   /**
-   * A revision that was handed to the host is in force now. It is held again where newer ones have
-   * driven it out meanwhile.
+   * Records that a revision passed to the host is in force now. It is added again if newer ones have
+   * displaced it meanwhile.
    */
   void setInForce(Entry entry) {
     inForce = entry;
@@ -183,12 +183,12 @@
     trim();
   }
 
-  /** The revision that is in force here. */
+  /** Returns the revision in force at this member. */
   Optional<Entry> inForce() {
     return Optional.ofNullable(inForce);
   }
 
-  /** What this member tells of itself: what it has in force, and the newest document it holds. */
+  /** Returns this member's state: the revision in force and the newest one with its document. */
   RevisionMessage.Have have() {
     return new RevisionMessage.Have(
         inForce == null ? 0 : inForce.number(),
@@ -196,7 +196,7 @@
         newestWithDocument().map(Entry::number).orElse(0L));
   }
 
-  /** The forks that were seen, in the order of their fingerprints. */
+  /** Returns the stored forks, ordered by fingerprint. */
   List<Revision> forks() {
     return List.copyOf(forks.values());
   }
