--- a/decisions/src/main/java/reachloom/revision/RevisionMessage.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessage.java
@@ -4,56 +4,56 @@
 import java.util.Optional;
 
 /**
- * What members say to each other about revisions. Messages travel in packets of gossip, whose
- * sender is authenticated. {@link Prepare}, {@link Promise}, {@link Propose}, {@link Accepted} and
- * {@link Rejected} are those of Paxos and pass between issuers alone.
+ * Messages between members about revisions. They are sent in gossip packets, whose sender is
+ * authenticated. {@link Prepare}, {@link Promise}, {@link Propose}, {@link Accepted} and {@link
+ * Rejected} are the messages of Paxos, which only issuers exchange.
  */
 public sealed interface RevisionMessage {
   /** Calls the handler's method for the type of this message. */
   void dispatch(Handler handler);
 
-  /** One method for each type of message, so that none is forgotten where they are told apart. */
+  /** Visitor with one method per message type, so that the compiler reports an unhandled type. */
   interface Handler {
-    /** What the sender has in force and knows. */
+    /** Handles the sender's state. */
     void onHave(Have message);
 
-    /** A chosen revision. */
+    /** Handles a chosen revision. */
     void onNotice(Notice message);
 
-    /** A request for a revision. */
+    /** Handles a request for a revision. */
     void onWant(Want message);
 
-    /** A part of a document. */
+    /** Handles a part of a document. */
     void onChunk(Chunk message);
 
-    /** A member tells what it has in force. */
+    /** Handles a member's acknowledgement. */
     void onAcknowledgement(Acknowledgement message);
 
-    /** The acknowledgements of one place, summed up. */
+    /** Handles the acknowledgement counts of one place. */
     void onCensus(Census message);
 
-    /** Phase one of Paxos: the request. */
+    /** Handles the request of phase one of Paxos. */
     void onPrepare(Prepare message);
 
-    /** Phase one of Paxos: the answer. */
+    /** Handles the answer of phase one of Paxos. */
     void onPromise(Promise message);
 
-    /** Phase two of Paxos: the request. */
+    /** Handles the request of phase two of Paxos. */
     void onPropose(Propose message);
 
-    /** Phase two of Paxos: the answer. */
+    /** Handles the answer of phase two of Paxos. */
     void onAccepted(Accepted message);
 
-    /** Either phase: a higher ballot was promised. */
+    /** Handles a rejection in either phase: a higher ballot was promised. */
     void onRejected(Rejected message);
   }
 
   /**
-   * What the sender has in force and knows; travels in each packet.
+   * The sender's state: the revision in force and the newest known one; part of each packet.
    *
    * @param inForce the number of the revision in force at the sender; 0 for none
    * @param fingerprint the {@link Revision#fingerprint()} of that revision
-   * @param known the newest number that the sender holds with its document; 0 for none
+   * @param known the number of the newest revision whose document the sender holds; 0 for none
    */
   record Have(long inForce, long fingerprint, long known) implements RevisionMessage {
     @Override
@@ -73,12 +73,12 @@
   /**
    * A request for a revision's document.
    *
-   * @param number the wanted revision; 0 where only the newest {@link Notice} is wanted
-   * @param base the revision in force at the sender, whose document a delta may start from; 0 where
-   *     the whole document is wanted
-   * @param baseFingerprint the fingerprint of the base; with base 0 that of the wanted revision itself, since two
-   *     issuers may have proposals with one number
-   * @param from the index of the first chunk that is wanted
+   * @param number the requested revision; 0 to request only the newest {@link Notice}
+   * @param base the newest revision whose document the sender holds, as the base of a delta; 0 to
+   *     request the whole document
+   * @param baseFingerprint the fingerprint of the base; with base 0 that of the requested revision itself, since
+   *     two issuers may have proposals with the same number
+   * @param from the index of the first requested chunk
    */
   record Want(long number, long base, long baseFingerprint, int from) implements RevisionMessage {
     @Override
@@ -91,9 +91,9 @@
    * A part of a document, or of the delta from the document of a base.
    *
    * @param number the revision
-   * @param base the revision that the delta starts from; 0 where the bytes are the document's own
+   * @param base the base revision of the delta; 0 if the bytes are part of the document itself
    * @param index the index of this chunk, from 0
-   * @param of how many chunks there are
+   * @param of the number of chunks
    * @param bytes the content of the chunk; not copied
    */
   record Chunk(long number, long base, int index, int of, byte[] bytes) implements RevisionMessage {
@@ -104,11 +104,11 @@
   }
 
   /**
-   * A member tells those that count for its zone what it has in force.
+   * A member's report to the aggregators of its zone of the revision that it has in force.
    *
-   * @param number the revision in force
+   * @param number the revision in force, or the rejected one if {@code refusal} is not empty
    * @param fingerprint its {@link Revision#fingerprint()}
-   * @param refusal why a newer revision cannot be put in force; empty where nothing is wrong
+   * @param refusal why that revision was rejected; empty if it is in force
    */
   record Acknowledgement(long number, long fingerprint, String refusal) implements RevisionMessage {
     @Override
@@ -118,15 +118,15 @@
   }
 
   /**
-   * The acknowledgements of one place, on their way to the issuers.
+   * The acknowledgement counts of one place, sent by an aggregator to the issuers.
    *
    * @param place the region in the upper byte, the zone in the lower
    * @param number the revision that is counted
-   * @param members how many members are present there
-   * @param inForce how many of them have it in force
-   * @param refused how many of them have refused it
-   * @param lacking the names of some that lack it
-   * @param longest how long the first of these has lacked it, in milliseconds
+   * @param members the number of members present there
+   * @param inForce the number of members that have it in force
+   * @param refused the number of members that have rejected it
+   * @param lacking the names of some members that do not have it in force
+   * @param longest the longest time for which one of them has lacked it, in milliseconds
    */
   record Census(
       int place,
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Phase one of Paxos: asks for a promise, and for what was accepted for that number. */
+  /** Phase one of Paxos: requests a promise, and the revision accepted for that number. */
   record Prepare(Ballot ballot, long number) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
@@ -152,11 +152,11 @@
   }
 
   /**
-   * Phase one of Paxos: the sender votes for nothing below that ballot any more.
+   * Phase one of Paxos: the sender promises not to vote under a lower ballot.
    *
    * @param ballot the ballot that is promised
-   * @param number the number that was asked for
-   * @param acceptedUnder the ballot of what the sender has accepted; {@link Ballot#NONE} for none
+   * @param number the number of the request
+   * @param acceptedUnder the ballot of the accepted revision; {@link Ballot#NONE} for none
    * @param accepted the revision that the sender has accepted for that number
    */
   record Promise(Ballot ballot, long number, Ballot acceptedUnder, Optional<Revision> accepted)
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Phase two of Paxos: asks for a vote; the document is to be had from the sender. */
+  /** Phase two of Paxos: requests a vote; the document can be fetched from the sender. */
   record Propose(Ballot ballot, Revision revision) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Phase two of Paxos: the sender has accepted the revision, holds its document, and signs it. */
+  /** Phase two of Paxos: the sender has accepted and signed the revision and holds its document. */
   record Accepted(Ballot ballot, long number, Vote vote) implements RevisionMessage {
     @Override
     public void dispatch(Handler handler) {
@@ -184,7 +184,7 @@
   }
 
   /**
-   * Either phase: the request is refused.
+   * Rejection of a request of either phase.
    *
    * @param ballot the ballot of the request
    * @param promised the higher ballot that the sender has promised
--- a/decisions/src/main/java/reachloom/revision/RevisionMessageSender.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessageSender.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** Sends revision messages to other members, and tells how large they are on the wire. */
+/** Sends revision messages to other members, and computes their encoded size. */
 public interface RevisionMessageSender {
-  /** The size of one message on the wire, in bytes. */
+  /** Returns the encoded size of one message, in bytes. */
   int encodedBytes(RevisionMessage message);
 
-  /** The largest size of all messages that one packet holds, in bytes. */
+  /** Returns the maximum total size of the messages in one packet, in bytes. */
   int maxPacketBytes();
 
   /**
-   * Sends messages to a member at once, in one packet.
+   * Sends messages to a member immediately, in one packet.
    *
-   * @param nowNanos the clock that decisions are handed
+   * @param nowNanos the current time
    * @param to the member's name
-   * @param address the member's address, as {@link Peer#address()} has it
-   * @return false where this second's byte budget has no room for them: nothing was sent, and the
-   *     caller may try again later
+   * @param address the member's address, encoded as in {@link Peer#address()}
+   * @return false if they exceed the byte budget of the current second: nothing was sent, and the
+   *     caller may retry later
    */
   boolean send(long nowNanos, String to, long address, List<RevisionMessage> messages);
 }
--- a/decisions/src/main/java/reachloom/revision/RevisionRepository.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionRepository.java
@@ -5,33 +5,33 @@
 import java.util.function.Consumer;
 
 /**
- * What an issuer's consensus needs of the member that it belongs to: the revisions that are chosen,
- * and documents. Called from the thread of the {@link ConsensusNode} alone.
+ * The chosen revisions and the documents of the member that an issuer's {@link ConsensusNode}
+ * belongs to. Called only from the thread of that node.
  */
 public interface RevisionRepository {
-  /** The newest revision that is known to be chosen, with its proof. */
+  /** Returns the newest revision known to be chosen, with its proof. */
   Optional<RevisionMessage.Notice> newest();
 
   /**
-   * A revision was chosen, or was found in the store at a start.
+   * Adds a revision that was chosen, or that was found in the store at startup.
    *
-   * @param votes those of a majority
+   * @param votes the votes of a majority
    * @param document the revision's document
    */
   void addChosen(long nowNanos, Revision revision, List<Vote> votes, byte[] document);
 
-  /** The document of a revision, chosen or only proposed, if it is held. */
+  /** Returns the document of a chosen or proposed revision, if it is held. */
   Optional<byte[]> document(Revision revision);
 
-  /** Holds the document of a proposed revision, for the other issuers to fetch. */
+  /** Adds the document of a proposed revision, which other issuers may fetch. */
   void addProposal(Revision revision, byte[] document);
 
   /**
    * Fetches the document of a proposed revision.
    *
    * @param from an issuer that holds it
-   * @param onCompleted is given the document, or nothing where it cannot be had; also from within
-   *     this call
+   * @param onCompleted receives the document, or empty if it cannot be fetched; possibly called
+   *     from within this call
    */
   void fetchProposal(
       long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted);
--- a/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionVerifier.java
@@ -6,11 +6,11 @@
 import reachloom.scheduler.state.TokenBucket;
 
 /**
- * Whether a revision is well-formed, and proved by the votes of a quorum of the issuers. Confined
- * to the thread of {@link RevisionDissemination}.
+ * Verifies that a revision is well-formed and proved by the votes of a quorum of the issuers.
+ * Confined to the thread of {@link RevisionDissemination}.
  */
 final class RevisionVerifier {
-  /** Proofs that are checked in a second: each costs up to a quorum of signature checks. */
+  /** Maximum rate of proof checks; each one takes up to a quorum of signature verifications. */
   private static final int PROOFS_PER_SECOND = 32;
 
   private static final int MAX_VOTES = 9;
@@ -23,7 +23,7 @@
     this.self = self;
   }
 
-  /** Whether all fields are within their bounds, whatever the votes say. */
+  /** Returns whether all fields are within their limits; does not verify the votes. */
   static boolean isWellFormed(Revision revision, List<Vote> votes) {
     return revision.number() > 0
         && revision.previous().length == Revision.HASH_BYTES
@@ -34,12 +34,12 @@
         && votes.size() <= MAX_VOTES;
   }
 
-  /** Whether one more proof may be checked in this second. */
+  /** Takes a permit for one proof check; false if the rate limit is reached. */
   boolean tryAcquire(long nowNanos) {
     return proofs.take(nowNanos);
   }
 
-  /** Whether a quorum of the issuers has signed the revision. */
+  /** Returns whether a quorum of the issuers has signed the revision. */
   boolean isProved(Revision revision, List<Vote> votes) {
     byte[] chain = revision.chain();
     Set<String> voters = new TreeSet<>();
--- a/decisions/src/main/java/reachloom/revision/SignatureScheme.java
+++ b/decisions/src/main/java/reachloom/revision/SignatureScheme.java
@@ -1,12 +1,12 @@
 package reachloom.revision;
 
 /**
- * Signatures of issuers, made and verified outside this package. Both methods are functions without
- * a state, and may be called from any thread.
+ * Creates and verifies signatures of issuers; implemented outside this package. Implementations are
+ * stateless, and both methods may be called from any thread.
  */
 public interface SignatureScheme {
   /**
-   * This issuer's signature over a chain.
+   * Signs a chain hash with this issuer's key.
    *
    * @param chain the bytes of {@link Revision#chain()}
    * @return the signature; never null
@@ -14,8 +14,8 @@
   byte[] sign(byte[] chain);
 
   /**
-   * Whether a signature over a chain is that of the issuer with that name; false for an issuer that
-   * is not known.
+   * Returns whether a signature over a chain hash is valid for the issuer with that name; false for
+   * an unknown issuer.
    */
   boolean verify(String issuer, byte[] chain, byte[] signature);
 }
--- a/decisions/src/main/java/reachloom/revision/TransferQueue.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -7,10 +7,10 @@
 import reachloom.scheduler.state.TokenBucket;
 
 /**
- * Documents and deltas that other members have asked for, sent chunk by chunk as far as the budget
- * of the second allows: who asked first gets the whole window before the next one. One transfer per
- * member; a limit of chunks per second and member. Times are nanoseconds of the clock handed in;
- * confined to the thread of {@link RevisionDissemination}.
+ * Sends the documents and deltas that other members have requested, chunk by chunk as far as the
+ * byte budget of the current second allows. Transfers are served in order of request, each for its
+ * whole window. There is one transfer per member, and a limit of chunks per second and member. Times
+ * are nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class TransferQueue {
   /** The chunks that answer one request. */
@@ -39,30 +39,30 @@
     }
   }
 
-  /** Who finds no room asks another member. */
+  /** Maximum number of transfers; a rejected requester tries another member. */
   private static final int MAX_TRANSFERS = 32;
 
-  /** Who has waited for so long has asked another member by now. */
+  /** Time after which a transfer is dropped: the requester has switched to another member. */
   private static final long MAX_WAIT_NANOS = 1_500_000_000;
 
-  /** Members whose rate is remembered. */
+  /** Maximum number of members with a rate limiter. */
   private static final int MAX_RATE_LIMITERS = 256;
 
-  /** To one member; the largest document has 26, asked for again where some were lost. */
+  /** Limit per member: twice the 26 chunks of the largest document, to allow for lost ones. */
   private static final int CHUNKS_PER_SECOND = 52;
 
-  /** Where the budget allows it: 200 KB a second. */
+  /** Limit per tick if the byte budget allows it: 200 KB/s. */
   private static final int CHUNKS_PER_TICK = 24;
 
   private final Map<String, Transfer> transfers = new LinkedHashMap<>(); // by name of the member
   private final Map<String, TokenBucket> rateLimiters = new LinkedHashMap<>();
 
   /**
-   * Queues the answer to a request; it replaces an earlier one of the same member, which keeps its
-   * turn.
+   * Queues the answer to a request. It replaces an earlier one of the same member and keeps its
+   * position.
    *
-   * @param baseNumber the revision that the bytes are a delta from; 0 for a whole document
-   * @param from the first chunk that is wanted; nothing is queued where there is no such chunk
+   * @param baseNumber the base revision of the delta; 0 for a whole document
+   * @param from the first requested chunk; nothing is queued if there is no such chunk
    */
   void add(long nowNanos, Peer to, long number, long baseNumber, byte[] bytes, int from) {
     boolean full = transfers.size() >= MAX_TRANSFERS && !transfers.containsKey(to.name());
@@ -73,7 +73,7 @@
     if (from == 0) {
       transfers.put(to.name(), transfer);
     } else {
-      putFirst(transfer); // half-way through: before those that have not begun
+      putFirst(transfer); // a continued transfer precedes those that have not started
     }
   }
 
@@ -85,12 +85,12 @@
     transfers.putAll(others);
   }
 
-  /** Whether nobody waits for a document. */
+  /** Returns whether no transfer is pending. */
   boolean isIdle() {
     return transfers.isEmpty();
   }
 
-  /** Sends what the budget allows. */
+  /** Sends the chunks that the byte budget allows. */
   void tick(long nowNanos, RevisionMessageSender sender) {
     int left = CHUNKS_PER_TICK;
     transfers.values().removeIf(t -> nowNanos >= t.expiresAtNanos);
@@ -104,7 +104,7 @@
         }
         if (!sender.send(
             nowNanos, transfer.to.name(), transfer.to.address(), List.of(transfer.nextChunk()))) {
-          return; // the budget is used up
+          return; // the byte budget is used up
         }
         transfer.next++;
       }
@@ -114,7 +114,7 @@
     }
   }
 
-  /** The limit of one member; the oldest one is forgotten where there are too many. */
+  /** Returns the rate limiter of one member; evicts the oldest one if there are too many. */
   private TokenBucket rateLimiter(String name) {
     if (!rateLimiters.containsKey(name) && rateLimiters.size() >= MAX_RATE_LIMITERS) {
       rateLimiters.remove(rateLimiters.keySet().iterator().next());
