--- a/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
@@ -63,7 +63,7 @@
 
   /** Handles a chunk of a proposal; passes a complete document to the callback of its fetch. */
   void onProposalChunk(long nowNanos, Peer from, RevisionMessage.Chunk chunk) {
-    proposals.piece(nowNanos, from, chunk, log, peers);
+    proposals.onChunk(nowNanos, from, chunk, log, peers);
   }
 
   /**
