--- a/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
@@ -108,7 +108,7 @@
 
   private static String age(long nowNanos, Received received) {
     double seconds = (nowNanos - received.atNanos) / NANOS_PER_SECOND;
-    return String.format(Locale.ROOT, ", reported %.1f s ago", seconds);
+    return String.format(Locale.ROOT, ", told %.1f s ago", seconds);
   }
 
   private static String agreement(RevisionMessage.Census best, Collection<Received> ofPlace) {
--- a/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
+++ b/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Formats the status lines of {@link RevisionDissemination} as printable ASCII. */
+/**
+ * Formats the status lines of {@link RevisionDissemination} as printable ASCII. A member sends them
+ * in datagrams; their texts are part of the status protocol and must not change.
+ */
 final class DisseminationStatus {
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -67,7 +70,7 @@
         + fork.number()
         + " by "
         + fork.issuer()
-        + " is proved and was rejected";
+        + " is proved and not taken";
   }
 
   private static String seconds(long nanos) {
--- a/decisions/src/main/java/reachloom/revision/PeerBackoff.java
+++ b/decisions/src/main/java/reachloom/revision/PeerBackoff.java
@@ -92,15 +92,15 @@
     backoffs.values().forEach(b -> b.untilNanos += byNanos);
   }
 
-  /** Returns a status line for each peer that is backed off. */
+  /** Returns a status line for each peer that is backed off, in the status protocol. */
   List<String> statusLines(long nowNanos) {
     return backoffs.entrySet().stream()
         .filter(e -> nowNanos < e.getValue().untilNanos)
         .map(
             e ->
-                "backed off: "
+                "rested: "
                     + e.getKey()
-                    + (e.getValue().sentInvalidData ? " (sent invalid data)" : ""))
+                    + (e.getValue().sentInvalidData ? " (told what is not so)" : ""))
         .toList();
   }
 }
--- a/decisions/src/main/java/reachloom/revision/ProposalQueue.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalQueue.java
@@ -62,7 +62,7 @@
   void add(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
     if (waiting != null) {
       report(
-          waiting, Kind.SUPERSEDED, 0, "a newer document was submitted before this one was proposed");
+          waiting, Kind.SUPERSEDED, 0, "a newer document was given before this one was proposed");
     }
     waiting = new Request(document.clone(), client, nowNanos);
   }
@@ -208,7 +208,7 @@
               + number
               + "; revision "
               + newest.number()
-              + " is already chosen, and it is not known whether this document was issued");
+              + " is proved, and whether it was issued before is not known");
     } else if (mayBeRepeated && waiting == null) {
       waiting = request;
     } else {
--- a/decisions/src/main/java/reachloom/revision/ProposalResult.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalResult.java
@@ -5,7 +5,7 @@
  *
  * @param kind the outcome, or why it is not known yet
  * @param number the revision number of the issued or proposed document; 0 if it was not proposed
- * @param text a description for operators
+ * @param text a description for operators; written to result files
  */
 public record ProposalResult(Kind kind, long number, String text) {
   /** The outcome. The names of these constants are written to result files and must not change. */
@@ -56,9 +56,9 @@
     return new ProposalResult(
         Kind.ABSTAINS,
         0,
-        "this issuer has lost its store and does not vote "
+        "this issuer has lost its store and takes no part "
             + until
-            + ": submit the document to another issuer");
+            + ": give the document to another one");
   }
 
   /** Returns whether no further result follows for the same document. */
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -127,7 +127,7 @@
 
   /** Withdraws all documents after a process pause: newer ones may have been issued meanwhile. */
   void onPause(long nowNanos, long gapNanos) {
-    String text = "this issuer's process was paused for " + gapNanos / NANOS_PER_MILLI + " ms";
+    String text = "this issuer stood still for " + gapNanos / NANOS_PER_MILLI + " ms";
     if (queue.hasWaiting()) {
       queue.withdrawWaiting(Kind.STOOD_STILL, text);
     }
--- a/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -222,7 +222,7 @@
     net.run(4); // 3 s after it resumed
     assertEquals(4, paused.inForce());
     assertTrue(
-        paused.dissemination.statusLines(net.now).stream().noneMatch(l -> l.startsWith("backed off")),
+        paused.dissemination.statusLines(net.now).stream().noneMatch(l -> l.startsWith("rested")),
         "no peer is backed off");
   }
 
