--- a/decisions/src/main/java/reachloom/revision/AcknowledgementReminder.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementReminder.java
@@ -16,7 +16,7 @@
 
   private static final int MAX_DOUBLINGS = 1;
 
-  /** Limits reminders to 10 KB/s. */
+  /** Limits reminders to 10 KB/s with ticks of 100 ms and notices of 500 bytes. */
   private static final int REMINDERS_PER_TICK = 2;
 
   private final RevisionLog log;
--- a/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
@@ -17,7 +17,10 @@
   private final Revision revision;
   private final long fingerprint;
 
-  /** Whether deltas are requested; false for a proposal, which follows no held revision yet. */
+  /**
+   * Whether deltas are requested; false for a proposal, since only a request for the whole document
+   * can identify it by its fingerprint.
+   */
   private final boolean deltaAllowed;
 
   private final Set<String> senders = new TreeSet<>();
@@ -137,8 +140,9 @@
   }
 
   /**
-   * Drops chunks that do not match the digest, and returns the peer that sent all of them. If several
-   * peers sent them, the faulty one is unknown: from then on chunks are accepted from one peer only.
+   * Drops chunks that do not match the digest, and returns the peer that sent all of them. If
+   * several peers sent them, the faulty one is unknown: from then on chunks are accepted from one
+   * peer only.
    */
   Optional<String> discard() {
     Optional<String> onlySender =
--- a/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkedFetch.java
@@ -122,7 +122,8 @@
             name ->
                 peers.backoff().penalize(nowNanos, name, PeerBackoff.Misbehaviour.INVALID_DATA, 0));
     answerDueAtNanos = 0;
-    peer = onCompleted == null ? null : peer; // a proposal is fetched only from its proposer
+    // The fetch of a proposal keeps the one peer that its caller has named.
+    peer = onCompleted == null ? null : peer;
   }
 
   /** Returns whether no chunk has been received so far. */
--- a/decisions/src/main/java/reachloom/revision/ConsensusNode.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -123,7 +123,8 @@
    *
    * @param document the document; copied
    * @param client receives the result, possibly from within this call; receives a second one if
-   *     the first is not final ({@link ProposalResult#isFinal})
+   *     the first is not final ({@link ProposalResult#isFinal}), unless the request is dropped as
+   *     the oldest of more than four unresolved ones
    */
   public void propose(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
     beginEvent(nowNanos);
@@ -160,7 +161,8 @@
         revision.number() == before.newestNumber() && !before.holdsNewestDocument();
     if (newer || documentMissing) {
       Optional<byte[]> held = repository.document(revision);
-      // It may be held only as a proposal; others may now rely on this issuer to hold it.
+      // The document may be held only in the proposal cache, which evicts the oldest ones. Others
+      // may now rely on this issuer to hold the newest document, so it is added to the log.
       held.ifPresent(document -> markChosen(nowNanos, newest, document));
       acceptor.learn(newest, held);
     }
@@ -175,9 +177,9 @@
     if (acceptor.state().firstVotingNumber() != ConsensusState.UNKNOWN_NUMBER) {
       return;
     }
-    OptionalLong known = lostStore.knownToMajority();
-    if (known.isPresent()) {
-      acceptor.rejoin(known.getAsLong());
+    OptionalLong bound = lostStore.maxOfLowestQuorum();
+    if (bound.isPresent()) {
+      acceptor.rejoin(bound.getAsLong());
     } else if (lostStore.isQueryDue(nowNanos)) {
       // Each reply packet carries the number that its sender knows, whatever the request.
       group.sendToOthers(nowNanos, new RevisionMessage.Want(0, 0, 0, 0));
--- a/decisions/src/main/java/reachloom/revision/EagerPush.java
+++ b/decisions/src/main/java/reachloom/revision/EagerPush.java
@@ -6,19 +6,20 @@
 import reachloom.revision.PeerTable.PeerState;
 
 /**
- * The push part of epidemic dissemination (rumor mongering): a member that has received the document
- * of the newest revision announces it in a few rounds to random members that are not known to hold
- * it. A member announces to its own zone, an issuer to one member of each place per round. {@link
- * RevisionAntiEntropy} and {@link AcknowledgementReminder} cover the members that this misses.
+ * The push part of epidemic dissemination (rumor mongering): a member that has received the
+ * document of the newest revision announces it in a few rounds to random members that are not known
+ * to hold it. A member announces to its own zone, an issuer to one member of each place per round.
+ * {@link RevisionAntiEntropy} and {@link AcknowledgementReminder} cover the members that this
+ * misses.
  *
  * <p>Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
  * RevisionDissemination}.
  */
 final class EagerPush {
-  /** Number of rounds of an issuer for a revision that it has issued itself. */
+  /** Number of rounds of an issuer for a revision that its consensus node has added. */
   static final int ISSUE_ROUNDS = 3;
 
-  /** Number of rounds of an issuer for a revision that another issuer has issued. */
+  /** Number of rounds of an issuer for a revision that it has received from another member. */
   static final int RELAY_ROUNDS = 1;
 
   /** Interval of rounds: long enough to learn of some members that received it from others. */
--- a/decisions/src/main/java/reachloom/revision/FetchScheduler.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -13,7 +13,8 @@
 
 /**
  * Fetches the document of the newest revision: selects the peer, and when to switch to another one.
- * Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
+ * Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
+ * RevisionDissemination}.
  */
 final class FetchScheduler {
   /** Mean pause before the next peer, if several have failed or none is available. */
@@ -73,8 +74,9 @@
 
   /**
    * Handles a peer's announcement of the newest revision. A peer announces a large document when it
-   * has no pending transfers; the request is therefore sent to it immediately, unless chunks are
-   * held already, or another peer is selected and the announcing one is not in the own zone.
+   * has no pending transfers; the request is therefore sent to it immediately, unless the peer is
+   * backed off, or chunks are held already, or another peer is selected and the announcing one is
+   * not in the own zone.
    */
   void onAnnounced(long nowNanos, Peer peer) {
     addSource(peer);
@@ -139,8 +141,9 @@
 
   /**
    * Returns a peer that has the document: one of the own zone, else another one that announced it,
-   * else an issuer. If many members request a large document, the first holder of a zone can't serve
-   * them all; therefore every second peer is an issuer.
+   * else an issuer, else any member that reports to hold it. If many members request a large
+   * document, the first holder of a zone can't serve them all; therefore every second peer is an
+   * issuer, if one is available.
    */
   private Optional<Peer> choosePeer(long nowNanos) {
     Optional<Peer> issuer = peers.randomIssuer(nowNanos);
--- a/decisions/src/main/java/reachloom/revision/IssuerGroup.java
+++ b/decisions/src/main/java/reachloom/revision/IssuerGroup.java
@@ -29,7 +29,12 @@
     quorum = ConsensusNode.quorum(others.size());
     if (others.remove(self) == null || others.size() >= ConsensusNode.MAX_ISSUERS) {
       throw new IllegalArgumentException(
-          self + " is not in the list of issuers, or the list exceeds " + ConsensusNode.MAX_ISSUERS);
+          "the list of issuers must contain "
+              + self
+              + " and have at most "
+              + ConsensusNode.MAX_ISSUERS
+              + " entries: "
+              + issuers.stream().map(Peer::name).toList());
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/LostStoreRecovery.java
+++ b/decisions/src/main/java/reachloom/revision/LostStoreRecovery.java
@@ -12,7 +12,10 @@
 final class LostStoreRecovery {
   private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  /** Upper bound for the age of a message; gossip rejects messages of 30 s and more. */
+  /**
+   * Upper bound for the age of a message. Gossip rejects a stated time that is more than 30 s from
+   * the receiver's; a message passes for 60 s if the sender's clock is 30 s ahead.
+   */
   private static final long MAX_MESSAGE_AGE_NANOS = 60 * NANOS_PER_SECOND;
 
   private static final long QUERY_INTERVAL_NANOS = 5 * NANOS_PER_SECOND;
@@ -40,11 +43,12 @@
   }
 
   /**
-   * Returns the highest number known to a majority of the others; empty until a majority has
-   * answered. Any majority gives a safe bound; the one with the lowest numbers is used, so that a
-   * single issuer that reports too high a number does not prolong the abstention.
+   * Returns the highest number among the lowest answers that make a quorum; empty until a quorum has
+   * answered. Any quorum gives a safe bound. If more issuers than a quorum have answered, the lowest
+   * answers are used, so that an issuer that reports too high a number does not prolong the
+   * abstention.
    */
-  OptionalLong knownToMajority() {
+  OptionalLong maxOfLowestQuorum() {
     return knownNumbers.size() < quorum
         ? OptionalLong.empty()
         : knownNumbers.values().stream().sorted().skip(quorum - 1L).mapToLong(n -> n).findFirst();
--- a/decisions/src/main/java/reachloom/revision/ProposalQueue.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalQueue.java
@@ -10,16 +10,17 @@
 
 /**
  * The documents that clients have submitted to this issuer, each held until its final result is
- * reported. At most one is waiting (the newest), and at most one is being proposed. A few are
- * unresolved: they were proposed and withdrawn, and may still be chosen. Confined to the thread of
- * its {@link Proposer}.
+ * reported. At most one is waiting (the newest), and at most one is being proposed. Others are
+ * unresolved: they were proposed and withdrawn, and may still be chosen. Of more than four
+ * unresolved ones, the oldest is dropped without a final result. Confined to the thread of its
+ * {@link Proposer}.
  */
 final class ProposalQueue {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * Time after which a document is withdrawn. It is less than the 10 s that a change may take, as
-   * members need part of these to put the revision in force.
+   * Time after which a document is withdrawn. It is less than the 10 s that a change may take,
+   * since members need some of that time to put the revision in force.
    */
   private static final long TIMEOUT_NANOS = 8_000 * NANOS_PER_MILLI;
 
@@ -133,6 +134,10 @@
         Kind.NO_MAJORITY, noMajority(nowNanos - current.request().receivedAtNanos()));
   }
 
+  /**
+   * Returns the text of a timeout. A waiting document also reaches it behind another document, or
+   * while this issuer lacks the newest document.
+   */
   private static String noMajority(long afterNanos) {
     return "no majority of the issuers answered within " + afterNanos / NANOS_PER_MILLI + " ms";
   }
@@ -154,8 +159,9 @@
   /**
    * Withdraws the current document.
    *
-   * @return whether it may still be chosen, since it may have been sent to other issuers; its client
-   *     then receives a second result
+   * @return whether it may still be chosen, since it may have been sent to other issuers; its
+   *     client then receives a second result, unless the request is dropped as the oldest of too
+   *     many unresolved ones
    */
   boolean withdrawCurrent(Kind kind, String text) {
     NumberedRequest proposal = current;
@@ -178,7 +184,10 @@
 
   // ---- Decided requests ----
 
-  /** Reports the results of all proposals up to the number of a newer chosen revision. */
+  /**
+   * Settles all proposals up to the number of a newer chosen revision: reports their results, or
+   * queues the current document again if another one was issued and none is waiting.
+   */
   void settle(Revision newest) {
     for (Iterator<NumberedRequest> i = unresolved.iterator(); i.hasNext(); ) {
       NumberedRequest proposal = i.next();
--- a/decisions/src/main/java/reachloom/revision/ProposalResult.java
+++ b/decisions/src/main/java/reachloom/revision/ProposalResult.java
@@ -20,9 +20,11 @@
      */
     OVERTAKEN,
     /**
-     * Too few issuers answered. With number 0 the document is withdrawn; otherwise it was proposed
-     * and may still be issued, by this issuer or another. A second result then follows as soon as
-     * the outcome is known.
+     * The document was not issued in time: too few issuers answered, or it waited for another
+     * document or for the fetch of the newest one. With number 0 the document is withdrawn;
+     * otherwise it was proposed and may still be issued, by this issuer or another. A second result
+     * then follows as soon as the outcome is known, unless the issuer has too many such documents
+     * and drops this one as the oldest.
      */
     NO_MAJORITY,
     /** This issuer's process was paused; the number has the meaning of {@link #NO_MAJORITY}. */
--- a/decisions/src/main/java/reachloom/revision/Proposer.java
+++ b/decisions/src/main/java/reachloom/revision/Proposer.java
@@ -6,10 +6,10 @@
 import reachloom.revision.ProposalResult.Kind;
 
 /**
- * The Paxos proposer of one issuer. Proposes revision numbers in order, each under its own ballots.
- * A ballot starts with a {@link PromiseRound}. If its promises report an accepted revision, that
- * one is proposed again; otherwise a document of the {@link ProposalQueue} is proposed. An {@link
- * AcceptRound} then requests the votes.
+ * The Paxos proposer of one issuer. Proposes revisions in order of their numbers; a ballot is used
+ * for one number only. It starts with a {@link PromiseRound}. If its promises report an accepted
+ * revision, that one is proposed again; otherwise a document of the {@link ProposalQueue} is
+ * proposed. An {@link AcceptRound} then requests the votes.
  *
  * <p>Confined to the thread of its {@link ConsensusNode}; times are nanoseconds of the clock that
  * the caller passes in.
@@ -270,7 +270,7 @@
     selectValue(nowNanos);
   }
 
-  /** Backs off without sending a request: an unsaved round might be used for a second ballot. */
+  /** Backs off without a request: after a restart, an unsaved round might be used once more. */
   private void onUnwritableStore(long nowNanos) {
     if (queue.hasWaiting()) {
       queue.withdrawWaiting(Kind.NOT_SAVED, UNWRITABLE_STORE);
@@ -344,14 +344,15 @@
     }
   }
 
-  private void onFetched(long sentAtNanos, DocumentRetrieval fetch, Optional<byte[]> document) {
+  /** Handles the end of a fetch; the next deadlines count from the time of its request. */
+  private void onFetched(long requestNanos, DocumentRetrieval fetch, Optional<byte[]> document) {
     if (retrieval != fetch) {
       return; // its ballot has ended
     }
     if (document.filter(fetch.revision()::describes).isPresent()) {
-      propose(sentAtNanos, fetch.revision(), document.get());
+      propose(requestNanos, fetch.revision(), document.get());
     } else {
-      fetchFromNextHolder(sentAtNanos);
+      fetchFromNextHolder(requestNanos);
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/Revision.java
+++ b/decisions/src/main/java/reachloom/revision/Revision.java
@@ -48,7 +48,11 @@
         issuer);
   }
 
-  /** Returns the {@link #previous()} hash of the revision after that one; null for the first. */
+  /**
+   * Returns the {@link #previous()} hash of the revision that follows the given one.
+   *
+   * @param of the given revision; null for the hash of the first revision of a log
+   */
   public static byte[] chain(Revision of) {
     return of == null ? ROOT.clone() : of.chain();
   }
--- a/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
@@ -10,7 +10,8 @@
  * The anti-entropy part of epidemic dissemination. Each packet carries the number of the newest
  * revision that its sender holds; a receiver that is behind requests the newest notice, and a
  * receiver that is ahead sends it. Issuers exchange their state at regular intervals. A member that
- * may have missed several revisions does not wait for that, but uses {@link NewestRevisionQuery}.
+ * may have missed several revisions does not wait for such a packet, but uses {@link
+ * NewestRevisionQuery}.
  *
  * <p>Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
  * RevisionDissemination}.
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -18,7 +18,8 @@
  * <ul>
  *   <li>{@link EagerPush} announces a revision once its document is held;
  *   <li>{@link RevisionAntiEntropy} detects members that are behind, and requests or sends the
- *       newest notice; {@link NewestRevisionQuery} requests it when a member starts without state;
+ *       newest notice; {@link NewestRevisionQuery} requests it when a member starts without state
+ *       or resumes after a process pause;
  *   <li>{@link RevisionFetcher} fetches documents, and {@link ChunkServer} serves them;
  *   <li>{@link RevisionActivation} has the host put revisions in force;
  *   <li>{@link AcknowledgementTracker} counts the members that have one in force, and {@link
@@ -76,7 +77,8 @@
     this.host = host;
     this.sender = sender;
     lastTickNanos = nowNanos;
-    // Random offsets spread the load of members that start together. The order of draws is fixed.
+    // Random offsets spread the load of members that start together. Changing the order of these
+    // draws changes the messages that a seed results in.
     long firstQueryAtNanos = nowNanos + random.nextLong(NewestRevisionQuery.INTERVAL_NANOS);
     long firstReportAtNanos =
         nowNanos + random.nextLong(AcknowledgementTracker.REPORT_INTERVAL_NANOS);
@@ -340,11 +342,11 @@
   private static String notIssued(Revision revision, byte[] document) {
     return "revision "
         + revision.number()
-        + " is not issued: its document has "
+        + " is not issued: its fields, its votes or its document are invalid; the document has "
         + document.length
         + " bytes, of "
         + Revision.MAX_DOCUMENT_BYTES
-        + " at most, or does not match the revision's size and digest";
+        + " at most";
   }
 
   @Override
--- a/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionFetcher.java
@@ -6,7 +6,7 @@
 
 /**
  * Fetches documents: that of the newest revision from any member that holds it, and at an issuer
- * those of proposals from the issuers that propose them. Times are nanoseconds of the clock that the
+ * that of a proposal from an issuer that holds it. Times are nanoseconds of the clock that the
  * caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class RevisionFetcher {
@@ -67,13 +67,14 @@
   }
 
   /**
-   * Fetches the document of a proposal from the issuer that proposes it.
+   * Fetches the document of a proposal from one issuer.
    *
+   * @param holder an issuer that holds the document: it has proposed or accepted the proposal
    * @param onCompleted receives the document, or empty if it can't be fetched
    */
   void fetchProposal(
-      long nowNanos, Revision proposal, Peer proposer, Consumer<Optional<byte[]>> onCompleted) {
-    proposals.fetch(nowNanos, proposal, proposer, onCompleted);
+      long nowNanos, Revision proposal, Peer holder, Consumer<Optional<byte[]>> onCompleted) {
+    proposals.fetch(nowNanos, proposal, holder, onCompleted);
     proposals.flush(nowNanos, sender);
   }
 
--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -27,17 +27,19 @@
   }
 
   /** Asserts that the results reported for a document agree with the log. */
-  private static void assertConsistent(SimulatedIssuers net, String document, List<ProposalResult> results) {
-    long in = net.log.values().stream().filter(r -> r.describes(document.getBytes())).count();
+  private static void assertConsistent(
+      SimulatedIssuers net, String document, List<ProposalResult> results) {
+    long occurrences =
+        net.log.values().stream().filter(r -> r.describes(document.getBytes())).count();
     for (ProposalResult r : results) {
       if (r.kind() == Kind.ISSUED) {
-        assertEquals(1, in, document + " was reported as issued");
+        assertEquals(1, occurrences, document + " was reported as issued");
         assertTrue(net.log.get(r.number()).describes(document.getBytes()));
       } else if (r.isFinal() && r.kind() != Kind.OVERTAKEN) {
-        assertEquals(0, in, document + ": " + r);
+        assertEquals(0, occurrences, document + ": " + r);
       }
     }
-    assertTrue(in <= 1, document + " was issued twice");
+    assertTrue(occurrences <= 1, document + " was issued twice");
     assertTrue(results.size() <= 2, "more than two results: " + results);
   }
 
@@ -153,7 +155,7 @@
   }
 
   @Test
-  void nextProposerCompletesProposalAcceptedByOneIssuer() {
+  void nextProposerCompletesProposalOfCrashedIssuer() {
     SimulatedIssuers net = new SimulatedIssuers(3, 1);
     net.node(1).suppressed = message -> message instanceof RevisionMessage.Notice;
     net.node(3).suppressed =
@@ -463,9 +465,9 @@
       }
       net.lossRate = 0;
       net.advance(65 * SECOND);
-      SimulatedIssuers.Node sound =
+      SimulatedIssuers.Node voting =
           net.nodes.values().stream().filter(n -> n.disk.mayVote()).findFirst().orElseThrow();
-      List<ProposalResult> end = sound.propose("the end");
+      List<ProposalResult> end = voting.propose("the end");
       assertTrue(
           net.await(20 * SECOND, () -> lastKind(end) == Kind.ISSUED && net.hasConverged()), "seed " + seed);
     }
@@ -480,18 +482,18 @@
       SimulatedIssuers.Node n = net.node(1);
       n.propose("own");
       Ballot ownBallot = n.disk.state.promised();
-      Revision older = addProposal(n, "older");
-      Revision newer = addProposal(n, "newer");
+      Revision underLowBallot = addProposal(n, "low");
+      Revision underHighBallot = addProposal(n, "high");
       RevisionMessage.Promise low =
           new RevisionMessage.Promise(
-              ownBallot, 1, new Ballot(ownBallot.round() - 1, "c2"), Optional.of(older));
+              ownBallot, 1, new Ballot(ownBallot.round() - 1, "c2"), Optional.of(underLowBallot));
       RevisionMessage.Promise high =
           new RevisionMessage.Promise(
-              ownBallot, 1, new Ballot(ownBallot.round() - 1, "c5"), Optional.of(newer));
+              ownBallot, 1, new Ballot(ownBallot.round() - 1, "c5"), Optional.of(underHighBallot));
       n.consensus.receive(net.now, net.node(2).peer(), List.of(reversed ? high : low));
       assertEquals(Optional.empty(), n.disk.state.accepted());
       n.consensus.receive(net.now, net.node(3).peer(), List.of(reversed ? low : high));
-      assertEquals(Optional.of(newer), n.disk.state.acceptedRevision());
+      assertEquals(Optional.of(underHighBallot), n.disk.state.acceptedRevision());
     }
   }
 
--- a/decisions/src/test/java/reachloom/revision/DeltaTest.java
+++ b/decisions/src/test/java/reachloom/revision/DeltaTest.java
@@ -28,6 +28,7 @@
     assertArrayEquals(longer, Delta.apply(repetitive, Delta.encode(repetitive, longer)));
     byte[] one = SimulatedNetwork.document(9_000, 1);
     byte[] other = SimulatedNetwork.document(9_000, 2);
+    // 8 bytes of lengths, and the one byte in which the documents differ
     assertEquals(9, Delta.encode(one, other).length);
   }
 
--- a/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionDisseminationTest.java
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void forkIsRejectedAndRaisesOneAlarm() {
+  void conflictingRevisionsAreRejectedWithOneAlarmEach() {
     SimulatedNetwork net = converged(6, 30, 0);
     Revision first = net.nodes.get(0).dissemination.newest().orElseThrow().revision();
     RevisionMessage.Notice sameNumber =
@@ -273,7 +273,8 @@
     assertEquals(26, censuses.stream().mapToInt(RevisionMessage.Census::inForce).sum());
     SimulatedNetwork.Node one = net.members().get(0);
     assertEquals(2, one.applied, "a rejected revision is not applied again");
-    assertTrue(one.dissemination.statusLines(net.now).contains("revision 2 refused: key x: not known"));
+    assertTrue(
+        one.dissemination.statusLines(net.now).contains("revision 2 refused: key x: not known"));
     net.members().forEach(n -> n.rejecting = false);
     net.issue(0, SimulatedNetwork.document(DOCUMENT_BYTES, 3));
     net.run(5);
@@ -299,6 +300,7 @@
     net.cut = (from, to) -> false; // presence is not updated before the objective is over
     long at = net.now;
     net.run(OBJECTIVE_SECONDS);
+    // Times count from 100 s before the partition healed: the other members already had revision 4.
     assertInForceEverywhere(net, at - 100 * SimulatedNetwork.SECOND, 4, 100 + OBJECTIVE_SECONDS);
     assertEquals(
         4,
@@ -326,7 +328,7 @@
   }
 
   @Test
-  void fetchesProposalOnlyFromItsProposer() {
+  void fetchesProposalOnlyFromQueriedPeerWithoutActivation() {
     SimulatedNetwork net = converged(15, 20, 0.02);
     byte[] document = SimulatedNetwork.document(DOCUMENT_BYTES, 2);
     Revision proposal =
@@ -334,8 +336,14 @@
             net.nodes.get(0).dissemination.newest().orElseThrow().revision(), document, 1, "i0");
     net.nodes.get(0).dissemination.addProposal(proposal, document);
     List<Optional<byte[]>> fetched = new ArrayList<>();
-    net.nodes.get(1).dissemination.fetchProposal(net.now, proposal, net.nodes.get(0).peer, fetched::add);
-    net.nodes.get(2).dissemination.fetchProposal(net.now, proposal, net.nodes.get(3).peer, fetched::add);
+    net.nodes
+        .get(1)
+        .dissemination
+        .fetchProposal(net.now, proposal, net.nodes.get(0).peer, fetched::add);
+    net.nodes
+        .get(2)
+        .dissemination
+        .fetchProposal(net.now, proposal, net.nodes.get(3).peer, fetched::add);
     net.run(8);
     assertEquals(2, fetched.size());
     assertTrue(proposal.describes(fetched.get(0).orElseThrow()));
--- a/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
@@ -33,7 +33,7 @@
 
   private record Event(long atNanos, long sequence, Runnable action) {}
 
-  /** Fake signatures: a hash over name and chain hash; these tests do not forge them. */
+  /** Fake signatures: a hash over name and chain hash. */
   private record FakeSignatures(String name) implements SignatureScheme {
     @Override
     public byte[] sign(byte[] chain) {
@@ -429,7 +429,10 @@
     Revision before = log.putIfAbsent(r.number(), r);
     assertTrue(before == null || before.equals(r), "a fork at " + r.number());
     if (log.containsKey(r.number() - 1)) {
-      assertArrayEquals(log.get(r.number() - 1).chain(), r.previous(), "does not follow the revision before it");
+      assertArrayEquals(
+          log.get(r.number() - 1).chain(),
+          r.previous(),
+          "revision " + r.number() + " does not follow the one before");
     }
     assertEquals(
         r.number() == 1 || log.containsKey(r.number() - 1), true, "a gap before " + r.number());
--- a/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
@@ -242,7 +242,7 @@
   double loss;
   long now = 1_700_000_000L * SECOND;
 
-  /** A hash over all packets: time, receiver and messages. */
+  /** A hash over all packets: time, receiver, and the type and size of each message. */
   long trace;
 
   private final PriorityQueue<Event> events =
@@ -377,7 +377,10 @@
     return (int) members().stream().filter(n -> n.inForce() == number).count();
   }
 
-  /** Returns the maximum bytes per second that a member has sent. */
+  /**
+   * Returns the maximum bytes per second that a member has sent, with {@link
+   * #GOSSIP_BYTES_PER_SECOND} assumed for gossip.
+   */
   int peakMemberBytesPerSecond() {
     return members().stream().mapToInt(n -> n.peakBytesPerSecond).max().orElse(0);
   }
