--- a/decisions/src/main/java/reachloom/revision/Acceptor.java
+++ b/decisions/src/main/java/reachloom/revision/Acceptor.java
@@ -12,12 +12,12 @@
  *
  * <p>An issuer that has lost its store may have made promises and accepted revisions that it no
  * longer knows. If its newest chosen revision was k, it has voted on k + 1 at most, and k was
- * accepted by a majority that knew k - 1 to be chosen. Of the answers of any majority of the issuers
- * without this one, at least one is therefore k - 1 or higher, and the forgotten votes are for the
- * highest of these answers + 2 at most; from that number + 3 on the issuer may vote again. (Issuers
- * report the newest revision whose document they hold; therefore an acceptor must hold the document
- * of k - 1 before it accepts k.) This is safe for one lost store at a time: if two are lost
- * together, each might rely on the other's answer.
+ * accepted by a majority that knew k - 1 to be chosen. Of the answers of any majority of the
+ * issuers without this one, at least one is therefore k - 1 or higher, and the forgotten votes are
+ * for the highest of these answers + 2 at most; from that number + 3 on the issuer may vote again.
+ * (Issuers report the newest revision whose document they hold; therefore an acceptor must hold the
+ * document of k - 1 before it accepts k.) This is safe for one lost store at a time: if two are
+ * lost together, each might rely on the other's answer.
  *
  * <p>Confined to the thread of its {@link ConsensusNode}.
  */
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementAggregator.java
@@ -6,8 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * Collects the acknowledgements of the members of the own place, and counts them for the issuers. Every member keeps this; only those that {@link AggregatorElection} elects report
- * it. Bounded; confined to the thread of {@link RevisionDissemination}.
+ * Collects the acknowledgements of the members of the own place, and counts them for the issuers.
+ * Every member keeps this; only those that {@link AggregatorElection} elects report it. Bounded;
+ * confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementAggregator {
   /** The revision that a member has in force, or rejects if {@code rejection} is not empty. */
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementSummary.java
@@ -11,8 +11,8 @@
 
 /**
  * The latest acknowledgement counts that an issuer has received from the aggregators of each place.
- * Bounded by places and by aggregators per place. Times are nanoseconds of the clock that the caller
- * passes in; confined to the thread of {@link RevisionDissemination}.
+ * Bounded by places and by aggregators per place. Times are nanoseconds of the clock that the
+ * caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class AcknowledgementSummary {
   private record Received(RevisionMessage.Census census, long atNanos) {}
@@ -36,10 +36,12 @@
     if (byPlace.size() >= MAX_PLACES && !byPlace.containsKey(census.place())) {
       return;
     }
-    TreeMap<String, Received> ofPlace = byPlace.computeIfAbsent(census.place(), k -> new TreeMap<>());
+    TreeMap<String, Received> ofPlace =
+        byPlace.computeIfAbsent(census.place(), k -> new TreeMap<>());
     ofPlace.values().removeIf(r -> nowNanos - r.atNanos > MAX_AGE_NANOS);
     ofPlace.put(aggregator, new Received(census, nowNanos));
-    if (ofPlace.size() > MAX_AGGREGATORS) { // a member that sees few others may elect itself temporarily
+    if (ofPlace.size() > MAX_AGGREGATORS) {
+      // A member that sees few others may elect itself temporarily.
       ofPlace.remove(
           Collections.min(ofPlace.entrySet(), Comparator.comparingLong(e -> e.getValue().atNanos))
               .getKey());
@@ -47,13 +49,14 @@
   }
 
   /** Returns the counts of the newest revision; among equals, those with the most in force. */
-  private static Received best(Collection<Received> sums) {
+  private static Received best(Collection<Received> ofPlace) {
     Received best = null;
-    for (Received r : sums) {
+    for (Received r : ofPlace) {
       boolean better =
           best == null
               || r.census.number() > best.census.number()
-              || r.census.number() == best.census.number() && r.census.inForce() > best.census.inForce();
+              || r.census.number() == best.census.number()
+                  && r.census.inForce() > best.census.inForce();
       best = better ? r : best;
     }
     return best;
--- a/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
+++ b/decisions/src/main/java/reachloom/revision/AcknowledgementTracker.java
@@ -76,7 +76,9 @@
     aggregator.retainOnly(present);
     List<String> before = aggregators;
     aggregators = AggregatorElection.elect(self.place(), members);
-    aggregators.stream().filter(name -> !before.contains(name)).forEach(pendingAcknowledgements::add);
+    aggregators.stream()
+        .filter(name -> !before.contains(name))
+        .forEach(pendingAcknowledgements::add);
     pendingAcknowledgements.retainAll(aggregators);
     if (isAggregator() && !before.contains(self.name())) {
       pendingReports.clear();
@@ -121,13 +123,16 @@
 
   void onAcknowledgement(Peer sender, RevisionMessage.Acknowledgement acknowledgement) {
     if (peers.isInZone(sender)) {
-      countsChanged |= aggregator.record(sender.name(), acknowledgement.number(), acknowledgement.fingerprint(), acknowledgement.refusal());
+      countsChanged |=
+          aggregator.record(
+              sender.name(),
+              acknowledgement.number(),
+              acknowledgement.fingerprint(),
+              acknowledgement.refusal());
     }
   }
 
-  /**
-   * Repeats the acknowledgement for a member of the zone that has announced a revision again.
-   */
+  /** Repeats the acknowledgement for a member of the zone that has announced a revision again. */
   void acknowledgeAgain(long nowNanos, Peer sender) {
     if (peers.isInZone(sender) && repeats.take(nowNanos)) {
       messenger.send(nowNanos, sender, activation.acknowledgement());
@@ -168,7 +173,8 @@
 
   /** Schedules a report to the issuers after a change or at the regular interval. */
   void tick(long nowNanos) {
-    boolean due = countsChanged && nowNanos >= nextChangeReportAtNanos || nowNanos >= nextReportAtNanos;
+    boolean due =
+        countsChanged && nowNanos >= nextChangeReportAtNanos || nowNanos >= nextReportAtNanos;
     if (isAggregator() && due) {
       countsChanged = false;
       nextChangeReportAtNanos = nowNanos + CHANGE_INTERVAL_NANOS;
--- a/decisions/src/main/java/reachloom/revision/AggregatorElection.java
+++ b/decisions/src/main/java/reachloom/revision/AggregatorElection.java
@@ -6,8 +6,8 @@
 
 /**
  * Elects the members of a place that aggregate the acknowledgements of all its members for the
- * issuers. Uses rendezvous hashing (highest random weight): members that see the same members elect the same aggregators
- * without exchanging messages.
+ * issuers. Uses rendezvous hashing (highest random weight): members that see the same members elect
+ * the same aggregators without exchanging messages.
  */
 final class AggregatorElection {
   /** Number of aggregators per place, so that one may fail. */
--- a/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkAssembly.java
@@ -80,7 +80,10 @@
     }
     boolean whole = base == null || first > 0 && baseNumber == 0;
     return new RevisionMessage.Want(
-        revision.number(), whole ? 0 : base.number(), whole ? fingerprint : base.fingerprint(), first);
+        revision.number(),
+        whole ? 0 : base.number(),
+        whole ? fingerprint : base.fingerprint(),
+        first);
   }
 
   /**
--- a/decisions/src/main/java/reachloom/revision/Delta.java
+++ b/decisions/src/main/java/reachloom/revision/Delta.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Applies a delta to a document; returns null if the delta is malformed, does not fit the base, or
-   * would result in a document larger than {@link Revision#MAX_DOCUMENT_BYTES}.
+   * Applies a delta to a document; returns null if the delta is malformed, does not fit the base,
+   * or would result in a document larger than {@link Revision#MAX_DOCUMENT_BYTES}.
    */
   static byte[] apply(byte[] base, byte[] delta) {
     if (delta.length < HEADER_BYTES) {
--- a/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
+++ b/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
@@ -55,7 +55,9 @@
     String since =
         log.newest().isEmpty() ? "" : " since " + seconds(nowNanos - log.newestSinceNanos());
     String issuerMessageAge =
-        peers.hasIssuerMessage() ? seconds(nowNanos - peers.lastIssuerMessageAtNanos()) + " ago" : "never";
+        peers.hasIssuerMessage()
+            ? seconds(nowNanos - peers.lastIssuerMessageAtNanos()) + " ago"
+            : "never";
     return "revision "
         + log.have().inForce()
         + " in force, newest known "
--- a/decisions/src/main/java/reachloom/revision/FetchScheduler.java
+++ b/decisions/src/main/java/reachloom/revision/FetchScheduler.java
@@ -172,7 +172,9 @@
                 state.knownNumber == fetch.revision.number()
                     && !peers.backoff().isBackedOff(nowNanos, state.peer.name()))
         .forEach(state -> eligible.add(state.peer));
-    return eligible.isEmpty() ? Optional.empty() : Optional.of(eligible.get(random.nextInt(eligible.size())));
+    return eligible.isEmpty()
+        ? Optional.empty()
+        : Optional.of(eligible.get(random.nextInt(eligible.size())));
   }
 
   /** Moves all deadlines: the time of a process pause does not count. */
--- a/decisions/src/main/java/reachloom/revision/LostStoreRecovery.java
+++ b/decisions/src/main/java/reachloom/revision/LostStoreRecovery.java
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Returns the highest number among the lowest answers that make a quorum; empty until a quorum has
-   * answered. Any quorum gives a safe bound. If more issuers than a quorum have answered, the lowest
-   * answers are used, so that an issuer that reports too high a number does not prolong the
+   * Returns the highest number among the lowest answers that make a quorum; empty until a quorum
+   * has answered. Any quorum gives a safe bound. If more issuers than a quorum have answered, the
+   * lowest answers are used, so that an issuer that reports too high a number does not prolong the
    * abstention.
    */
   OptionalLong maxOfLowestQuorum() {
--- a/decisions/src/main/java/reachloom/revision/NewestRevisionQuery.java
+++ b/decisions/src/main/java/reachloom/revision/NewestRevisionQuery.java
@@ -5,8 +5,8 @@
 /**
  * Queries for the newest revision when a member starts without state or resumes after a process
  * pause: requests go to a random member of its zone and to a random issuer, at growing intervals,
- * until a newer revision is known. A member that knew a revision before a pause sends two queries at
- * most. Times are nanoseconds of the clock that the caller passes in; confined to the thread of
+ * until a newer revision is known. A member that knew a revision before a pause sends two queries
+ * at most. Times are nanoseconds of the clock that the caller passes in; confined to the thread of
  * {@link RevisionDissemination}.
  */
 final class NewestRevisionQuery {
--- a/decisions/src/main/java/reachloom/revision/NoticeSender.java
+++ b/decisions/src/main/java/reachloom/revision/NoticeSender.java
@@ -8,9 +8,10 @@
 import reachloom.revision.PeerTable.PeerState;
 
 /**
- * Announces the newest revision to members: sends the notice, together with the whole change if both
- * fit into one packet. Keeps pending announcements until the byte budget allows them. Times are
- * nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
+ * Announces the newest revision to members: sends the notice, together with the whole change if
+ * both fit into one packet. Keeps pending announcements until the byte budget allows them. Times
+ * are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
+ * RevisionDissemination}.
  */
 final class NoticeSender {
   /** Minimum interval between two announcements to one member. */
@@ -99,7 +100,9 @@
     return !transfers.isIdle() && !isInline();
   }
 
-  /** Returns the whole change as a chunk if a packet holds it and the notice; receiver may be null. */
+  /**
+   * Returns the whole change as a chunk if a packet holds it and the notice; receiver may be null.
+   */
   private Optional<RevisionMessage> inlineChunk(RevisionLog.Entry newest, PeerState receiver) {
     if (!newest.hasDocument()) {
       return Optional.empty();
--- a/decisions/src/main/java/reachloom/revision/PeerBackoff.java
+++ b/decisions/src/main/java/reachloom/revision/PeerBackoff.java
@@ -9,8 +9,8 @@
 /**
  * Backoff of peers that did not answer, did not prove a claimed revision, or sent invalid data: no
  * requests are sent to them. It doubles with each unproven claim and with invalid data, not with a
- * missing answer. Bounded. Times are nanoseconds of the clock that the caller passes in; confined to
- * the thread of {@link RevisionDissemination}.
+ * missing answer. Bounded. Times are nanoseconds of the clock that the caller passes in; confined
+ * to the thread of {@link RevisionDissemination}.
  */
 final class PeerBackoff {
   /** Why a peer is backed off. */
--- a/decisions/src/main/java/reachloom/revision/PeerTable.java
+++ b/decisions/src/main/java/reachloom/revision/PeerTable.java
@@ -13,9 +13,10 @@
 import java.util.function.Predicate;
 
 /**
- * The other members that are present, with the state that each has reported. Iteration is ordered by
- * name, so that the same events and the same seed result in the same choices. Times are nanoseconds
- * of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
+ * The other members that are present, with the state that each has reported. Iteration is ordered
+ * by name, so that the same events and the same seed result in the same choices. Times are
+ * nanoseconds of the clock that the caller passes in; confined to the thread of {@link
+ * RevisionDissemination}.
  */
 final class PeerTable {
   /** Another present member, with the state from its messages. */
@@ -149,7 +150,9 @@
   Optional<Peer> randomIssuer(long nowNanos) {
     List<Peer> eligible =
         otherIssuers.stream().filter(i -> !backoff.isBackedOff(nowNanos, i.name())).toList();
-    return eligible.isEmpty() ? Optional.empty() : Optional.of(eligible.get(random.nextInt(eligible.size())));
+    return eligible.isEmpty()
+        ? Optional.empty()
+        : Optional.of(eligible.get(random.nextInt(eligible.size())));
   }
 
   /** Returns all present members. */
--- a/decisions/src/main/java/reachloom/revision/RecoverySchedule.java
+++ b/decisions/src/main/java/reachloom/revision/RecoverySchedule.java
@@ -4,9 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Schedules when a proposer proposes a revision that this issuer has accepted but that is not chosen
- * yet: the issuer that proposed it may be down. The delay is random, so that not all issuers start
- * at once.
+ * Schedules when a proposer proposes a revision that this issuer has accepted but that is not
+ * chosen yet: the issuer that proposed it may be down. The delay is random, so that not all issuers
+ * start at once.
  */
 final class RecoverySchedule {
   private static final long NANOS_PER_MILLI = 1_000_000;
--- a/decisions/src/main/java/reachloom/revision/RevisionActivation.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionActivation.java
@@ -4,10 +4,13 @@
 
 /**
  * Passes revisions to the host one at a time, and keeps the outcome of the last one. Times are
- * nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
+ * nanoseconds of the clock that the caller passes in; confined to the thread of {@link
+ * RevisionDissemination}.
  */
 final class RevisionActivation {
-  /** Time after which an alarm reports that the host has neither applied nor rejected a revision. */
+  /**
+   * Time after which an alarm reports that the host has neither applied nor rejected a revision.
+   */
   private static final long OVERDUE_NANOS = 30_000_000_000L;
 
   private final RevisionLog log;
@@ -93,7 +96,8 @@
     if (applying != null && !overdueReported && nowNanos - applyingSinceNanos > OVERDUE_NANOS) {
       overdueReported = true;
       host.alarm(
-          nowNanos, "revision " + applying.number() + " is neither in force nor refused after 30 s");
+          nowNanos,
+          "revision " + applying.number() + " is neither in force nor refused after 30 s");
     }
   }
 
--- a/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
@@ -40,7 +40,9 @@
   private final PeerTable peers;
   private final PeerMessenger messenger;
   private final NoticeSender notices;
-  private final TreeMap<String, PendingQuery> pendingQueries = new TreeMap<>(); // by name of the peer
+  /** By name of the peer. */
+  private final TreeMap<String, PendingQuery> pendingQueries = new TreeMap<>();
+
   private long nextExchangeAtNanos;
 
   RevisionAntiEntropy(
@@ -88,14 +90,17 @@
         && pendingQueries.size() < MAX_PENDING_QUERIES
         && !peers.backoff().isBackedOff(nowNanos, peer.name())
         && messenger.send(nowNanos, peer, WANT_NEWEST)) {
-      pendingQueries.put(peer.name(), new PendingQuery(claimedNumber, nowNanos + ANSWER_TIMEOUT_NANOS));
+      pendingQueries.put(
+          peer.name(), new PendingQuery(claimedNumber, nowNanos + ANSWER_TIMEOUT_NANOS));
     }
   }
 
   /** Handles a notice of a peer; returns the number that its pending query was for, if any. */
   OptionalLong onAnswer(Peer sender) {
     PendingQuery pendingQuery = pendingQueries.remove(sender.name());
-    return pendingQuery == null ? OptionalLong.empty() : OptionalLong.of(pendingQuery.claimedNumber);
+    return pendingQuery == null
+        ? OptionalLong.empty()
+        : OptionalLong.of(pendingQuery.claimedNumber);
   }
 
   /** Drops the pending queries after a process pause: their peers are not penalized. */
--- a/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionDissemination.java
@@ -12,8 +12,8 @@
 /**
  * Disseminates configuration revisions to all members with an epidemic protocol; each member runs
  * one instance. It receives a revision, verifies its proof, fetches its document, passes it to the
- * host, announces it to other members, and reports where it is in force. At an issuer, the consensus
- * node adds the chosen revisions. This class dispatches events to its parts:
+ * host, announces it to other members, and reports where it is in force. At an issuer, the
+ * consensus node adds the chosen revisions. This class dispatches events to its parts:
  *
  * <ul>
  *   <li>{@link EagerPush} announces a revision once its document is held;
@@ -115,8 +115,8 @@
   // ---- Messages ----
 
   /**
-   * Handles messages of an authenticated member. Messages of the consensus among issuers are ignored
-   * here; {@link ConsensusNode} handles them.
+   * Handles messages of an authenticated member. Messages of the consensus among issuers are
+   * ignored here; {@link ConsensusNode} handles them.
    */
   public void receive(long nowNanos, Peer from, List<RevisionMessage> messages) {
     if (from.name().equals(self.name())) {
--- a/decisions/src/main/java/reachloom/revision/RevisionLog.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionLog.java
@@ -161,10 +161,16 @@
     return Optional.empty();
   }
 
-  /** Returns the revision with that number and fingerprint if its document is held; fingerprint 0 matches any. */
+  /**
+   * Returns the revision with that number and fingerprint if its document is held; fingerprint 0
+   * matches any.
+   */
   Optional<Entry> withDocument(long number, long fingerprint) {
     Entry entry = entries.get(number);
-    boolean matches = entry != null && entry.hasDocument() && (fingerprint == 0 || fingerprint == entry.fingerprint);
+    boolean matches =
+        entry != null
+            && entry.hasDocument()
+            && (fingerprint == 0 || fingerprint == entry.fingerprint);
     return matches ? Optional.of(entry) : Optional.empty();
   }
 
@@ -174,8 +180,8 @@
   }
 
   /**
-   * Records that a revision passed to the host is in force now. It is added again if newer ones have
-   * displaced it meanwhile.
+   * Records that a revision passed to the host is in force now. It is added again if newer ones
+   * have displaced it meanwhile.
    */
   void setInForce(Entry entry) {
     inForce = entry;
--- a/decisions/src/main/java/reachloom/revision/RevisionMessage.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionMessage.java
@@ -76,8 +76,8 @@
    * @param number the requested revision; 0 to request only the newest {@link Notice}
    * @param base the newest revision whose document the sender holds, as the base of a delta; 0 to
    *     request the whole document
-   * @param baseFingerprint the fingerprint of the base; with base 0 that of the requested revision itself, since
-   *     two issuers may have proposals with the same number
+   * @param baseFingerprint the fingerprint of the base; with base 0 that of the requested revision
+   *     itself, since two issuers may have proposals with the same number
    * @param from the index of the first requested chunk
    */
   record Want(long number, long base, long baseFingerprint, int from) implements RevisionMessage {
--- a/decisions/src/main/java/reachloom/revision/TransferQueue.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -9,8 +9,9 @@
 /**
  * Sends the documents and deltas that other members have requested, chunk by chunk as far as the
  * byte budget of the current second allows. Transfers are served in order of request, each for its
- * whole window. There is one transfer per member, and a limit of chunks per second and member. Times
- * are nanoseconds of the clock that the caller passes in; confined to the thread of {@link RevisionDissemination}.
+ * whole window. There is one transfer per member, and a limit of chunks per second and member.
+ * Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
+ * RevisionDissemination}.
  */
 final class TransferQueue {
   /** The chunks that answer one request. */
--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -76,7 +76,10 @@
       List<ProposalResult> one = net.node(1).propose("one");
       List<ProposalResult> two = net.node(2).propose("two");
       assertTrue(
-          net.await(20 * SECOND, () -> hasFinalResult(one) && hasFinalResult(two) && net.hasConverged()), "seed " + seed);
+          net.await(
+              20 * SECOND,
+              () -> hasFinalResult(one) && hasFinalResult(two) && net.hasConverged()),
+          "seed " + seed);
       assertConsistent(net, "one", one);
       assertConsistent(net, "two", two);
       assertEquals(Kind.ISSUED, lastKind(one), "seed " + seed);
@@ -98,7 +101,9 @@
       }
       assertTrue(
           net.await(
-              20 * SECOND, () -> all.stream().allMatch(ConsensusNodeTest::hasFinalResult) && net.hasConverged()));
+              20 * SECOND,
+              () ->
+                  all.stream().allMatch(ConsensusNodeTest::hasFinalResult) && net.hasConverged()));
       for (int i = 0; i < 10; i++) {
         assertConsistent(net, "document " + i, all.get(i));
       }
@@ -120,7 +125,8 @@
       net.node(1).crash();
       boolean decided = net.log.containsKey(1L);
       List<ProposalResult> next = net.node(2).propose("next");
-      assertTrue(net.await(20 * SECOND, () -> hasFinalResult(next) && net.hasConverged()), "seed " + seed);
+      assertTrue(
+          net.await(20 * SECOND, () -> hasFinalResult(next) && net.hasConverged()), "seed " + seed);
       assertEquals(Kind.ISSUED, lastKind(next), "seed " + seed);
       assertConsistent(net, "next", next);
       assertEquals("next", net.node(3).document(), "seed " + seed);
@@ -159,7 +165,9 @@
     SimulatedIssuers net = new SimulatedIssuers(3, 1);
     net.node(1).suppressed = message -> message instanceof RevisionMessage.Notice;
     net.node(3).suppressed =
-        message -> message instanceof RevisionMessage.Accepted || message instanceof RevisionMessage.Promise;
+        message ->
+            message instanceof RevisionMessage.Accepted
+                || message instanceof RevisionMessage.Promise;
     net.node(2).suppressed = message -> message instanceof RevisionMessage.Accepted;
     net.node(1).propose("half");
     assertTrue(net.await(SECOND, () -> net.node(2).disk.state.accepted().isPresent()));
@@ -191,7 +199,8 @@
                       >= 3));
       net.node(1).crash();
       net.nodes.values().forEach(n -> n.suppressed = message -> false);
-      assertTrue(net.await(8 * SECOND, () -> net.log.size() == 1 && net.hasConverged()), "seed " + seed);
+      assertTrue(
+          net.await(8 * SECOND, () -> net.log.size() == 1 && net.hasConverged()), "seed " + seed);
       assertEquals("half", net.node(4).document());
       net.advance(10 * SECOND);
       assertEquals(1, net.log.size());
@@ -223,7 +232,9 @@
   @Test
   void withdrawsWaitingDocumentAfterPause() {
     SimulatedIssuers net = new SimulatedIssuers(5, 1);
-    net.nodes.values().forEach(n -> n.suppressed = message -> message instanceof RevisionMessage.Promise);
+    net.nodes
+        .values()
+        .forEach(n -> n.suppressed = message -> message instanceof RevisionMessage.Promise);
     List<ProposalResult> old = net.node(1).propose("old");
     net.advance(100 * MILLISECOND);
     net.pause(1);
@@ -408,7 +419,8 @@
         .receive(
             net.now,
             c2,
-            List.of(new RevisionMessage.Accepted(state.accepted().orElseThrow().ballot(), 1, forged)));
+            List.of(
+                new RevisionMessage.Accepted(state.accepted().orElseThrow().ballot(), 1, forged)));
     assertEquals(0, net.log.size());
     byte[] chain =
         new Acceptor("c2", signatures(), net.node(2).disk)
@@ -427,7 +439,8 @@
         .receive(
             net.now,
             c2,
-            List.of(new RevisionMessage.Accepted(state.accepted().orElseThrow().ballot(), 1, vote)));
+            List.of(
+                new RevisionMessage.Accepted(state.accepted().orElseThrow().ballot(), 1, vote)));
     assertEquals(1, net.log.size());
   }
 
@@ -469,7 +482,8 @@
           net.nodes.values().stream().filter(n -> n.disk.mayVote()).findFirst().orElseThrow();
       List<ProposalResult> end = voting.propose("the end");
       assertTrue(
-          net.await(20 * SECOND, () -> lastKind(end) == Kind.ISSUED && net.hasConverged()), "seed " + seed);
+          net.await(20 * SECOND, () -> lastKind(end) == Kind.ISSUED && net.hasConverged()),
+          "seed " + seed);
     }
     assertTrue(resumedVoting > LONG_SEEDS / 8, resumedVoting + " issuers resumed voting");
   }
@@ -528,12 +542,16 @@
         acceptor.propose(new RevisionMessage.Propose(same, revision), "c2", document("lox")),
         "no vote for another document");
     RevisionMessage answer =
-        acceptor.propose(new RevisionMessage.Propose(same, revision), "c2", document("low")).orElseThrow();
+        acceptor
+            .propose(new RevisionMessage.Propose(same, revision), "c2", document("low"))
+            .orElseThrow();
     assertEquals(same, ((RevisionMessage.Accepted) answer).ballot());
     assertEquals(
         Optional.empty(),
         acceptor.propose(
-            new RevisionMessage.Propose(same, addProposal(net.node(1), "two")), "c2", document("two")),
+            new RevisionMessage.Propose(same, addProposal(net.node(1), "two")),
+            "c2",
+            document("two")),
         "no vote for a second revision under one ballot");
     Revision third = new Revision(3, revision.chain(), revision.digest(), revision.size(), 1, "c2");
     assertEquals(
@@ -560,10 +578,14 @@
       List<ProposalResult> first = net.node(1).propose(one);
       List<ProposalResult> second = net.node(2).propose(two);
       assertTrue(
-          net.await(30 * SECOND, () -> hasFinalResult(first) && hasFinalResult(second) && net.hasConverged()), "seed " + seed);
+          net.await(
+              30 * SECOND,
+              () -> hasFinalResult(first) && hasFinalResult(second) && net.hasConverged()),
+          "seed " + seed);
       assertConsistent(net, one, first);
       assertConsistent(net, two, second);
-      issued += (lastKind(first) == Kind.ISSUED ? 1 : 0) + (lastKind(second) == Kind.ISSUED ? 1 : 0);
+      issued +=
+          (lastKind(first) == Kind.ISSUED ? 1 : 0) + (lastKind(second) == Kind.ISSUED ? 1 : 0);
       net.node(1).crash();
       net.node(1).start();
       assertTrue(net.await(10 * SECOND, net::hasConverged), "seed " + seed);
--- a/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
+++ b/decisions/src/test/java/reachloom/revision/RevisionLogTest.java
@@ -42,7 +42,10 @@
         "64 KiB of documents");
     assertEquals(99, log.newestWithDocumentBelow(100).orElseThrow().number());
     long otherFingerprint = log.get(100).orElseThrow().fingerprint() + 1;
-    assertEquals(Optional.empty(), log.withDocument(100, otherFingerprint), "another revision with that number");
+    assertEquals(
+        Optional.empty(),
+        log.withDocument(100, otherFingerprint),
+        "another revision with that number");
   }
 
   @Test
@@ -57,9 +60,14 @@
     assertEquals(Classification.OLDER, log.classify(one));
     assertEquals(Classification.FORK, log.classify(other), "the held revision does not follow it");
     assertEquals(Classification.FORK, log.classify(afterOther), "the same number");
-    assertEquals(Classification.FORK, log.classify(next(afterOther, 7)), "does not follow the held revision");
     assertEquals(
-        Classification.NEWER, log.classify(next(next(two, 3), 4)), "the revision before it is not known");
+        Classification.FORK,
+        log.classify(next(afterOther, 7)),
+        "does not follow the held revision");
+    assertEquals(
+        Classification.NEWER,
+        log.classify(next(next(two, 3), 4)),
+        "the revision before it is not known");
     Revision farOther = next(afterOther, 7);
     log.addFork(farOther);
     assertEquals(Classification.FORK, log.classify(next(farOther, 6)), "after a fork");
--- a/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedIssuers.java
@@ -179,7 +179,12 @@
         nodes.values().stream()
             .filter(n -> n != this)
             .forEach(
-                n -> send(now, n.name, 0, List.of(new RevisionMessage.Have(heldNumber(), 0, heldNumber()))));
+                n ->
+                    send(
+                        now,
+                        n.name,
+                        0,
+                        List.of(new RevisionMessage.Have(heldNumber(), 0, heldNumber()))));
       }
     }
 
@@ -211,12 +216,16 @@
     private void onNotice(RevisionMessage.Notice notice) {
       long validVotes =
           notice.votes().stream()
-              .filter(v -> new FakeSignatures("").verify(v.issuer(), notice.revision().chain(), v.signature()))
+              .filter(
+                  v ->
+                      new FakeSignatures("")
+                          .verify(v.issuer(), notice.revision().chain(), v.signature()))
               .map(Vote::issuer)
               .distinct()
               .filter(nodes::containsKey)
               .count();
-      assertTrue(validVotes >= ConsensusNode.quorum(nodes.size()), "a notice without a valid proof");
+      assertTrue(
+          validVotes >= ConsensusNode.quorum(nodes.size()), "a notice without a valid proof");
       recordProved(notice.revision());
       if (notice.revision().number() > number()) {
         newest = notice;
@@ -261,7 +270,8 @@
     }
 
     @Override
-    public void fetchProposal(long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted) {
+    public void fetchProposal(
+        long nowNanos, Revision revision, Peer from, Consumer<Optional<byte[]>> onCompleted) {
       Node holder = nodes.get(from.name());
       int startIncarnation = incarnation;
       boolean[] done = new boolean[1];
@@ -273,7 +283,9 @@
               onCompleted.accept(got);
             }
           };
-      for (long afterNanos = 0; afterNanos < FETCH_TIMEOUT_NANOS; afterNanos += FETCH_TIMEOUT_NANOS / FETCH_ATTEMPTS) {
+      for (long afterNanos = 0;
+          afterNanos < FETCH_TIMEOUT_NANOS;
+          afterNanos += FETCH_TIMEOUT_NANOS / FETCH_ATTEMPTS) {
         schedule(
             afterNanos,
             () -> {
@@ -403,7 +415,8 @@
     int incarnation = to.incarnation;
     for (int i = random.nextDouble() < duplicationRate ? 2 : 1; i > 0; i--) {
       if (!cut && random.nextDouble() >= lossRate) {
-        schedule(delayNanos / 2 + random.nextLong(delayNanos), () -> deliver(to, incarnation, action));
+        schedule(
+            delayNanos / 2 + random.nextLong(delayNanos), () -> deliver(to, incarnation, action));
       }
     }
   }
@@ -413,7 +426,9 @@
       return;
     }
     if (to.paused) {
-      waiting.computeIfAbsent(to.name, n -> new ArrayList<>()).add(() -> deliver(to, incarnation, action));
+      waiting
+          .computeIfAbsent(to.name, n -> new ArrayList<>())
+          .add(() -> deliver(to, incarnation, action));
     } else {
       action.run();
     }
--- a/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
+++ b/decisions/src/test/java/reachloom/revision/SimulatedNetwork.java
@@ -13,9 +13,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Members and issuers on a simulated network with a simulated clock. The test controls which members
- * are present; packets count against a budget of bytes per second; the same seed results in the same
- * run.
+ * Members and issuers on a simulated network with a simulated clock. The test controls which
+ * members are present; packets count against a budget of bytes per second; the same seed results in
+ * the same run.
  */
 final class SimulatedNetwork {
   static final long MILLISECOND = 1_000_000; // nanoseconds
@@ -288,7 +288,9 @@
           now,
           () -> {
             presenceUpdateScheduled = false;
-            nodes.stream().filter(n -> n.up).forEach(n -> n.dissemination.setPeers(presentPeers(n)));
+            nodes.stream()
+                .filter(n -> n.up)
+                .forEach(n -> n.dissemination.setPeers(presentPeers(n)));
           });
     }
   }
@@ -335,7 +337,8 @@
     RevisionMessage.Notice notice = certify(before, document);
     for (int i = 0; i < issuers.size(); i++) {
       Node acceptor = nodes.get(i);
-      if (i == by || acceptor.up && !cut.test(proposer, acceptor)) { // an acceptor holds the document
+      // An acceptor holds the document.
+      if (i == by || acceptor.up && !cut.test(proposer, acceptor)) {
         acceptor.dissemination.addProposal(notice.revision(), document);
       }
     }
@@ -353,8 +356,8 @@
   }
 
   /**
-   * Returns for each member the seconds from {@code sinceNanos} until that revision, or a newer one,
-   * was in force; sorted; -1 for never.
+   * Returns for each member the seconds from {@code sinceNanos} until that revision, or a newer
+   * one, was in force; sorted; -1 for never.
    */
   double[] secondsUntilInForce(long sinceNanos, long number) {
     return members().stream()
