--- a/decisions/src/main/java/reachloom/revision/ChunkServer.java
+++ b/decisions/src/main/java/reachloom/revision/ChunkServer.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Answers requests of other members: for the newest notice, and for the chunks of a document or of
- * a delta. Documents of proposals are given to issuers only. Times are nanoseconds of the clock
- * handed in; confined to the thread of {@link RevisionDissemination}.
+ * Answers requests of other members for the newest notice, and for the chunks of a document or of a
+ * delta. Documents of proposals are sent only to issuers. Times are nanoseconds of the clock that
+ * the caller passes in; confined to the thread of {@link RevisionDissemination}.
  */
 final class ChunkServer {
   private final RevisionLog log;
@@ -30,7 +30,7 @@
   /** Queues the answer to a request. */
   void onRequest(long nowNanos, Peer from, RevisionMessage.Want request) {
     if (request.number() == 0) {
-      // What was announced before may have been lost.
+      // An earlier announcement may have been lost.
       notices.enqueue(nowNanos, from, EagerPush.ROUND_INTERVAL_NANOS);
       return;
     }
@@ -45,19 +45,19 @@
   private Optional<byte[]> find(Peer from, RevisionMessage.Want request) {
     boolean whole = request.base() == 0;
     Optional<byte[]> proved =
-        log.withDocument(request.number(), whole ? request.baseMark() : 0)
+        log.withDocument(request.number(), whole ? request.baseFingerprint() : 0)
             .map(RevisionLog.Entry::document);
     if (proved.isPresent() || !whole || !peers.isIssuer(from.name())) {
       return proved;
     }
-    return proposals.document(request.number(), request.baseMark());
+    return proposals.document(request.number(), request.baseFingerprint());
   }
 
   private void queue(long nowNanos, Peer from, RevisionMessage.Want request, byte[] document) {
     Optional<byte[]> delta =
         request.base() == 0
             ? Optional.empty()
-            : log.withDocument(request.base(), request.baseMark())
+            : log.withDocument(request.base(), request.baseFingerprint())
                 .map(base -> Delta.encode(base.document(), document))
                 .filter(encoded -> encoded.length < document.length);
     transfers.add(
--- a/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
+++ b/decisions/src/main/java/reachloom/revision/DisseminationStatus.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The status lines of {@link RevisionDissemination}: printable ASCII, for operators. */
+/**
+ * Formats the status lines of {@link RevisionDissemination} as printable ASCII. A member sends them
+ * in datagrams; their texts are part of the status protocol and must not change.
+ */
 final class DisseminationStatus {
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -29,7 +32,7 @@
     this.tracker = tracker;
   }
 
-  /** All lines, in a fixed order. */
+  /** Returns all lines in a fixed order. */
   List<String> lines(long nowNanos) {
     List<String> lines = new ArrayList<>();
     lines.add(summaryLine(nowNanos));
@@ -51,15 +54,17 @@
   private String summaryLine(long nowNanos) {
     String since =
         log.newest().isEmpty() ? "" : " since " + seconds(nowNanos - log.newestSinceNanos());
-    String heard =
-        peers.hasHeardIssuer() ? seconds(nowNanos - peers.issuerHeardAtNanos()) + " ago" : "never";
+    String issuerMessageAge =
+        peers.hasIssuerMessage()
+            ? seconds(nowNanos - peers.lastIssuerMessageAtNanos()) + " ago"
+            : "never";
     return "revision "
         + log.have().inForce()
         + " in force, newest known "
         + log.newestNumber()
         + since
         + ", issuers heard "
-        + heard;
+        + issuerMessageAge;
   }
 
   private static String forkLine(Revision fork) {
--- a/decisions/src/test/java/reachloom/revision/DeltaTest.java
+++ b/decisions/src/test/java/reachloom/revision/DeltaTest.java
@@ -12,7 +12,7 @@
 /** Deltas between documents. */
 class DeltaTest {
   @Test
-  void appliedToTheBaseItGivesTheTarget() {
+  void encodedDeltaRestoresTarget() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 2_000; i++) {
       byte[] base = new byte[random.nextInt(40)];
@@ -28,11 +28,12 @@
     assertArrayEquals(longer, Delta.apply(repetitive, Delta.encode(repetitive, longer)));
     byte[] one = SimulatedNetwork.document(9_000, 1);
     byte[] other = SimulatedNetwork.document(9_000, 2);
+    // 8 bytes of lengths, and the one byte in which the documents differ
     assertEquals(9, Delta.encode(one, other).length);
   }
 
   @Test
-  void malformedDeltaGivesNothing() {
+  void malformedDeltaReturnsNull() {
     byte[] base = new byte[100];
     assertNull(Delta.apply(base, new byte[7]));
     int[][] malformed = {
