--- a/decisions/src/main/java/reachloom/membership/AntiEntropySync.java
+++ b/decisions/src/main/java/reachloom/membership/AntiEntropySync.java
@@ -10,16 +10,21 @@
 import reachloom.membership.BandwidthLimiter.Purpose;
 
 /**
- * Brings the member tables of two nodes together: a node sends digests of what it holds, the other
- * answers with the members that differ or are missing. Rounds that bring nothing new come less and
- * less often. Confined to the thread that calls {@link MembershipService}.
+ * Synchronizes the member tables of two nodes (anti-entropy): a node sends digests of its members,
+ * and the responder returns the members that differ or are missing. The interval grows with each
+ * round that finds no difference. Confined to the thread that calls {@link MembershipService}.
  */
 final class AntiEntropySync {
-  private static final int MAX_INTERVAL_PERIODS = 12; // between two rounds, on average
-  private static final int CROWD = 3; // newcomers after which tables are compared soon
-  private static final int FOLLOW_UP_SHARE = 10; // of a period at least until the next request
+    private static final int MAX_INTERVAL_PERIODS = 12; // mean interval between two rounds
+
+  /** Members added since the last request after which the next request is brought forward. */
+  private static final int EARLY_SYNC_NEW_MEMBERS = 3;
+
+  /** The period divided by this is the minimum delay of a follow-up request. */
+  private static final int FOLLOW_UP_DELAY_DIVISOR = 10;
+
   private static final int DIGEST_BYTES = 2;
-  private static final int MAX_NAME_BYTES = 33; // of a name on the wire
+  private static final int MAX_NAME_BYTES = 33; // encoded length of a member's name
 
   private final long periodNanos;
   private final MemberTable members;
@@ -27,23 +32,23 @@
   private final SplittableRandom random;
   private long nextSyncAtNanos;
 
-  /** The name up to which the last request told of the table; empty at its start. */
-  private String syncedUpTo = "";
+  /** The last member name covered by the previous request; empty to start with the first member. */
+  private String lastRequestedName = "";
 
-  /** Whether the last response brought something new, or left something out. */
+  /** Whether the last response contained new members, or was truncated. */
   private boolean incomplete;
 
-  /** The member that left something out of its last response; null for none. */
-  private Member unfinishedResponder;
+  /** The member whose last response was truncated; null for none. */
+  private Member truncatedResponder;
 
-  /** Whether a request is out that has not been answered. */
-  private boolean requested;
+  /** Whether a request is waiting for its response. */
+  private boolean requestPending;
 
-  /** Rounds in a row that brought nothing new. */
-  private int quietRounds;
+  /** Consecutive rounds that found no difference. */
+  private int unchangedRounds;
 
-  /** Members that have come since the last request. */
-  private int newcomers;
+  /** Members added since the last request. */
+  private int newMembers;
 
   AntiEntropySync(
       long nowNanos,
@@ -58,56 +63,59 @@
     nextSyncAtNanos = nowNanos + random.nextLong(periodNanos);
   }
 
-  /** A member has been added: where many come, there are more than updates can tell of in time. */
+  /**
+   * Counts an added member. When many join at once, updates alone do not spread them in time, so
+   * the next request is brought forward.
+   */
   void onMemberAdded(long nowNanos) {
-    if (++newcomers >= CROWD) {
-      quietRounds = 0;
-      advanceTo(nowNanos + periodNanos / 2 + random.nextLong(periodNanos));
+        if (++newMembers >= EARLY_SYNC_NEW_MEMBERS) {
+      unchangedRounds = 0;
+      scheduleNoLaterThan(nowNanos + periodNanos / 2 + random.nextLong(periodNanos));
     }
   }
 
-  private void advanceTo(long atNanos) {
+    private void scheduleNoLaterThan(long atNanos) {
     nextSyncAtNanos = Math.min(nextSyncAtNanos, atNanos);
   }
 
   /**
-   * Asks a member drawn by chance for what it holds and this node does not, when it is time to. A
-   * member that has more to tell is asked again: it needs no certificate any more, and knows what
-   * it told.
+   * Sends a request to a random member when the next round is due. A member whose last response was
+   * truncated is requested again: requests to it no longer need to carry a certificate, and it
+   * holds the members that it left out.
    */
   void tick(long nowNanos) {
     if (nowNanos < nextSyncAtNanos || members.presentCount() == 0) {
       return;
     }
-    boolean askAgain =
-        incomplete && unfinishedResponder != null && unfinishedResponder.state == MemberState.ALIVE;
-    List<Member> drawn = askAgain ? List.of(unfinishedResponder) : members.drawAlive(1);
+        boolean followUp =
+        incomplete && truncatedResponder != null && truncatedResponder.state == MemberState.ALIVE;
+    List<Member> drawn = followUp ? List.of(truncatedResponder) : members.drawAlive(1);
     if (!drawn.isEmpty()) {
-      unfinishedResponder = null;
+      truncatedResponder = null;
       request(nowNanos, drawn.get(0));
     }
   }
 
   private void request(long nowNanos, Member responder) {
     int salt = random.nextInt();
-    MembershipMessage empty = new MembershipMessage.SyncRequest(syncedUpTo, "", salt, List.of());
+    MembershipMessage empty = new MembershipMessage.SyncRequest(lastRequestedName, "", salt, List.of());
     int bytes = messenger.messageBytes(responder, empty) + MAX_NAME_BYTES;
     if (!messenger.hasRoom(nowNanos, Purpose.SYNC, bytes)) {
       nextSyncAtNanos = nowNanos + random.nextLong(periodNanos);
       return;
     }
     int maxDigests = (messenger.maxSyncBytes(nowNanos, bytes) - bytes) / DIGEST_BYTES;
-    MembershipMessage.SyncRequest request = digestsFrom(syncedUpTo, salt, maxDigests);
-    messenger.sendAlone(nowNanos, responder, request, 0);
-    syncedUpTo = request.lastName();
-    requested = true;
-    newcomers = 0;
+    MembershipMessage.SyncRequest request = digestsFrom(lastRequestedName, salt, maxDigests);
+    messenger.sendWithoutQueuedUpdates(nowNanos, responder, request, 0);
+    lastRequestedName = request.lastName();
+        requestPending = true;
+    newMembers = 0;
     scheduleNext(nowNanos, request.lastName().isEmpty());
   }
 
   /**
-   * A request with the digests of the members after that name. Where the table is too large for one
-   * request, the next one goes on behind its last name.
+   * Returns a request with the digests of the members whose names follow {@code afterName}. If the
+   * table is too large for one request, the next request continues after its last name.
    */
   private MembershipMessage.SyncRequest digestsFrom(String afterName, int salt, int maxDigests) {
     List<Integer> digests = new ArrayList<>();
@@ -119,35 +127,35 @@
       digests.add(MemberDigest.of(salt, member));
       lastName = member.name();
     }
-    boolean toTheEnd = lastName.isEmpty() || members.isLast(lastName);
-    return new MembershipMessage.SyncRequest(afterName, toTheEnd ? "" : lastName, salt, digests);
+        boolean reachesEnd = lastName.isEmpty() || members.isLast(lastName);
+    return new MembershipMessage.SyncRequest(afterName, reachesEnd ? "" : lastName, salt, digests);
   }
 
-  /** Without a response, too, there will be other rounds. */
-  private void scheduleNext(long nowNanos, boolean toTheEnd) {
+  /** Schedules the next round, which takes place even if the pending request gets no response. */
+  private void scheduleNext(long nowNanos, boolean reachesEnd) {
     if (incomplete) {
-      quietRounds = 0;
-    } else if (toTheEnd) {
-      quietRounds++;
+      unchangedRounds = 0;
+    } else if (reachesEnd) {
+      unchangedRounds++;
     }
-    long pauseNanos = Math.min(MAX_INTERVAL_PERIODS, 1L + quietRounds) * periodNanos;
-    nextSyncAtNanos = nowNanos + pauseNanos / 2 + random.nextLong(pauseNanos);
+    long intervalNanos = Math.min(MAX_INTERVAL_PERIODS, 1L + unchangedRounds) * periodNanos;
+    nextSyncAtNanos = nowNanos + intervalNanos / 2 + random.nextLong(intervalNanos);
   }
 
-  /** A member asks for what this node holds and it does not. */
+  /** Responds to a member's request with the members of this node's table that differ. */
   void onRequest(long nowNanos, Member requester, MembershipMessage.SyncRequest request) {
     MembershipMessage empty = new MembershipMessage.SyncResponse(false, List.of());
     int bytes = messenger.messageBytes(requester, empty);
     if (messenger.hasRoom(nowNanos, Purpose.SYNC, bytes)) {
       int maxBytes = messenger.maxSyncBytes(nowNanos, bytes);
       MembershipMessage response = differences(request, maxBytes - bytes);
-      messenger.sendAlone(nowNanos, requester, response, maxBytes);
+      messenger.sendWithoutQueuedUpdates(nowNanos, requester, response, maxBytes);
     }
   }
 
   /**
-   * The members in the requested range whose digests the requester does not have; absent ones are
-   * for each node to detect by itself.
+   * Returns the present members in the requested range whose digests are not in the request. Absent
+   * members are left out: each node detects failures by itself.
    */
   private MembershipMessage.SyncResponse differences(
       MembershipMessage.SyncRequest request, int maxBytes) {
@@ -161,48 +169,50 @@
         differing.add(member);
       }
     }
-    if (!differing.isEmpty()) { // not the same ones to each requester
+    if (!differing.isEmpty()) { // a truncated response starts at a different member each time
       Collections.rotate(differing, random.nextInt(differing.size()));
     }
     return response(differing, maxBytes);
   }
 
   private MembershipMessage.SyncResponse response(List<Member> differing, int maxBytes) {
-    List<MembershipUpdate> told = new ArrayList<>();
-    int leftBytes = maxBytes;
+        List<MembershipUpdate> included = new ArrayList<>();
+    int remainingBytes = maxBytes;
     for (Member member : differing) {
       MembershipUpdate update = member.toUpdate();
       int updateBytes = messenger.updateBytes(update);
-      if (updateBytes > leftBytes) {
-        return new MembershipMessage.SyncResponse(true, told);
+            if (updateBytes > remainingBytes) {
+        return new MembershipMessage.SyncResponse(true, included);
       }
-      told.add(update);
-      leftBytes -= updateBytes;
+      included.add(update);
+      remainingBytes -= updateBytes;
     }
-    return new MembershipMessage.SyncResponse(false, told);
+    return new MembershipMessage.SyncResponse(false, included);
   }
 
   /**
-   * A part of a member's table has come, as a response or as a welcome; {@code apply} takes its
-   * updates in.
+   * Handles members of another node's table, received as a response to a request or as a welcome
+   * message.
    *
-   * @return whether the tables agree as far as this node can tell
+   * @param apply processes one update
+   * @return whether the tables agree as far as this node knows
    */
   boolean onResponse(
       long nowNanos,
       Member responder,
       MembershipMessage.SyncResponse response,
       Consumer<MembershipUpdate> apply) {
-    int heldBefore = members.heldCount();
+        int countBefore = members.storedCount();
     response.updates().forEach(apply);
-    boolean broughtNewMembers = members.heldCount() > heldBefore;
-    // Where something was new, there is more.
-    incomplete = response.truncated() || !requested || broughtNewMembers;
-    unfinishedResponder = response.truncated() ? responder : null;
+    boolean addedMembers = members.storedCount() > countBefore;
+    // A response with new members suggests that more members are still unknown.
+    incomplete = response.truncated() || !requestPending || addedMembers;
+    truncatedResponder = response.truncated() ? responder : null;
     if (incomplete) {
-      advanceTo(nowNanos + periodNanos / FOLLOW_UP_SHARE + random.nextLong(periodNanos / 2));
+            long minDelayNanos = periodNanos / FOLLOW_UP_DELAY_DIVISOR;
+      scheduleNoLaterThan(nowNanos + minDelayNanos + random.nextLong(periodNanos / 2));
     }
-    requested = false;
+    requestPending = false;
     return !incomplete;
   }
 }
--- a/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -3,25 +3,25 @@
 import reachloom.scheduler.state.SlidingWindowSum;
 
 /**
- * Keeps what is sent within a limit in each second, wherever the second begins. What matters less
- * may fill less of it, so that the failure detector has room when joins, updates and peer reports
- * would take all. Not thread-safe.
+ * Limits the bytes sent within any sliding window of one second. Each purpose may use the limit up
+ * to its own share, so that the failure detector keeps bandwidth when joins, updates and peer
+ * reports would use all of it. Not thread-safe.
  */
 public final class BandwidthLimiter {
-  /** What a datagram is sent for. */
+  /** The purpose that a datagram is sent for, which determines its share of the limit. */
   public enum Purpose {
-    /** To detect failures. */
+    /** Detects failures. */
     PROBE(1),
-    /** To let a node join that knows nobody yet. */
+    /** Sends members to a joining node that knows no member yet. */
     WELCOME(0.95),
-    /** To answer the pings of others. */
+    /** Replies to pings, ping requests and status requests. */
     ANSWER(0.9),
-    /** To pass on the configuration: it may fill what the failure detector leaves. */
+    /** Disseminates the configuration, which may use what the failure detector leaves. */
     REVISION(0.85),
-    /** To bring tables together, and to ping seeds. */
+    /** Synchronizes member tables, and pings seeds. */
     SYNC(0.75);
 
-    /** The share of the limit up to which it is sent. */
+    /** The share of the limit up to which datagrams of this purpose are sent. */
     private final double share;
 
     Purpose(double share) {
@@ -30,59 +30,69 @@
   }
 
   /**
-   * Updates and peer reports beside messages get that share of their own, whatever the messages
-   * take: a node that is pinged by many knows most of what is new, and would else be the last to
-   * tell.
+   * The share reserved for piggybacked updates and peer reports, whatever the messages use. A node
+   * that is pinged by many others knows most of the new updates, and without its own share would be
+   * the last to disseminate them.
    */
   private static final double PIGGYBACK_SHARE = 0.25;
 
-  /** ... but never the last of the limit. */
+  /** The share of the limit above which nothing is piggybacked. */
   private static final double MAX_SHARE_WITH_PIGGYBACK = 0.8;
 
-  /** One packet carries up to that share, so that the next ones have something to carry, too. */
+  /**
+   * The share that one packet may carry, so that the following packets can carry updates as well.
+   */
   private static final double PACKET_PIGGYBACK_SHARE = 0.1;
 
   private static final long SECOND_NANOS = 1_000_000_000;
 
-  private final int maxBytesPerSecond;
+   private final int maxBytesPerSecond;
   private final SlidingWindowSum sentBytes = new SlidingWindowSum(SECOND_NANOS);
   private final SlidingWindowSum piggybackBytes = new SlidingWindowSum(SECOND_NANOS);
 
-  /** A limiter that lets through that many bytes in each second. */
+  /** Creates a limiter that admits {@code maxBytesPerSecond} bytes in any second. */
   public BandwidthLimiter(int maxBytesPerSecond) {
     this.maxBytesPerSecond = maxBytesPerSecond;
   }
 
-  /** Whether a datagram of that size may go out now. */
+  /** Returns whether a datagram of that size may be sent now. */
   public boolean hasRoom(long nowNanos, Purpose purpose, int bytes) {
     return sentBytes.sum(nowNanos) + bytes <= maxBytesPerSecond * purpose.share;
   }
 
-  /** How large a datagram of that many bytes may grow by what rides on it, in bytes. */
+  /**
+   * Returns the maximum size, in bytes, of a datagram of {@code bytes} bytes with piggybacked
+   * updates and reports.
+   */
   public int maxWithPiggyback(long nowNanos, int bytes, int maxBytes) {
-    double left =
+        double remainingBytes =
         Math.min(
             maxBytesPerSecond * PIGGYBACK_SHARE - piggybackBytes.sum(nowNanos),
             maxBytesPerSecond * MAX_SHARE_WITH_PIGGYBACK - sentBytes.sum(nowNanos) - bytes);
-    return Math.max(bytes, (int) Math.min(maxBytes, bytes + Math.min(left, maxPiggybackBytes())));
+    return Math.max(bytes, (int) Math.min(maxBytes, bytes + Math.min(remainingBytes, maxPiggybackBytes())));
   }
 
-  /** How large a datagram may grow whose very purpose is what it carries, in bytes. */
+  /** Returns the maximum size, in bytes, of a datagram that is sent for the sake of its updates. */
   public int maxSyncBytes(long nowNanos, int bytes, int maxBytes) {
-    int left = (int) (maxBytesPerSecond * Purpose.SYNC.share - sentBytes.sum(nowNanos));
-    return Math.max(bytes, Math.min(maxBytes, left));
+        int remainingBytes = (int) (maxBytesPerSecond * Purpose.SYNC.share - sentBytes.sum(nowNanos));
+    return Math.max(bytes, Math.min(maxBytes, remainingBytes));
   }
 
-  /** What may ride on one packet, in bytes. */
+  /** Returns the maximum number of bytes that may be piggybacked on one packet. */
   public int maxPiggybackBytes() {
     return (int) (maxBytesPerSecond * PACKET_PIGGYBACK_SHARE);
   }
 
-  /** Records what went out, and how many bytes of it rode on a message. */
-  public void record(long nowNanos, int bytes, int ridingBytes) {
+  /**
+   * Records a datagram that was sent.
+   *
+   * @param bytes its size
+   * @param piggybackedBytes the part of its size that was piggybacked
+   */
+  public void record(long nowNanos, int bytes, int piggybackedBytes) {
     sentBytes.add(nowNanos, bytes);
-    if (ridingBytes > 0) {
-      piggybackBytes.add(nowNanos, ridingBytes);
+    if (piggybackedBytes > 0) {
+      piggybackBytes.add(nowNanos, piggybackedBytes);
     }
   }
 }
--- a/decisions/src/main/java/reachloom/membership/FailureDetector.java
+++ b/decisions/src/main/java/reachloom/membership/FailureDetector.java
@@ -8,17 +8,18 @@
 import reachloom.membership.BandwidthLimiter.Purpose;
 
 /**
- * The failure detector of SWIM (section 3.1): pings one member in each period, and has others ping
- * it where it does not acknowledge in time; with the timeouts and the negative acknowledgements of
- * Lifeguard. Confined to the thread that calls {@link MembershipService}.
+ * The failure detector of SWIM (section 3.1): pings one member per protocol period, and requests
+ * indirect pings from other members if it does not acknowledge in time; with the timeouts and the
+ * negative acknowledgements of Lifeguard. Confined to the thread that calls {@link
+ * MembershipService}.
  */
 final class FailureDetector {
-  private static final double DIRECT_PING_SHARE = 0.4; // of a period, for a member's own answer
-  private static final double RELAYED_PING_SHARE = 0.3; // ... and for a relay's answer on its way
-  private static final int RELAYS = 3; // k of SWIM: members that are asked to ping another
-  private static final int MAX_RELAYED_PINGS = 64; // that others have asked this node for
-  private static final int MAX_SUSPECTS_PINGED = 2; // of those that this node accuses, in a period
-  private static final int MAX_JOIN_PERIODS = 15; // after which a starting node pings in any case
+    private static final double DIRECT_PING_TIMEOUT_PERIODS = 0.4;
+  private static final double RELAYED_PING_TIMEOUT_PERIODS = 0.3; // for the target of a relay
+  private static final int RELAY_COUNT = 3; // k of SWIM: relays of an indirect ping
+  private static final int MAX_RELAYED_PINGS = 64; // pending pings on behalf of other members
+  private static final int MAX_ACCUSED_PINGS_PER_PERIOD = 2; // to members accused by this node
+  private static final int MAX_JOIN_PERIODS = 15; // after which a starting node pings regardless
 
   /** A ping that this node sends on behalf of another. */
   private record RelayedPing(
@@ -28,14 +29,14 @@
       String target,
       long deadlineNanos) {}
 
-  /** The ping of the present period that has not been acknowledged. */
+  /** The ping of the current period, not yet acknowledged. */
   private static final class PendingPing {
     private final Member target;
     private final long sequenceNumber;
     private long directDeadlineNanos;
     private long deadlineNanos;
     private boolean indirect;
-    private int relaysAsked;
+    private int relayCount;
     private int negativeAcks;
 
     PendingPing(Member target, long sequenceNumber, long directDeadlineNanos, long deadlineNanos) {
@@ -54,10 +55,10 @@
   private final LocalHealth health;
   private final SuspicionTracker suspicions;
   private final Map<Long, RelayedPing> relayedPings = new LinkedHashMap<>();
-  private PendingPing pending;
+   private PendingPing pending;
   private long nextPingAtNanos;
 
-  /** Until this node knows the members, it pings nobody. */
+  /** Whether pings are sent; false until this node knows the members. */
   private boolean enabled;
 
   FailureDetector(
@@ -79,21 +80,24 @@
     nextPingAtNanos = nowNanos + random.nextLong(periodNanos);
   }
 
-  /** The members are known: pings begin. */
+  /** Starts pinging, now that the members are known. */
   void enable() {
     enabled = true;
   }
 
-  /** Follows the ping that is out, and sends the next one when it is due. */
+  /** Checks the pending ping for timeouts, and sends the next ping when it is due. */
   void tick(long nowNanos) {
-    followPending(nowNanos);
+    checkPending(nowNanos);
     enabled |= nowNanos - startedAtNanos > MAX_JOIN_PERIODS * periodNanos;
     if (enabled && nowNanos >= nextPingAtNanos) {
       startPing(nowNanos);
     }
   }
 
-  /** This process stood still: an acknowledgement may wait on the socket, or have been dropped. */
+  /**
+   * Extends the deadlines of the pending ping after a pause of this process: an acknowledgement may
+   * wait on the socket, or have been dropped.
+   */
   void extendPending(long lateNanos) {
     if (pending != null) {
       pending.directDeadlineNanos += lateNanos + periodNanos;
@@ -101,16 +105,16 @@
     }
   }
 
-  private void followPending(long nowNanos) {
+  private void checkPending(long nowNanos) {
     if (pending == null) {
       return;
     }
     if (!pending.indirect && nowNanos >= pending.directDeadlineNanos) {
       pending.indirect = true;
-      pending.relaysAsked = pingThroughOthers(nowNanos, pending.target, pending.sequenceNumber);
+      pending.relayCount = pingIndirectly(nowNanos, pending.target, pending.sequenceNumber);
     }
     if (nowNanos >= pending.deadlineNanos) {
-      health.worsen(missingAnswers(pending));
+      health.worsen(missingReplies(pending));
       Member target = pending.target;
       pending = null;
       suspicions.onPingFailed(nowNanos, target);
@@ -118,38 +122,41 @@
   }
 
   /**
-   * Relays that sent no negative acknowledgement either show that it is this node which does not
-   * receive (Lifeguard, section IV-A).
+   * Returns the number of replies that a failed ping lacks. Relays that did not even send a
+   * negative acknowledgement indicate that this node itself fails to receive (Lifeguard, section
+   * IV-A).
    */
-  private static int missingAnswers(PendingPing ping) {
-    return ping.relaysAsked == 0
+  private static int missingReplies(PendingPing ping) {
+    return ping.relayCount == 0
         ? 1
-        : ping.relaysAsked - Math.min(ping.relaysAsked, ping.negativeAcks);
+        : ping.relayCount - Math.min(ping.relayCount, ping.negativeAcks);
   }
 
-  /** Has others ping a member; gives how many were asked. */
-  private int pingThroughOthers(long nowNanos, Member target, long sequenceNumber) {
+  /**
+   * Requests indirect pings of a member; returns the number of relays that a request was sent to.
+   */
+  private int pingIndirectly(long nowNanos, Member target, long sequenceNumber) {
     MembershipMessage request =
         new MembershipMessage.PingRequest(sequenceNumber, target.name(), target.address);
     List<Member> relays =
-        members.draw(RELAYS, member -> member != target && member.state == MemberState.ALIVE);
-    int asked = 0;
+        members.draw(RELAY_COUNT, member -> member != target && member.state == MemberState.ALIVE);
+        int sentCount = 0;
     for (Member relay : relays) {
-      asked += messenger.send(nowNanos, Purpose.PROBE, relay, request) ? 1 : 0;
+      sentCount += messenger.send(nowNanos, Purpose.PROBE, relay, request) ? 1 : 0;
     }
-    return asked;
+    return sentCount;
   }
 
   private void startPing(long nowNanos) {
     nextPingAtNanos = nowNanos + health.stretch(periodNanos);
-    pingAccused(nowNanos);
+    pingAccusedMembers(nowNanos);
     if (pending == null) {
       members.nextPingTarget().ifPresent(target -> startPing(nowNanos, target));
     }
   }
 
   private void startPing(long nowNanos, Member target) {
-    long directNanos = health.stretch((long) (periodNanos * DIRECT_PING_SHARE));
+    long directNanos = health.stretch((long) (periodNanos * DIRECT_PING_TIMEOUT_PERIODS));
     PendingPing started =
         new PendingPing(
             target,
@@ -157,19 +164,20 @@
             nowNanos + directNanos,
             nowNanos + health.stretch(periodNanos));
     MembershipMessage ping = new MembershipMessage.Ping(started.sequenceNumber, target.name());
-    // Without room for the ping, nobody may be blamed for no answer.
+    // A ping that the bandwidth limit did not admit must not count as unacknowledged.
     pending = messenger.send(nowNanos, Purpose.PROBE, target, ping) ? started : null;
   }
 
   /**
-   * Whom this node accuses is pinged in each period, and so hears of it at once: its refutation
-   * follows by one or two periods, instead of by the time that updates take to get round twice.
+   * Pings members that this node accuses in each period, which notifies them at once: the
+   * refutation then arrives within one or two periods, instead of after updates have spread through
+   * the cluster twice.
    */
-  private void pingAccused(long nowNanos) {
+  private void pingAccusedMembers(long nowNanos) {
     members
         .inState(MemberState.SUSPECT)
         .filter(member -> member.accuser.equals(localName))
-        .limit(MAX_SUSPECTS_PINGED)
+        .limit(MAX_ACCUSED_PINGS_PER_PERIOD)
         .toList()
         .forEach(member -> ping(nowNanos, member));
   }
@@ -181,19 +189,19 @@
   }
 
   /**
-   * Pings a suspect once more, also through others: with 6% of all packets lost, two direct pings
-   * are both in vain once in 75 times, and hundreds of nodes suspect at once. False where the
-   * bandwidth limit left no room.
+   * Pings a suspect once more, directly and indirectly: with 6% of all packets lost, two direct
+   * pings both fail once in 75 times, and hundreds of nodes suspect a member at once. Returns false
+   * if the bandwidth limit did not admit the ping.
    */
   boolean pingSuspect(long nowNanos, Member suspect) {
     if (!ping(nowNanos, suspect)) {
       return false;
     }
-    pingThroughOthers(nowNanos, suspect, messenger.nextSequenceNumber());
+    pingIndirectly(nowNanos, suspect, messenger.nextSequenceNumber());
     return true;
   }
 
-  /** Sends negative acknowledgements for the relayed pings that were not answered in time. */
+  /** Sends negative acknowledgements for the relayed pings that were not acknowledged in time. */
   void expireRelayedPings(long nowNanos) {
     relayedPings
         .values()
@@ -201,7 +209,7 @@
             relayed -> {
               boolean expired = nowNanos >= relayed.deadlineNanos;
               if (expired) {
-                answerRequester(
+                replyToRequester(
                     nowNanos,
                     relayed,
                     new MembershipMessage.Nack(relayed.requesterSequenceNumber),
@@ -211,18 +219,18 @@
             });
   }
 
-  private void answerRequester(
+  private void replyToRequester(
       long nowNanos,
       RelayedPing relayed,
-      MembershipMessage answer,
-      Optional<MembershipUpdate> about) {
+      MembershipMessage reply,
+      Optional<MembershipUpdate> update) {
     messenger.send(
-        nowNanos, Purpose.ANSWER, relayed.requester, relayed.requesterAddress, answer, about);
+        nowNanos, Purpose.ANSWER, relayed.requester, relayed.requesterAddress, reply, update);
   }
 
   // ---- Messages ----
 
-  /** A member pings this node. */
+  /** Acknowledges a ping that is addressed to this node. */
   void onPing(long nowNanos, Member from, MembershipMessage.Ping ping) {
     if (ping.target().equals(localName)) {
       messenger.send(
@@ -230,10 +238,10 @@
     }
   }
 
-  /** A member acknowledges a ping of this node's own, or one that it relayed. */
+  /** Handles the acknowledgement of the pending ping or of a relayed one. */
   void onAck(long nowNanos, Member from, MembershipMessage.Ack ack) {
     if (pending != null && pending.sequenceNumber == ack.sequenceNumber()) {
-      // An acknowledgement that came through a relay bears the relay's name, and the same number.
+      // An acknowledgement through a relay has the relay's name and the same sequence number.
       if (pending.target == from && nowNanos < pending.directDeadlineNanos) {
         health.improve();
       }
@@ -243,8 +251,8 @@
     RelayedPing relayed = relayedPings.get(ack.sequenceNumber());
     if (relayed != null && relayed.target.equals(from.name())) {
       relayedPings.remove(ack.sequenceNumber());
-      // With what it tells of itself: the requester may hold an accusation refuted long ago.
-      answerRequester(
+      // Adds the target's own state: the requester may hold an accusation refuted long ago.
+      replyToRequester(
           nowNanos,
           relayed,
           new MembershipMessage.Ack(relayed.requesterSequenceNumber),
@@ -252,14 +260,17 @@
     }
   }
 
-  /** A relay is there, but its target has not answered it. */
+  /**
+   * Counts a relay's negative acknowledgement: the relay is reachable, but the target did not
+   * acknowledge.
+   */
   void onNack(MembershipMessage.Nack nack) {
     if (pending != null && pending.sequenceNumber == nack.sequenceNumber()) {
       pending.negativeAcks++;
     }
   }
 
-  /** A member asks this node to ping another one for it. */
+  /** Pings a member on behalf of the requester. */
   void onPingRequest(long nowNanos, Member requester, MembershipMessage.PingRequest request) {
     if (relayedPings.size() >= MAX_RELAYED_PINGS || request.target().equals(localName)) {
       return;
@@ -274,7 +285,7 @@
               requester.address,
               request.sequenceNumber(),
               request.target(),
-              nowNanos + (long) (periodNanos * RELAYED_PING_SHARE)));
+              nowNanos + (long) (periodNanos * RELAYED_PING_TIMEOUT_PERIODS)));
     }
   }
 }
--- a/decisions/src/main/java/reachloom/membership/JoinProtocol.java
+++ b/decisions/src/main/java/reachloom/membership/JoinProtocol.java
@@ -6,15 +6,16 @@
 import reachloom.membership.BandwidthLimiter.Purpose;
 
 /**
- * How nodes find the cluster: a node pings the seeds of its settings until they are members, each
- * node welcomes newcomers with a sample of the members, and pings those held to have failed now and
- * then, so that two halves of a partition find together again. Confined to the thread that calls
+ * Joins nodes to the cluster: a node pings the seeds of its settings until they are members, sends
+ * a sample of the members to each joining node, and periodically pings members that it considers
+ * failed, so that the halves of a partitioned cluster merge again. Confined to the thread that
+ * calls
  * {@link MembershipService}.
  */
 final class JoinProtocol {
-  private static final int RECONNECT_PERIODS = 4; // between pings to failed members and to seeds
-  private static final double GREETERS = 4; // members that welcome a newcomer unasked, on average
-  private static final int MAX_BACKOFF_DOUBLINGS = 1; // of the pause between two pings to seeds
+    private static final int RECONNECT_INTERVAL_PERIODS = 4; // of pings to failed members and seeds
+  private static final double MEAN_UNSOLICITED_WELCOMES = 4; // per joining node
+  private static final int MAX_BACKOFF_DOUBLINGS = 1; // of the interval between pings to seeds
 
   private final long localAddress;
   private final long periodNanos;
@@ -37,19 +38,19 @@
     this.members = members;
     this.messenger = messenger;
     this.random = random;
-    nextReconnectAtNanos = nowNanos; // a node that starts pings the seeds at once
+    nextReconnectAtNanos = nowNanos; // a starting node pings a seed at once
   }
 
   void setSeeds(List<Long> newSeeds) {
     seeds = List.copyOf(newSeeds);
   }
 
-  /** Pings one failed member and one seed that is no member, when it is time to. */
+  /** Pings one failed member and one seed that is not a member, when the next attempt is due. */
   void tick(long nowNanos) {
     if (nowNanos < nextReconnectAtNanos) {
       return;
     }
-    nextReconnectAtNanos = nowNanos + RECONNECT_PERIODS * periodNanos;
+    nextReconnectAtNanos = nowNanos + RECONNECT_INTERVAL_PERIODS * periodNanos;
     pingFailedMember(nowNanos);
     pingSeed(nowNanos);
   }
@@ -63,16 +64,17 @@
   }
 
   private void pingSeed(long nowNanos) {
-    List<Long> unknown = seeds.stream().filter(seed -> !isPresent(seed)).toList();
-    if (unknown.isEmpty()) {
+    List<Long> nonMembers = seeds.stream().filter(seed -> !isPresent(seed)).toList();
+    if (nonMembers.isEmpty()) {
       return;
     }
-    long seed = unknown.get(random.nextInt(unknown.size()));
+    long seed = nonMembers.get(random.nextInt(nonMembers.size()));
     messenger.send(nowNanos, Purpose.SYNC, "", seed, ping(""));
     if (members.presentCount() == 0) {
-      // The more often in vain, the more others there must be that try.
-      long pauseNanos = periodNanos << Math.min(failedAttempts++, MAX_BACKOFF_DOUBLINGS);
-      nextReconnectAtNanos = nowNanos + pauseNanos / 2 + random.nextLong(pauseNanos);
+            // Backs off: the more attempts have failed, the more other nodes are likely to be
+            // joining.
+      long delayNanos = periodNanos << Math.min(failedAttempts++, MAX_BACKOFF_DOUBLINGS);
+      nextReconnectAtNanos = nowNanos + delayNanos / 2 + random.nextLong(delayNanos);
     }
   }
 
@@ -80,7 +82,7 @@
     return new MembershipMessage.Ping(messenger.nextSequenceNumber(), target);
   }
 
-  /** Whether this node itself or a member that is present listens at an address. */
+  /** Returns whether this node itself or a present member listens at an address. */
   private boolean isPresent(long address) {
     return address == localAddress
         || members.all().stream()
@@ -88,39 +90,41 @@
   }
 
   /**
-   * Another member has told of a newcomer: some of those that hear of it welcome it unasked, since
-   * the seeds may have no bandwidth left for it.
+   * Handles an update about a joining node. Some of the nodes that receive it send a welcome
+   * without a request, since the seeds may have no bandwidth left for one.
    */
-  void onNewcomerHeardOf(long nowNanos, Member newcomer, MembershipUpdate local) {
-    if (random.nextDouble() * members.clusterSize() < GREETERS) {
-      welcome(nowNanos, newcomer, local);
+  void onJoinReported(long nowNanos, Member joiningMember, MembershipUpdate local) {
+    if (random.nextDouble() * members.clusterSize() < MEAN_UNSOLICITED_WELCOMES) {
+      welcome(nowNanos, joiningMember, local);
     }
   }
 
   /**
-   * Tells a newcomer of some other members, drawn by chance: when many join at once, few answers
-   * that spread them over all members are worth more than many that keep them with the seeds.
-   * {@code local} is this node's own update, by whose size the sample is planned.
+   * Sends a random sample of the members to a joining node. When many nodes join at once, a few
+   * samples that spread their next requests over all members help more than many that keep them at
+   * the seeds.
+   *
+   * @param local this node's own update, whose size determines the size of the sample
    */
-  void welcome(long nowNanos, Member newcomer, MembershipUpdate local) {
+  void welcome(long nowNanos, Member joiningMember, MembershipUpdate local) {
     int bytes =
-        messenger.messageBytes(newcomer, new MembershipMessage.SyncResponse(true, List.of()));
-    int leftBytes = messenger.maxWelcomeUpdateBytes(bytes);
-    int count = leftBytes / messenger.updateBytes(local);
+        messenger.messageBytes(joiningMember, new MembershipMessage.SyncResponse(true, List.of()));
+    int remainingBytes = messenger.maxWelcomeUpdateBytes(bytes);
+    int count = remainingBytes / messenger.updateBytes(local);
     List<MembershipUpdate> sample = new ArrayList<>();
     for (Member other :
         members.draw(
-            count, candidate -> candidate != newcomer && candidate.state == MemberState.ALIVE)) {
+                        count, candidate -> candidate != joiningMember && candidate.state == MemberState.ALIVE)) {
       int updateBytes = messenger.updateBytes(other.toUpdate());
-      leftBytes -= updateBytes;
-      if (leftBytes >= 0) {
+      remainingBytes -= updateBytes;
+      if (remainingBytes >= 0) {
         sample.add(other.toUpdate());
         bytes += updateBytes;
       }
     }
     if (messenger.hasRoom(nowNanos, Purpose.WELCOME, bytes)) {
       MembershipMessage response = new MembershipMessage.SyncResponse(true, sample);
-      messenger.sendAlone(nowNanos, newcomer, response, bytes);
+      messenger.sendWithoutQueuedUpdates(nowNanos, joiningMember, response, bytes);
     }
   }
 }
--- a/decisions/src/main/java/reachloom/membership/LocalHealth.java
+++ b/decisions/src/main/java/reachloom/membership/LocalHealth.java
@@ -1,32 +1,32 @@
 package reachloom.membership;
 
 /**
- * How well this node itself does, as its own pings show: Lifeguard's local health multiplier
- * (section IV-A). A node that was starved or paused gives others more time before it accuses them.
- * The cost: where the network is bad and the node healthy, failures are detected later, by a factor
- * of nine at most.
+ * This node's own health, derived from its pings: Lifeguard's local health multiplier (section
+ * IV-A). A node that was paused or short of CPU gives other members more time before it accuses
+ * them. The cost: if the network is bad and the node healthy, failures are detected later, by a
+ * factor of nine at most.
  */
 final class LocalHealth {
   private static final int MAX_SCORE = 8; // Lifeguard's bound
 
-  private int score;
+   private int score;
 
-  /** Something happened that a healthy node would not have seen. */
-  void worsen(int by) {
-    score = Math.min(MAX_SCORE, score + by);
+  /** Raises the score after an event that a healthy node would not have seen. */
+  void worsen(int amount) {
+    score = Math.min(MAX_SCORE, score + amount);
   }
 
-  /** A ping was acknowledged in time. */
+  /** Lowers the score after a ping that was acknowledged in time. */
   void improve() {
     score = Math.max(0, score - 1);
   }
 
-  /** A span of time, stretched by the score. */
+  /** Returns a timeout, multiplied according to the score. */
   long stretch(long nanos) {
     return nanos * (score + 1);
   }
 
-  /** 0 is healthy, {@link #MAX_SCORE} the worst. */
+  /** Returns the score, from 0 (healthy) to {@link #MAX_SCORE}. */
   int score() {
     return score;
   }
--- a/decisions/src/main/java/reachloom/membership/LocalMember.java
+++ b/decisions/src/main/java/reachloom/membership/LocalMember.java
@@ -1,11 +1,11 @@
 package reachloom.membership;
 
 /**
- * This node itself as the others know it: name, address, incarnation, region and zone. Confined to
+ * This node as a member: its name, address, incarnation, region and zone. Confined to
  * the thread that calls {@link MembershipService}.
  */
 final class LocalMember {
-  private final String name;
+   private final String name;
   private final long address;
   private long incarnation;
   private int place;
@@ -36,14 +36,14 @@
     place = newPlace;
   }
 
-  /** The update that tells others of this node. */
+  /** Returns this node's state as an update for other members. */
   MembershipUpdate toUpdate() {
     return new MembershipUpdate(name, address, incarnation, MemberState.ALIVE, "", place);
   }
 
   /**
-   * Whether an update about this node can't be true: it is alive, at its own address, in the
-   * incarnation that it tells.
+   * Returns whether an update about this node is wrong: this node is alive, at its own address, in
+   * its current incarnation.
    */
   boolean isContradictedBy(MembershipUpdate update) {
     boolean declaredFailed = update.state() != MemberState.ALIVE;
@@ -52,7 +52,7 @@
         || update.incarnation() == incarnation && update.address() != address;
   }
 
-  /** Goes to an incarnation above that of a wrong update, so that its refutation prevails. */
+  /** Refutes a wrong update by raising the incarnation above that of the update. */
   void refute(MembershipUpdate update) {
     incarnation = update.incarnation() + 1;
   }
--- a/decisions/src/main/java/reachloom/membership/Member.java
+++ b/decisions/src/main/java/reachloom/membership/Member.java
@@ -1,8 +1,8 @@
 package reachloom.membership;
 
 /**
- * One member as this node believes it to be. Only the parts of {@link MembershipService} change it,
- * on that service's thread.
+ * One member in this node's view. Only the classes behind {@link MembershipService} change it, on
+ * that service's thread.
  */
 public final class Member {
   private final String name;
@@ -10,18 +10,18 @@
   long incarnation;
   MemberState state;
 
-  /** When it came into its state, in nanoseconds. */
+  /** When the member entered its state, in nanoseconds. */
   long sinceNanos;
 
-  /** When a packet of its own was last received; 0 for a member known by others' word alone. */
-  long heardAtNanos;
+  /** When a packet from the member was last received; 0 if it is known only from other members. */
+  long lastPacketAtNanos;
 
-  /** Who accuses it; empty for nobody. */
+  /** The name of the member that accuses it; empty for none. */
   String accuser = "";
 
   int place;
 
-  /** The suspicion that runs; null unless the state is {@link MemberState#SUSPECT}. */
+  /** The current suspicion; null unless the state is {@link MemberState#SUSPECT}. */
   Suspicion suspicion;
 
   Member(String name, long address, long incarnation, MemberState state, long sinceNanos) {
@@ -32,32 +32,37 @@
     this.sinceNanos = sinceNanos;
   }
 
-  /** The member's name, unique in the cluster; never empty. */
+  /** Returns the member's name, unique in the cluster; never empty. */
   public String name() {
     return name;
   }
 
-  /** Where it listens: an IPv4 address and a port in the lowest 48 bits. */
+  /**
+   * Returns the address that the member listens on: IPv4 address and port in the lowest 48 bits.
+   */
   public long address() {
     return address;
   }
 
-  /** What is believed of it. */
+  /** Returns the member's state in this node's view. */
   public MemberState state() {
     return state;
   }
 
-  /** The incarnation that the state is about; it begins with the Unix second of its start. */
+  /**
+   * Returns the incarnation that the state refers to; a member starts with the Unix time in
+   * seconds.
+   */
   public long incarnation() {
     return incarnation;
   }
 
-  /** When it came into its state, in nanoseconds of this node's clock. */
+  /** Returns when the member entered its state, in nanoseconds of this node's clock. */
   public long sinceNanos() {
     return sinceNanos;
   }
 
-  /** Region in the upper byte and zone in the lower one; 0 where they are not known. */
+  /** Returns the region (upper byte) and zone (lower byte); 0 if they are unknown. */
   public int place() {
     return place;
   }
--- a/decisions/src/main/java/reachloom/membership/MemberDigest.java
+++ b/decisions/src/main/java/reachloom/membership/MemberDigest.java
@@ -4,9 +4,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Sixteen bits that stand for what is held of a member, so that two tables are compared at two
- * bytes a member. Two values with the same digest differ with another salt, and each comparison has
- * its own.
+ * Computes 16-bit digests of members, so that a comparison of two tables takes two bytes per
+ * member. Each comparison has its own salt, so that two values whose digests collide in one
+ * comparison differ in another.
  */
 public final class MemberDigest {
   private static final int DIGEST_MASK = 0xffff;
@@ -15,7 +15,7 @@
 
   private MemberDigest() {}
 
-  /** The digest of a member's name, incarnation, address and place: 0 to 65,535. */
+  /** Returns the digest of a member's name, incarnation, address and place: 0 to 65,535. */
   public static int of(int salt, Member member) {
     CRC32C checksum = new CRC32C();
     long combined =
--- a/decisions/src/main/java/reachloom/membership/MemberMessenger.java
+++ b/decisions/src/main/java/reachloom/membership/MemberMessenger.java
@@ -6,11 +6,11 @@
 import reachloom.membership.BandwidthLimiter.Purpose;
 
 /**
- * Sends messages within the bandwidth limit and lets queued updates ride on them. Confined to the
+ * Sends messages within the bandwidth limit and piggybacks queued updates on them. Confined to the
  * thread that calls {@link MembershipService}.
  */
 final class MemberMessenger {
-  private static final int MAX_PACKET_BYTES = 1_200; // fits each usual path without fragmentation
+  private static final int MAX_PACKET_BYTES = 1_200; // avoids IP fragmentation on common paths
   private static final int SEQUENCE_NUMBER_START_BITS = 16;
 
   private final MessageSender sender;
@@ -35,24 +35,25 @@
     sequenceNumber = random.nextInt(1 << SEQUENCE_NUMBER_START_BITS);
   }
 
-  /** A number that no earlier ping of this node bears. */
+  /** Returns a sequence number that no earlier ping of this node has. */
   long nextSequenceNumber() {
     return sequenceNumber++;
   }
 
-  /** Sends a message to a member; false where the bandwidth limit has no room for it. */
+  /** Sends a message to a member; returns false if the bandwidth limit does not admit it. */
   boolean send(long nowNanos, Purpose purpose, Member to, MembershipMessage message) {
     return send(nowNanos, purpose, to.name(), to.address, message);
   }
 
-  /** The same to whoever listens at an address; the name is empty where it is not known. */
+  /** Sends a message to an address; the name is empty if the receiver's name is unknown. */
   boolean send(long nowNanos, Purpose purpose, String to, long address, MembershipMessage message) {
     return send(nowNanos, purpose, to, address, message, Optional.empty());
   }
 
   /**
-   * The same with an update that goes before all queued ones. A member that is suspected or held to
-   * have failed is told so first, whatever the given update is: it may refute it.
+   * Sends a message with an update that precedes all queued ones. If the receiver is suspected or
+   * considered failed, the update about the receiver takes the place of the given one, so that the
+   * receiver can refute it.
    */
   boolean send(
       long nowNanos,
@@ -60,23 +61,26 @@
       String to,
       long address,
       MembershipMessage message,
-      Optional<MembershipUpdate> about) {
-    Optional<MembershipUpdate> first = updateForReceiver(to, message).or(() -> about);
+      Optional<MembershipUpdate> preferredUpdate) {
+    Optional<MembershipUpdate> first = updateAboutReceiver(to, message).or(() -> preferredUpdate);
     int messageBytes = sizes.messageBytes(to, message);
     int minBytes = messageBytes + first.map(sizes::updateBytes).orElse(0);
     if (!bandwidth.hasRoom(nowNanos, purpose, minBytes)) {
       return false;
     }
     int maxBytes = bandwidth.maxWithPiggyback(nowNanos, minBytes, MAX_PACKET_BYTES);
-    List<MembershipUpdate> carried =
+    List<MembershipUpdate> piggybacked =
         updates.take(first, members.clusterSize(), maxBytes - messageBytes, sizes);
-    int sentBytes = sender.send(nowNanos, to, address, message, carried, maxBytes);
+    int sentBytes = sender.send(nowNanos, to, address, message, piggybacked, maxBytes);
     bandwidth.record(nowNanos, sentBytes, sentBytes - minBytes);
     return true;
   }
 
-  /** What the receiver should know of how it is seen here: that is what it may object to. */
-  private Optional<MembershipUpdate> updateForReceiver(String to, MembershipMessage message) {
+  /**
+   * Returns the update about the receiver itself, if this node's view of it may be wrong and the
+   * receiver may have to refute it.
+   */
+  private Optional<MembershipUpdate> updateAboutReceiver(String to, MembershipMessage message) {
     return members
         .find(to)
         .filter(
@@ -87,29 +91,29 @@
   }
 
   private static boolean isKnownIndirectly(Member member) {
-    return member.incarnation > 0 && member.heardAtNanos == 0;
+    return member.incarnation > 0 && member.lastPacketAtNanos == 0;
   }
 
-  /** Whether a message of that size may go out now. */
+  /** Returns whether a message of that size may be sent now. */
   boolean hasRoom(long nowNanos, Purpose purpose, int bytes) {
     return bandwidth.hasRoom(nowNanos, purpose, bytes);
   }
 
-  /** How large a message of that many bytes may grow whose very purpose is to carry updates. */
+  /** Returns the maximum size, in bytes, of a message that is sent for the sake of its updates. */
   int maxSyncBytes(long nowNanos, int bytes) {
     return bandwidth.maxSyncBytes(nowNanos, bytes, MAX_PACKET_BYTES);
   }
 
-  /** How many bytes of updates may go with a welcome of that many bytes. */
+  /** Returns how many bytes of updates may be added to a welcome message of {@code bytes} bytes. */
   int maxWelcomeUpdateBytes(int bytes) {
     return Math.min(bandwidth.maxPiggybackBytes(), MAX_PACKET_BYTES - bytes);
   }
 
   /**
-   * Sends a message that carries its own updates, without queued ones; the caller has checked that
-   * there is room. What the message leaves of {@code maxBytes} may carry peer reports.
+   * Sends a message that contains its own updates, without queued ones; the caller has checked the
+   * bandwidth limit. The rest of {@code maxBytes} may be filled with peer reports.
    */
-  void sendAlone(long nowNanos, Member to, MembershipMessage message, int maxBytes) {
+  void sendWithoutQueuedUpdates(long nowNanos, Member to, MembershipMessage message, int maxBytes) {
     int sentBytes = sender.send(nowNanos, to.name(), to.address, message, List.of(), maxBytes);
     bandwidth.record(nowNanos, sentBytes, 0);
   }
--- a/decisions/src/main/java/reachloom/membership/MemberState.java
+++ b/decisions/src/main/java/reachloom/membership/MemberState.java
@@ -1,17 +1,20 @@
 package reachloom.membership;
 
-/** What is believed of a member; the order is from healthy to gone. */
+/** The state of a member in this node's view, ordered from healthy to absent. */
 public enum MemberState {
-  /** It acknowledges pings. */
+  /** The member acknowledges pings. */
   ALIVE,
-  /** It is accused of not doing so, and has time to refute it. */
+  /** The member is accused of not acknowledging pings, and has time to refute the accusation. */
   SUSPECT,
-  /** It did not refute the accusation in time. */
+  /** The member did not refute the accusation in time. */
   DEAD,
-  /** It has told itself that it leaves. */
+  /** The member itself has announced that it leaves. */
   LEFT;
 
-  /** Whether it counts as a member: a suspect does, until it has had time to refute. */
+  /**
+   * Returns whether a member in this state counts as present: a suspect does until its time to
+   * refute has expired.
+   */
   public boolean present() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/decisions/src/main/java/reachloom/membership/MemberTable.java
+++ b/decisions/src/main/java/reachloom/membership/MemberTable.java
@@ -12,14 +12,14 @@
 import java.util.stream.Stream;
 
 /**
- * The other members as this node believes them to be, and the order in which they are pinged. Every
- * change of a member is queued as an update for the others; a change of state is also reported to
+ * The other members in this node's view, and the order in which they are pinged. Every change of a
+ * member is queued as an update for the other members; a change of state is also reported to
  * {@link MessageSender#onMemberChanged}. Confined to the thread that calls {@link
  * MembershipService}.
  */
 final class MemberTable {
-  private static final int MAX_MEMBERS = 2_048; // failed ones and those that have left included
-  private static final long ABSENT_MEMORY_PERIODS = 600; // for which an absent member is kept
+  private static final int MAX_MEMBERS = 2_048; // absent members included
+  private static final long ABSENT_RETENTION_PERIODS = 600; // before an absent member is removed
 
   private final long periodNanos;
   private final SplittableRandom random;
@@ -40,17 +40,19 @@
 
   // ---- Queries ----
 
-  /** All members in the order of their names, absent ones included; a view. */
+  /** Returns a view of all members in the order of their names, absent ones included. */
   Collection<Member> all() {
     return Collections.unmodifiableCollection(members.values());
   }
 
-  /** The members whose names come after the given one, in order; a view. */
+  /**
+   * Returns a view of the members whose names follow the given one, in the order of their names.
+   */
   Collection<Member> after(String name) {
     return members.tailMap(name, false).values();
   }
 
-  /** Whether no name comes after the given one. */
+  /** Returns whether no member's name follows the given one. */
   boolean isLast(String name) {
     return members.higherKey(name) == null;
   }
@@ -63,22 +65,22 @@
     return members.values().stream().filter(member -> member.state == state);
   }
 
-  /** How many members are held, absent ones included. */
-  int heldCount() {
+  /** Returns the number of stored members, absent ones included. */
+  int storedCount() {
     return members.size();
   }
 
-  /** How many other members are present. */
+  /** Returns the number of other members that are present. */
   int presentCount() {
     return presentCount;
   }
 
-  /** The size of the cluster: the members that are present and this node. */
+  /** Returns the size of the cluster: the present members and this node. */
   int clusterSize() {
     return presentCount + 1;
   }
 
-  /** Draws up to {@code count} different members among those that match. */
+  /** Draws up to {@code count} different members that match. */
   List<Member> draw(int count, Predicate<Member> matches) {
     List<Member> candidates = new ArrayList<>(members.values().stream().filter(matches).toList());
     List<Member> drawn = new ArrayList<>();
@@ -96,8 +98,8 @@
   }
 
   /**
-   * The next member to ping: each one once in every round, in an order drawn anew for each round,
-   * which bounds the time until a failure is detected (SWIM, section 4.3).
+   * Returns the next member to ping: each member once per round, in an order shuffled for each
+   * round, which bounds the time until a failure is detected (SWIM, section 4.3).
    */
   Optional<Member> nextPingTarget() {
     for (int i = 0; i <= pingOrder.size(); i++) {
@@ -125,7 +127,7 @@
 
   // ---- Changes ----
 
-  /** Adds a member that is alive; empty where the table is full of others that are present. */
+  /** Adds a member that is alive; returns empty if the table is full of present members. */
   Optional<Member> add(long nowNanos, MembershipUpdate update) {
     if (members.size() >= MAX_MEMBERS && !evictOldestAbsent()) {
       return Optional.empty();
@@ -144,7 +146,7 @@
     pingOrder.add(nextPing + random.nextInt(pingOrder.size() - nextPing + 1), member);
   }
 
-  /** Makes room by removing the member that has been absent for longest, if there is one. */
+  /** Removes the member that has been absent for longest; returns false if no member is absent. */
   private boolean evictOldestAbsent() {
     Optional<Member> oldest =
         members.values().stream()
@@ -154,15 +156,15 @@
     return oldest.isPresent();
   }
 
-  /** Forgets members that have been absent for long. */
-  void forgetAbsent(long nowNanos) {
-    long memoryNanos = ABSENT_MEMORY_PERIODS * periodNanos;
+  /** Removes members that have been absent for longer than the retention time. */
+  void removeExpiredAbsent(long nowNanos) {
+    long retentionNanos = ABSENT_RETENTION_PERIODS * periodNanos;
     members
         .values()
-        .removeIf(member -> !member.state.present() && nowNanos - member.sinceNanos > memoryNanos);
+        .removeIf(member -> !member.state.present() && nowNanos - member.sinceNanos > retentionNanos);
   }
 
-  /** Brings a member into a state and incarnation; a suspicion starts or ends with it. */
+  /** Sets a member's state and incarnation, and starts or ends its suspicion accordingly. */
   void transition(long nowNanos, Member member, MemberState state, long incarnation) {
     boolean wasPresent = member.state.present();
     boolean stateChanged = member.state != state;
@@ -188,19 +190,21 @@
     }
   }
 
-  /** Reports a member as it is now to the listener. */
+  /** Reports a member's current state to the listener. */
   void reportChange(long nowNanos, MembershipUpdate update) {
     listener.onMemberChanged(nowNanos, update);
   }
 
-  /** A member's region and zone have become known; others may lack them as well. */
+  /** Sets a member's region and zone, and queues an update for other members that may lack them. */
   void setPlace(long nowNanos, Member member, int place) {
     member.place = place;
     updates.add(member.toUpdate());
     listener.onMemberChanged(nowNanos, member.toUpdate());
   }
 
-  /** A member itself tells another address than others told of it. */
+  /**
+   * Replaces an address that was reported by other members with the one in the member's own packet.
+   */
   void correctAddress(Member member, long address) {
     member.address = address;
     updates.add(member.toUpdate());
--- a/decisions/src/main/java/reachloom/membership/MembershipMessage.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipMessage.java
@@ -2,45 +2,47 @@
 
 import java.util.List;
 
-/** What nodes send to each other; each message may carry updates, peer reports and a payload. */
+/** A message between nodes; each one may carry updates, peer reports and a payload. */
 public sealed interface MembershipMessage {
-  /** Calls the method of the visitor for this kind of message. */
+  /** Calls the visitor's method for this kind of message. */
   void accept(Visitor visitor);
 
-  /** One method for each kind of message, so that the compiler checks that none is left out. */
+  /** Has one method for each kind of message, so that the compiler checks that none is left out. */
   interface Visitor {
-    /** A ping has come. */
+    /** Handles a ping. */
     void visit(Ping ping);
 
-    /** An acknowledgement has come. */
+    /** Handles an acknowledgement. */
     void visit(Ack ack);
 
-    /** A request for an indirect ping has come. */
+    /** Handles a request for an indirect ping. */
     void visit(PingRequest request);
 
-    /** A negative acknowledgement has come. */
+    /** Handles a negative acknowledgement. */
     void visit(Nack nack);
 
-    /** A request for differences of the member tables has come. */
+    /** Handles a request for the differences between member tables. */
     void visit(SyncRequest request);
 
-    /** Members of the sender's table have come. */
+    /** Handles members of the sender's table. */
     void visit(SyncResponse response);
 
-    /** A packet has come whose message is what it carries. */
+    /** Handles a packet that is sent only for the updates, reports and payload it carries. */
     void visit(PayloadOnly payload);
 
-    /** An operator's request has come. */
+    /** Handles an operator's request for the status. */
     void visit(StatusRequest request);
 
-    /** An answer to an operator's request has come. */
+    /** Handles the response to an operator's request. */
     void visit(StatusPage page);
 
-    /** The sender leaves. */
+    /** Handles the announcement that the sender leaves. */
     void visit(Leave leave);
   }
 
-  /** Asks a member to acknowledge; an empty target asks whoever listens at the address. */
+  /**
+   * Requests an acknowledgement; an empty target addresses any node that listens at the address.
+   */
   record Ping(long sequenceNumber, String target) implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
@@ -48,7 +50,7 @@
     }
   }
 
-  /** Acknowledges the ping of that number. */
+  /** Acknowledges the ping with that sequence number. */
   record Ack(long sequenceNumber) implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
@@ -56,7 +58,9 @@
     }
   }
 
-  /** Asks the receiver to ping another member, which listens at the address (indirect ping). */
+  /**
+   * Requests an indirect ping: the receiver pings the target, which listens at the given address.
+   */
   record PingRequest(long sequenceNumber, String target, long targetAddress)
       implements MembershipMessage {
     @Override
@@ -65,7 +69,10 @@
     }
   }
 
-  /** Tells that the target of an indirect ping has not answered, while the relay is there. */
+  /**
+   * Negative acknowledgement: the relay is reachable, but the target of an indirect ping did not
+   * acknowledge.
+   */
   record Nack(long sequenceNumber) implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
@@ -74,9 +81,9 @@
   }
 
   /**
-   * Asks for the members after the first name, up to the last one, of which the sender does not
-   * hold the same. The digests are {@link MemberDigest} of what it holds; an empty last name stands
-   * for the end of the table.
+   * Requests the members whose names follow {@code afterName}, up to {@code lastName} inclusive,
+   * and that differ from those of the sender. The digests are the {@link MemberDigest}s of the
+   * sender's members; an empty last name stands for the end of the table.
    */
   record SyncRequest(String afterName, String lastName, int salt, List<Integer> digests)
       implements MembershipMessage {
@@ -86,7 +93,7 @@
     }
   }
 
-  /** Tells of members; {@code truncated} is set where not all of them found room. */
+  /** Contains members of the sender's table; {@code truncated} is set if not all of them fit. */
   record SyncResponse(boolean truncated, List<MembershipUpdate> updates)
       implements MembershipMessage {
     @Override
@@ -95,7 +102,7 @@
     }
   }
 
-  /** Carries updates, peer reports and payload that others should know soon. */
+  /** Carries urgent updates, peer reports and payload, without a message of its own. */
   record PayloadOnly() implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
@@ -103,7 +110,7 @@
     }
   }
 
-  /** An operator asks for a page of the status; pages count from 0. */
+  /** Requests a page of the status for an operator; pages are numbered from 0. */
   record StatusRequest(int page) implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
@@ -111,7 +118,7 @@
     }
   }
 
-  /** One page of the status as text. */
+  /** Contains one page of the status as text. */
   record StatusPage(int page, int pageCount, String text) implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
@@ -119,7 +126,7 @@
     }
   }
 
-  /** Tells that the sender leaves. */
+  /** Announces that the sender leaves. */
   record Leave() implements MembershipMessage {
     @Override
     public void accept(Visitor visitor) {
--- a/decisions/src/main/java/reachloom/membership/MembershipService.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipService.java
@@ -7,28 +7,29 @@
 import reachloom.membership.BandwidthLimiter.Purpose;
 
 /**
- * One node's part in keeping the list of members of a cluster, after SWIM (Das, Gupta, Motivala,
- * DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018). It puts the parts in order:
+ * Maintains one node's list of the members of a cluster, after SWIM (Das, Gupta, Motivala, DSN
+ * 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018). It coordinates
  * {@link FailureDetector}, {@link SuspicionTracker}, {@link JoinProtocol}, {@link AntiEntropySync}
  * and {@link UpdateProcessor}.
  *
- * <p>Beyond the sources: nobody is believed about the failure of another. That a member has failed
- * or left, told by a third one, is one more accusation, and each node lets the time to refute it
- * pass by itself; so that a node that lies can bring a healthy member under suspicion, but not out
- * of the list. A packet of a member's own, whose sender is authenticated, takes precedence over all
- * that others tell of its address and incarnation.
+ * <p>Differences from these papers: a node does not accept another node's verdict that a member has
+ * failed or left. Such an update counts as one more accusation, and each node runs the timeout for
+ * a refutation by itself. A node that lies can therefore cause a healthy member to be suspected,
+ * but not to be removed from the list. A packet from the member itself, whose sender is
+ * authenticated, takes precedence over all that other members report of its address and
+ * incarnation.
  *
- * <p>All times are nanoseconds of the clock handed in, which must not go back. Not thread-safe: all
+ * <p>All times are nanoseconds of the caller's clock, which must not go back. Not thread-safe: all
  * methods are called from one thread. The same events and seed give the same messages in the same
  * order.
  */
 public final class MembershipService {
   private static final long SECOND_NANOS = 1_000_000_000;
-  private static final int TICKS_PER_PERIOD = 10; // more than that late is a pause
-  private static final double MAX_LATE_SHARE = 0.5; // of a period, for a tick
-  private static final int MAX_PAUSE_PENALTY = 10; // of the local health score
-  private static final int LEAVE_RECEIVERS = 6; // members that are told that this node leaves
-  private static final int PAYLOAD_RECEIVERS = 3; // members that one payload is sent to
+  private static final int TICKS_PER_PERIOD = 10;
+  private static final double MAX_TICK_DELAY_PERIODS = 0.5; // a longer delay counts as a pause
+  private static final int MAX_PAUSE_PENALTY = 10; // points of the local health score
+  private static final int LEAVE_RECEIVERS = 6; // members that receive the leave message
+  private static final int PAYLOAD_RECEIVERS = 3; // members that receive one payload
 
   private final long periodNanos;
   private final LocalMember local;
@@ -46,11 +47,11 @@
   private boolean leaving;
 
   /**
-   * A node that starts.
+   * Creates the service of a starting node.
    *
-   * @param nowNanos the present time; its seconds are the first incarnation
+   * @param nowNanos the current time; its seconds are the first incarnation
    * @param random the source of all random choices; used by this node alone
-   * @param sender where messages and changes go
+   * @param sender sends the messages and receives the changes of members
    * @param sizes sizes of messages on the wire
    */
   public MembershipService(
@@ -64,7 +65,7 @@
     local = new LocalMember(name, settings.address(), nowNanos / SECOND_NANOS);
     bandwidth = new BandwidthLimiter(settings.maxBytesPerSecond());
     members = new MemberTable(periodNanos, random, updates, sender);
-    // The parts draw from the random source as they are made: their order is part of the behaviour.
+    // The constructors draw from the random source, so their order is part of the behaviour.
     messenger = new MemberMessenger(sender, sizes, bandwidth, updates, members, random);
     suspicions = new SuspicionTracker(name, periodNanos, members, updates, health);
     detector =
@@ -76,39 +77,42 @@
     lastTickNanos = nowNanos;
   }
 
-  // ---- What is believed ----
+  // ---- Members and settings ----
 
-  /** All members but this node in the order of their names, absent ones included; a view. */
+  /**
+   * Returns a view of all members except this node in the order of their names, absent ones
+   * included.
+   */
   public Collection<Member> members() {
     return members.all();
   }
 
-  /** The member of that name, also where it is absent; never this node. */
+  /** Returns the member of that name, even if it is absent; never this node. */
   public Optional<Member> member(String name) {
     return members.find(name);
   }
 
-  /** How many members are present, this node included. */
+  /** Returns the number of present members, this node included. */
   public int size() {
     return members.clusterSize();
   }
 
-  /** The incarnation of this node; it grows with each wrong update about it that it refutes. */
+  /** Returns the incarnation of this node, which grows with each wrong update that it refutes. */
   public long incarnation() {
     return local.incarnation();
   }
 
-  /** Lifeguard's local health score of this node: 0 is healthy, 8 the worst. */
+  /** Returns Lifeguard's local health score of this node, from 0 (healthy) to 8. */
   public int healthScore() {
     return health.score();
   }
 
-  /** The limit of all that this node sends, peer reports and answers to operators included. */
+  /** Returns the limiter of all that this node sends, peer reports and status pages included. */
   public BandwidthLimiter bandwidth() {
     return bandwidth;
   }
 
-  /** How often {@link #tick} is to be called, in nanoseconds. */
+  /** Returns the interval at which {@link #tick} must be called, in nanoseconds. */
   public long tickIntervalNanos() {
     return periodNanos / TICKS_PER_PERIOD;
   }
@@ -119,42 +123,44 @@
   }
 
   /**
-   * Sets this node's region (upper byte) and zone (lower byte), before it starts; 0 where they are
-   * not known.
+   * Sets this node's region (upper byte) and zone (lower byte), before it starts; 0 if they are
+   * unknown.
    */
   public void setPlace(int place) {
     local.setPlace(place);
   }
 
-  /** This node's region and zone; 0 where they are not known. */
+  /** Returns this node's region and zone; 0 if they are unknown. */
   public int place() {
     return local.place();
   }
 
   // ---- Time ----
 
-  /** Sends what is due, and judges what has timed out. */
+  /** Sends the messages that are due, and handles expired timeouts. */
   public void tick(long nowNanos) {
     compensateForPause(nowNanos);
     if (leaving) {
       return;
     }
     detector.tick(nowNanos);
-    suspicions.judge(nowNanos, detector::pingSuspect);
+    suspicions.expireSuspicions(nowNanos, detector::pingSuspect);
     detector.expireRelayedPings(nowNanos);
     joining.tick(nowNanos);
     sync.tick(nowNanos);
-    members.forgetAbsent(nowNanos);
+    members.removeExpiredAbsent(nowNanos);
   }
 
   /**
-   * Where this process stood still, what it did not receive meanwhile counts against itself, not
-   * against others. The cost: a member that fails during the pause is detected as much later.
+   * After a pause of this process, worsens the node's own health score and extends the pending
+   * deadlines:
+   * messages missed during the pause must not count against other members. The cost: the failure of
+   * a member during the pause is detected later by the length of the pause.
    */
   private void compensateForPause(long nowNanos) {
     long lateNanos = nowNanos - lastTickNanos - tickIntervalNanos();
     lastTickNanos = nowNanos;
-    if (lateNanos <= periodNanos * MAX_LATE_SHARE) {
+    if (lateNanos <= periodNanos * MAX_TICK_DELAY_PERIODS) {
       return;
     }
     health.worsen((int) Math.min(MAX_PAUSE_PENALTY, 1 + lateNanos / periodNanos));
@@ -164,25 +170,25 @@
 
   // ---- Messages ----
 
-  /** The same as the other {@code receive} for a sender that does not tell its place. */
+  /** Handles a packet as the other {@code receive} does, from a sender whose place is unknown. */
   public void receive(
       long nowNanos,
       String sender,
       long address,
       long incarnation,
       MembershipMessage message,
-      List<MembershipUpdate> carried) {
-    receive(nowNanos, sender, address, 0, incarnation, message, carried);
+      List<MembershipUpdate> piggybackedUpdates) {
+    receive(nowNanos, sender, address, 0, incarnation, message, piggybackedUpdates);
   }
 
   /**
-   * Takes in a packet whose sender is authenticated.
+   * Handles a packet whose sender is authenticated.
    *
    * @param sender the name of the sender
-   * @param address where the sender tells that it listens
-   * @param place the sender's region and zone; 0 where it does not tell
+   * @param address the address that the sender listens on, as stated in the packet
+   * @param place the sender's region and zone; 0 if the packet does not state them
    * @param incarnation the sender's incarnation
-   * @param carried the updates that came with the message
+   * @param piggybackedUpdates the updates piggybacked on the message
    */
   public void receive(
       long nowNanos,
@@ -191,24 +197,24 @@
       int place,
       long incarnation,
       MembershipMessage message,
-      List<MembershipUpdate> carried) {
+      List<MembershipUpdate> piggybackedUpdates) {
     if (sender.equals(local.name()) || leaving) {
       return;
     }
     MembershipUpdate self =
         new MembershipUpdate(sender, address, incarnation, MemberState.ALIVE, "", place);
-    Optional<Member> known = processor.onHeardFrom(nowNanos, self);
+    Optional<Member> known = processor.onPacketReceived(nowNanos, self);
     if (known.isEmpty()) {
-      return; // the table is full of others
+      return; // the table is full of present members
     }
     Member member = known.get();
     if (!(message instanceof MembershipMessage.Leave)) {
-      carried.forEach(update -> processor.apply(nowNanos, update, sender, true));
+      piggybackedUpdates.forEach(update -> processor.apply(nowNanos, update, sender, true));
     }
     message.accept(new Dispatcher(nowNanos, member, incarnation));
   }
 
-  /** What each kind of message brings about; its sender is a member. */
+  /** Passes each kind of message to the class that handles it; the sender is a member. */
   private final class Dispatcher implements MembershipMessage.Visitor {
     private final long nowNanos;
     private final Member from;
@@ -264,17 +270,17 @@
 
     @Override
     public void visit(MembershipMessage.PayloadOnly payload) {
-      // What it carries has been taken in.
+      // Its updates have already been processed.
     }
 
     @Override
     public void visit(MembershipMessage.StatusRequest request) {
-      // Answered by the node that owns the socket.
+      // Handled by the node that owns the socket.
     }
 
     @Override
     public void visit(MembershipMessage.StatusPage page) {
-      // For operators' tools alone.
+      // Addressed to operators' tools only.
     }
 
     @Override
@@ -285,9 +291,11 @@
     }
   }
 
-  // ---- What this node begins ----
+  // ---- Messages that this node initiates ----
 
-  /** Tells some members that this node leaves; from here on it neither pings nor answers. */
+  /**
+   * Announces to some members that this node leaves; afterwards it neither sends pings nor replies.
+   */
   public void leave(long nowNanos) {
     for (Member member : members.drawAlive(LEAVE_RECEIVERS)) {
       messenger.send(nowNanos, Purpose.PROBE, member, new MembershipMessage.Leave());
@@ -295,7 +303,9 @@
     leaving = true;
   }
 
-  /** Lets what rides on packets reach some members now, and not only with the next pings. */
+  /**
+   * Sends the piggybacked reports and payload to some members now, instead of with the next pings.
+   */
   public void sendPayload(long nowNanos) {
     if (!leaving) {
       members
--- a/decisions/src/main/java/reachloom/membership/MembershipSettings.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipSettings.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * How a node takes part in a cluster.
+ * The settings of a node's membership in a cluster.
  *
  * @param name the name of this node, unique in the cluster, not empty
- * @param address where it listens: IPv4 address and port in the lowest 48 bits
- * @param seeds addresses of members to join by; may contain its own, may be empty
- * @param periodNanos the protocol period: one member is pinged in each
+ * @param address the address that it listens on: IPv4 address and port in the lowest 48 bits
+ * @param seeds addresses of members through which it joins; may contain its own, may be empty
+ * @param periodNanos the protocol period, in which one member is pinged
  * @param maxBytesPerSecond the bandwidth limit of all that this node sends
  */
 public record MembershipSettings(
--- a/decisions/src/main/java/reachloom/membership/MessageSender.java
+++ b/decisions/src/main/java/reachloom/membership/MessageSender.java
@@ -2,15 +2,16 @@
 
 import java.util.List;
 
-/** Where a node's messages and the changes that it finds go. */
+/** Sends a node's messages, and receives the changes of members that the node detects. */
 public interface MessageSender {
   /**
    * Sends a message with updates.
    *
-   * @param to the receiver's name; empty stands for whoever listens at the address
-   * @param address where the receiver listens: IPv4 address and port in the lowest 48 bits
-   * @param maxBytes how large the datagram may grow; what is left may carry peer reports
-   * @return the bytes that it took on the wire
+   * @param to the receiver's name; empty if it is unknown which node listens at the address
+   * @param address the address that the receiver listens on: IPv4 address and port in the lowest 48
+   * bits
+   * @param maxBytes the maximum size of the datagram; the rest may be filled with peer reports
+   * @return the size of the datagram on the wire, in bytes
    */
   int send(
       long nowNanos,
@@ -20,6 +21,6 @@
       List<MembershipUpdate> updates,
       int maxBytes);
 
-  /** A member has joined, has changed its state, or its place has become known. */
+  /** Handles a member that has joined, has changed its state, or whose place has become known. */
   void onMemberChanged(long nowNanos, MembershipUpdate member);
 }
--- a/decisions/src/main/java/reachloom/membership/Suspicion.java
+++ b/decisions/src/main/java/reachloom/membership/Suspicion.java
@@ -4,55 +4,57 @@
 import java.util.Set;
 
 /**
- * The time that a suspected member has to refute the accusation. It starts long, and each further
- * independent accuser shortens it, down to a minimum that is enough for a refutation to get round
- * (Lifeguard, section IV-B).
+ * The timeout within which a suspected member must refute the accusation. It starts at its maximum,
+ * and each further independent accuser shortens it, down to a minimum that is enough for a
+ * refutation to spread through the cluster (Lifeguard, section IV-B).
  */
 final class Suspicion {
-  // Periods for each decade of members; the last pings that follow make up for memberlist's fourth.
-  private static final double MIN_TIMEOUT_PERIODS = 3;
-  private static final double MAX_TIMEOUT_FACTOR = 6; // the longest timeout in shortest ones
-  private static final int CONFIRMATIONS = 2; // further accusers that shorten it to the minimum
+  // memberlist has 4 periods per decade of members; here the final pings replace the fourth.
+  private static final double MIN_TIMEOUT_PERIODS_PER_DECADE = 3;
+  private static final double MAX_TIMEOUT_FACTOR = 6; // maximum timeout / minimum timeout
+  private static final int CONFIRMATIONS = 2; // further accusers that reduce it to the minimum
 
   private final Set<String> accusers = new LinkedHashSet<>();
   private final long minTimeoutNanos;
   private long startedAtNanos;
-  private int lastPings;
-  private long lastPingDeadlineNanos;
+  private int finalPings;
+  private long finalPingDeadlineNanos;
 
   Suspicion(long nowNanos, long periodNanos, int clusterSize, String accuser) {
     startedAtNanos = nowNanos;
     double decades = Math.max(1, Math.log10(Math.max(1, clusterSize)));
-    minTimeoutNanos = (long) (MIN_TIMEOUT_PERIODS * decades * periodNanos);
+    minTimeoutNanos = (long) (MIN_TIMEOUT_PERIODS_PER_DECADE * decades * periodNanos);
     accusers.add(accuser);
   }
 
-  /** Takes one more accuser; true where it is a new one that counts, and is to be passed on. */
+  /**
+   * Adds an accuser; returns true if it is new and counts, so that the accusation is disseminated.
+   */
   boolean confirm(String accuser) {
     return accusers.size() <= CONFIRMATIONS && accusers.add(accuser);
   }
 
-  /** Moves the start of the timeout: a pause of this process does not count against the member. */
+  /** Postpones the timeout: a pause of this process does not count against the member. */
   void extend(long nanos) {
     startedAtNanos += nanos;
   }
 
-  /** When the member's time is up. */
+  /** Returns when the member's time to refute expires. */
   long deadlineNanos() {
     double confirmed = Math.log(accusers.size()) / Math.log(CONFIRMATIONS + 1);
     double factor = MAX_TIMEOUT_FACTOR - (MAX_TIMEOUT_FACTOR - 1) * confirmed;
-    return Math.max(startedAtNanos + (long) (minTimeoutNanos * factor), lastPingDeadlineNanos);
+    return Math.max(startedAtNanos + (long) (minTimeoutNanos * factor), finalPingDeadlineNanos);
   }
 
-  /** The member has been pinged once more, and has until then to acknowledge. */
-  void onLastPing(long deadlineNanos) {
-    lastPings++;
-    lastPingDeadlineNanos = deadlineNanos;
+  /** Records a final ping, which the member must acknowledge before the deadline. */
+  void onFinalPing(long deadlineNanos) {
+    finalPings++;
+    finalPingDeadlineNanos = deadlineNanos;
   }
 
-  /** How often the member was pinged after its time was up. */
-  int lastPings() {
-    return lastPings;
+  /** Returns how often the member was pinged after its timeout had expired. */
+  int finalPings() {
+    return finalPings;
   }
 
   long minTimeoutNanos() {
--- a/decisions/src/main/java/reachloom/membership/SuspicionTracker.java
+++ b/decisions/src/main/java/reachloom/membership/SuspicionTracker.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Members under suspicion: who accuses them, and when they have had enough time to refute it
- * (SWIM's suspicion subprotocol with the timeouts of Lifeguard). Confined to the thread that calls
+ * Tracks suspected members, their accusers, and the timeouts within which they must refute (SWIM's
+ * suspicion subprotocol with the timeouts of Lifeguard). Confined to the thread that calls
  * {@link MembershipService}.
  */
 final class SuspicionTracker {
-  private static final int LAST_PINGS = 2; // of this node's own, to a suspect whose time is up
+  private static final int FINAL_PINGS = 2; // by this node, to a suspect whose timeout has expired
 
-  /** Pings a suspect once more before it is held to have failed. */
-  interface LastPing {
-    /** False where the ping could not be sent. */
+  /** Pings a suspect once more before it is considered failed. */
+  interface FinalPing {
+    /** Sends the ping; returns false if the bandwidth limit does not admit it. */
     boolean send(long nowNanos, Member suspect);
   }
 
@@ -35,7 +35,7 @@
     this.health = health;
   }
 
-  /** A ping of this node's own, and those through others, were not acknowledged. */
+  /** Suspects a member that acknowledged neither this node's ping nor the indirect ones. */
   void onPingFailed(long nowNanos, Member member) {
     if (member.state == MemberState.ALIVE) {
       suspect(nowNanos, member, localName);
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Another member accuses one that is present. */
+  /** Handles an accusation of a present member by another one. */
   void onAccusation(long nowNanos, Member member, String accuser) {
     if (member.state == MemberState.ALIVE) {
       suspect(nowNanos, member, accuser);
@@ -59,7 +59,10 @@
     members.transition(nowNanos, member, MemberState.SUSPECT, member.incarnation);
   }
 
-  /** This process stood still: the time does not count against the suspects. */
+  /**
+   * Extends all suspicions after a pause of this process, which must not count against the
+   * suspects.
+   */
   void extendAll(long lateNanos) {
     members
         .inState(MemberState.SUSPECT)
@@ -67,19 +70,19 @@
   }
 
   /**
-   * Holds suspects whose time is up to have failed, each after it was pinged by this node itself
-   * and so told of its accusation: where its refutation was on its way round but had not come here,
-   * it comes now. A real failure is known some periods later for it.
+   * Declares suspects whose timeout has expired failed, each after final pings by this node, which
+   * also notify the suspect of the accusation. A refutation that has spread to others but not to
+   * this node arrives in reply. The cost: a real failure is declared some periods later.
    */
-  void judge(long nowNanos, LastPing lastPing) {
+  void expireSuspicions(long nowNanos, FinalPing finalPing) {
     for (Member member : List.copyOf(members.all())) {
       if (member.suspicion == null || nowNanos < member.suspicion.deadlineNanos()) {
         continue;
       }
-      if (member.suspicion.lastPings() >= LAST_PINGS) {
+      if (member.suspicion.finalPings() >= FINAL_PINGS) {
         members.transition(nowNanos, member, MemberState.DEAD, member.incarnation);
-      } else if (lastPing.send(nowNanos, member)) {
-        member.suspicion.onLastPing(nowNanos + health.stretch(periodNanos));
+      } else if (finalPing.send(nowNanos, member)) {
+        member.suspicion.onFinalPing(nowNanos + health.stretch(periodNanos));
       }
     }
   }
--- a/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Takes in what members tell of themselves and of others, and refutes what is told wrongly of this
- * node. Confined to the thread that calls {@link MembershipService}.
+ * Processes what members report of themselves and of other members, and refutes wrong updates about
+ * this node. Confined to the thread that calls {@link MembershipService}.
  */
 final class UpdateProcessor {
   private static final long SECOND_NANOS = 1_000_000_000;
-  private static final long MAX_CLOCK_LEAD_SECONDS = 60; // of an incarnation that others tell
+  private static final long MAX_CLOCK_LEAD_SECONDS = 60; // of a received incarnation
 
   private final LocalMember local;
   private final LocalHealth health;
@@ -35,15 +35,18 @@
     this.sync = sync;
   }
 
-  /** A packet of its own shows a member alive, where it listens, and in which incarnation. */
-  Optional<Member> onHeardFrom(long nowNanos, MembershipUpdate self) {
+  /**
+   * Processes a member's own packet, which shows that the member is alive, its address and its
+   * incarnation.
+   */
+  Optional<Member> onPacketReceived(long nowNanos, MembershipUpdate self) {
     Optional<Member> known = members.find(self.member());
     if (known.isEmpty()) {
       known = add(nowNanos, self, true);
     } else {
       refresh(nowNanos, known.get(), self);
     }
-    known.ifPresent(member -> member.heardAtNanos = nowNanos);
+    known.ifPresent(member -> member.lastPacketAtNanos = nowNanos);
     return known;
   }
 
@@ -55,31 +58,34 @@
       members.transition(nowNanos, member, MemberState.ALIVE, self.incarnation());
     } else if (self.place() != 0 && member.place == 0 && sameIncarnation) {
       members.setPlace(nowNanos, member, self.place());
-    } else if (member.heardAtNanos == 0 && sameIncarnation && member.address != self.address()) {
+    } else if (member.lastPacketAtNanos == 0 && sameIncarnation && member.address != self.address()) {
       members.correctAddress(member, self.address());
     }
   }
 
-  private Optional<Member> add(long nowNanos, MembershipUpdate update, boolean spread) {
+  private Optional<Member> add(long nowNanos, MembershipUpdate update, boolean disseminate) {
     Optional<Member> added = members.add(nowNanos, update);
     if (added.isPresent()) {
-      MembershipUpdate told = added.get().toUpdate();
-      if (spread) {
-        updates.add(told);
+      MembershipUpdate addedUpdate = added.get().toUpdate();
+      if (disseminate) {
+        updates.add(addedUpdate);
       }
       sync.onMemberAdded(nowNanos);
-      members.reportChange(nowNanos, told);
+      members.reportChange(nowNanos, addedUpdate);
     }
     return added;
   }
 
   /**
-   * Takes in what {@code teller} says of a member. What stands in a table that was asked for is not
-   * passed on: {@code spread} is false.
+   * Processes an update.
+   *
+   * @param reporter the member that sent the update
+   * @param disseminate whether a new member is passed on to others; false for the members of a
+   * synchronized table
    */
-  void apply(long nowNanos, MembershipUpdate update, String teller, boolean spread) {
+  void apply(long nowNanos, MembershipUpdate update, String reporter, boolean disseminate) {
     if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_CLOCK_LEAD_SECONDS) {
-      return; // no honest node has got there: it would leave no number to refute it with
+      return; // no honest node has reached it, and it could leave no higher one for a refutation
     }
     if (update.member().equals(local.name())) {
       applyToSelf(update);
@@ -87,11 +93,11 @@
     }
     Optional<Member> known = members.find(update.member());
     if (known.isEmpty()) {
-      applyToUnknown(nowNanos, update, spread);
+      applyToUnknown(nowNanos, update, disseminate);
     } else if (update.state() == MemberState.ALIVE) {
       applyAlive(nowNanos, known.get(), update);
     } else {
-      applyAccusation(nowNanos, known.get(), update, teller);
+      applyAccusation(nowNanos, known.get(), update, reporter);
     }
   }
 
@@ -105,13 +111,13 @@
     }
   }
 
-  private void applyToUnknown(long nowNanos, MembershipUpdate update, boolean spread) {
+  private void applyToUnknown(long nowNanos, MembershipUpdate update, boolean disseminate) {
     if (update.state() != MemberState.ALIVE) {
       return;
     }
-    Optional<Member> added = add(nowNanos, update, spread);
-    if (added.isPresent() && spread) {
-      joining.onNewcomerHeardOf(nowNanos, added.get(), local.toUpdate());
+    Optional<Member> added = add(nowNanos, update, disseminate);
+    if (added.isPresent() && disseminate) {
+      joining.onJoinReported(nowNanos, added.get(), local.toUpdate());
     }
   }
 
@@ -120,17 +126,17 @@
       member.address = update.address();
       member.place = update.place() == 0 ? member.place : update.place();
       members.transition(nowNanos, member, MemberState.ALIVE, update.incarnation());
-    } else if (member.place == 0 && update.place() != 0) { // fills a gap, moves nobody
+    } else if (member.place == 0 && update.place() != 0) { // only sets an unknown place
       members.setPlace(nowNanos, member, update.place());
     }
   }
 
   private void applyAccusation(
-      long nowNanos, Member member, MembershipUpdate update, String teller) {
+      long nowNanos, Member member, MembershipUpdate update, String reporter) {
     if (update.incarnation() >= member.incarnation && member.state.present()) {
       member.incarnation = update.incarnation();
       boolean namesAccuser = update.state() == MemberState.SUSPECT && !update.accuser().isEmpty();
-      suspicions.onAccusation(nowNanos, member, namesAccuser ? update.accuser() : teller);
+      suspicions.onAccusation(nowNanos, member, namesAccuser ? update.accuser() : reporter);
     }
   }
 }
--- a/decisions/src/main/java/reachloom/membership/UpdateQueue.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateQueue.java
@@ -8,55 +8,55 @@
 import java.util.Optional;
 
 /**
- * Updates on their way round the cluster, the latest of each member (SWIM, section 4.1). Each one
- * is sent a bounded number of times; what was sent least goes first, and of equals the newest. With
- * the queue full, the oldest update is dropped.
+ * The queue of updates to disseminate, with the latest update of each member (SWIM, section 4.1).
+ * Each update is sent a bounded number of times; the one sent least often goes first, and the
+ * newest among equals. If the queue is full, the oldest update is dropped.
  */
 final class UpdateQueue {
-  private static final int MAX_UPDATES = 1_024; // members with an update at one time
-  private static final double TRANSMISSIONS_PER_DOUBLING = 3; // of the number of members
+  private static final int MAX_UPDATES = 1_024; // at most one per member
+  private static final double TRANSMISSIONS_PER_DOUBLING = 3; // of the cluster size
 
   private static final class QueuedUpdate {
     private final MembershipUpdate update;
-    private final long number;
+    private final long sequence;
     private int transmissions;
 
-    QueuedUpdate(MembershipUpdate update, long number) {
+    QueuedUpdate(MembershipUpdate update, long sequence) {
       this.update = update;
-      this.number = number;
+      this.sequence = sequence;
     }
   }
 
   private static final Comparator<QueuedUpdate> FEWEST_TRANSMISSIONS_THEN_NEWEST =
       Comparator.<QueuedUpdate>comparingInt(queued -> queued.transmissions)
-          .thenComparingLong(queued -> -queued.number);
+          .thenComparingLong(queued -> -queued.sequence);
 
   private final Map<String, QueuedUpdate> queue = new LinkedHashMap<>();
-  private long nextNumber;
+  private long nextSequence;
 
-  /** Queues an update, in the place of an older one on the same member. */
+  /** Queues an update, which replaces an older one on the same member. */
   void add(MembershipUpdate update) {
     queue.remove(update.member());
     if (queue.size() >= MAX_UPDATES) {
       queue.remove(queue.keySet().iterator().next());
     }
-    queue.put(update.member(), new QueuedUpdate(update, nextNumber++));
+    queue.put(update.member(), new QueuedUpdate(update, nextSequence++));
   }
 
   /**
-   * Takes the updates for one packet, the given one before all others.
+   * Returns the updates for one packet, {@code first} before all others, and counts them as sent.
    *
-   * @param first an update that is sent with this packet in any case, as far as it fits
-   * @param clusterSize how many members there are; bounds how often an update is sent
-   * @param maxBytes how many bytes all of them may take
+   * @param first an update that is sent with this packet if it fits, whether or not it is queued
+   * @param clusterSize the number of members, which bounds how often an update is sent
+   * @param maxBytes the total size limit of the updates, in bytes
    */
   List<MembershipUpdate> take(
       Optional<MembershipUpdate> first, int clusterSize, int maxBytes, WireSizes sizes) {
     List<MembershipUpdate> taken = new ArrayList<>();
-    int leftBytes = maxBytes;
-    if (first.isPresent() && sizes.updateBytes(first.get()) <= leftBytes) {
+    int remainingBytes = maxBytes;
+    if (first.isPresent() && sizes.updateBytes(first.get()) <= remainingBytes) {
       taken.add(first.get());
-      leftBytes -= sizes.updateBytes(first.get());
+      remainingBytes -= sizes.updateBytes(first.get());
     }
     if (queue.isEmpty()) {
       return taken;
@@ -67,14 +67,14 @@
     order.sort(FEWEST_TRANSMISSIONS_THEN_NEWEST);
     for (QueuedUpdate queued : order) {
       int updateBytes = sizes.updateBytes(queued.update);
-      if (updateBytes > leftBytes) {
+      if (updateBytes > remainingBytes) {
         break;
       }
       if (queued.update.member().equals(firstMember)) {
         continue;
       }
       taken.add(queued.update);
-      leftBytes -= updateBytes;
+      remainingBytes -= updateBytes;
       if (++queued.transmissions >= maxTransmissions) {
         queue.remove(queued.update.member());
       }
@@ -82,7 +82,7 @@
     return taken;
   }
 
-  /** How often an update is sent in a cluster of that size: logarithmic, as in SWIM. */
+  /** Returns how often an update is sent in a cluster of that size: logarithmic, as in SWIM. */
   static int maxTransmissions(int clusterSize) {
     return (int) Math.ceil(TRANSMISSIONS_PER_DOUBLING * (Math.log(clusterSize + 1) / Math.log(2)));
   }
--- a/decisions/src/main/java/reachloom/membership/WireSizes.java
+++ b/decisions/src/main/java/reachloom/membership/WireSizes.java
@@ -1,13 +1,13 @@
 package reachloom.membership;
 
-/** Sizes on the wire, so that what is sent can be planned before it is encoded. */
+/** Sizes on the wire, so that packets can be planned before they are encoded. */
 public interface WireSizes {
   /**
-   * The bytes of a datagram to that member with that message and nothing else, all headers
-   * included; the name is empty where it is not known who listens.
+   * Returns the size, in bytes, of a datagram to that member with that message alone, all headers
+   * included; the name is empty if the receiver's name is unknown.
    */
   int messageBytes(String to, MembershipMessage message);
 
-  /** The bytes of one update. */
+  /** Returns the size of one update, in bytes. */
   int updateBytes(MembershipUpdate update);
 }
--- a/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
+++ b/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One node, given event by event what the others tell; no network. */
+/** Drives the service of one node with messages of other members, without a network. */
 class MembershipServiceTest {
   private static final long SECOND_NANOS = 1_000_000_000;
-  private static final long START = 1_000_000 * SECOND_NANOS;
+  private static final long START_NANOS = 1_000_000 * SECOND_NANOS;
   private static final int MAX_BYTES_PER_SECOND = 65_536;
 
   private record Sent(
@@ -25,7 +25,7 @@
 
   private final List<Sent> sent = new ArrayList<>();
   private final List<MembershipUpdate> changes = new ArrayList<>();
-  private long now = START;
+  private long now = START_NANOS;
   private MembershipService service;
 
   private final class RecordingSender implements MessageSender {
@@ -65,9 +65,9 @@
     service = instance(MAX_BYTES_PER_SECOND, List.of());
   }
 
-  private MembershipService instance(int cap, List<Long> seeds) {
+  private MembershipService instance(int maxBytesPerSecond, List<Long> seeds) {
     return new MembershipService(
-        new MembershipSettings("me", 1, seeds, SECOND_NANOS, cap),
+        new MembershipSettings("me", 1, seeds, SECOND_NANOS, maxBytesPerSecond),
         now,
         new SplittableRandom(1),
         new RecordingSender(),
@@ -82,7 +82,7 @@
   }
 
   private void receive(String from, MembershipMessage message, MembershipUpdate... updates) {
-    service.receive(now, from, address(from), START / SECOND_NANOS, message, List.of(updates));
+    service.receive(now, from, address(from), START_NANOS / SECOND_NANOS, message, List.of(updates));
   }
 
   private static long address(String name) {
@@ -92,7 +92,7 @@
   private static MembershipUpdate update(
       String of, long incarnation, MemberState state, String accuser) {
     return new MembershipUpdate(
-        of, address(of), START / SECOND_NANOS + incarnation, state, accuser);
+        of, address(of), START_NANOS / SECOND_NANOS + incarnation, state, accuser);
   }
 
   private MemberState state(String of) {
@@ -100,13 +100,13 @@
   }
 
   private void join(String... names) {
-    for (String n : names) {
-      receive(n, new MembershipMessage.Ack(-1));
+    for (String name : names) {
+      receive(name, new MembershipMessage.Ack(-1));
     }
   }
 
-  /** Lets time pass and acknowledges pings of members, except of those named. */
-  private void advanceAnswering(long nanos, String... silent) {
+  /** Advances the clock and acknowledges pings to all members except the silent ones. */
+  private void advanceAcknowledging(long nanos, String... silent) {
     for (long until = now + nanos; now < until; ) {
       int from = sent.size();
       advance(SECOND_NANOS / 10);
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void aPacketFromANodeMakesItAMember() {
+  void addsSenderOfPacketAsMember() {
     join("a");
     assertEquals(MemberState.ALIVE, state("a"));
     assertEquals(2, service.size());
@@ -127,9 +127,9 @@
   }
 
   @Test
-  void aSilentMemberIsPingedIndirectlyThenSuspectedThenDead() {
+  void declaresSilentMemberDeadAfterIndirectPings() {
     join("a", "b", "c", "d", "e");
-    advanceAnswering(30 * SECOND_NANOS, "e");
+    advanceAcknowledging(30 * SECOND_NANOS, "e");
     assertTrue(
         sent.stream()
                 .filter(
@@ -140,10 +140,10 @@
                 .distinct()
                 .count()
             >= 3,
-        "three others were asked");
+        "at least three relays received a ping request");
     assertTrue(
         changes.stream().anyMatch(n -> n.member().equals("e") && n.state() == MemberState.SUSPECT));
-    advanceAnswering(30 * SECOND_NANOS, "e");
+    advanceAcknowledging(30 * SECOND_NANOS, "e");
     assertEquals(MemberState.DEAD, state("e"));
     assertEquals(
         List.of("a", "b", "c", "d"),
@@ -155,11 +155,11 @@
   }
 
   @Test
-  void eachMemberIsPingedWithinTwoRounds() {
+  void pingsEachMemberWithinTwoRounds() {
     join("a", "b", "c", "d", "e", "f", "g", "h");
-    advanceAnswering(16 * SECOND_NANOS);
+    advanceAcknowledging(16 * SECOND_NANOS);
     sent.clear();
-    advanceAnswering(15 * SECOND_NANOS); // 2n - 1 periods, as SWIM has it
+    advanceAcknowledging(15 * SECOND_NANOS); // 2n - 1 periods, as SWIM has it
     assertEquals(
         8,
         sent.stream()
@@ -170,38 +170,40 @@
   }
 
   @Test
-  void aFailureToldByOneOtherIsAnAccusationOnly() {
+  void treatsReportedFailureAsAccusation() {
     join("a", "b", "liar");
     receive("liar", new MembershipMessage.Ack(-1), update("a", 0, MemberState.DEAD, "liar"));
     assertEquals(MemberState.SUSPECT, state("a"));
     receive("liar", new MembershipMessage.Ack(-1), update("b", 0, MemberState.LEFT, ""));
-    assertEquals(MemberState.SUSPECT, state("b"), "nor is a farewell taken from a third one");
+    assertEquals(MemberState.SUSPECT, state("b"), "a leave reported by another member is an accusation only");
     advance(SECOND_NANOS);
     receive("a", new MembershipMessage.Ack(-1), update("a", 1, MemberState.ALIVE, ""));
     service.receive(
-        now, "a", address("a"), START / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
-    assertEquals(MemberState.ALIVE, state("a"), "it has objected");
+        now, "a", address("a"), START_NANOS / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
+    assertEquals(MemberState.ALIVE, state("a"), "the accusation was refuted");
   }
 
   @Test
-  void eachFurtherAccuserShortensTheSuspicionTimeout() {
+  void shortensSuspicionTimeoutWithEachAccuser() {
     join("a", "b", "c", "d");
     receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, "b"));
-    Suspicion one = new Suspicion(now, SECOND_NANOS, 5, "b");
-    long alone = one.deadlineNanos() - now;
-    assertTrue(one.confirm("c"));
-    assertFalse(one.confirm("c"), "the same voice twice");
-    long two = one.deadlineNanos() - now;
-    assertTrue(one.confirm("d"));
-    assertFalse(one.confirm("e"), "more change nothing, and are not passed on");
-    long three = one.deadlineNanos() - now;
-    assertTrue(alone > two && two > three, alone + " " + two + " " + three);
-    assertEquals(one.minTimeoutNanos(), three);
-    assertEquals(6 * three, alone);
+    Suspicion suspicion = new Suspicion(now, SECOND_NANOS, 5, "b");
+    long oneAccuser = suspicion.deadlineNanos() - now;
+    assertTrue(suspicion.confirm("c"));
+    assertFalse(suspicion.confirm("c"), "the same accuser counts once");
+    long twoAccusers = suspicion.deadlineNanos() - now;
+    assertTrue(suspicion.confirm("d"));
+    assertFalse(suspicion.confirm("e"), "further accusers do not count and are not disseminated");
+    long threeAccusers = suspicion.deadlineNanos() - now;
+    assertTrue(
+        oneAccuser > twoAccusers && twoAccusers > threeAccusers,
+        oneAccuser + " " + twoAccusers + " " + threeAccusers);
+    assertEquals(suspicion.minTimeoutNanos(), threeAccusers);
+    assertEquals(6 * threeAccusers, oneAccuser);
   }
 
   @Test
-  void anAccusedNodeRefutesInAHigherIncarnationAndLowersItsOwnHealth() {
+  void refutesAccusationAndWorsensLocalHealth() {
     join("a");
     long before = service.incarnation();
     receive(
@@ -219,12 +221,12 @@
         "a",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 1, before, MemberState.DEAD, "a"));
-    assertEquals(before + 1, service.incarnation(), "that was answered");
+    assertEquals(before + 1, service.incarnation(), "this accusation has already been refuted");
     receive(
         "a",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate("me", 99, before + 1, MemberState.ALIVE, ""));
-    assertEquals(before + 2, service.incarnation(), "somebody has it elsewhere");
+    assertEquals(before + 2, service.incarnation(), "an update with a wrong address is refuted");
   }
 
   private Sent last() {
@@ -232,10 +234,10 @@
   }
 
   @Test
-  void aMemberAccusedHereIsToldAtOnce() {
+  void notifiesAccusedMemberWithinTwoPeriods() {
     join("a", "b", "c", "d");
-    advanceAnswering(30 * SECOND_NANOS, "d");
-    int at =
+    advanceAcknowledging(30 * SECOND_NANOS, "d");
+    int firstNotification =
         sent.indexOf(
             sent.stream()
                 .filter(
@@ -248,22 +250,23 @@
                 .orElseThrow());
     MembershipUpdate accusation =
         changes.stream().filter(n -> n.state() == MemberState.SUSPECT).findFirst().orElseThrow();
-    long accused =
+    long accusedAt =
         sent.stream().filter(s -> s.updates().contains(accusation)).findFirst().orElseThrow().at();
-    assertTrue(sent.get(at).at() - accused <= 2 * SECOND_NANOS, "within two periods");
-    long told =
+    assertTrue(
+        sent.get(firstNotification).at() - accusedAt <= 2 * SECOND_NANOS, "within two periods");
+    long pingsToAccused =
         sent.stream()
             .filter(
                 s ->
                     s.to().equals("d")
                         && s.message() instanceof MembershipMessage.Ping
-                        && s.at() >= accused)
+                        && s.at() >= accusedAt)
             .count();
-    assertTrue(told >= 5, told + " times");
+    assertTrue(pingsToAccused >= 5, pingsToAccused + " pings");
   }
 
   @Test
-  void aSuspectIsPingedBeforeItIsHeldDeadAndARefutationStillCounts() {
+  void acceptsRefutationInReplyToFinalPing() {
     join("a", "b", "c", "d");
     for (String accuser : new String[] {"b", "c", "d"}) {
       receive(accuser, new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, accuser));
@@ -271,26 +274,26 @@
     advance(3 * SECOND_NANOS - SECOND_NANOS / 5);
     sent.clear();
     advance(SECOND_NANOS / 2);
-    Sent question = sent.stream().filter(s -> s.to().equals("a")).findFirst().orElseThrow();
-    assertEquals(MemberState.SUSPECT, question.updates().get(0).state());
+    Sent finalPing = sent.stream().filter(s -> s.to().equals("a")).findFirst().orElseThrow();
+    assertEquals(MemberState.SUSPECT, finalPing.updates().get(0).state());
     service.receive(
-        now, "a", address("a"), START / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
+        now, "a", address("a"), START_NANOS / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
     advance(5 * SECOND_NANOS);
     assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
-  void theLastPingsGoThroughOthersToo() {
+  void sendsFinalPingsThroughRelays() {
     join("a", "b", "c", "d");
     for (String accuser : new String[] {"b", "c", "d"}) {
       receive(accuser, new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, accuser));
     }
     sent.clear();
-    // Whatever goes to it, or comes back from it, is lost on the way.
-    Sent through = null;
-    for (int i = 0; i < 80 && through == null; i++) {
-      advanceAnswering(SECOND_NANOS / 10, "a");
-      through =
+    // All packets to and from the suspect are lost.
+    Sent relayed = null;
+    for (int i = 0; i < 80 && relayed == null; i++) {
+      advanceAcknowledging(SECOND_NANOS / 10, "a");
+      relayed =
           sent.stream()
               .filter(
                   s ->
@@ -300,24 +303,24 @@
               .orElse(null);
     }
     assertEquals(MemberState.SUSPECT, state("a"));
-    MembershipMessage.PingRequest asked = (MembershipMessage.PingRequest) through.message();
+    MembershipMessage.PingRequest pingRequest = (MembershipMessage.PingRequest) relayed.message();
     receive(
-        through.to(),
-        new MembershipMessage.Ack(asked.sequenceNumber()),
+        relayed.to(),
+        new MembershipMessage.Ack(pingRequest.sequenceNumber()),
         update("a", 1, MemberState.ALIVE, ""));
     assertEquals(
         MemberState.ALIVE,
         state("a"),
-        "it had objected long ago, and the relay has heard so from itself");
+        "the relay passes on the refutation that it received from the suspect");
   }
 
   @Test
-  void anIncarnationFromTheFutureIsIgnored() {
+  void ignoresIncarnationFromTheFuture() {
     join("a", "b");
     receive(
         "b",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", 5, START / SECOND_NANOS + 100, MemberState.SUSPECT, "b"));
+        new MembershipUpdate("a", 5, START_NANOS / SECOND_NANOS + 100, MemberState.SUSPECT, "b"));
     assertEquals(MemberState.ALIVE, state("a"));
     long before = service.incarnation();
     receive(
@@ -328,61 +331,61 @@
   }
 
   @Test
-  void anAddressToldByOthersYieldsToTheMembersOwnPackets() {
+  void prefersAddressFromMembersOwnPackets() {
     receive(
         "liar",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", 666, START / SECOND_NANOS, MemberState.ALIVE, ""));
+        new MembershipUpdate("a", 666, START_NANOS / SECOND_NANOS, MemberState.ALIVE, ""));
     assertEquals(666, service.member("a").orElseThrow().address());
     join("a");
     assertEquals(address("a"), service.member("a").orElseThrow().address());
     receive(
         "liar",
         new MembershipMessage.Ack(-1),
-        new MembershipUpdate("a", 666, START / SECOND_NANOS, MemberState.ALIVE, ""));
+        new MembershipUpdate("a", 666, START_NANOS / SECOND_NANOS, MemberState.ALIVE, ""));
     assertEquals(address("a"), service.member("a").orElseThrow().address());
   }
 
   @Test
-  void aPlaceToldByOthersFillsAGapAndTheMembersOwnPacketsTakePrecedence() {
+  void prefersPlaceFromMembersOwnPackets() {
     join("b");
     receive(
         "b",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate(
-            "a", address("a"), START / SECOND_NANOS, MemberState.ALIVE, "", 0x0102));
+            "a", address("a"), START_NANOS / SECOND_NANOS, MemberState.ALIVE, "", 0x0102));
     assertEquals(0x0102, service.member("a").orElseThrow().place());
     receive(
         "liar",
         new MembershipMessage.Ack(-1),
         new MembershipUpdate(
-            "a", address("a"), START / SECOND_NANOS, MemberState.ALIVE, "", 0x0309));
+            "a", address("a"), START_NANOS / SECOND_NANOS, MemberState.ALIVE, "", 0x0309));
     assertEquals(
-        0x0102, service.member("a").orElseThrow().place(), "hearsay fills a gap and moves nobody");
+        0x0102, service.member("a").orElseThrow().place(), "a report of another member sets an unknown place only");
     assertEquals(0, service.member("b").orElseThrow().place());
     service.receive(
         now,
         "b",
         address("b"),
         0x0201,
-        START / SECOND_NANOS,
+        START_NANOS / SECOND_NANOS,
         new MembershipMessage.Ack(-1),
         List.of());
     assertEquals(0x0201, service.member("b").orElseThrow().place());
-    assertEquals("b", changes.get(changes.size() - 1).member(), "it is told like any change");
+    assertEquals("b", changes.get(changes.size() - 1).member(), "the place is reported as a change");
     service.receive(
         now,
         "a",
         address("a"),
         0x0201,
-        START / SECOND_NANOS + 1,
+        START_NANOS / SECOND_NANOS + 1,
         new MembershipMessage.Ack(-1),
         List.of());
-    assertEquals(0x0201, service.member("a").orElseThrow().place(), "a new life may be elsewhere");
+    assertEquals(0x0201, service.member("a").orElseThrow().place(), "a restarted member may have another place");
   }
 
   @Test
-  void aRestartUnderAnOldIncarnationIsToldAndComesBack() {
+  void notifiesRestartedMemberOfItsSuspicion() {
     join("a", "b");
     receive("b", new MembershipMessage.Ack(-1), update("a", 9, MemberState.ALIVE, ""));
     receive("a", new MembershipMessage.Ping(3, "me"));
@@ -392,53 +395,53 @@
     assertEquals(
         MemberState.SUSPECT,
         last().updates().get(0).state(),
-        "first of all it hears that it is suspected");
-    assertEquals(START / SECOND_NANOS + 9, last().updates().get(0).incarnation());
+        "the first update is the suspicion of the receiver");
+    assertEquals(START_NANOS / SECOND_NANOS + 9, last().updates().get(0).incarnation());
     service.receive(
         now,
         "a",
         address("a"),
-        START / SECOND_NANOS + 10,
+        START_NANOS / SECOND_NANOS + 10,
         new MembershipMessage.Ack(-1),
         List.of());
     assertEquals(MemberState.ALIVE, state("a"));
   }
 
   @Test
-  void aLeaveOfItsOwnCountsAtOnceAndAnOldUpdateDoesNotRevertIt() {
+  void ignoresOldUpdateAfterLeave() {
     join("a", "b");
     service.receive(
-        now, "a", address("a"), START / SECOND_NANOS, new MembershipMessage.Leave(), List.of());
+        now, "a", address("a"), START_NANOS / SECOND_NANOS, new MembershipMessage.Leave(), List.of());
     assertEquals(MemberState.LEFT, state("a"));
     receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.ALIVE, ""));
     assertEquals(MemberState.LEFT, state("a"));
-    advanceAnswering(700 * SECOND_NANOS, "a");
-    assertTrue(service.member("a").isEmpty(), "forgotten in the end");
+    advanceAcknowledging(700 * SECOND_NANOS, "a");
+    assertTrue(service.member("a").isEmpty(), "a member that left is removed after the retention time");
   }
 
   @Test
-  void aPauseOfThisProcessAccusesNobodyElse() {
+  void accusesNoMemberAfterLocalPause() {
     join("a", "b", "c");
     advance(16 * SECOND_NANOS);
     receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, "b"));
-    now += 20 * SECOND_NANOS; // longer than any time to object
+    now += 20 * SECOND_NANOS; // longer than any suspicion timeout
     service.tick(now);
-    assertEquals(MemberState.SUSPECT, state("a"), "what was said meanwhile waits on the socket");
+    assertEquals(MemberState.SUSPECT, state("a"), "a refutation may still wait on the socket");
     assertTrue(service.healthScore() > 0);
     assertEquals(MemberState.ALIVE, state("c"));
   }
 
   @Test
-  void aRelayForwardsThePingAndTheAckOrANack() {
+  void relaysPingAndReturnsAckOrNack() {
     join("c", "a", "b");
     sent.clear();
     receive("a", new MembershipMessage.PingRequest(42, "c", address("c")));
-    MembershipMessage.Ping asked = (MembershipMessage.Ping) last().message();
+    MembershipMessage.Ping relayedPing = (MembershipMessage.Ping) last().message();
     assertEquals("c", last().to());
-    receive("c", new MembershipMessage.Ack(asked.sequenceNumber()));
+    receive("c", new MembershipMessage.Ack(relayedPing.sequenceNumber()));
     assertEquals(new MembershipMessage.Ack(42), last().message());
     assertEquals("a", last().to());
-    assertEquals("c", last().updates().get(0).member(), "with what it has heard from it itself");
+    assertEquals("c", last().updates().get(0).member(), "the relay adds the target's own state");
     receive("b", new MembershipMessage.PingRequest(43, "c", address("c")));
     for (int i = 0; i < 4; i++) {
       advance(SECOND_NANOS / 10);
@@ -450,7 +453,7 @@
   }
 
   @Test
-  void withoutBandwidthForThePingNobodyIsAccused() {
+  void accusesNoMemberWithoutBandwidthForPing() {
     service = instance(90, List.of()); // not one packet fits
     join("a", "b", "c");
     advance(100 * SECOND_NANOS);
@@ -460,32 +463,32 @@
   }
 
   @Test
-  void theBandwidthLimitHoldsInAnySecondWhateverIsAsked() {
+  void keepsBandwidthLimitInAnySecond() {
     service = instance(2_000, List.of());
-    long most = 0;
+    long maxBytesInOneSecond = 0;
     for (int i = 0; i < 600; i++) {
       for (int k = 0; k < 20; k++) {
         receive("m" + i % 50 + "x" + k, new MembershipMessage.Ping(i, "me"));
         receive("m" + i % 50 + "x" + k, new MembershipMessage.SyncRequest("", "", 1, List.of()));
       }
-      advanceAnswering(SECOND_NANOS / 10);
+      advanceAcknowledging(SECOND_NANOS / 10);
       long from = now - SECOND_NANOS;
-      most =
+      maxBytesInOneSecond =
           Math.max(
-              most,
+              maxBytesInOneSecond,
               sent.stream()
                   .filter(s -> s.at() > from)
                   .mapToLong(s -> 100 + 30 * s.updates().size())
                   .sum());
     }
-    assertTrue(most <= 2_000, most + " bytes");
+    assertTrue(maxBytesInOneSecond <= 2_000, maxBytesInOneSecond + " bytes");
     assertTrue(
         sent.stream().filter(s -> s.message() instanceof MembershipMessage.Ping).count() > 30,
         "the failure detector still works");
   }
 
   @Test
-  void aLoneNodePingsItsSeedsAndAPingedSeedTellsOfOthers() {
+  void pingsSeedsAndWelcomesJoiningNode() {
     service = instance(MAX_BYTES_PER_SECOND, List.of(77L));
     advance(10 * SECOND_NANOS);
     assertTrue(
@@ -506,7 +509,7 @@
   }
 
   @Test
-  void tablesAreComparedByDigestsAndOnlyDifferencesAreSent() {
+  void sendsOnlyMembersWithDifferentDigests() {
     join("a", "b", "c");
     List<Integer> digests =
         service.members().stream()
@@ -514,23 +517,23 @@
             .map(m -> MemberDigest.of(5, m))
             .toList();
     receive("a", new MembershipMessage.SyncRequest("", "", 5, digests));
-    MembershipMessage.SyncResponse part = (MembershipMessage.SyncResponse) last().message();
-    assertEquals(List.of("b"), part.updates().stream().map(MembershipUpdate::member).toList());
-    assertFalse(part.truncated());
+    MembershipMessage.SyncResponse response = (MembershipMessage.SyncResponse) last().message();
+    assertEquals(List.of("b"), response.updates().stream().map(MembershipUpdate::member).toList());
+    assertFalse(response.truncated());
   }
 
   @Test
-  void theSameEventsGiveTheSameMessages() {
-    List<Sent> first = script();
-    assertEquals(first, script());
+  void sendsSameMessagesForSameEvents() {
+    List<Sent> first = runScenario();
+    assertEquals(first, runScenario());
   }
 
-  private List<Sent> script() {
-    now = START;
+  private List<Sent> runScenario() {
+    now = START_NANOS;
     sent.clear();
     service = instance(4_096, List.of(7L, 8L));
     join("a", "b", "c", "d");
-    advanceAnswering(40 * SECOND_NANOS, "c");
+    advanceAcknowledging(40 * SECOND_NANOS, "c");
     return List.copyOf(sent);
   }
 }
