--- a/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -21,30 +21,30 @@
 import reachloom.revision.RevisionMessageSender;
 
 /**
- * One node among others: keeps the list of members, reports what it has seen of engines, weighs
- * what others report, and lets a payload ride on its packets.
+ * The gossip protocol of one node: maintains the list of members, reports the outcomes of attempts
+ * at engines, weighs the reports of peers, and piggybacks a payload on its packets.
  *
- * <p>Not thread-safe: all methods are called from one thread. Times are nanoseconds of the clock
- * handed in, which must not go back.
+ * <p>Not thread-safe: all methods are called from one thread. Times are nanoseconds of the caller's
+ * clock, which must not go back.
  */
 public final class GossipProtocol implements MessageSender, RevisionMessageSender {
   private static final int ASSESSMENTS_PER_PERIOD = 4;
-  private static final int ASSESSMENTS_PER_REPORT = 2; // at least, where failures are reported soon
-  private static final double MIN_LEVEL_CHANGE = 0.1; // a level that moved by less stays unreported
+  private static final int ASSESSMENTS_PER_REPORT = 2; // minimum interval of early failure reports
+  private static final double MIN_LEVEL_CHANGE = 0.1; // smaller changes are not reported
   private static final int MAX_REPORTS_PER_PACKET = 32;
 
-  /** A report takes no less; only bounds how many are looked at for one packet. */
+  /** The minimum size of a report, used only to bound how many are considered for one packet. */
   private static final int MIN_REPORT_BYTES = 24;
 
   /**
-   * Bytes of payload messages in one packet: a certificate, the longest names and what rides on
-   * each packet find room beside them.
+   * The maximum size of payload messages in one packet; leaves room for a certificate, the longest
+   * names and the messages piggybacked on each packet.
    */
   private static final int MAX_PAYLOAD_BYTES = 700;
 
-  /** Learns what peers make this node believe of engines. */
+  /** Receives the levels of engines that result from the peers' reports. */
   public interface EngineLevelListener {
-    /** The level of an engine, from 0 to 1, has changed; 0 where peers no longer accuse it. */
+    /** Handles a changed level of an engine, from 0 (peers no longer accuse it) to 1. */
     void onLevelChanged(String engine, double level);
   }
 
@@ -60,13 +60,13 @@
   /** The incarnation of each engine in use, by name. */
   private final Map<String, Long> engines = new LinkedHashMap<>();
 
-  /** The level last told to the listener, by engine. */
-  private final Map<String, Double> toldLevels = new LinkedHashMap<>();
+  /** The level last reported to the listener, by engine. */
+  private final Map<String, Double> reportedLevels = new LinkedHashMap<>();
 
   private List<Assessment> assessments = List.of();
   private long nextAssessmentAtNanos;
 
-  /** What rides on packets; null for nothing. */
+  /** The payload piggybacked on packets; null for none. */
   private PiggybackPayload payload;
 
   private boolean peersChanged;
@@ -74,10 +74,10 @@
   private long nextReportAtNanos;
 
   /**
-   * A node that starts.
+   * Creates the protocol of a starting node.
    *
-   * @param seed of all its random choices
-   * @param listener learns of engines whose level has changed
+   * @param seed the seed of all its random choices
+   * @param listener receives the changed levels of engines
    */
   public GossipProtocol(
       MembershipSettings settings,
@@ -92,7 +92,7 @@
     membership = new MembershipService(settings, nowNanos, new SplittableRandom(seed), this, sizes);
   }
 
-  /** Sizes of messages with what rides on each packet. */
+  /** Sizes of messages, including the payload piggybacked on each packet. */
   private final class SizesWithPayload implements WireSizes {
     @Override
     public int messageBytes(String to, MembershipMessage message) {
@@ -108,8 +108,8 @@
   }
 
   /**
-   * Lets a payload ride on the packets from now on, and sets this node's region and zone; to be
-   * called before it starts.
+   * Sets the payload to piggyback on packets, and this node's region and zone; must be called
+   * before the node starts.
    */
   public void attachPayload(int place, PiggybackPayload attached) {
     membership.setPlace(place);
@@ -117,44 +117,45 @@
     peersChanged = true;
   }
 
-  /** The members of the cluster. */
+  /** Returns the membership service. */
   public MembershipService membership() {
     return membership;
   }
 
-  /** The peers' reports and reputations. */
+  /** Returns the peers' reports and reputations. */
   public WeightedQuorum quorum() {
     return quorum;
   }
 
-  /** What peers make this node believe of engines, as of the last assessment. */
+  /** Returns the results of the last assessment of the peers' reports. */
   public List<Assessment> assessments() {
     return assessments;
   }
 
   /**
-   * An engine is in use from now on.
+   * Adds an engine that is in use.
    *
-   * @param incarnation the start of its process; another one than before clears what was reported
+   * @param incarnation the start time of its process; a changed one clears the engine's outcomes
+   * and level
    */
   public void addEngine(String engine, long incarnation) {
     Long before = engines.put(engine, incarnation);
     if (before != null && before != incarnation) {
       ownOutcomes.forget(engine);
-      if (toldLevels.remove(engine) != null) {
+      if (reportedLevels.remove(engine) != null) {
         listener.onLevelChanged(engine, 0);
       }
     }
   }
 
-  /** An engine is no longer in use. */
+  /** Removes an engine that is no longer in use. */
   public void removeEngine(String engine) {
     engines.remove(engine);
-    toldLevels.remove(engine);
+    reportedLevels.remove(engine);
     ownOutcomes.forget(engine);
   }
 
-  /** An attempt of this node's own has shown something of an engine. */
+  /** Records an observation from an attempt of this node's own at an engine. */
   public void recordOutcome(long nowNanos, String engine, OutcomeWindow.Observation observation) {
     Long incarnation = engines.get(engine);
     if (incarnation != null) {
@@ -163,7 +164,10 @@
     }
   }
 
-  /** Time has passed; to be called as often as {@link MembershipService#tickIntervalNanos}. */
+  /**
+   * Handles the actions that are due; must be called every {@link
+   * MembershipService#tickIntervalNanos}.
+   */
   public void tick(long nowNanos) {
     membership.tick(nowNanos);
     if (failureSeen && nowNanos >= nextReportAtNanos) {
@@ -197,26 +201,26 @@
     assessments = quorum.assess(nowNanos, engines);
     Map<String, Double> levels = new LinkedHashMap<>();
     assessments.forEach(assessment -> levels.put(assessment.engine(), assessment.level()));
-    for (String engine : List.copyOf(toldLevels.keySet())) {
+    for (String engine : List.copyOf(reportedLevels.keySet())) {
       if (!levels.containsKey(engine)) {
-        toldLevels.remove(engine);
+        reportedLevels.remove(engine);
         listener.onLevelChanged(engine, 0);
       }
     }
-    levels.forEach(this::tellIfChanged);
+    levels.forEach(this::reportIfChanged);
   }
 
-  private void tellIfChanged(String engine, double level) {
-    double before = toldLevels.getOrDefault(engine, 0.0);
+  private void reportIfChanged(String engine, double level) {
+    double before = reportedLevels.getOrDefault(engine, 0.0);
     boolean wasAccused = before >= WeightedQuorum.ACCUSED_LEVEL;
     boolean isAccused = level >= WeightedQuorum.ACCUSED_LEVEL;
     if (wasAccused != isAccused || Math.abs(level - before) >= MIN_LEVEL_CHANGE) {
-      toldLevels.put(engine, level);
+      reportedLevels.put(engine, level);
       listener.onLevelChanged(engine, level);
     }
   }
 
-  /** A packet has come whose sender is authenticated. */
+  /** Handles a packet whose sender is authenticated. */
   public void receive(long nowNanos, Packet packet) {
     membership.receive(
         nowNanos,
@@ -238,12 +242,12 @@
     }
   }
 
-  /** Tells members that this node leaves. */
+  /** Announces to members that this node leaves. */
   public void leave(long nowNanos) {
     membership.leave(nowNanos);
   }
 
-  // ---- What the membership sends ----
+  // ---- Messages of the membership service ----
 
   @Override
   public int send(
@@ -261,22 +265,22 @@
     for (PeerReport report : reports) {
       bytes += transport.reportBytes(report);
     }
-    List<RevisionMessage> riding = payload == null ? List.of() : payload.messages();
-    transport.send(to, address, packet(message, List.copyOf(updates), reports, riding));
+    List<RevisionMessage> piggybacked = payload == null ? List.of() : payload.messages();
+    transport.send(to, address, packet(message, List.copyOf(updates), reports, piggybacked));
     return bytes;
   }
 
-  /** The reports that fit into so many bytes. */
+  /** Returns the reports that fit into {@code maxBytes}. */
   private List<PeerReport> reportsFor(long nowNanos, int maxBytes) {
     int count = Math.min(MAX_REPORTS_PER_PACKET, maxBytes / MIN_REPORT_BYTES);
     if (count <= 0) {
       return List.of();
     }
     List<PeerReport> fitting = new ArrayList<>();
-    int leftBytes = maxBytes;
+    int remainingBytes = maxBytes;
     for (PeerReport report : ownOutcomes.reportsToSend(nowNanos, count)) {
-      leftBytes -= transport.reportBytes(report);
-      if (leftBytes < 0) {
+      remainingBytes -= transport.reportBytes(report);
+      if (remainingBytes < 0) {
         break;
       }
       fitting.add(report);
@@ -288,7 +292,7 @@
       MembershipMessage message,
       List<MembershipUpdate> updates,
       List<PeerReport> reports,
-      List<RevisionMessage> riding) {
+      List<RevisionMessage> piggybacked) {
     return new Packet(
         settings.name(),
         settings.address(),
@@ -297,18 +301,18 @@
         message,
         updates,
         reports,
-        riding);
+        piggybacked);
   }
 
   @Override
   public void onMemberChanged(long nowNanos, MembershipUpdate member) {
     peersChanged = true;
     if (!member.state().present()) {
-      quorum.onPeerGone(member.member());
+      quorum.onPeerRemoved(member.member());
     }
   }
 
-  // ---- What the payload sends ----
+  // ---- Messages of the payload ----
 
   @Override
   public int encodedBytes(RevisionMessage message) {
@@ -323,18 +327,18 @@
   @Override
   public boolean send(long nowNanos, String to, long address, List<RevisionMessage> messages) {
     if (payload == null) {
-      return false; // the payload is being started, and may have something to send already
+      return false; // the payload may already send messages before it is attached
     }
     MembershipMessage message = new MembershipMessage.PayloadOnly();
-    List<RevisionMessage> all = new ArrayList<>(payload.messages());
-    all.addAll(messages);
+    List<RevisionMessage> allMessages = new ArrayList<>(payload.messages());
+    allMessages.addAll(messages);
     int bytes =
-        transport.messageBytes(to, message) + transport.payloadBytes(membership.place(), all);
+        transport.messageBytes(to, message) + transport.payloadBytes(membership.place(), allMessages);
     if (!membership.bandwidth().hasRoom(nowNanos, Purpose.REVISION, bytes)) {
       return false;
     }
     membership.bandwidth().record(nowNanos, bytes, 0);
-    transport.send(to, address, packet(message, List.of(), List.of(), all));
+    transport.send(to, address, packet(message, List.of(), List.of(), allMessages));
     return true;
   }
 }
--- a/decisions/src/main/java/reachloom/gossip/Packet.java
+++ b/decisions/src/main/java/reachloom/gossip/Packet.java
@@ -7,16 +7,17 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * The content of one datagram: a message and what rides on it.
+ * The content of one datagram: a message and the parts piggybacked on it.
  *
  * @param sender the sender's name
- * @param address where the sender listens: IPv4 address and port in the lowest 48 bits
- * @param place the sender's region (upper byte) and zone (lower byte); 0 where it does not tell
+ * @param address the address that the sender listens on: IPv4 address and port in the lowest 48
+ * bits
+ * @param place the sender's region (upper byte) and zone (lower byte); 0 if it does not state them
  * @param incarnation the sender's incarnation
  * @param message the message itself
- * @param updates membership updates that ride on it
- * @param reports peer reports that ride on it
- * @param revisionMessages messages about the configuration that ride on it
+ * @param updates piggybacked membership updates
+ * @param reports piggybacked peer reports
+ * @param revisionMessages piggybacked messages about the configuration
  */
 public record Packet(
     String sender,
@@ -27,7 +28,7 @@
     List<MembershipUpdate> updates,
     List<PeerReport> reports,
     List<RevisionMessage> revisionMessages) {
-  /** A packet of a sender that tells no place, and nothing of the configuration. */
+  /** Creates a packet without a place and without messages about the configuration. */
   public Packet(
       String sender,
       long address,
--- a/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
+++ b/decisions/src/main/java/reachloom/gossip/PiggybackPayload.java
@@ -6,19 +6,19 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * What else rides on the packets of gossip: the revisions of the configuration. All methods are
- * called from the thread that calls {@link GossipProtocol}.
+ * A payload that is piggybacked on gossip packets: the revisions of the configuration. All methods
+ * are called from the thread that calls {@link GossipProtocol}.
  */
 public interface PiggybackPayload {
-  /** The messages that ride on each packet. */
+  /** Returns the messages to piggyback on each packet. */
   List<RevisionMessage> messages();
 
-  /** A packet of a member has brought these messages. */
+  /** Handles the messages that were received in a member's packet. */
   void onMessages(long nowNanos, Peer sender, List<RevisionMessage> messages);
 
-  /** The members that are present have changed; this node is not among them. */
+  /** Handles a change of the present members, which do not include this node. */
   void onPeers(long nowNanos, Collection<Peer> present);
 
-  /** Time has passed; called as often as {@link GossipProtocol#tick}. */
+  /** Handles the actions that are due; called as often as {@link GossipProtocol#tick}. */
   void tick(long nowNanos);
 }
--- a/decisions/src/main/java/reachloom/gossip/RejectionReason.java
+++ b/decisions/src/main/java/reachloom/gossip/RejectionReason.java
@@ -1,33 +1,35 @@
 package reachloom.gossip;
 
 /**
- * Why a datagram was not taken in. Rejections are counted, and never logged one by one; the names
- * are part of the text of {@code reachloom gossip status}.
+ * The reason for the rejection of a datagram. Rejections are counted and never logged individually;
+ * the names of the constants appear in the output of {@code reachloom gossip status}.
  */
 public enum RejectionReason {
-  /** Too large, too small, or not of this form. */
+  /** The datagram is too large, too small, or malformed. */
   FORM,
-  /** Of a version that is not understood here. */
+  /** The protocol version is not supported. */
   VERSION,
-  /** Of another cluster. */
+  /** The datagram belongs to another cluster. */
   CLUSTER,
-  /** Its time is too far from this node's: old, or from a clock that is wrong. */
+  /**
+   * The time of sending is too far from this node's time: the datagram is old, or a clock is wrong.
+   */
   TIME,
-  /** Its sequence number has been used before. */
+  /** The sequence number has been used before. */
   REPLAYED,
-  /** From a sender that is not known, and without a certificate. */
+  /** The sender is unknown, and no certificate is attached. */
   UNKNOWN,
-  /** Over the rate limit of signature checks, of its source or of all. */
+  /** The rate limit of signature checks is exceeded, for its source or in total. */
   BUDGET,
   /**
-   * Its certificate is not signed by a trusted authority, not yet or no longer valid, or of another
-   * name.
+   * The certificate is not signed by a trusted authority, is not yet or no longer valid, or has
+   * another name.
    */
   CERTIFICATE,
-  /** Its certificate is revoked. */
+  /** The certificate is revoked. */
   REVOKED,
-  /** Its signature does not hold. */
+  /** The signature is invalid. */
   FORGED,
-  /** Its signature holds, but its content makes no sense. */
+  /** The signature is valid, but the content is not. */
   NONSENSE
 }
--- a/decisions/src/main/java/reachloom/gossip/SequenceWindow.java
+++ b/decisions/src/main/java/reachloom/gossip/SequenceWindow.java
@@ -1,16 +1,16 @@
 package reachloom.gossip;
 
 /**
- * The sequence numbers received of one sender: the largest, and which of the 64 just below it (the
- * anti-replay window of RFC 6479).
+ * The sequence numbers received from one sender: a window of 64 numbers that ends with the largest
+ * one (the anti-replay window of RFC 6479).
  */
 final class SequenceWindow {
   private long largest = Long.MIN_VALUE;
 
-  /** Bit i is set where {@code largest - i} has been received. */
+  /** Bit i is set if {@code largest - i} has been received. */
   private long received;
 
-  /** Whether that number has not been received, and is not too far behind to be known. */
+  /** Returns whether that number has not been received and is not below the window. */
   boolean isFresh(long sequenceNumber) {
     if (isEmpty() || sequenceNumber > largest) {
       return true;
@@ -23,7 +23,7 @@
     return largest == Long.MIN_VALUE;
   }
 
-  /** Marks a number as received; false where it is not fresh. */
+  /** Marks a number as received; returns false if it is not fresh. */
   boolean accept(long sequenceNumber) {
     if (!isFresh(sequenceNumber)) {
       return false;
--- a/decisions/src/main/java/reachloom/gossip/package-info.java
+++ b/decisions/src/main/java/reachloom/gossip/package-info.java
@@ -1,5 +1,6 @@
 /**
- * One node's gossip as a whole: membership, peer reports and what rides on their packets, and the
- * rate limit before signatures are checked. No I/O; the clock and the seed are handed in.
+ * The gossip protocol of one node: membership, peer reports, the payload piggybacked on their
+ * packets, and the rate limit of signature checks. The package does no I/O; the caller supplies the
+ * clock and the seed.
  */
 package reachloom.gossip;
--- a/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -10,15 +10,15 @@
 public final class BandwidthLimiter {
   /** The purpose that a datagram is sent for, which determines its share of the limit. */
   public enum Purpose {
-    /** Detects failures. */
+    /** Messages of the failure detector, and leave messages. */
     PROBE(1),
-    /** Sends members to a joining node that knows no member yet. */
+    /** Welcome messages to a joining node that knows no member yet. */
     WELCOME(0.95),
-    /** Replies to pings, ping requests and status requests. */
+    /** Replies to pings and status requests, and relayed pings. */
     ANSWER(0.9),
-    /** Disseminates the configuration, which may use what the failure detector leaves. */
+    /** Dissemination of the configuration, which may use what the failure detector leaves. */
     REVISION(0.85),
-    /** Synchronizes member tables, and pings seeds. */
+    /** Synchronization of member tables, pings to seeds and failed members, and urgent payloads. */
     SYNC(0.75);
 
     /** The share of the limit up to which datagrams of this purpose are sent. */
--- a/decisions/src/main/java/reachloom/membership/UpdateQueue.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateQueue.java
@@ -44,7 +44,8 @@
   }
 
   /**
-   * Returns the updates for one packet, {@code first} before all others, and counts them as sent.
+   * Returns the updates for one packet, {@code first} before all others, and counts the queued ones
+   * as sent.
    *
    * @param first an update that is sent with this packet if it fits, whether or not it is queued
    * @param clusterSize the number of members, which bounds how often an update is sent
--- a/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
+++ b/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
@@ -10,43 +10,47 @@
 import reachloom.scheduler.api.AttemptOutcome;
 
 /**
- * The outcomes of this node's own attempts at each engine over a sliding window, in slices of a
- * second. Not thread-safe; times are nanoseconds of the clock handed in.
+ * The outcomes of this node's own attempts at each engine over a sliding window, in slices of one
+ * second. Not thread-safe; times are nanoseconds of the caller's clock.
  */
 public final class OutcomeWindow {
-  /** What an attempt shows of its engine. */
+  /** The evidence that an attempt gives about its engine. */
   public enum Observation {
-    /** It was served. */
+    /** The attempt was served. */
     SERVED,
-    /** It failed by an error, a reset or no connection. */
+    /** The attempt failed with an error, a reset or a failed connection. */
     FAILED,
-    /** It got no answer. */
+    /** The attempt got no response. */
     TIMED_OUT;
 
     /**
-     * What the end of an attempt shows of its engine; empty where it shows nothing.
+     * Returns the evidence that the outcome of an attempt gives about its engine; empty if it gives
+     * none.
      *
-     * @param wanted false where its query was over before: an attempt whose client has gone shows
-     *     nothing of the engine
+     * @param queryActive false if the query ended before the attempt did, for example because its
+     * client disconnected: a cancelled attempt is then no evidence about the engine
      */
-    public static Optional<Observation> of(AttemptOutcome outcome, boolean wanted) {
+    public static Optional<Observation> of(AttemptOutcome outcome, boolean queryActive) {
       return switch (outcome) {
         case SERVED -> Optional.of(SERVED);
         case ERROR, RESET, UNREACHED -> Optional.of(FAILED);
         case TIMEOUT -> Optional.of(TIMED_OUT);
-        case CANCELLED -> wanted ? Optional.of(TIMED_OUT) : Optional.empty();
+        case CANCELLED -> queryActive ? Optional.of(TIMED_OUT) : Optional.empty();
         case FULL, NOT_SENT -> Optional.empty();
       };
     }
   }
 
   private static final long SLICE_NANOS = 1_000_000_000;
-  private static final int SLICES = 10; // long enough for a count, short enough to be of now
-  private static final int MIN_STREAK = 2; // failures in a row that are reported: one may be chance
-  private static final long STREAK_MEMORY_NANOS = 20 * SLICE_NANOS; // nobody has seen better since
+  private static final int SLICES = 10; // enough attempts to count, and still current
+  private static final int MIN_STREAK = 2; // consecutive failures; a single one may be chance
+
+  /** How long a streak of failures is reported if no later attempt was served. */
+  private static final long STREAK_LIFETIME_NANOS = 20 * SLICE_NANOS;
+
   private static final int MAX_ENGINES = 4_096;
 
-  /** What was seen of one process of an engine. */
+  /** The outcomes of attempts at one process of an engine. */
   private static final class EngineOutcomes {
     private final long incarnation;
     private final int[][] counts = new int[SLICES][Observation.values().length];
@@ -54,10 +58,10 @@
     private long lastAtNanos;
     private long lastFailureAtNanos;
 
-    /** Of each kind, the attempts since the last one that was served. */
+    /** The number of attempts since the last one that was served, by observation. */
     private final int[] streak = new int[Observation.values().length];
 
-    /** When it was last reported to others: what has waited longest goes first. */
+    /** When the engine was last reported to others: the least recently reported goes first. */
     private long reportedAtNanos;
 
     EngineOutcomes(long incarnation) {
@@ -98,11 +102,11 @@
 
   private final Map<String, EngineOutcomes> engines = new LinkedHashMap<>();
 
-  /** Records what an attempt showed; a new process of an engine begins with nothing. */
+  /** Records an attempt; the window of a new process of an engine starts empty. */
   public void record(long nowNanos, String engine, long incarnation, Observation observation) {
     EngineOutcomes outcomes = engines.get(engine);
     if (outcomes != null && incarnation < outcomes.incarnation) {
-      return; // the end of an attempt at the process before
+      return; // an attempt at the previous process has ended late
     }
     if (outcomes == null || incarnation > outcomes.incarnation) {
       engines.remove(engine);
@@ -115,14 +119,14 @@
     outcomes.record(nowNanos, observation);
   }
 
-  /** Forgets an engine that is removed. */
+  /** Removes the outcomes of an engine. */
   public void forget(String engine) {
     engines.remove(engine);
   }
 
   /**
-   * What was seen of that process over the last {@code seconds}; a report of no attempts where
-   * nothing was.
+   * Returns the outcomes of attempts at that process over the last {@code seconds}; a report of
+   * zero attempts if there were none.
    */
   public PeerReport summary(long nowNanos, String engine, long incarnation, int seconds) {
     EngineOutcomes outcomes = engines.get(engine);
@@ -139,7 +143,10 @@
         nowNanos - outcomes.lastAtNanos);
   }
 
-  /** When an attempt at that process last was not served, in nanoseconds; 0 where none was. */
+  /**
+   * Returns when an attempt at that process last failed or timed out, in nanoseconds; 0 if none
+   * did.
+   */
   public long lastFailureAtNanos(String engine, long incarnation) {
     EngineOutcomes outcomes = engines.get(engine);
     return outcomes == null || outcomes.incarnation != incarnation
@@ -148,22 +155,22 @@
   }
 
   /**
-   * What to report of an engine. Where the latest attempts all failed, the report counts those
-   * alone: what the engine served before would hide them for as long as the window.
+   * Returns the report on an engine. If the latest attempts all failed, the report counts only
+   * those: attempts served earlier would hide the failures until the window has passed.
    */
   private PeerReport report(long nowNanos, String engine, EngineOutcomes outcomes) {
     int failed = outcomes.streak[Observation.FAILED.ordinal()];
     int timedOut = outcomes.streak[Observation.TIMED_OUT.ordinal()];
     long ageNanos = nowNanos - outcomes.lastAtNanos;
-    if (failed + timedOut >= MIN_STREAK && ageNanos <= STREAK_MEMORY_NANOS) {
+    if (failed + timedOut >= MIN_STREAK && ageNanos <= STREAK_LIFETIME_NANOS) {
       return new PeerReport(engine, outcomes.incarnation, 0, failed, timedOut, ageNanos);
     }
     return summary(nowNanos, engine, outcomes.incarnation, SLICES);
   }
 
   /**
-   * The reports for one packet, at most so many: engines with failures first, then those that have
-   * not been reported for longest. What is given counts as reported now.
+   * Returns up to {@code maxReports} reports for one packet: engines with failures first, then the
+   * least recently reported ones. The returned reports count as reported now.
    */
   public List<PeerReport> reportsToSend(long nowNanos, int maxReports) {
     List<PeerReport> reports = new ArrayList<>();
--- a/decisions/src/main/java/reachloom/peerreport/PeerReport.java
+++ b/decisions/src/main/java/reachloom/peerreport/PeerReport.java
@@ -1,29 +1,29 @@
 package reachloom.peerreport;
 
 /**
- * What one node has seen of one engine in the latest span: counts, never a verdict.
+ * One node's recent attempts at one engine: counts, never a verdict.
  *
  * @param engine the engine's name
- * @param incarnation the start of the engine's process as the endpoint list tells it, so that
- *     another process at the same address inherits nothing
+ * @param incarnation the start time of the engine's process in the endpoint list, so that another
+ * process at the same address does not inherit the report
  * @param served attempts that were served
- * @param failed attempts that failed by an error, a reset or no connection
- * @param timedOut attempts that got no answer
- * @param ageNanos how long ago the latest of them ended, in nanoseconds
+ * @param failed attempts that failed with an error, a reset or a failed connection
+ * @param timedOut attempts that got no response
+ * @param ageNanos the time since the latest of these attempts ended, in nanoseconds
  */
 public record PeerReport(
     String engine, long incarnation, int served, int failed, int timedOut, long ageNanos) {
-  /** How many attempts the report counts. */
+  /** Returns the number of attempts that the report counts. */
   public int attempts() {
     return served + failed + timedOut;
   }
 
-  /** How many of them were not served. */
+  /** Returns the number of attempts that were not served. */
   public int unserved() {
     return failed + timedOut;
   }
 
-  /** The share of attempts that were not served, from 0 to 1; 0 without attempts. */
+  /** Returns the share of attempts that were not served, from 0 to 1; 0 without attempts. */
   public double failureRatio() {
     return attempts() == 0 ? 0 : (double) unserved() / attempts();
   }
--- a/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
+++ b/decisions/src/main/java/reachloom/peerreport/ReportScheduler.java
@@ -5,19 +5,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when reports are worth a message where each message has a price, and who receives it:
- * failures only, to few receivers drawn by chance, and no more often than the minimum interval
- * allows. Not thread-safe.
+ * Decides when to send reports, and to which receivers, on a platform that charges for each
+ * message: only after failures, to a few random receivers, and at most once per minimum interval.
+ * Not thread-safe.
  */
 public final class ReportScheduler {
-  private static final long MIN_INTERVAL_NANOS = 500_000_000; // between two rounds of messages
-  private static final int RECEIVERS = 2; // of one round
+  private static final long MIN_INTERVAL_NANOS = 500_000_000; // between two rounds of reports
+  private static final int RECEIVERS = 2; // per round
 
   /**
-   * Of 256 bytes, relative to a query: at 0.0088 and 0.026 the gain is within noise, so that only
-   * free messages are sent.
+   * The maximum price of a message of 256 bytes, relative to a query. At prices of 0.0088 and 0.026
+   * the gain from reports is within noise, so only free messages are sent.
    */
-  private static final double MAX_PRICE = 0;
+  private static final double MAX_MESSAGE_PRICE = 0;
 
   private final int selfIndex;
   private final int instanceCount;
@@ -27,26 +27,26 @@
   private long nextRoundAtNanos;
 
   /**
-   * A scheduler for one of several instances.
+   * Creates the scheduler of one instance.
    *
-   * @param selfIndex the number of this instance, from 0
-   * @param instanceCount how many instances there are
-   * @param price what the platform asks for a message
-   * @param random the source of the choice of receivers
+   * @param selfIndex the index of this instance, from 0
+   * @param instanceCount the number of instances
+   * @param price the platform's price for a message
+   * @param random the random source for the choice of receivers
    */
   public ReportScheduler(int selfIndex, int instanceCount, double price, SplittableRandom random) {
     this.selfIndex = selfIndex;
     this.instanceCount = instanceCount;
     this.random = random;
-    affordable = price <= MAX_PRICE && instanceCount > 1;
+    affordable = price <= MAX_MESSAGE_PRICE && instanceCount > 1;
   }
 
-  /** Something was seen of an engine. */
+  /** Records an observation of an engine; one other than SERVED makes the next round due. */
   public void onObservation(OutcomeWindow.Observation observation) {
     failureSeen |= observation != OutcomeWindow.Observation.SERVED;
   }
 
-  /** The numbers of the instances to report to now; mostly none. */
+  /** Returns the indexes of the instances to report to now; usually none. */
   public List<Integer> receivers(long nowNanos) {
     if (!affordable || !failureSeen || nowNanos < nextRoundAtNanos) {
       return List.of();
--- a/decisions/src/main/java/reachloom/peerreport/ReportingPeer.java
+++ b/decisions/src/main/java/reachloom/peerreport/ReportingPeer.java
@@ -9,18 +9,18 @@
 final class ReportingPeer {
   static final double INITIAL_REPUTATION = 0.5;
 
-  private static final double CONTRADICTION_FACTOR = 0.6; // of reputation left by a contradiction
-  private static final double CONFIRMATION_GAIN = 0.1; // of what it lacks, for a confirmed report
-  private static final double RECOVERY_PER_SECOND = 0.005; // of what it is under the initial one
+  private static final double CONTRADICTION_FACTOR = 0.6; // multiplies the reputation
+  private static final double CONFIRMATION_GAIN = 0.1; // share of the gap to 1
+  private static final double RECOVERY_PER_SECOND = 0.005; // share of the gap to the initial one
   private static final int MAX_REPORTS = 256;
 
-  /** A report and when the latest attempt that it counts ended, by this node's clock. */
-  record HeldReport(PeerReport report, long atNanos) {}
+  /** A report, and when its latest attempt ended by this node's clock. */
+  record StoredReport(PeerReport report, long atNanos) {}
 
-  private final Map<String, HeldReport> reports = new LinkedHashMap<>();
-  private final Map<String, Long> judgedAtNanos = new LinkedHashMap<>();
+  private final Map<String, StoredReport> reports = new LinkedHashMap<>();
+  private final Map<String, Long> evaluatedAtNanos = new LinkedHashMap<>();
 
-  /** Engines about which the peer was contradicted, and when. */
+  /** When the peer was last contradicted, by engine. */
   private final Map<String, Long> contradictedAtNanos = new LinkedHashMap<>();
 
   private double reputation = INITIAL_REPUTATION;
@@ -30,46 +30,46 @@
     if (!reports.containsKey(report.engine()) && reports.size() >= MAX_REPORTS) {
       reports.remove(reports.keySet().iterator().next());
     }
-    reports.put(report.engine(), new HeldReport(report, nowNanos - report.ageNanos()));
+    reports.put(report.engine(), new StoredReport(report, nowNanos - report.ageNanos()));
   }
 
   void clearReports() {
     reports.clear();
   }
 
-  /** The latest report on that process of an engine; null for none. */
-  HeldReport report(String engine, long incarnation) {
-    HeldReport held = reports.get(engine);
-    return held == null || held.report().incarnation() != incarnation ? null : held;
+  /** Returns the latest report on that process of an engine; null for none. */
+  StoredReport report(String engine, long incarnation) {
+    StoredReport stored = reports.get(engine);
+    return stored == null || stored.report().incarnation() != incarnation ? null : stored;
   }
 
-  /** Forgets what lies longer back than it counts for. */
-  void expire(long nowNanos, long reportNanos, long contradictionNanos, long judgementNanos) {
-    reports.values().removeIf(held -> nowNanos - held.atNanos() > reportNanos);
+  /** Removes reports, contradictions and evaluations that are older than their lifetimes. */
+  void expire(long nowNanos, long reportNanos, long contradictionNanos, long evaluationNanos) {
+    reports.values().removeIf(stored -> nowNanos - stored.atNanos() > reportNanos);
     contradictedAtNanos.values().removeIf(at -> nowNanos - at > contradictionNanos);
-    judgedAtNanos.values().removeIf(at -> nowNanos - at >= judgementNanos);
+    evaluatedAtNanos.values().removeIf(at -> nowNanos - at >= evaluationNanos);
   }
 
-  /** Lets a reputation under the initial one recover. */
+  /** Raises a reputation that is below the initial one, according to the time that has passed. */
   void recover(double seconds) {
     if (reputation < INITIAL_REPUTATION) {
       reputation += (INITIAL_REPUTATION - reputation) * Math.min(1, RECOVERY_PER_SECOND * seconds);
     }
   }
 
-  boolean wasJudgedOn(String engine) {
-    return judgedAtNanos.containsKey(engine);
+  boolean wasEvaluatedOn(String engine) {
+    return evaluatedAtNanos.containsKey(engine);
   }
 
-  /** This node's own attempts bear the peer's report out. */
+  /** Raises the reputation after this node's own attempts have confirmed the peer's report. */
   void onConfirmed(long nowNanos, String engine) {
-    judgedAtNanos.put(engine, nowNanos);
+    evaluatedAtNanos.put(engine, nowNanos);
     reputation += CONFIRMATION_GAIN * (1 - reputation);
   }
 
-  /** This node's own attempts contradict the peer's report. */
+  /** Lowers the reputation after this node's own attempts have contradicted the peer's report. */
   void onContradicted(long nowNanos, String engine) {
-    judgedAtNanos.put(engine, nowNanos);
+    evaluatedAtNanos.put(engine, nowNanos);
     reputation *= CONTRADICTION_FACTOR;
     contradictions++;
     contradictedAtNanos.put(engine, nowNanos);
@@ -83,12 +83,12 @@
     return contradictions;
   }
 
-  /** Whether this peer and another one were contradicted about the same engine lately. */
+  /** Returns whether this peer and another one were recently contradicted about the same engine. */
   boolean sharesContradiction(ReportingPeer other) {
     return !Collections.disjoint(contradictedAtNanos.keySet(), other.contradictedAtNanos.keySet());
   }
 
-  /** Whether one of the peers shares a contradiction with this one. */
+  /** Returns whether any of the peers shares a contradiction with this one. */
   boolean sharesContradictionWithAny(List<ReportingPeer> peers) {
     return peers.stream().anyMatch(this::sharesContradiction);
   }
--- a/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -5,54 +5,56 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import reachloom.peerreport.ReportingPeer.HeldReport;
+import reachloom.peerreport.ReportingPeer.StoredReport;
 
 /**
- * Weighs what peers report of engines by how many they are, how fresh and how broad their reports
- * are, and how reliable each peer has been so far. The result is a level from 0 to 1 for each
- * engine: at {@link #ACCUSED_LEVEL} and above a quorum of peers accuses it. One peer alone never
- * brings an engine that far; fresh attempts of this node's own bring its level to 0, whatever
- * others report; and no more than a share of the engines can be accused at a time.
+ * Weighs peers' reports on engines by the number of peers, the age of each report, the number of
+ * attempts that it counts, and the peer's reputation. The result is a level from 0 to 1 for each
+ * engine: at {@link #ACCUSED_LEVEL} and above, a quorum of peers accuses the engine. A single peer
+ * cannot raise an engine to that level; recent attempts by this node itself set the level to 0,
+ * whatever peers report; and only a limited share of the engines can be accused at a time.
  *
  * <p>A peer's reputation falls with each report that this node's own attempts contradict, and
- * recovers slowly. Peers that were contradicted about the same engine lately count as one: nodes
- * that agree on a lie gain nothing by being many once they have been found out together. The cost
- * is borne by peers whose path to an engine is bad while this node's is good: what they report is
- * true for them, and counts for little here, as it should.
+ * recovers slowly. Peers that were recently contradicted about the same engine count as one, so
+ * that colluding nodes gain nothing by their number once they have been contradicted together. The
+ * cost: a peer whose path to an engine is bad while this node's path is good also loses reputation.
+ * Its reports are true for that peer, but say little about the engine as seen from this node.
  *
- * <p>Not thread-safe; times are nanoseconds of the clock handed in. Peers are held in the order of
- * their names, so that the same events give the same levels bit by bit.
+ * <p>Not thread-safe; times are nanoseconds of the caller's clock. Peers are kept in the order of
+ * their names, so that the same events give bit-identical levels.
  */
 public final class WeightedQuorum {
-  /** From this level on a quorum of peers accuses an engine. */
+  /** The level from which a quorum of peers accuses an engine. */
   public static final double ACCUSED_LEVEL = 0.5;
 
   private static final long SECOND_NANOS = 1_000_000_000;
 
-  // An engine that fails is avoided, so that new reports on it are rare.
+  // Long, because a failing engine gets few attempts, so that new reports on it are rare.
   private static final long REPORT_LIFETIME_NANOS = 20 * SECOND_NANOS;
-  private static final double FADE_RATE = 2; // full weight in the first half of a report's lifetime
-  private static final int OWN_FRESH_SECONDS = 3; // in which own attempts go before reports
-  private static final int MIN_OWN_ATTEMPTS = 2; // in them that settle it
-  private static final double MIN_ACCUSING_RATIO = 0.5; // of failures: a report accuses from here
-  private static final double MAX_VOUCHING_RATIO = 0.2; // ... and vouches up to here
-  private static final int MIN_ATTEMPTS = 2; // that a report counts: one may be chance
-  private static final int MIN_LONE_FAILURES = 1; // ... without success, for less weight
-  private static final double HALF_WEIGHT_ATTEMPTS = 1; // at which a report has half its weight
-  private static final long JUDGEMENT_INTERVAL_NANOS = SECOND_NANOS; // of a peer on an engine
-  private static final long CONTRADICTION_MEMORY_NANOS = 60 * SECOND_NANOS;
-  private static final double MAX_LEVEL_OF_ONE =
-      0.4; // by one peer, or one group that counts as one
-  private static final double PRIOR_WEIGHT = 0.15; // against each accusation
+  private static final double FADE_RATE = 2; // full weight in the first half of the lifetime
+  private static final int OWN_FRESH_SECONDS = 3; // window in which own attempts override reports
+  private static final int MIN_OWN_ATTEMPTS = 2; // within that window, to override reports
+  private static final double MIN_ACCUSING_RATIO = 0.5; // failure ratio of an accusing report
+  private static final double MAX_VOUCHING_RATIO = 0.2; // failure ratio of a vouching report
+  private static final int MIN_ATTEMPTS = 2; // a single attempt may be chance
+  private static final int MIN_FAILURES_WITHOUT_SUCCESS = 1; // without any success; has less weight
+  private static final double HALF_WEIGHT_ATTEMPTS = 1; // attempts that give half the weight
+  private static final long EVALUATION_INTERVAL_NANOS = SECOND_NANOS; // per peer and engine
+  private static final long CONTRADICTION_LIFETIME_NANOS = 60 * SECOND_NANOS;
+
+  /** The maximum level by the accusation of a single peer, or of one group that counts as one. */
+  private static final double MAX_LEVEL_OF_SINGLE_ACCUSER = 0.4;
+
+  private static final double PRIOR_WEIGHT = 0.15; // weight against each accusation
   private static final double MAX_ACCUSED_SHARE = 0.25; // of the engines
   private static final int MAX_PEERS = 2_048;
 
   /**
-   * What peers make this node believe of one engine, and why.
+   * The result of weighing the peers' reports on one engine.
    *
    * @param engine the engine's name
-   * @param incarnation the start of its process
-   * @param level from 0, nothing against it, to 1
+   * @param incarnation the start time of its process
+   * @param level from 0 (no accusation) to 1
    * @param accusers the peers whose reports accuse it
    * @param vouchers the peers whose reports vouch for it
    */
@@ -63,7 +65,9 @@
     }
   }
 
-  /** Accusers that were contradicted together count as one, with their largest weight. */
+  /**
+   * Groups accusers that were contradicted together; a group counts once, with its largest weight.
+   */
   private static final class AccuserGroups {
     private final List<List<ReportingPeer>> groups = new ArrayList<>();
     private final List<Double> weights = new ArrayList<>();
@@ -95,12 +99,14 @@
   private final TreeMap<String, ReportingPeer> peers = new TreeMap<>();
   private long assessedAtNanos;
 
-  /** Weighs peers' reports beside the outcomes of this node's own attempts. */
+  /**
+   * Creates a quorum that compares peers' reports with the outcomes of this node's own attempts.
+   */
   public WeightedQuorum(OutcomeWindow ownOutcomes) {
     this.ownOutcomes = ownOutcomes;
   }
 
-  /** Takes in the reports of a peer; those with impossible values are left out. */
+  /** Stores the reports of a peer; ignores those with impossible values. */
   public void onReports(long nowNanos, String peerName, List<PeerReport> reports) {
     ReportingPeer peer = peers.get(peerName);
     if (peer == null) {
@@ -126,45 +132,49 @@
   }
 
   /**
-   * A peer is no longer a member: its reports no longer count, its reputation stays, so that
-   * leaving clears no name.
+   * Removes the reports of a peer that is no longer a member. Its reputation stays, so that a peer
+   * cannot restore it by leaving.
    */
-  public void onPeerGone(String peerName) {
+  public void onPeerRemoved(String peerName) {
     ReportingPeer peer = peers.get(peerName);
     if (peer != null) {
       peer.clearReports();
     }
   }
 
-  /** How reliable a peer has been so far, from 0 to 1; the initial value for an unknown one. */
+  /**
+   * Returns how reliable a peer has been so far, from 0 to 1; the initial value for an unknown
+   * peer.
+   */
   public double reputation(String peerName) {
     ReportingPeer peer = peers.get(peerName);
     return peer == null ? ReportingPeer.INITIAL_REPUTATION : peer.reputation();
   }
 
-  /** How many reports of a peer this node's own attempts have contradicted. */
+  /** Returns how many reports of a peer this node's own attempts have contradicted. */
   public int contradictions(String peerName) {
     ReportingPeer peer = peers.get(peerName);
     return peer == null ? 0 : peer.contradictions();
   }
 
   /**
-   * Judges the peers by this node's own attempts, and weighs what is left.
+   * Evaluates the peers by this node's own attempts, and weighs the reports on the engines that
+   * have too few own attempts.
    *
    * @param engines name and incarnation of each engine in use
-   * @return assessments of those with a level above 0, the highest level first
+   * @return assessments of the engines with a level above 0, the highest level first
    */
   public List<Assessment> assess(long nowNanos, Map<String, Long> engines) {
     recoverReputations(nowNanos);
     for (ReportingPeer peer : peers.values()) {
       peer.expire(
-          nowNanos, REPORT_LIFETIME_NANOS, CONTRADICTION_MEMORY_NANOS, JUDGEMENT_INTERVAL_NANOS);
+          nowNanos, REPORT_LIFETIME_NANOS, CONTRADICTION_LIFETIME_NANOS, EVALUATION_INTERVAL_NANOS);
     }
     List<Assessment> assessments = new ArrayList<>();
     engines.forEach(
         (engine, incarnation) -> {
           PeerReport own = ownOutcomes.summary(nowNanos, engine, incarnation, OWN_FRESH_SECONDS);
-          judgePeers(nowNanos, own);
+          evaluatePeers(nowNanos, own);
           if (own.attempts() < MIN_OWN_ATTEMPTS) {
             Assessment assessment = weigh(nowNanos, engine, incarnation);
             if (assessment.level > 0) {
@@ -172,7 +182,7 @@
             }
           }
         });
-    return withBoundedAccusations(assessments, engines.size());
+    return limitAccusations(assessments, engines.size());
   }
 
   private void recoverReputations(long nowNanos) {
@@ -183,34 +193,34 @@
   }
 
   /**
-   * What own attempts show of the peers' reports on an engine: only where they are plain, and about
-   * the same time.
+   * Compares the peers' reports on an engine with this node's own attempts, if those clearly show a
+   * healthy or a failing engine.
    */
-  private void judgePeers(long nowNanos, PeerReport own) {
+  private void evaluatePeers(long nowNanos, PeerReport own) {
     boolean enough = own.attempts() >= MIN_OWN_ATTEMPTS;
     boolean healthy = enough && own.failureRatio() <= MAX_VOUCHING_RATIO && own.unserved() == 0;
     boolean failing = enough && own.failureRatio() >= MIN_ACCUSING_RATIO;
     if (healthy || failing) {
-      peers.values().forEach(peer -> judge(nowNanos, peer, own, failing));
+      peers.values().forEach(peer -> evaluate(nowNanos, peer, own, failing));
     }
   }
 
-  private void judge(long nowNanos, ReportingPeer peer, PeerReport own, boolean failing) {
+  private void evaluate(long nowNanos, ReportingPeer peer, PeerReport own, boolean failing) {
     String engine = own.engine();
-    HeldReport held = peer.report(engine, own.incarnation());
+    StoredReport stored = peer.report(engine, own.incarnation());
     boolean comparable =
-        held != null
-            && nowNanos - held.atNanos() <= OWN_FRESH_SECONDS * SECOND_NANOS
-            && !peer.wasJudgedOn(engine);
-    if (!comparable || !accuses(held.report()) && !vouches(held.report())) {
+        stored != null
+            && nowNanos - stored.atNanos() <= OWN_FRESH_SECONDS * SECOND_NANOS
+            && !peer.wasEvaluatedOn(engine);
+    if (!comparable || !accuses(stored.report()) && !vouches(stored.report())) {
       return;
     }
-    // What was seen before this node's latest failure may have been true then.
-    boolean outdated = held.atNanos() <= ownOutcomes.lastFailureAtNanos(engine, own.incarnation());
-    if (failing && vouches(held.report()) && outdated) {
+    // A report from before this node's latest failure may have been true at its time.
+    boolean outdated = stored.atNanos() <= ownOutcomes.lastFailureAtNanos(engine, own.incarnation());
+    if (failing && vouches(stored.report()) && outdated) {
       return;
     }
-    if (accuses(held.report()) == failing) {
+    if (accuses(stored.report()) == failing) {
       peer.onConfirmed(nowNanos, engine);
     } else {
       peer.onContradicted(nowNanos, engine);
@@ -220,7 +230,7 @@
   private static boolean accuses(PeerReport report) {
     int unserved = report.unserved();
     return unserved >= MIN_ATTEMPTS && report.failureRatio() >= MIN_ACCUSING_RATIO
-        || unserved >= MIN_LONE_FAILURES && report.served() == 0;
+        || unserved >= MIN_FAILURES_WITHOUT_SUCCESS && report.served() == 0;
   }
 
   private static boolean vouches(PeerReport report) {
@@ -231,41 +241,47 @@
     List<String> accusers = new ArrayList<>();
     List<String> vouchers = new ArrayList<>();
     AccuserGroups groups = new AccuserGroups();
-    double against = PRIOR_WEIGHT;
+    double opposingWeight = PRIOR_WEIGHT;
     for (Map.Entry<String, ReportingPeer> entry : peers.entrySet()) {
       ReportingPeer peer = entry.getValue();
-      HeldReport held = peer.report(engine, incarnation);
-      if (held == null) {
+      StoredReport stored = peer.report(engine, incarnation);
+      if (stored == null) {
         continue;
       }
-      double weight = weight(nowNanos, peer, held);
-      if (accuses(held.report())) {
+      double weight = weight(nowNanos, peer, stored);
+      if (accuses(stored.report())) {
         accusers.add(entry.getKey());
         groups.add(peer, weight);
-      } else if (vouches(held.report())) {
+      } else if (vouches(stored.report())) {
         vouchers.add(entry.getKey());
-        against += weight;
+        opposingWeight += weight;
       }
     }
     double total = groups.totalWeight();
-    double level = total <= 0 ? 0 : total / (total + against);
+    double level = total <= 0 ? 0 : total / (total + opposingWeight);
     if (groups.count() <= 1) {
-      level = Math.min(level, MAX_LEVEL_OF_ONE);
+      level = Math.min(level, MAX_LEVEL_OF_SINGLE_ACCUSER);
     }
     return new Assessment(engine, incarnation, level, accusers, vouchers);
   }
 
-  /** The weight of a report: full at first, fading over the second half of its lifetime. */
-  private static double weight(long nowNanos, ReportingPeer peer, HeldReport held) {
-    double age = (double) (nowNanos - held.atNanos()) / REPORT_LIFETIME_NANOS;
+  /**
+   * Returns the weight of a report: full at first, fading over the second half of its
+   * lifetime.
+   */
+  private static double weight(long nowNanos, ReportingPeer peer, StoredReport stored) {
+    double age = (double) (nowNanos - stored.atNanos()) / REPORT_LIFETIME_NANOS;
     double freshness = Math.min(1, FADE_RATE * (1 - age));
-    int attempts = held.report().attempts();
-    double breadth = attempts / (attempts + HALF_WEIGHT_ATTEMPTS);
-    return peer.reputation() * peer.reputation() * freshness * breadth;
+    int attempts = stored.report().attempts();
+    double sampleFactor = attempts / (attempts + HALF_WEIGHT_ATTEMPTS);
+    return peer.reputation() * peer.reputation() * freshness * sampleFactor;
   }
 
-  /** No more than a share of the engines can be accused: those with the highest levels stay. */
-  private static List<Assessment> withBoundedAccusations(
+  /**
+   * Limits the number of accused engines to a share of all: those with the highest levels stay
+   * accused.
+   */
+  private static List<Assessment> limitAccusations(
       List<Assessment> assessments, int engineCount) {
     int maxAccused = (int) (engineCount * MAX_ACCUSED_SHARE);
     List<Assessment> order = new ArrayList<>(assessments);
@@ -274,8 +290,8 @@
             .thenComparing(Assessment::engine));
     List<Assessment> bounded = new ArrayList<>();
     for (Assessment assessment : order) {
-      boolean over = assessment.level >= ACCUSED_LEVEL && bounded.size() >= maxAccused;
-      bounded.add(over ? assessment.withLevel(MAX_LEVEL_OF_ONE) : assessment);
+      boolean overLimit = assessment.level >= ACCUSED_LEVEL && bounded.size() >= maxAccused;
+      bounded.add(overLimit ? assessment.withLevel(MAX_LEVEL_OF_SINGLE_ACCUSER) : assessment);
     }
     return bounded;
   }
--- a/decisions/src/main/java/reachloom/peerreport/package-info.java
+++ b/decisions/src/main/java/reachloom/peerreport/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What nodes have seen of engines, and what one node makes of the others' reports: counts are
- * shared, never verdicts, and fresh attempts of this node's own take precedence over all that
- * others report. No I/O; the clock is handed in.
+ * Reports of nodes on the health of engines, and the assessment of peers' reports by one node:
+ * nodes share counts, never verdicts, and recent attempts by the node itself take precedence over
+ * all reports. The package does no I/O; the caller supplies the clock.
  */
 package reachloom.peerreport;
--- a/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
+++ b/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import reachloom.gossip.DatagramRateLimiter.Arrival;
 
-/** What is rejected before a signature is checked. */
+/** Tests the rejection of datagrams before their signatures are checked. */
 class DatagramRateLimiterTest {
   private static final long SECOND_NANOS = 1_000_000_000;
 
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void clocksTenSecondsApartAreToleratedAnHourIsNot() {
+  void rejectsDatagramsOneHourApartButNotTenSeconds() {
     assertNull(admit(1, true, now - 10 * SECOND_NANOS, 1));
     assertNull(admit(1, true, now + 10 * SECOND_NANOS, 2));
     assertEquals(RejectionReason.TIME, admit(1, true, now - 3_600 * SECOND_NANOS, 3));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aSequenceNumberIsAcceptedOnceAlsoOutOfOrder() {
+  void acceptsEachSequenceNumberOnce() {
     assertTrue(limiter.acceptSequenceNumber("p", 100));
     assertTrue(limiter.acceptSequenceNumber("p", 103));
     assertTrue(limiter.acceptSequenceNumber("p", 101));
@@ -42,62 +42,62 @@
     assertNull(admit(1, true, now, 102));
     assertFalse(limiter.acceptSequenceNumber("p", 100));
     assertTrue(limiter.acceptSequenceNumber("p", 10_000));
-    assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 102), "too far behind to be known");
+    assertEquals(RejectionReason.REPLAYED, admit(1, true, now, 102), "below the window");
     assertNull(admit(1, true, now, 10_001));
-    assertTrue(limiter.acceptSequenceNumber("q", 100), "another sender counts for itself");
+    assertTrue(limiter.acceptSequenceNumber("q", 100), "each sender has its own window");
   }
 
   @Test
-  void aFloodFromUnknownSourcesLeavesMembersAlone() {
-    int strangers = 0;
+  void admitsMembersDuringFloodFromUnknownSources() {
+    int admittedFromUnknown = 0;
     for (int i = 0; i < 20_000; i++) {
       now += SECOND_NANOS / 20_000;
-      strangers +=
+      admittedFromUnknown +=
           admit(limiter, now, new Arrival(i, false, true, false, "p", now, i)) == null ? 1 : 0;
       if (i % 1_000 == 0) {
         assertNull(admit(limiter, now, new Arrival(1_000_000, true, true, false, "m", now, i)));
       }
     }
-    assertTrue(strangers <= 101, strangers + " signatures to check in a second");
+    assertTrue(admittedFromUnknown <= 101, admittedFromUnknown + " signature checks in one second");
   }
 
   @Test
-  void aFloodFromOneAddressLeavesJoiningNodesAlone() {
-    int joined = 0;
+  void admitsJoiningNodesDuringFloodFromOneAddress() {
+    int admittedJoining = 0;
     for (int i = 0; i < 20_000; i++) {
       now += SECOND_NANOS / 20_000;
       admit(limiter, now, new Arrival(5, false, true, false, "p", now, i));
       if (i % 1_000 == 0) {
-        joined +=
+        admittedJoining +=
             admit(limiter, now, new Arrival(100 + i, false, false, true, "new" + i, now, i)) == null
                 ? 1
                 : 0;
       }
     }
-    assertEquals(20, joined);
+    assertEquals(20, admittedJoining);
   }
 
   @Test
-  void aFloodFromOneMemberLeavesTheOthersAlone() {
-    int taken = 0;
+  void admitsOtherMembersDuringFloodFromOneMember() {
+    int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
-      taken += admit(5, true, now, i) == null ? 1 : 0;
+      admitted += admit(5, true, now, i) == null ? 1 : 0;
     }
-    assertTrue(taken <= 20, taken + "");
+    assertTrue(admitted <= 20, admitted + "");
     assertNull(admit(limiter, now, new Arrival(6, true, true, false, "q", now, 1)));
   }
 
   @Test
-  void membersWithAShortPeriodHaveALargerLimit() {
-    DatagramRateLimiter quick = new DatagramRateLimiter(SECOND_NANOS / 10);
-    for (int i = 0; i < 600; i++) { // six packets a period, a minute long
+  void raisesMemberLimitForShortPeriod() {
+    DatagramRateLimiter shortPeriodLimiter = new DatagramRateLimiter(SECOND_NANOS / 10);
+    for (int i = 0; i < 600; i++) { // 10 seconds with six packets per period
       now += SECOND_NANOS / 60;
-      assertNull(admit(quick, now, new Arrival(5, true, true, false, "p", now, i)));
+      assertNull(admit(shortPeriodLimiter, now, new Arrival(5, true, true, false, "p", now, i)));
     }
   }
 
   @Test
-  void anUnknownSenderHasToAttachItsCertificate() {
+  void rejectsUnknownSenderWithoutCertificate() {
     assertEquals(
         RejectionReason.UNKNOWN,
         admit(limiter, now, new Arrival(1, false, false, false, "p", now, 1)));
@@ -105,15 +105,15 @@
   }
 
   @Test
-  void membersThatPassDocumentsOnHaveALargerLimit() {
-    DatagramRateLimiter busy = new DatagramRateLimiter(SECOND_NANOS, true);
-    int taken = 0;
-    int plain = 0;
+  void raisesMemberLimitForRevisions() {
+    DatagramRateLimiter limiterWithRevisions = new DatagramRateLimiter(SECOND_NANOS, true);
+    int admitted = 0;
+    int admittedWithoutRevisions = 0;
     for (int i = 0; i < 200; i++) {
-      taken += admit(busy, now, new Arrival(1, true, true, false, "p", now, i)) == null ? 1 : 0;
-      plain += admit(1, true, now, i) == null ? 1 : 0;
+      admitted += admit(limiterWithRevisions, now, new Arrival(1, true, true, false, "p", now, i)) == null ? 1 : 0;
+      admittedWithoutRevisions += admit(1, true, now, i) == null ? 1 : 0;
     }
-    assertEquals(20, plain);
-    assertEquals(80, taken);
+    assertEquals(20, admittedWithoutRevisions);
+    assertEquals(80, admitted);
   }
 }
--- a/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
+++ b/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
@@ -12,13 +12,13 @@
 import reachloom.peerreport.WeightedQuorum.Assessment;
 import reachloom.scheduler.api.AttemptOutcome;
 
-/** Peers' reports are weighed, and this node's own attempts take precedence over them. */
+/** Tests the weighing of peers' reports, and the precedence of this node's own attempts. */
 class WeightedQuorumTest {
   private static final long SECOND_NANOS = 1_000_000_000;
   private static final int ENGINE_COUNT = 12;
 
-  private final OutcomeWindow own = new OutcomeWindow();
-  private final WeightedQuorum quorum = new WeightedQuorum(own);
+  private final OutcomeWindow ownOutcomes = new OutcomeWindow();
+  private final WeightedQuorum quorum = new WeightedQuorum(ownOutcomes);
   private final Map<String, Long> engines = new LinkedHashMap<>();
   private long now = 1_000 * SECOND_NANOS;
 
@@ -42,11 +42,11 @@
 
   private void recordServed(String engine) {
     for (int i = 0; i < 4; i++) {
-      own.record(now, engine, 0, Observation.SERVED);
+      ownOutcomes.record(now, engine, 0, Observation.SERVED);
     }
   }
 
-  /** For some seconds peers accuse an engine that serves this node's own attempts. */
+  /** Lets peers accuse, for some seconds, an engine that serves this node's own attempts. */
   private void accuseHealthy(String engine, int seconds, String... peers) {
     for (int i = 0; i < seconds; i++) {
       now += SECOND_NANOS;
@@ -59,17 +59,17 @@
   }
 
   @Test
-  void onePeerAloneNeverAccusesAnEngine() {
+  void doesNotAccuseEngineOnSinglePeersReport() {
     for (int i = 0; i < 20; i++) {
       now += SECOND_NANOS;
       report("p", "e1", 0, 1_000);
       assertTrue(level("e1") < WeightedQuorum.ACCUSED_LEVEL);
     }
-    assertTrue(level("e1") > 0, "but it is heard");
+    assertTrue(level("e1") > 0, "the report of a single peer still counts");
   }
 
   @Test
-  void twoIndependentPeersAccuseAnEngine() {
+  void accusesEngineReportedByTwoIndependentPeers() {
     report("p", "e1", 0, 5);
     report("q", "e1", 0, 4);
     assertTrue(level("e1") >= WeightedQuorum.ACCUSED_LEVEL);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void vouchersCountAgainstAccusers() {
+  void lowersLevelWithVouchers() {
     report("p", "e1", 0, 5);
     report("q", "e1", 0, 4);
     double accused = level("e1");
@@ -88,14 +88,14 @@
   }
 
   @Test
-  void freshOwnAttemptsTakePrecedenceOverAllReports() {
+  void prefersRecentOwnAttemptsOverReports() {
     for (int i = 0; i < 30; i++) {
       report("p" + i, "e1", 0, 50);
     }
     assertTrue(level("e1") >= WeightedQuorum.ACCUSED_LEVEL);
     recordServed("e1");
     assertEquals(0, level("e1"));
-    now += 4 * SECOND_NANOS; // what was seen is no longer fresh
+    now += 4 * SECOND_NANOS; // own attempts are no longer recent
     for (int i = 30; i < 40; i++) {
       report("p" + i, "e1", 0, 50);
     }
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aContradictedPeerLosesItsReputationAndRegainsItSlowly() {
+  void lowersReputationOfContradictedPeer() {
     accuseHealthy("e1", 10, "liar");
     assertTrue(quorum.reputation("liar") < 0.05, quorum.reputation("liar") + "");
     assertTrue(quorum.contradictions("liar") >= 8);
@@ -118,11 +118,11 @@
   }
 
   @Test
-  void aConfirmedReportRaisesReputation() {
+  void raisesReputationOfConfirmedPeer() {
     for (int i = 0; i < 10; i++) {
       now += SECOND_NANOS;
-      own.record(now, "e1", 0, Observation.TIMED_OUT);
-      own.record(now, "e1", 0, Observation.TIMED_OUT);
+      ownOutcomes.record(now, "e1", 0, Observation.TIMED_OUT);
+      ownOutcomes.record(now, "e1", 0, Observation.TIMED_OUT);
       report("p", "e1", 0, 3);
       level("e1");
     }
@@ -130,19 +130,19 @@
   }
 
   @Test
-  void peersContradictedTogetherCountAsOne() {
-    accuseHealthy("e1", 1, "x", "y", "z"); // their standing would still do
+  void countsPeersContradictedTogetherAsOne() {
+    accuseHealthy("e1", 1, "x", "y", "z"); // their reputations alone would still suffice
     for (String p : new String[] {"x", "y", "z"}) {
-      report(p, "e2", 0, 50); // another engine, of which nothing is seen here
+      report(p, "e2", 0, 50); // another engine, without own attempts
     }
     assertTrue(level("e2") < WeightedQuorum.ACCUSED_LEVEL, level("e2") + "");
     report("a", "e2", 0, 5);
     report("b", "e2", 0, 5);
-    assertTrue(level("e2") >= WeightedQuorum.ACCUSED_LEVEL, "two honest ones still count");
+    assertTrue(level("e2") >= WeightedQuorum.ACCUSED_LEVEL, "two honest peers still form a quorum");
   }
 
   @Test
-  void aFailingEngineThatOnePeerVouchesForIsStillAccusedByTwo() {
+  void accusesEngineDespiteSingleVoucher() {
     report("p", "e1", 0, 5);
     report("q", "e1", 0, 5);
     report("liar", "e1", 1_000, 0);
@@ -150,7 +150,7 @@
   }
 
   @Test
-  void noMoreThanAShareOfTheEnginesIsAccusedAtATime() {
+  void limitsShareOfAccusedEngines() {
     for (String e : engines.keySet()) {
       report("x", e, 0, 50);
       report("y", e, 0, 50);
@@ -164,42 +164,42 @@
   }
 
   @Test
-  void anotherIncarnationOfAnEngineInheritsNothing() {
+  void startsEmptyForNewIncarnationOfEngine() {
     report("p", "e1", 0, 5);
     report("q", "e1", 0, 5);
     engines.put("e1", 77L);
     assertEquals(0, level("e1"));
-    own.record(now, "e1", 77, Observation.SERVED);
-    own.record(now, "e1", 0, Observation.TIMED_OUT); // an attempt at the old one ends late
-    assertEquals(new PeerReport("e1", 77, 1, 0, 0, 0), own.summary(now, "e1", 77, 3));
+    ownOutcomes.record(now, "e1", 77, Observation.SERVED);
+    ownOutcomes.record(now, "e1", 0, Observation.TIMED_OUT); // an attempt at the old process ends late
+    assertEquals(new PeerReport("e1", 77, 1, 0, 0, 0), ownOutcomes.summary(now, "e1", 77, 3));
   }
 
   @Test
-  void reportsExpireAndGoWithTheirPeer() {
+  void dropsExpiredReportsAndThoseOfRemovedPeer() {
     report("p", "e1", 0, 5);
     report("q", "e1", 0, 5);
-    quorum.onPeerGone("q");
+    quorum.onPeerRemoved("q");
     assertTrue(level("e1") < WeightedQuorum.ACCUSED_LEVEL);
     now += 21 * SECOND_NANOS;
     assertEquals(0, level("e1"));
   }
 
   @Test
-  void whatAnOutcomeShowsOfAnEngine() {
+  void mapsAttemptOutcomesToObservations() {
     assertEquals(Optional.of(Observation.SERVED), Observation.of(AttemptOutcome.SERVED, false));
     assertEquals(
         Optional.of(Observation.TIMED_OUT), Observation.of(AttemptOutcome.CANCELLED, true));
     assertEquals(
-        Optional.empty(), Observation.of(AttemptOutcome.CANCELLED, false), "its client has left");
+        Optional.empty(), Observation.of(AttemptOutcome.CANCELLED, false), "its client has disconnected");
     assertEquals(
         Optional.empty(),
         Observation.of(AttemptOutcome.FULL, true),
-        "a full engine is not a sick one");
+        "a full engine is not a failing one");
     assertEquals(Optional.of(Observation.FAILED), Observation.of(AttemptOutcome.RESET, true));
   }
 
   @Test
-  void impossibleReportsAreLeftOut() {
+  void ignoresReportsWithImpossibleValues() {
     quorum.onReports(
         now,
         "p",
@@ -211,28 +211,28 @@
   }
 
   @Test
-  void enginesWithFailuresAreReportedFirstAndThenInTurn() {
+  void reportsFailingEnginesFirstThenLeastRecentlyReported() {
     for (int i = 0; i < 6; i++) {
-      own.record(now, "e" + i, 0, Observation.SERVED);
+      ownOutcomes.record(now, "e" + i, 0, Observation.SERVED);
     }
-    own.record(now, "e4", 0, Observation.FAILED);
-    assertEquals("e4", own.reportsToSend(now, 2).get(0).engine());
+    ownOutcomes.record(now, "e4", 0, Observation.FAILED);
+    assertEquals("e4", ownOutcomes.reportsToSend(now, 2).get(0).engine());
     now += SECOND_NANOS;
-    List<PeerReport> next = own.reportsToSend(now, 3);
+    List<PeerReport> next = ownOutcomes.reportsToSend(now, 3);
     assertEquals("e4", next.get(0).engine());
-    assertEquals("e1", next.get(1).engine(), "e0 was told before");
+    assertEquals("e1", next.get(1).engine(), "e0 has already been reported");
     now += 11 * SECOND_NANOS;
-    assertEquals(List.of(), own.reportsToSend(now, 5), "the span is over");
-    own.record(now, "e0", 0, Observation.SERVED);
-    own.record(now, "e0", 0, Observation.TIMED_OUT);
-    own.record(now, "e0", 0, Observation.TIMED_OUT);
+    assertEquals(List.of(), ownOutcomes.reportsToSend(now, 5), "the window has passed");
+    ownOutcomes.record(now, "e0", 0, Observation.SERVED);
+    ownOutcomes.record(now, "e0", 0, Observation.TIMED_OUT);
+    ownOutcomes.record(now, "e0", 0, Observation.TIMED_OUT);
     assertEquals(
         new PeerReport("e0", 0, 0, 0, 2, 0),
-        own.reportsToSend(now, 1).get(0),
-        "what it served before hides nothing");
+        ownOutcomes.reportsToSend(now, 1).get(0),
+        "attempts served earlier do not hide the failures");
     now += 15 * SECOND_NANOS;
-    assertEquals(2, own.reportsToSend(now, 1).get(0).timedOut(), "nobody has seen better since");
-    own.record(now, "e0", 0, Observation.SERVED);
-    assertEquals(1, own.reportsToSend(now, 1).get(0).served());
+    assertEquals(2, ownOutcomes.reportsToSend(now, 1).get(0).timedOut(), "the streak is reported until an attempt is served");
+    ownOutcomes.record(now, "e0", 0, Observation.SERVED);
+    assertEquals(1, ownOutcomes.reportsToSend(now, 1).get(0).served());
   }
 }
--- a/gateway/src/main/java/reachloom/revision/net/ConsensusStateCodec.java
+++ b/gateway/src/main/java/reachloom/revision/net/ConsensusStateCodec.java
@@ -22,13 +22,13 @@
 import reachloom.revision.Vote;
 
 /**
- * The stored form of an issuer's {@link ConsensusState}: a line that names the format, the issuer
- * and its cluster, the fields, and a SHA-256 over all of it. Numbers are big endian, texts have a
- * length of two bytes before them ({@link DataOutputStream#writeUTF}), blocks of bytes one of four
- * (-1 for none). Immutable.
+ * Encodes an issuer's {@link ConsensusState} for storage: a line that names the format, the names
+ * of the issuer and its cluster, the fields, and a SHA-256 checksum over everything before it.
+ * Numbers are big endian, strings have a two-byte length prefix ({@link
+ * DataOutputStream#writeUTF}), and byte blocks a four-byte length prefix (-1 for none). Immutable.
  */
 final class ConsensusStateCodec {
-  /** The largest stored state: two documents, two revisions and all votes, with room to spare. */
+  /** The maximum size of a stored state: more than two documents, two revisions and all votes. */
   static final int MAX_BYTES = 4 * Revision.MAX_DOCUMENT_BYTES;
 
   private static final byte[] FORMAT = "reachloom issuer 1\n".getBytes(StandardCharsets.US_ASCII);
@@ -40,7 +40,7 @@
   private final String issuer;
   private final String cluster;
 
-  /** The codec of one issuer's states. */
+  /** Creates the codec for the states of one issuer. */
   ConsensusStateCodec(String issuer, String cluster) {
     this.issuer = issuer;
     this.cluster = cluster;
@@ -49,7 +49,7 @@
   // ---- Writing ----
 
   /**
-   * The stored form.
+   * Returns the stored form of a state.
    *
    * @throws IOException if a name is too long to be stored
    */
@@ -91,13 +91,13 @@
       throws IOException {
     out.writeBoolean(revision.isPresent());
     if (revision.isPresent()) {
-      Revision r = revision.get();
-      out.writeLong(r.number());
-      out.write(r.previous());
-      out.write(r.digest());
-      out.writeInt(r.size());
-      out.writeLong(r.issuedAt());
-      out.writeUTF(r.issuer());
+      Revision present = revision.get();
+      out.writeLong(present.number());
+      out.write(present.previous());
+      out.write(present.digest());
+      out.writeInt(present.size());
+      out.writeLong(present.issuedAt());
+      out.writeUTF(present.issuer());
     }
   }
 
@@ -116,25 +116,25 @@
       sha.update(bytes, 0, length);
       return sha.digest();
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("each Java platform has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available", e);
     }
   }
 
   // ---- Reading ----
 
   /**
-   * Reads a stored form.
+   * Decodes a stored state.
    *
-   * @throws StateFormatException if it is damaged, of another version, or another issuer's
+   * @throws StateFormatException if it is corrupt, of another version, or belongs to another issuer
    */
   ConsensusState decode(byte[] stored) throws StateFormatException {
     int length = stored.length - CHECKSUM_BYTES;
     if (length < FORMAT.length || !Arrays.equals(FORMAT, Arrays.copyOf(stored, FORMAT.length))) {
-      throw new StateFormatException("format", "is not an issuer's state of this version");
+      throw new StateFormatException("format", "is not an issuer state file of this format version");
     }
     byte[] checksum = Arrays.copyOfRange(stored, length, stored.length);
     if (!Arrays.equals(checksum(stored, length), checksum)) {
-      throw new StateFormatException("checksum", "is damaged: its checksum does not hold");
+      throw new StateFormatException("checksum", "is corrupt: its checksum does not match");
     }
     try {
       int bodyLength = length - FORMAT.length;
@@ -173,8 +173,8 @@
     Optional<byte[]> newestDocument = readBlock(in, Revision.MAX_DOCUMENT_BYTES);
     long firstVotingNumber = in.readLong();
     checkDocument("accepted", acceptedRevision.isPresent() == acceptedDocument.isPresent());
-    checkDocument("accepted", areOfEachOther(acceptedRevision, acceptedDocument));
-    checkDocument("newest", areOfEachOther(newestRevision, newestDocument));
+    checkDocument("accepted", matches(acceptedRevision, acceptedDocument));
+    checkDocument("newest", matches(newestRevision, newestDocument));
     checkDocument("end", in.read() < 0);
     return new ConsensusState(
         promised,
@@ -184,13 +184,13 @@
         firstVotingNumber);
   }
 
-  private static boolean areOfEachOther(Optional<Revision> revision, Optional<byte[]> document) {
+  private static boolean matches(Optional<Revision> revision, Optional<byte[]> document) {
     return document.isEmpty() || revision.filter(r -> r.describes(document.get())).isPresent();
   }
 
   private static void checkDocument(String field, boolean fits) throws StateFormatException {
     if (!fits) {
-      throw new StateFormatException(field, "holds a document that is not the one it names");
+      throw new StateFormatException(field, "contains a document that does not match its revision, or trailing bytes");
     }
   }
 
@@ -214,7 +214,9 @@
   private static List<Vote> readVotes(DataInputStream in) throws IOException, StateFormatException {
     int count = in.readByte();
     if (count < 0 || count > ConsensusNode.MAX_ISSUERS) {
-      throw new StateFormatException("votes", "names " + count + " votes");
+      throw new StateFormatException(
+          "votes",
+          "contains " + count + " votes; at most " + ConsensusNode.MAX_ISSUERS + " are allowed");
     }
     List<Vote> votes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -222,7 +224,7 @@
       Optional<byte[]> signature = readBlock(in, MAX_SIGNATURE_BYTES);
       votes.add(
           new Vote(
-              voter, signature.orElseThrow(() -> new IOException("a vote without signature"))));
+              voter, signature.orElseThrow(() -> new IOException("vote of '" + voter + "' has no signature"))));
     }
     return List.copyOf(votes);
   }
@@ -233,7 +235,7 @@
       return Optional.empty();
     }
     if (length > maxBytes) {
-      throw new IOException("a block of " + length + " bytes");
+      throw new IOException("block has " + length + " bytes; at most " + maxBytes + " are allowed");
     }
     byte[] block = new byte[length];
     in.readFully(block);
--- a/gateway/src/main/java/reachloom/revision/net/FileStore.java
+++ b/gateway/src/main/java/reachloom/revision/net/FileStore.java
@@ -16,12 +16,12 @@
 import reachloom.revision.ConsensusStore;
 
 /**
- * An issuer's store in a directory of its own, which one process at a time may use: a lock file
- * says which. The state's file is replaced as a whole and forced to the disk before anything rests
- * on it. One that is damaged, or another issuer's, is reported and neither used nor replaced: an
- * issuer that forgets must not vote as if it had not.
+ * Stores an issuer's state in a directory of its own. A lock file ensures that only one process at
+ * a time uses the directory. Each save replaces the state file atomically and forces it to disk
+ * before it returns. A state file that is corrupt or belongs to another issuer is reported, and
+ * neither used nor replaced: an issuer that has lost its state must not vote as if it had not.
  *
- * <p>Confined to the thread of the issuer's event loop once it is open.
+ * <p>Confined to the thread of the issuer's event loop once the store is open.
  */
 public final class FileStore implements ConsensusStore, AutoCloseable {
   private static final Logger LOG = System.getLogger(FileStore.class.getName());
@@ -51,10 +51,10 @@
   }
 
   /**
-   * Makes the store of an issuer that has never voted.
+   * Creates the store of an issuer that has never voted.
    *
-   * @throws StoreException if there is one, another process uses the directory, or it cannot be
-   *     written
+   * @throws StoreException if the store already exists, another process uses the directory, or the
+   * store cannot be written
    */
   public static FileStore create(Path directory, String issuer, String cluster)
       throws StoreException {
@@ -62,17 +62,17 @@
   }
 
   /**
-   * Opens a store; one without a state was lost, and loads as empty.
+   * Opens a store. A directory without a state file counts as a lost store, and loads as empty.
    *
-   * @throws StoreException if another process uses it, or its state cannot be read or is not this
-   *     issuer's
+   * @throws StoreException if another process uses the store, its state cannot be read, or the
+   * state belongs to another issuer
    */
   public static FileStore open(Path directory, String issuer, String cluster)
       throws StoreException {
     return new FileStore(directory, issuer, cluster, false);
   }
 
-  /** The directory. */
+  /** Returns the directory of the store. */
   public Path directory() {
     return directory;
   }
@@ -97,13 +97,13 @@
       FileLock held = channel.tryLock();
       return held != null;
     } catch (OverlappingFileLockException e) {
-      return false; // this very process has it open already
+      return false; // this process already holds the lock
     }
   }
 
   private ConsensusState createState() throws StoreException {
     if (Files.exists(stateFile)) {
-      throw new StoreException(stateFile, "is there already; an issuer's store is made once");
+      throw new StoreException(stateFile, "already exists; an issuer's store is created only once");
     }
     ConsensusState initial = ConsensusState.initial();
     if (!save(initial)) {
@@ -130,10 +130,10 @@
 
   private StoreException unusable(String field, String problem) {
     return new StoreException(
-        stateFile, field, problem + "; it is not used, and nothing is begun in its place");
+        stateFile, field, problem + "; the file is not used, and not replaced by a new state");
   }
 
-  /** What the store held when it was opened. */
+  /** Returns the state that the store contained when it was opened. */
   @Override
   public Optional<ConsensusState> load() {
     return loaded;
@@ -148,7 +148,7 @@
       return false;
     }
     if (failing) {
-      LOG.log(Level.INFO, "{0}: can be written again", stateFile);
+      LOG.log(Level.INFO, "{0}: state can be written again", stateFile);
     }
     failing = false;
     return true;
@@ -179,14 +179,14 @@
     if (!failing) {
       LOG.log(
           Level.ERROR,
-          "{0}: cannot be written, this issuer is silent until it can: {1}",
+          "{0}: cannot write the state, this issuer neither promises nor votes until it can: {1}",
           stateFile,
           e.toString());
     }
     failing = true;
   }
 
-  /** Lets another process use the directory. */
+  /** Releases the lock, so that another process can use the directory. */
   @Override
   public void close() {
     closeQuietly(lock);
@@ -196,7 +196,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "closing: {0}", e.toString());
+      LOG.log(Level.DEBUG, "cannot close the lock file: {0}", e.toString());
     }
   }
 }
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -21,20 +21,21 @@
 import reachloom.revision.ConsensusNode;
 
 /**
- * An issuer as a process: a member of gossip without a gateway, with its consensus node, its store
- * and its spool.
+ * The server process of an issuer: a gossip member without a gateway, with a consensus node, a
+ * store and a spool.
  *
- * <p>All of these are confined to the thread that calls {@link #run}, which runs the event loop;
- * only the gossip transport has threads of its own. {@link #reload} and {@link #stop} may be called
+ * <p>These components are confined to the thread that calls {@link #run}, which runs the event
+ * loop; only the gossip transport has threads of its own. {@link #reload} and {@link #stop} may be
+ * called
  * from any thread.
  */
 public final class IssuerServer {
   private static final Logger LOG = System.getLogger(IssuerServer.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long TICK_INTERVAL_NANOS = 50 * MILLISECOND;
-  private static final long POLL_INTERVAL_NANOS = 100 * MILLISECOND;
-  private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // for the last datagrams
-  private static final long STATUS_INTERVAL_NANOS = 250 * MILLISECOND;
+  private static final long MILLISECOND_NANOS = 1_000_000;
+  private static final long TICK_INTERVAL_NANOS = 50 * MILLISECOND_NANOS;
+  private static final long POLL_INTERVAL_NANOS = 100 * MILLISECOND_NANOS;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // to send the last datagrams
+  private static final long STATUS_INTERVAL_NANOS = 250 * MILLISECOND_NANOS;
 
   private final String settingsFile;
   private final FileStore store;
@@ -47,10 +48,10 @@
   private boolean stopping;
 
   /**
-   * Opens store, spool and socket; nothing is sent before {@link #run}.
+   * Opens the store, the spool and the socket; sends nothing before {@link #run}.
    *
-   * @param settingsFile the installation's settings (XML)
-   * @param directory the issuer's own, with its store and its spool
+   * @param settingsFile the settings of the issuer (XML)
+   * @param directory the issuer's own directory, with its store and its spool
    * @throws ConfigException if settings, keys or certificates cannot be used
    * @throws StoreException if the store cannot be used
    * @throws IOException if the spool or the socket cannot be opened
@@ -86,8 +87,8 @@
     if (store.load().isEmpty()) {
       LOG.log(
           Level.WARNING,
-          "{0} holds no state: it was lost, or never made (reachloom revision init); "
-              + "{1} learns, and gives no vote before it may",
+          "{0}: no state file, it was lost or never created (reachloom revision init); "
+              + "issuer {1} learns revisions and does not vote until it is safe to",
           directory,
           name);
     }
@@ -102,41 +103,41 @@
   }
 
   /**
-   * The gossip settings of an installation in which revisions are on.
+   * Reads the gossip settings of a file in which gossip and revisions are enabled.
    *
-   * @throws ConfigException if the file cannot be used, or has gossip or revisions off
+   * @throws ConfigException if the file cannot be used, or does not enable gossip or revisions
    */
   public static GossipSettings readSettings(String file) throws ConfigException {
     GossipSettings settings =
         LocalSettings.read(file, Map.of())
             .gossip()
-            .orElseThrow(() -> new ConfigException(file + ": gossip is off"));
+            .orElseThrow(() -> new ConfigException(file + ": gossip is not enabled"));
     if (settings.configuration().isEmpty()) {
-      throw new ConfigException(file + ": gossip names no issuers (configuration)");
+      throw new ConfigException(file + ": gossip: configuration, which names the issuers, is missing");
     }
     return settings;
   }
 
-  /** Checks that the settings name this issuer, at the address where it listens. */
+  /** Checks that the settings name this issuer, with the port that it listens on. */
   private static void checkIssuer(GossipSettings settings, String name) throws ConfigException {
     ConfigurationSettings.Issuer issuer =
         settings.configuration().orElseThrow().issuers().stream()
             .filter(candidate -> candidate.name().equals(name))
             .findFirst()
-            .orElseThrow(() -> notNamed(settings, name));
+            .orElseThrow(() -> unknownIssuer(settings, name));
     if (issuer.address().getPort() != settings.listen().getPort()) {
       throw new ConfigException(
           "gossip listen: "
               + settings.listen()
-              + " is not where the settings have issuer '"
+              + " does not have the port of issuer '"
               + name
-              + "' ("
+              + "' in the settings ("
               + issuer.address()
               + ")");
     }
   }
 
-  private static ConfigException notNamed(GossipSettings settings, String name) {
+  private static ConfigException unknownIssuer(GossipSettings settings, String name) {
     return new ConfigException(
         settings.certificateFile() + ": '" + name + "' is not among the issuers of the settings");
   }
@@ -171,7 +172,7 @@
   private void pollSpool() {
     if (!stopping) {
       spool.poll(
-          loop.now() / MILLISECOND,
+          loop.now() / MILLISECOND_NANOS,
           (document, result) -> consensus.propose(loop.now(), document, result));
       loop.deadlines().add(loop.now() + POLL_INTERVAL_NANOS, this::pollSpool);
     }
@@ -187,9 +188,9 @@
   private RolloutStatus rolloutStatus() {
     Map<Integer, Integer> present = new TreeMap<>();
     List<String> issuers = node.revisions().issuers().stream().map(p -> p.name()).toList();
-    for (Member m : node.gossip().membership().members()) {
-      if (m.state().present() && m.place() != 0 && !issuers.contains(m.name())) {
-        present.merge(m.place(), 1, Integer::sum);
+    for (Member member : node.gossip().membership().members()) {
+      if (member.state().present() && member.place() != 0 && !issuers.contains(member.name())) {
+        present.merge(member.place(), 1, Integer::sum);
       }
     }
     return RolloutStatus.of(
@@ -197,15 +198,15 @@
   }
 
   /**
-   * Reads keys, authorities, revocations, seeds and the issuers' certificates again. Settings that
-   * cannot be used are logged, and change nothing.
+   * Reloads keys, authorities, revocations, seeds and the issuers' certificates. Settings that
+   * cannot be used are logged, and the previous ones stay in effect.
    */
   public void reload() {
     GossipSettings next;
     try {
       next = readSettings(settingsFile);
     } catch (ConfigException e) {
-      LOG.log(Level.WARNING, "the settings stay as they are: {0}", e.getMessage());
+      LOG.log(Level.WARNING, "cannot reload the settings, the previous ones stay in effect: {0}", e.getMessage());
       return;
     }
     loop.post(
@@ -214,23 +215,23 @@
           List<String> before = issuerAddresses(settings);
           if (!issuerAddresses(next).equals(before)) {
             LOG.log(
-                Level.WARNING, "issuers: have changed, which takes effect at the next start only");
+                Level.WARNING, "issuers: have changed; the change takes effect after a restart only");
           }
           settings = next;
           node.reload(next);
         });
   }
 
-  private static List<String> issuerAddresses(GossipSettings s) {
-    return s.configuration().orElseThrow().issuers().stream()
+  private static List<String> issuerAddresses(GossipSettings settings) {
+    return settings.configuration().orElseThrow().issuers().stream()
         .map(i -> i.name() + i.address())
         .toList();
   }
 
   /**
-   * Leaves gossip and ends {@link #run}; returns once that has ended.
+   * Leaves the gossip cluster and ends {@link #run}; returns once {@code run} has ended.
    *
-   * @throws InterruptedException if the calling thread is interrupted meanwhile
+   * @throws InterruptedException if the calling thread is interrupted while it waits
    */
   public void stop() throws InterruptedException {
     loop.post(
--- a/gateway/src/main/java/reachloom/revision/net/RejectedDocumentException.java
+++ b/gateway/src/main/java/reachloom/revision/net/RejectedDocumentException.java
@@ -2,7 +2,10 @@
 
 import java.nio.file.Path;
 
-/** A document in the spool that cannot be proposed; the message tells an operator why. */
+/**
+ * Signals a document in the spool that cannot be proposed; the message states the reason for an
+ * operator.
+ */
 final class RejectedDocumentException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -15,12 +18,12 @@
     this.rejection = rejection;
   }
 
-  /** Where the document lies now. */
+  /** Returns the current file of the document. */
   Path file() {
     return file;
   }
 
-  /** The kind of its result. */
+  /** Returns the kind of the document's result. */
   SpoolRejection rejection() {
     return rejection;
   }
--- a/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
+++ b/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
@@ -10,28 +10,28 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * How far a revision is rolled out, as an issuer knows it. A place of which nothing was reported
- * lacks it altogether.
+ * The progress of the rollout of a revision, as known to an issuer. All members at a place without
+ * a report count as lacking the revision.
  *
  * @param number the revision; 0 for none
- * @param members how many members there are
- * @param inForce how many of them have it in force
- * @param refused how many of them have refused it
- * @param lacking the names of some members and places that lack it
- * @param longestMillis how long the first that lacks it has done so, where it is known; else 0
+ * @param members the number of members
+ * @param inForce the number of members that have the revision in force
+ * @param refused the number of members that have refused the revision
+ * @param lacking the names of some members and places that lack the revision
+ * @param longestMillis the longest time for which a member has lacked the revision; 0 if unknown
  */
 public record RolloutStatus(
     long number, int members, int inForce, int refused, List<String> lacking, long longestMillis) {
-  private static final int MAX_NAMED = 50;
+  private static final int MAX_LACKING_NAMES = 50;
 
-  /** Of no revision and no member. */
+  /** The status without a revision and without members. */
   public static final RolloutStatus NONE = new RolloutStatus(0, 0, 0, 0, List.of(), 0);
 
   /**
-   * The sum over all places.
+   * Returns the sum over all places.
    *
-   * @param censuses what was reported last of each place
-   * @param present how many members are seen at each place
+   * @param censuses the last report of each place
+   * @param present the number of present members at each place
    */
   static RolloutStatus of(
       long number, List<RevisionMessage.Census> censuses, Map<Integer, Integer> present) {
@@ -58,7 +58,7 @@
       members += entry.getValue();
       lacking.add(placeName(entry.getKey()));
     }
-    List<String> named = lacking.stream().sorted().limit(MAX_NAMED).toList();
+    List<String> named = lacking.stream().sorted().limit(MAX_LACKING_NAMES).toList();
     return new RolloutStatus(number, members, inForce, refused, named, longestMillis);
   }
 
@@ -66,17 +66,17 @@
     return "place " + (place >> Byte.SIZE) + "." + (place & 0xff);
   }
 
-  /** Whether each member has it in force. */
+  /** Returns whether each member has the revision in force. */
   public boolean isInForceEverywhere() {
     return members > 0 && inForce >= members;
   }
 
-  /** Whether each member has it in force or has refused it, which is final. */
+  /** Returns whether each member has the revision in force or has refused it, which is final. */
   public boolean isSettled() {
     return members > 0 && inForce + refused >= members;
   }
 
-  /** The content of {@code status.json}. */
+  /** Returns the content of {@code status.json}. */
   String toJson() {
     ObjectNode json =
         new ObjectMapper()
@@ -90,7 +90,7 @@
     return json.toString();
   }
 
-  /** Reads the content of {@code status.json}; fields that it lacks are 0 or empty. */
+  /** Reads the content of {@code status.json}; missing fields are 0 or empty. */
   public static RolloutStatus fromJson(JsonNode json) {
     List<String> lacking = new ArrayList<>();
     json.path("lacking").forEach(name -> lacking.add(name.asText()));
@@ -103,7 +103,7 @@
         json.path("longestMs").asLong());
   }
 
-  /** One line for an operator. */
+  /** Returns one line for an operator. */
   @Override
   public String toString() {
     String refusals = refused == 0 ? "" : ", refused by " + refused;
--- a/gateway/src/main/java/reachloom/revision/net/SpoolClient.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolClient.java
@@ -11,8 +11,8 @@
 import reachloom.time.WallClock;
 
 /**
- * The operators' side of an issuer's {@link SpoolDirectory}: hands documents in, and reads what
- * became of them. Not safe for use by several threads.
+ * The client of an issuer's {@link SpoolDirectory}: submits documents, and reads their results. Not
+ * thread-safe.
  */
 public final class SpoolClient {
   private static final long POLL_INTERVAL_MILLIS = 50;
@@ -21,32 +21,34 @@
   private final Path outbox;
   private final Path statusFile;
 
-  /** A client of the issuer that runs with that directory, on this machine. */
+  /** Creates a client of the issuer that runs with that directory on this machine. */
   public SpoolClient(Path directory) {
     inbox = directory.resolve("inbox");
     outbox = directory.resolve("outbox");
     statusFile = directory.resolve("status.json");
   }
 
-  /** Where documents are handed in; there once an issuer has been started. */
+  /**
+   * Returns the directory for submitted documents, which exists once an issuer has been started.
+   */
   public Path inbox() {
     return inbox;
   }
 
   /**
-   * Hands a document in; the issuer sees it whole or not at all.
+   * Submits a document atomically: the issuer never sees a part of it.
    *
-   * @return the name by which its result is found
+   * @return the name under which its result is found
    */
   public String submit(byte[] document) throws IOException {
     String name = WallClock.unixMillis() + "-" + UUID.randomUUID();
-    Path unseen = inbox.resolve("." + name + ".next");
-    Files.write(unseen, document);
-    Files.move(unseen, submitted(name), StandardCopyOption.ATOMIC_MOVE);
+    Path hidden = inbox.resolve("." + name + ".next");
+    Files.write(hidden, document);
+    Files.move(hidden, submitted(name), StandardCopyOption.ATOMIC_MOVE);
     return name;
   }
 
-  /** Takes a document back; false where the issuer has taken it already. */
+  /** Withdraws a document; returns false if the issuer has already taken it. */
   public boolean withdraw(String name) throws IOException {
     return Files.deleteIfExists(submitted(name));
   }
@@ -55,7 +57,9 @@
     return inbox.resolve(name + ".json");
   }
 
-  /** Waits for the first result of a document; empty where none has come in that time. */
+  /**
+   * Waits for the first result of a document; returns empty if there is none before the timeout.
+   */
   public Optional<SpoolResult> awaitResult(String name, Duration timeout)
       throws IOException, InterruptedException {
     Path file = outbox.resolve(name + ".result");
@@ -70,7 +74,8 @@
   }
 
   /**
-   * Waits until a revision is in force everywhere, or each member that lacks it has refused it.
+   * Waits until a revision is in force everywhere, each member that lacks it has refused it, or the
+   * timeout has expired.
    *
    * @param number the revision
    * @return the last status that was read
@@ -89,7 +94,7 @@
     }
   }
 
-  /** What the issuer wrote last of the newest revision. */
+  /** Returns the issuer's last status of the newest revision. */
   public RolloutStatus readStatus() throws IOException {
     return Files.exists(statusFile)
         ? RolloutStatus.fromJson(new ObjectMapper().readTree(Files.readAllBytes(statusFile)))
--- a/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
@@ -19,20 +19,21 @@
 import reachloom.time.WallClock;
 
 /**
- * How operators on an issuer's machine hand documents in: {@code inbox/NAME.json} is taken, {@code
- * outbox/NAME.result} tells what became of it, {@code status.json} who has it in force. While the
- * issuer deals with a document it lies in {@code taken}. Who may write to the inbox may issue: the
- * directory's permissions say who.
+ * The directory through which operators on an issuer's machine submit documents. A document is
+ * submitted as {@code inbox/NAME.json}, moved to {@code taken} while the issuer processes it, and
+ * its result is written to {@code outbox/NAME.result}; {@code status.json} contains the rollout
+ * status. Any user with write permission for the inbox can issue revisions, so the directory's
+ * permissions control that right.
  *
- * <p>Files appear whole or not at all; those that are being written have names that begin with a
- * dot. Confined to the thread of the issuer's event loop.
+ * <p>Files are written under a name that begins with a dot, and then renamed atomically. Confined
+ * to the thread of the issuer's event loop.
  */
 final class SpoolDirectory {
   private static final Logger LOG = System.getLogger(SpoolDirectory.class.getName());
 
   /**
-   * A document that has lain there for longer was given to an issuer that was down; nobody waits
-   * for it.
+   * The maximum age of a document in the inbox. An older one was submitted while the issuer was
+   * down, and its client no longer waits for the result.
    */
   private static final long MAX_AGE_MILLIS = 30_000;
 
@@ -41,12 +42,12 @@
   private static final String DOCUMENT_SUFFIX = ".json";
   private static final String RESULT_SUFFIX = ".result";
 
-  /** Takes documents that may be issued. */
+  /** Receives documents that may be issued. */
   interface DocumentHandler {
     /**
-     * A document has come.
+     * Handles a document.
      *
-     * @param results is to be given each result of it
+     * @param results receives each result of the document
      */
     void onDocument(byte[] document, Consumer<ProposalResult> results);
   }
@@ -57,13 +58,13 @@
   private final Path statusFile;
   private String writtenStatus = "";
 
-  /** When the inbox was seen whole; empty before the first time. */
+  /** When all files in the inbox were last processed; empty before the first time. */
   private OptionalLong polledAtMillis = OptionalLong.empty();
 
   /**
-   * Opens the spool, and reports those documents that a process before this one did not finish.
+   * Opens the spool, and reports documents that a previous process did not finish.
    *
-   * @throws IOException if the directories cannot be made or read
+   * @throws IOException if the directories cannot be created or read
    */
   SpoolDirectory(Path directory) throws IOException {
     inbox = Files.createDirectories(directory.resolve("inbox"));
@@ -84,9 +85,9 @@
   // ---- The inbox ----
 
   /**
-   * Takes the documents in the inbox, oldest name first. What was not there at the last poll has
-   * lain there for no longer than the time since; only for what lay there before the first one the
-   * file's own time, by the wall clock, has to do.
+   * Processes the documents in the inbox in the order of their names. A document that was not there
+   * at the last poll is no older than the time since that poll. Only for documents that were there
+   * before the first poll does the age depend on the file's modification time and the wall clock.
    *
    * @param nowMillis the process's own time, which is never stepped
    */
@@ -96,26 +97,26 @@
     try {
       List<Path> found = list(inbox, DOCUMENT_SUFFIX, MAX_FILES_PER_POLL);
       for (Path file : found) {
-        take(maxAgeMillis, file, handler);
+        process(maxAgeMillis, file, handler);
       }
-      if (found.size() < MAX_FILES_PER_POLL) { // else some have not been looked at
+      if (found.size() < MAX_FILES_PER_POLL) { // otherwise more files may be waiting
         polledAtMillis = OptionalLong.of(nowMillis);
       }
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "{0}: cannot be looked at: {1}", inbox, e.toString());
+      LOG.log(Level.WARNING, "{0}: cannot process submitted documents: {1}", inbox, e.toString());
     }
   }
 
-  private void take(long maxAgeMillis, Path file, DocumentHandler handler) throws IOException {
+  private void process(long maxAgeMillis, Path file, DocumentHandler handler) throws IOException {
     String name = name(file);
     Path takenFile = taken.resolve(file.getFileName());
     byte[] document;
     try {
       document = read(maxAgeMillis, file, takenFile);
     } catch (NoSuchFileException e) {
-      return; // its owner has taken it back
+      return; // the client has withdrawn the document
     } catch (RejectedDocumentException e) {
-      LOG.log(Level.WARNING, "document {0} is not issued: {1}", name, e.getMessage());
+      LOG.log(Level.WARNING, "document {0} is rejected: {1}", name, e.getMessage());
       writeResult(name, SpoolResult.rejected(e.rejection(), e.getMessage()));
       delete(e.file());
       return;
@@ -123,7 +124,7 @@
     handler.onDocument(document, result -> report(name, takenFile, result));
   }
 
-  /** Moves a document out of the inbox, and reads it if it may be issued. */
+  /** Moves a document out of the inbox, reads it, and checks that it may be issued. */
   private static byte[] read(long maxAgeMillis, Path file, Path takenFile)
       throws IOException, RejectedDocumentException {
     long fileAgeMillis = WallClock.unixMillis() - Files.getLastModifiedTime(file).toMillis();
@@ -174,11 +175,11 @@
       }
       replace(outbox.resolve(name + RESULT_SUFFIX), result.toJson());
     } catch (IOException e) {
-      LOG.log(Level.ERROR, "document {0}: its result can''t be told: {1}", name, e.toString());
+      LOG.log(Level.ERROR, "document {0}: cannot write its result: {1}", name, e.toString());
     }
   }
 
-  /** Writes who has the newest revision in force, where that has changed. */
+  /** Writes the rollout status of the newest revision if it has changed. */
   void writeStatus(RolloutStatus status) {
     String text = status.toJson();
     if (text.equals(writtenStatus)) {
@@ -188,13 +189,13 @@
       replace(statusFile, text);
       writtenStatus = text;
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "{0}: cannot be written: {1}", statusFile, e.toString());
+      LOG.log(Level.WARNING, "{0}: cannot write the rollout status: {1}", statusFile, e.toString());
     }
   }
 
   // ---- Files ----
 
-  /** Files with that suffix in the order of their names, but those that are being written. */
+  /** Returns the completely written files with that suffix, in the order of their names. */
   private static List<Path> list(Path directory, String suffix, int maxFiles) throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
       return files.filter(file -> isComplete(file, suffix)).sorted().limit(maxFiles).toList();
@@ -220,7 +221,7 @@
     }
   }
 
-  /** Writes a file that readers see whole or not at all. */
+  /** Replaces a file atomically, so that readers never see a part of it. */
   private static void replace(Path file, String text) throws IOException {
     Path next = file.resolveSibling("." + file.getFileName() + ".next");
     Files.writeString(next, text);
--- a/gateway/src/main/java/reachloom/revision/net/SpoolRejection.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolRejection.java
@@ -1,16 +1,16 @@
 package reachloom.revision.net;
 
 /**
- * Why a document in the spool was not proposed. Operators' files name these constants: they keep
- * their names.
+ * The reason why a document in the spool was not proposed. The names of the constants are written
+ * to result files, and must not change.
  */
 enum SpoolRejection {
-  /** It is empty or too large. */
+  /** The document is empty or too large. */
   BAD_SIZE,
-  /** It lay in the inbox for too long: nobody waits for it. */
+  /** The document was in the inbox for too long: its client no longer waits for the result. */
   STALE,
-  /** It could not be put in force anywhere. */
+  /** The document is not valid, so that no member could put it in force. */
   REFUSED,
-  /** The issuer was restarted while it dealt with the document. */
+  /** The issuer was restarted while it processed the document. */
   RESTARTED
 }
--- a/gateway/src/main/java/reachloom/revision/net/SpoolResult.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolResult.java
@@ -5,11 +5,11 @@
 import reachloom.revision.ProposalResult;
 
 /**
- * What has become of a document, as {@code outbox/NAME.result} tells it.
+ * The result of a submitted document, stored in {@code outbox/NAME.result}.
  *
  * @param kind the name of a {@link ProposalResult.Kind} or of a {@link SpoolRejection}
  * @param number the number that the document was issued or proposed under; 0 for none
- * @param text the same in words, for an operator
+ * @param text a description of the result for an operator
  * @param last whether no further result follows
  */
 public record SpoolResult(String kind, long number, String text, boolean last) {
@@ -18,22 +18,22 @@
   private static final String TEXT = "text";
   private static final String LAST = "last";
 
-  /** The result of a document that was proposed. */
+  /** Returns the result of a document that was proposed. */
   static SpoolResult of(ProposalResult result) {
     return new SpoolResult(result.kind().name(), result.number(), result.text(), result.isFinal());
   }
 
-  /** The result of a document that was not proposed. */
+  /** Returns the result of a document that was not proposed. */
   static SpoolResult rejected(SpoolRejection rejection, String text) {
     return new SpoolResult(rejection.name(), 0, text, true);
   }
 
-  /** Whether the document has become a revision. */
+  /** Returns whether the document has become a revision. */
   public boolean isIssued() {
     return kind.equals(ProposalResult.Kind.ISSUED.name());
   }
 
-  /** The content of the file. */
+  /** Returns the content of the result file. */
   String toJson() {
     return new ObjectMapper()
         .createObjectNode()
@@ -44,7 +44,7 @@
         .toString();
   }
 
-  /** Reads the content of a file; fields that it lacks are empty. */
+  /** Reads the content of a result file; missing fields are empty. */
   public static SpoolResult fromJson(JsonNode json) {
     return new SpoolResult(
         json.path(KIND).asText(),
--- a/gateway/src/main/java/reachloom/revision/net/StateFormatException.java
+++ b/gateway/src/main/java/reachloom/revision/net/StateFormatException.java
@@ -1,23 +1,23 @@
 package reachloom.revision.net;
 
-/** Bytes that are not a state which an issuer has stored, or not one of this issuer. */
+/** Signals stored bytes that are not the state of this issuer. */
 final class StateFormatException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final String field;
 
   /**
-   * What is wrong.
+   * Creates the exception.
    *
-   * @param field the field at fault
-   * @param problem completes a sentence that begins with the file's name
+   * @param field the invalid field
+   * @param problem the problem, worded to follow the file's name
    */
   StateFormatException(String field, String problem) {
     super(problem);
     this.field = field;
   }
 
-  /** The field at fault. */
+  /** Returns the invalid field. */
   String field() {
     return field;
   }
--- a/gateway/src/main/java/reachloom/revision/net/StoreException.java
+++ b/gateway/src/main/java/reachloom/revision/net/StoreException.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * An issuer's store cannot be used; nothing of it was changed. The message names the file and what
- * is wrong with it, as one line for an operator.
+ * Signals that an issuer's store cannot be used; the store was not changed. The message names the
+ * file and the problem in one line for an operator.
  */
 public final class StoreException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -23,12 +23,12 @@
     this.field = field;
   }
 
-  /** The file at fault. */
+  /** Returns the file that cannot be used. */
   public Path file() {
     return file;
   }
 
-  /** The field of the stored state at fault, where it is one field. */
+  /** Returns the invalid field of the stored state, if the problem is in one field. */
   public Optional<String> field() {
     return Optional.ofNullable(field);
   }
--- a/gateway/src/main/java/reachloom/revision/net/package-info.java
+++ b/gateway/src/main/java/reachloom/revision/net/package-info.java
@@ -1,4 +1,5 @@
 /**
- * An issuer as a process: its store on disk, its spool for operators, and what ties both to gossip.
+ * The server process of an issuer: its store on disk, its spool for operators, and their connection
+ * to the gossip protocol.
  */
 package reachloom.revision.net;
--- a/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
+++ b/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
@@ -51,8 +51,9 @@
 import reachloom.time.WallClock;
 
 /**
- * What an issuer keeps on disk, as files under {@code src/test/resources/golden} that an earlier
- * version wrote: each is read with all its fields, and the same content gives the same bytes.
+ * Guards the formats of the files that an issuer stores. The files under {@code
+ * src/test/resources/golden} were written by an earlier version: each is read with all its fields,
+ * and the same content is written with the same bytes.
  */
 class StoredDataGoldenTest {
   private static final Path GOLDEN = Path.of("src/test/resources/golden");
@@ -64,7 +65,7 @@
   private static final String STATE_FILE = "issuer.state";
   private static final String ALGORITHM = "Ed25519";
 
-  /** Stands before a revision's chain in what an issuer signs. */
+  /** The prefix of a revision's chain in the bytes that an issuer signs. */
   private static final byte[] PURPOSE =
       "reachloom revision 1\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -87,7 +88,7 @@
 
   // ---- The issuer's store ----
 
-  /** The contents of the stores, by the names of their directories. */
+  /** Returns the contents of the stores, by the names of their directories. */
   static Map<String, ConsensusState> states() throws Exception {
     RevisionMessage.Notice second =
         new RevisionMessage.Notice(SECOND, List.of(vote("c1", SECOND), vote("c2", SECOND)));
@@ -145,7 +146,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"first", "accepted", "learning", "rejoined"})
-  void aStoreIsReadWithEachField(String store) throws Exception {
+  void readsEachFieldOfStoredState(String store) throws Exception {
     ConsensusState expected = states().get(store);
     try (FileStore opened = FileStore.open(copyOfStore(store), ISSUER, CLUSTER)) {
       ConsensusState read = opened.load().orElseThrow();
@@ -199,7 +200,7 @@
   }
 
   @Test
-  void theChainsOfTheStoredRevisionsAreTheSame() {
+  void computesSameChainsForStoredRevisions() {
     assertEquals(
         List.of(
             "4728e88f5ebb322405ffb9a1346be783edd03231d0a1446f1a036ac4c43500f0",
@@ -212,7 +213,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"first", "accepted", "learning", "rejoined"})
-  void theSameContentGivesTheSameBytesOfAStore(String store) throws Exception {
+  void writesSameBytesForSameState(String store) throws Exception {
     Path written = folder.resolve("written");
     try (FileStore created = FileStore.create(written, ISSUER, CLUSTER)) {
       assertTrue(created.save(states().get(store)));
@@ -226,7 +227,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"first", "accepted", "learning", "rejoined"})
-  void aStoreThatIsReadAndSavedKeepsItsBytes(String store) throws Exception {
+  void keepsBytesWhenStateIsReadAndSaved(String store) throws Exception {
     Path copy = copyOfStore(store);
     try (FileStore opened = FileStore.open(copy, ISSUER, CLUSTER)) {
       assertTrue(opened.save(opened.load().orElseThrow()));
@@ -237,7 +238,7 @@
   }
 
   @Test
-  void aNewStoreBeginsWithTheStoredFirstState() throws Exception {
+  void createsStoreWithInitialState() throws Exception {
     Path written = folder.resolve("written");
     FileStore.create(written, ISSUER, CLUSTER).close();
     assertArrayEquals(
@@ -246,7 +247,7 @@
   }
 
   @Test
-  void aStoreWithoutAStateWasLost() throws Exception {
+  void loadsEmptyStateWhenStateFileIsMissing() throws Exception {
     try (FileStore opened = FileStore.open(folder.resolve("lost"), ISSUER, CLUSTER)) {
       assertEquals(Optional.empty(), opened.load());
     }
@@ -254,25 +255,29 @@
   }
 
   @Test
-  void whatIsWrongWithAStoreIsToldInTheSameWords() throws Exception {
+  void reportsInvalidStoreWithoutChangingIt() throws Exception {
     byte[] good = Files.readAllBytes(STORES.resolve("accepted").resolve(STATE_FILE));
-    String kept = "; it is not used, and nothing is begun in its place";
-    assertEquals("is not an issuer's state of this version" + kept, broken(new byte[0]));
+    String consequence = "; the file is not used, and not replaced by a new state";
     assertEquals(
-        "is not an issuer's state of this version" + kept, broken(Arrays.copyOf(good, 50)));
+        "is not an issuer state file of this format version" + consequence,
+        openingError(new byte[0]));
     assertEquals(
-        "is damaged: its checksum does not hold" + kept,
-        broken(Arrays.copyOf(good, good.length - 1)));
-    assertEquals("is larger than 65536 bytes" + kept, broken(Arrays.copyOf(good, 65_537)));
+        "is not an issuer state file of this format version" + consequence,
+        openingError(Arrays.copyOf(good, 50)));
     assertEquals(
-        "belongs to issuer 'c1' of 'golden', not to 'c2' of 'golden'" + kept,
-        broken(good, "c2", CLUSTER));
+        "is corrupt: its checksum does not match" + consequence,
+        openingError(Arrays.copyOf(good, good.length - 1)));
     assertEquals(
-        "belongs to issuer 'c1' of 'golden', not to 'c1' of 'other'" + kept,
-        broken(good, ISSUER, "other"));
+        "is larger than 65536 bytes" + consequence, openingError(Arrays.copyOf(good, 65_537)));
+    assertEquals(
+        "belongs to issuer 'c1' of 'golden', not to 'c2' of 'golden'" + consequence,
+        openingError(good, "c2", CLUSTER));
+    assertEquals(
+        "belongs to issuer 'c1' of 'golden', not to 'c1' of 'other'" + consequence,
+        openingError(good, ISSUER, "other"));
     Path store = copyOfStore("first");
     assertEquals(
-        store.resolve(STATE_FILE) + ": is there already; an issuer's store is made once",
+        store.resolve(STATE_FILE) + ": already exists; an issuer's store is created only once",
         assertThrows(StoreException.class, () -> FileStore.create(store, ISSUER, CLUSTER))
             .getMessage());
     try (FileStore used = FileStore.open(store, ISSUER, CLUSTER)) {
@@ -283,20 +288,24 @@
     }
   }
 
-  private String broken(byte[] bytes) throws IOException {
-    return broken(bytes, ISSUER, CLUSTER);
+  private String openingError(byte[] stateBytes) throws IOException {
+    return openingError(stateBytes, ISSUER, CLUSTER);
   }
 
-  private String broken(byte[] bytes, String issuer, String cluster) throws IOException {
-    Path store = Files.createTempDirectory(folder, "broken");
-    Path file = Files.write(store.resolve(STATE_FILE), bytes);
+  /**
+   * Opens a store with these bytes as its state, and returns the error message without the path.
+   */
+  private String openingError(byte[] stateBytes, String issuer, String cluster)
+      throws IOException {
+    Path store = Files.createTempDirectory(folder, "invalid");
+    Path file = Files.write(store.resolve(STATE_FILE), stateBytes);
     StoreException thrown =
         assertThrows(StoreException.class, () -> FileStore.open(store, issuer, cluster));
     String message = thrown.getMessage();
     assertEquals(file, thrown.file());
     assertTrue(thrown.field().isPresent(), message);
     assertTrue(message.startsWith(file + ": "), message);
-    assertArrayEquals(bytes, Files.readAllBytes(file));
+    assertArrayEquals(stateBytes, Files.readAllBytes(file));
     return message.substring((file + ": ").length());
   }
 
@@ -305,8 +314,8 @@
   private static final RolloutStatus STATUS =
       new RolloutStatus(3, 7, 4, 1, List.of("g-05", "place 2.17"), 12_345);
 
-  /** A document that the spool has handed over, and where its results go. */
-  private record Taken(String document, Consumer<ProposalResult> results) {}
+  /** A document that the spool has passed on, and the receiver of its results. */
+  private record Submission(String document, Consumer<ProposalResult> results) {}
 
   private Path copyOfSpool() throws IOException {
     Path copy = folder.resolve("spool");
@@ -334,7 +343,7 @@
   }
 
   @Test
-  void aSpoolIsOpenedAndItsResultsHaveTheSameBytes() throws Exception {
+  void writesResultsWithSameBytes() throws Exception {
     Path copy = copyOfSpool();
     Files.setLastModifiedTime(
         copy.resolve("inbox/05-stale.json"),
@@ -343,11 +352,12 @@
     assertEquals(List.of(), names(copy.resolve("taken")));
     assertGolden(copy, "after", "00-cut-off.result");
 
-    List<Taken> taken = new ArrayList<>();
-    spool.poll(1_000, (document, results) -> taken.add(new Taken(text(document), results)));
+    List<Submission> submissions = new ArrayList<>();
+    spool.poll(
+        1_000, (document, results) -> submissions.add(new Submission(text(document), results)));
     assertEquals(
         List.of("{\"changelog\": \"127.0.0.1:7001\"}", "{\"changelog\": null}\n"),
-        taken.stream().map(Taken::document).toList());
+        submissions.stream().map(Submission::document).toList());
     assertEquals(List.of(".06-being-written.next"), names(copy.resolve("inbox")));
     assertEquals(List.of("01-issued.json", "04-withdrawn.json"), names(copy.resolve("taken")));
     for (String name : List.of("02-no-object.result", "03-empty.result")) {
@@ -358,14 +368,14 @@
         Files.readString(SPOOL.resolve("after/05-stale.result")),
         stale.replaceFirst("for \\d+ s", "for 3600 s"));
 
-    Consumer<ProposalResult> first = taken.get(0).results();
+    Consumer<ProposalResult> first = submissions.get(0).results();
     first.accept(
         new ProposalResult(
             ProposalResult.Kind.NO_MAJORITY, 3, "it was proposed and may yet be issued"));
     assertGolden(copy, "between", "01-issued.result");
     assertTrue(Files.exists(copy.resolve("taken/01-issued.json")));
     first.accept(new ProposalResult(ProposalResult.Kind.ISSUED, 3, "issued as revision 3"));
-    taken
+    submissions
         .get(1)
         .results()
         .accept(new ProposalResult(ProposalResult.Kind.STOOD_STILL, 0, "it is withdrawn"));
@@ -383,7 +393,7 @@
   }
 
   @Test
-  void aResultHasTheseFieldsAndNoOthers() throws Exception {
+  void readsAllFieldsOfResult() throws Exception {
     JsonNode result = json(SPOOL.resolve("between/01-issued.result"));
     assertEquals(
         new SpoolResult("NO_MAJORITY", 3, "it was proposed and may yet be issued", false),
@@ -397,14 +407,14 @@
   }
 
   @Test
-  void theKindsOfResultsKeepTheirNames() {
+  void keepsNamesOfResultKinds() {
     assertEquals(
         "[ISSUED, SUPERSEDED, OVERTAKEN, NO_MAJORITY, STOOD_STILL, BAD_SIZE, NOT_SAVED, ABSTAINS]",
         Arrays.toString(ProposalResult.Kind.values()));
   }
 
   @Test
-  void theStatusIsReadWithEachFieldAndWrittenWithTheSameBytes() throws Exception {
+  void readsAndWritesStatusWithSameBytes() throws Exception {
     RolloutStatus read = RolloutStatus.fromJson(json(SPOOL.resolve("status.json")));
     assertEquals(STATUS.number(), read.number());
     assertEquals(STATUS.members(), read.members());
@@ -428,7 +438,9 @@
 
   // ---- Keys and certificates ----
 
-  /** A copy of all key files, private keys readable by their owner alone, as {@link Pem} asks. */
+  /**
+   * Copies all key files; private keys are readable by their owner only, as {@link Pem} requires.
+   */
   private Path copyOfKeys() throws IOException {
     Path copy = Files.createDirectory(folder.resolve("keys"));
     for (String name : names(KEYS)) {
@@ -441,7 +453,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"c1", "c2"})
-  void keysAreReadAndWrittenWithTheSameBytes(String name) throws Exception {
+  void readsAndWritesKeysWithSameBytes(String name) throws Exception {
     Path file = copyOfKeys().resolve(name + ".key");
     PrivateKey key =
         KeyFactory.getInstance(ALGORITHM)
@@ -465,7 +477,7 @@
     "c1, c1,        00f86699b03066f4, 2126-11-08T13:25:20Z",
     "c2, c2,        00c155043ed3cbc9, 2126-11-08T13:25:21Z"
   })
-  void certificatesAreReadWithEachFieldAndWrittenWithTheSameBytes(
+  void readsAndWritesCertificatesWithSameBytes(
       String file, String name, String serial, Instant end) throws Exception {
     Path path = KEYS.resolve(file + ".crt");
     X509Certificate certificate = NodeIdentity.certificate(Pem.read(path, "CERTIFICATE"));
@@ -481,7 +493,7 @@
   }
 
   @Test
-  void anIssuersSettingsKeyCertificatesAndRevocationsBelongTogether() throws Exception {
+  void readsIdentityAndRevocationsFromSettings() throws Exception {
     GossipSettings settings = IssuerServer.readSettings(copyOfKeys().resolve("c1.xml").toString());
     assertEquals(CLUSTER, settings.cluster());
     NodeIdentity identity = NodeIdentity.read(settings);
