--- a/tools/src/main/java/reachloom/tools/CertificateIssuer.java
+++ b/tools/src/main/java/reachloom/tools/CertificateIssuer.java
@@ -19,25 +19,25 @@
 import reachloom.time.WallClock;
 
 /**
- * An authority that issues certificates, as small as X.509 allows: each first datagram to a peer
- * carries one.
+ * A certificate authority. Its certificates are as small as X.509 allows, because the first
+ * datagram to each peer carries one.
  */
 final class CertificateIssuer {
   private static final int SERIAL_BITS = 63;
 
-  /** Certificates are valid from a little before now, since clocks differ. */
+  /** The start of the validity is set back by this time, since clocks differ. */
   private static final Duration BACKDATED = Duration.ofMinutes(5);
 
   private final String name;
   private final PrivateKey key;
 
-  /** Creates an issuer of that common name, which signs by that key. */
+  /** Creates an issuer with that common name and signing key. */
   CertificateIssuer(String name, PrivateKey key) {
     this.name = name;
     this.key = key;
   }
 
-  /** Returns the authority's own certificate, encoded, valid from now on. */
+  /** Returns the encoded certificate of the authority itself, valid from now on. */
   byte[] issueOwn(PublicKey publicKey, Duration validity)
       throws IOException, OperatorCreationException {
     X509v3CertificateBuilder builder = builder(name, publicKey, validity);
@@ -45,7 +45,7 @@
     return sign(builder);
   }
 
-  /** Returns a certificate for an instance of that common name, encoded, valid from now on. */
+  /** Returns the encoded certificate of an instance with that common name, valid from now on. */
   byte[] issue(String subject, PublicKey publicKey, Duration validity)
       throws IOException, OperatorCreationException {
     return sign(builder(subject, publicKey, validity));
--- a/tools/src/main/java/reachloom/tools/CommandLineTool.java
+++ b/tools/src/main/java/reachloom/tools/CommandLineTool.java
@@ -14,24 +14,24 @@
 import reachloom.config.ConfigException;
 
 /**
- * The commands of one of the operators' tools: parses their options, prints usage and errors, and
- * gives the exit status. Built and run by one thread.
+ * A command-line tool with several commands: parses their options, prints usage and errors, and
+ * returns the exit status. Confined to one thread.
  */
 final class CommandLineTool {
-  /** Exit status of a command that did what was asked. */
+  /** Exit status of a command that succeeded. */
   static final int OK = 0;
 
-  /** Exit status of a command that could not do what was asked. */
+  /** Exit status of a command that failed. */
   static final int FAILED = 1;
 
-  /** Exit status where options, settings or documents are wrong. */
+  /** Exit status for invalid options, settings or documents. */
   static final int BAD_USAGE = 2;
 
-  private static final int COLUMNS = 100;
+  private static final int USAGE_COLUMNS = 100;
 
-  /** What a command does; an exception ends it with {@link #FAILED} or {@link #BAD_USAGE}. */
+  /** The action of a command; an exception ends it with {@link #FAILED} or {@link #BAD_USAGE}. */
   interface Action {
-    /** Runs with the options given; returns the exit status. */
+    /** Runs the command with the given options; returns the exit status. */
     int run(CommandLine options) throws Exception;
   }
 
@@ -46,10 +46,11 @@
   /**
    * Creates a tool without commands.
    *
-   * @param program how it is called, as in {@code reachloom gossip}
-   * @param out for help that was asked for
-   * @param err for errors, and for usage where no command is named
-   * @param failureText what is printed of an exception that ends a command with {@link #FAILED}
+   * @param program the name of the program, such as {@code reachloom gossip}
+   * @param out receives help that was requested
+   * @param err receives errors, and usage if no command is named
+   * @param failureText returns the text to print for an exception that ends a command with {@link
+   * #FAILED}
    */
   CommandLineTool(
       String program, PrintStream out, PrintStream err, Function<Exception, String> failureText) {
@@ -94,10 +95,10 @@
   }
 
   private static CommandLine parse(Command command, String[] args) throws ParseException {
-    String[] words = Arrays.copyOfRange(args, 1, args.length);
-    CommandLine line = new DefaultParser().parse(command.options(), words);
+    String[] arguments = Arrays.copyOfRange(args, 1, args.length);
+    CommandLine line = new DefaultParser().parse(command.options(), arguments);
     if (!line.getArgList().isEmpty()) {
-      throw new ParseException("Unrecognized word: " + line.getArgList().get(0));
+      throw new ParseException("Unexpected argument: " + line.getArgList().get(0));
     }
     return line;
   }
@@ -107,7 +108,7 @@
     commands.forEach(
         (name, command) ->
             new HelpFormatter()
-                .printHelp(writer, COLUMNS, program + " " + name, "", command.options(), 1, 2, ""));
+                .printHelp(writer, USAGE_COLUMNS, program + " " + name, "", command.options(), 1, 2, ""));
     writer.flush();
   }
 
@@ -116,7 +117,7 @@
   }
 
   /**
-   * Returns the value of an option that has to be given.
+   * Returns the value of a required option.
    *
    * @throws ParseException if it is missing or blank
    */
--- a/tools/src/main/java/reachloom/tools/GossipTool.java
+++ b/tools/src/main/java/reachloom/tools/GossipTool.java
@@ -27,8 +27,8 @@
 import reachloom.gossip.net.StatusClient;
 
 /**
- * {@code reachloom gossip}: makes, shows and revokes keys and certificates, and asks instances for
- * their status.
+ * The command {@code reachloom gossip}: creates keys, issues, shows and revokes certificates, and
+ * requests the status of instances.
  */
 public final class GossipTool {
   private static final int MAX_DAYS = 36_500;
@@ -44,25 +44,25 @@
   }
 
   /**
-   * Runs one of its commands.
+   * Runs one of the commands.
    *
    * @param args the command, then its options
-   * @param out for results
-   * @param err for errors and usage
-   * @return the exit status: 0 done, 1 failed, 2 wrong options
+   * @param out receives results
+   * @param err receives errors and usage
+   * @return the exit status: 0 for success, 1 for failure, 2 for invalid options
    */
   public static int run(String[] args, PrintStream out, PrintStream err) {
     GossipTool tool = new GossipTool(out);
     return new CommandLineTool("reachloom gossip", out, err, Exception::getMessage)
-        .add("ca", authorityOptions(), tool::makeAuthority)
+        .add("ca", authorityOptions(), tool::createAuthority)
         .add(
             "key",
-            new Options().addOption(null, "out", true, "files OUT.key and OUT.pub are made"),
-            tool::makeKey)
+            new Options().addOption(null, "out", true, "writes the files OUT.key and OUT.pub"),
+            tool::createKey)
         .add("sign", signOptions(), tool::sign)
         .add(
             "show",
-            new Options().addOption(null, "certificate", true, "a certificate's file"),
+            new Options().addOption(null, "certificate", true, "the certificate file"),
             tool::show)
         .add("revoke", revokeOptions(), tool::revoke)
         .add("status", statusOptions(), tool::status)
@@ -72,8 +72,8 @@
   private static Options authorityOptions() {
     return new Options()
         .addOption(null, "name", true, "name of the authority")
-        .addOption(null, "out", true, "files OUT.key and OUT.crt are made")
-        .addOption(null, "days", true, "how long it is valid (3650)");
+        .addOption(null, "out", true, "writes the files OUT.key and OUT.crt")
+        .addOption(null, "days", true, "validity in days (default 3650)");
   }
 
   private static Options signOptions() {
@@ -81,14 +81,14 @@
         .addOption(null, "ca", true, "the authority's files CA.key and CA.crt")
         .addOption(null, "public", true, "the instance's OUT.pub")
         .addOption(null, "name", true, "name of the instance")
-        .addOption(null, "days", true, "how long it is valid (365)")
-        .addOption(null, "out", true, "the certificate's file");
+        .addOption(null, "days", true, "validity in days (default 365)")
+        .addOption(null, "out", true, "the certificate file to write");
   }
 
   private static Options revokeOptions() {
     return new Options()
         .addOption(null, "certificate", true, "the certificate to revoke")
-        .addOption(null, "list", true, "the list of revoked certificates that it is added to");
+        .addOption(null, "list", true, "the list of revoked certificates to append to");
   }
 
   private static Options statusOptions() {
@@ -102,39 +102,39 @@
 
   // ---- Commands ----
 
-  private int makeAuthority(CommandLine options)
+  private int createAuthority(CommandLine options)
       throws ParseException, IOException, GeneralSecurityException, OperatorCreationException {
     String name = name(options);
-    String stem = CommandLineTool.required(options, "out");
-    KeyPair keys = newKeys();
+    String pathPrefix = CommandLineTool.required(options, "out");
+    KeyPair keys = generateKeys();
     byte[] certificate =
         new CertificateIssuer(name, keys.getPrivate())
             .issueOwn(keys.getPublic(), days(options, "3650"));
-    writeSecret(withSuffix(stem, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
-    write(withSuffix(stem, ".crt"), Pem.text(CERTIFICATE, certificate));
-    out.println(stem + ".crt: " + certificate.length + " bytes");
+    writeSecret(withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
+    write(withSuffix(pathPrefix, ".crt"), Pem.text(CERTIFICATE, certificate));
+    out.println(pathPrefix + ".crt: " + certificate.length + " bytes");
     return CommandLineTool.OK;
   }
 
-  private int makeKey(CommandLine options)
+  private int createKey(CommandLine options)
       throws ParseException, IOException, GeneralSecurityException {
-    String stem = CommandLineTool.required(options, "out");
-    KeyPair keys = newKeys();
-    writeSecret(withSuffix(stem, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
-    write(withSuffix(stem, ".pub"), Pem.text(PUBLIC_KEY, keys.getPublic().getEncoded()));
-    out.println(stem + ".key, " + stem + ".pub");
+    String pathPrefix = CommandLineTool.required(options, "out");
+    KeyPair keys = generateKeys();
+    writeSecret(withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
+    write(withSuffix(pathPrefix, ".pub"), Pem.text(PUBLIC_KEY, keys.getPublic().getEncoded()));
+    out.println(pathPrefix + ".key, " + pathPrefix + ".pub");
     return CommandLineTool.OK;
   }
 
   private int sign(CommandLine options)
       throws ParseException, IOException, GeneralSecurityException, OperatorCreationException {
-    String authorityStem = CommandLineTool.required(options, "ca");
+    String authorityPrefix = CommandLineTool.required(options, "ca");
     String name = name(options);
     KeyFactory keys = KeyFactory.getInstance(NodeIdentity.ALGORITHM);
     PrivateKey authorityKey =
         keys.generatePrivate(
-            new PKCS8EncodedKeySpec(Pem.readPrivate(withSuffix(authorityStem, ".key"))));
-    X509Certificate authority = readCertificate(withSuffix(authorityStem, ".crt"));
+            new PKCS8EncodedKeySpec(Pem.readPrivate(withSuffix(authorityPrefix, ".key"))));
+    X509Certificate authority = readCertificate(withSuffix(authorityPrefix, ".crt"));
     Path publicFile = Path.of(CommandLineTool.required(options, "public"));
     PublicKey publicKey =
         keys.generatePublic(new X509EncodedKeySpec(Pem.read(publicFile, PUBLIC_KEY)));
@@ -197,20 +197,21 @@
     String name = CommandLineTool.required(options, "name");
     if (!NAME.matcher(name).matches()) {
       throw new ParseException(
-          "--name: '" + name + "' is not 1 to 32 letters, digits, dots, dashes");
+          "--name: '" + name + "' must be 1 to 32 letters, digits, dots, dashes or underscores, "
+              + "the first a letter or digit");
     }
     return name;
   }
 
-  private static Duration days(CommandLine options, String standard) throws ParseException {
-    String text = options.getOptionValue("days", standard);
+  private static Duration days(CommandLine options, String defaultDays) throws ParseException {
+    String text = options.getOptionValue("days", defaultDays);
     try {
       int days = Integer.parseInt(text);
       if (days > 0 && days <= MAX_DAYS) {
         return Duration.ofDays(days);
       }
     } catch (NumberFormatException e) {
-      // no number at all: reported below as one out of range is
+      // not a number: reported below like a number out of range
     }
     throw new ParseException("--days: '" + text + "' is not a whole number from 1 to " + MAX_DAYS);
   }
@@ -225,7 +226,7 @@
 
   // ---- Files ----
 
-  private static KeyPair newKeys() throws GeneralSecurityException {
+  private static KeyPair generateKeys() throws GeneralSecurityException {
     return KeyPairGenerator.getInstance(NodeIdentity.ALGORITHM).generateKeyPair();
   }
 
@@ -234,17 +235,20 @@
     return NodeIdentity.certificate(Pem.read(file, CERTIFICATE));
   }
 
-  private static Path withSuffix(String stem, String suffix) {
-    return Path.of(stem + suffix);
+  private static Path withSuffix(String pathPrefix, String suffix) {
+    return Path.of(pathPrefix + suffix);
   }
 
-  /** Writes a new file; one that is there is never written over. */
+  /** Writes a new file; never overwrites an existing one. */
   private static void write(Path file, String text) throws IOException {
     checkAbsent(file);
     Files.writeString(file, text, StandardOpenOption.CREATE_NEW);
   }
 
-  /** Writes a new file that is its owner's alone from its first byte. */
+  /**
+   * Writes a new file whose permissions are restricted to its owner before the first byte is
+   * written.
+   */
   private static void writeSecret(Path file, String text) throws IOException {
     checkAbsent(file);
     Files.createFile(
--- a/tools/src/main/java/reachloom/tools/RevisionTool.java
+++ b/tools/src/main/java/reachloom/tools/RevisionTool.java
@@ -32,17 +32,17 @@
 import sun.misc.Signal;
 
 /**
- * {@code reachloom revision}: makes an issuer's store, runs an issuer of the configuration, checks
- * documents and hands them to it.
+ * The command {@code reachloom revision}: creates an issuer's store, runs an issuer of the
+ * configuration, checks documents, and submits them to an issuer.
  */
 public final class RevisionTool {
   private static final int OK = 0;
   private static final int FAILED = 1;
   private static final int BAD_USAGE = 2;
-  private static final int NOT_EVERYWHERE = 3;
+  private static final int NOT_IN_FORCE_EVERYWHERE = 3;
   private static final int USAGE_COLUMNS = 100;
 
-  /** An issuer reports a result within 8 s and a part of one, or it is not there. */
+  /** A running issuer reports a result within 8 s plus a fraction of a second. */
   private static final Duration RESULT_TIMEOUT = Duration.ofSeconds(15);
 
   private static final Duration STOP_TIMEOUT = Duration.ofSeconds(10);
@@ -60,8 +60,8 @@
    * Runs one command.
    *
    * @param args the command and its options
-   * @return the exit status: 0 for done, 1 for failed, 2 for wrong options or files, 3 where a
-   *     revision is issued and not in force everywhere in time
+   * @return the exit status: 0 for success, 1 for failure, 2 for invalid options or files, 3 if a
+   * revision is issued but not in force everywhere before the timeout
    */
   public static int run(String[] args, PrintStream out, PrintStream err) {
     return new RevisionTool(out, err).run(args);
@@ -77,7 +77,7 @@
                 null,
                 "store",
                 true,
-                "its directory, made for an issuer that has never taken part"));
+                "its directory, created for an issuer that has never voted"));
     all.put(
         "serve",
         new Options()
@@ -86,16 +86,20 @@
     all.put(
         "check",
         new Options()
-            .addOption(null, "document", true, "what is to be issued (JSON)")
-            .addOption(null, "like", true, "a gateway's configuration that it is tried on"));
+            .addOption(null, "document", true, "the document to issue (JSON)")
+            .addOption(null, "like", true, "a gateway's configuration to test the document with"));
     all.put(
         "issue",
         new Options()
             .addOption(null, "store", true, "the issuer's directory, on this machine")
-            .addOption(null, "document", true, "what is to be issued (JSON)")
-            .addOption(null, "like", true, "a gateway's configuration that it is tried on first")
+            .addOption(null, "document", true, "the document to issue (JSON)")
             .addOption(
-                null, "wait", true, "seconds to wait until it is in force everywhere (0: don't)"));
+                null, "like", true, "a gateway's configuration to test the document with first")
+            .addOption(
+                null,
+                "wait",
+                true,
+                "seconds to wait until it is in force everywhere (0: do not wait)"));
     return all;
   }
 
@@ -116,7 +120,7 @@
       CommandLine line =
           new DefaultParser().parse(options, Arrays.copyOfRange(args, 1, args.length));
       if (!line.getArgList().isEmpty()) {
-        throw new ParseException("Unrecognized word: " + line.getArgList().get(0));
+        throw new ParseException("Unexpected argument: " + line.getArgList().get(0));
       }
       return switch (args[0]) {
         case "init" -> init(line);
@@ -148,11 +152,16 @@
 
   private int init(CommandLine line) throws ParseException, ConfigException, StoreException {
     Path store = Path.of(required(line, "store"));
-    GossipSettings s = IssuerServer.readSettings(required(line, "settings"));
-    String name = NodeIdentity.read(s).name();
-    FileStore.create(store, name, s.cluster()).close();
+    GossipSettings settings = IssuerServer.readSettings(required(line, "settings"));
+    String name = NodeIdentity.read(settings).name();
+    FileStore.create(store, name, settings.cluster()).close();
     out.println(
-        store + ": issuer " + name + " of " + s.cluster() + " may take part from revision 1 on");
+        store
+            + ": created for issuer "
+            + name
+            + " of "
+            + settings.cluster()
+            + ", which may vote from revision 1 on");
     return OK;
   }
 
@@ -191,8 +200,11 @@
 
   // ---- Documents ----
 
-  /** The document's bytes once it could be put in force, as far as can be told here. */
-  private byte[] checked(CommandLine line) throws ParseException, ConfigException, IOException {
+  /**
+   * Reads the document and checks, as far as possible on this machine, that it could be put in
+   * force.
+   */
+  private byte[] readChecked(CommandLine line) throws ParseException, ConfigException, IOException {
     Path file = Path.of(required(line, "document"));
     long size = Files.size(file);
     if (size == 0 || size > Revision.MAX_DOCUMENT_BYTES) {
@@ -204,10 +216,11 @@
       MergePatch patch = MergePatch.read(document);
       if (line.hasOption("like")) {
         Map<String, String> like = Map.of("LB_CONFIG", required(line, "like"));
-        List<String> later =
+        List<String> needingRestart =
             GatewayConfig.fromEnvironment(like)
                 .changesNeedingRestart(GatewayConfig.fromEnvironment(like, patch::applyTo));
-        later.forEach(k -> out.println(k + ": takes effect at a gateway's next start only"));
+        needingRestart.forEach(
+            key -> out.println(key + ": takes effect only after a restart of the gateway"));
       }
     } catch (ConfigException e) {
       throw new ConfigException(file + ": " + e.getMessage());
@@ -216,8 +229,8 @@
   }
 
   private int check(CommandLine line) throws ParseException, ConfigException, IOException {
-    byte[] document = checked(line);
-    out.println(line.getOptionValue("document") + ": good, " + document.length + " bytes");
+    byte[] document = readChecked(line);
+    out.println(line.getOptionValue("document") + ": valid, " + document.length + " bytes");
     return OK;
   }
 
@@ -225,11 +238,11 @@
       throws ParseException, ConfigException, IOException, InterruptedException {
     Path store = Path.of(required(line, "store"));
     long wait = seconds(line.getOptionValue("wait", "0"));
-    byte[] document = checked(line);
+    byte[] document = readChecked(line);
     SpoolClient spool = new SpoolClient(store);
     if (!Files.isDirectory(spool.inbox())) {
       throw new ConfigException(
-          spool.inbox() + ": is not there; has an issuer been started with this store?");
+          spool.inbox() + ": does not exist; start an issuer with this store first");
     }
     String name = spool.submit(document);
     Optional<SpoolResult> result = spool.awaitResult(name, RESULT_TIMEOUT);
@@ -239,8 +252,8 @@
               + RESULT_TIMEOUT.toSeconds()
               + " s: "
               + (spool.withdraw(name)
-                  ? "no issuer runs with " + store + "; the document is taken back"
-                  : "the issuer has taken the document; its log, and its status, tell what becomes of it"));
+                  ? "no issuer is running with " + store + "; the document is withdrawn"
+                  : "the issuer has taken the document; its log and its status show the outcome"));
       return FAILED;
     }
     SpoolResult issued = result.get();
@@ -272,6 +285,6 @@
         (System.nanoTime() > deadlineNanos ? "after " + seconds + " s: " : "")
             + status
             + (status.members() == 0 ? "; no member is known" : ""));
-    return NOT_EVERYWHERE;
+    return NOT_IN_FORCE_EVERYWHERE;
   }
 }
--- a/tools/src/main/java/reachloom/tools/package-info.java
+++ b/tools/src/main/java/reachloom/tools/package-info.java
@@ -1,2 +1,2 @@
-/** What operators need beside a running gateway: keys, certificates, and questions to instances. */
+/** Command-line tools for operators: keys, certificates, the status of instances, and revisions. */
 package reachloom.tools;
--- a/tools/src/test/java/reachloom/tools/KeyFilesGoldenTest.java
+++ b/tools/src/test/java/reachloom/tools/KeyFilesGoldenTest.java
@@ -22,9 +22,9 @@
 import reachloom.gossip.net.Pem;
 
 /**
- * The key, certificate and revocation files of {@code reachloom gossip} and the store of {@code
- * reachloom revision init}, against files that an earlier version wrote: the same input gives the
- * same content, but for serial numbers, dates and signatures.
+ * Compares the key, certificate and revocation files of {@code reachloom gossip} and the store of
+ * {@code reachloom revision init} with files written by an earlier version: the same input gives
+ * the same content, except for serial numbers, dates and signatures.
  */
 class KeyFilesGoldenTest {
   private static final Path GOLDEN = Path.of("../gateway/src/test/resources/golden");
@@ -61,14 +61,14 @@
   }
 
   @Test
-  void aStoredCertificateIsShownInTheSameWords() throws Exception {
+  void showsStoredCertificateWithSameText() throws Exception {
     assertEquals(
         Files.readString(folder.resolve("c1.show")),
         gossip("show", "--certificate", path("c1.crt")));
   }
 
   @Test
-  void theSameKeySignedByTheSameAuthorityGivesTheSameCertificate() throws Exception {
+  void signsSameKeyWithSameCertificateContent() throws Exception {
     gossip(
         "sign",
         "--ca",
@@ -81,60 +81,60 @@
         "36500",
         "--out",
         path("again.crt"));
-    assertSameButSerialDatesAndSignature(certificate("c1.crt"), certificate("again.crt"));
+    assertSameExceptSerialDatesAndSignature(certificate("c1.crt"), certificate("again.crt"));
     certificate("again.crt").verify(certificate("ca.crt").getPublicKey());
   }
 
   @Test
-  void anAuthorityOfTheSameNameHasTheSameCertificateButForItsKey() throws Exception {
+  void createsAuthorityWithSameCertificateStructure() throws Exception {
     gossip("ca", "--name", "golden-ca", "--out", path("new"), "--days", "36500");
     X509Certificate golden = certificate("ca.crt");
-    X509Certificate made = certificate("new.crt");
-    assertEquals(golden.getPublicKey().getAlgorithm(), made.getPublicKey().getAlgorithm());
-    assertSameShape(golden, made);
-    assertArrayEquals(golden.getExtensionValue("2.5.29.19"), made.getExtensionValue("2.5.29.19"));
+    X509Certificate created = certificate("new.crt");
+    assertEquals(golden.getPublicKey().getAlgorithm(), created.getPublicKey().getAlgorithm());
+    assertSameStructure(golden, created);
+    assertArrayEquals(golden.getExtensionValue("2.5.29.19"), created.getExtensionValue("2.5.29.19"));
     assertEquals(
         PosixFilePermissions.fromString("rw-------"),
         Files.getPosixFilePermissions(folder.resolve("new.key")));
   }
 
   @Test
-  void keyFilesHaveTheSameLabelsAndLengths() throws Exception {
+  void writesKeyFilesWithSameLabelsAndLengths() throws Exception {
     gossip("key", "--out", path("new"));
-    for (String ending : List.of(".key", ".pub")) {
-      List<String> golden = Files.readAllLines(folder.resolve("c1" + ending));
-      List<String> made = Files.readAllLines(folder.resolve("new" + ending));
-      assertEquals(golden.get(0), made.get(0));
-      assertEquals(golden.get(golden.size() - 1), made.get(made.size() - 1));
+    for (String suffix : List.of(".key", ".pub")) {
+      List<String> golden = Files.readAllLines(folder.resolve("c1" + suffix));
+      List<String> created = Files.readAllLines(folder.resolve("new" + suffix));
+      assertEquals(golden.get(0), created.get(0));
+      assertEquals(golden.get(golden.size() - 1), created.get(created.size() - 1));
       assertEquals(
-          golden.stream().map(String::length).toList(), made.stream().map(String::length).toList());
+          golden.stream().map(String::length).toList(), created.stream().map(String::length).toList());
     }
   }
 
-  private static void assertSameButSerialDatesAndSignature(
-      X509Certificate golden, X509Certificate made) {
-    assertEquals(golden.getPublicKey(), made.getPublicKey());
-    assertSameShape(golden, made);
-    assertNull(made.getExtensionValue("2.5.29.19"));
+  private static void assertSameExceptSerialDatesAndSignature(
+      X509Certificate golden, X509Certificate created) {
+    assertEquals(golden.getPublicKey(), created.getPublicKey());
+    assertSameStructure(golden, created);
+    assertNull(created.getExtensionValue("2.5.29.19"));
   }
 
-  private static void assertSameShape(X509Certificate golden, X509Certificate made) {
-    assertEquals(golden.getVersion(), made.getVersion());
-    assertEquals(golden.getSigAlgOID(), made.getSigAlgOID());
+  private static void assertSameStructure(X509Certificate golden, X509Certificate created) {
+    assertEquals(golden.getVersion(), created.getVersion());
+    assertEquals(golden.getSigAlgOID(), created.getSigAlgOID());
     assertArrayEquals(
-        golden.getIssuerX500Principal().getEncoded(), made.getIssuerX500Principal().getEncoded());
+        golden.getIssuerX500Principal().getEncoded(), created.getIssuerX500Principal().getEncoded());
     assertArrayEquals(
-        golden.getSubjectX500Principal().getEncoded(), made.getSubjectX500Principal().getEncoded());
-    assertEquals(golden.getCriticalExtensionOIDs(), made.getCriticalExtensionOIDs());
-    assertEquals(golden.getNonCriticalExtensionOIDs(), made.getNonCriticalExtensionOIDs());
-    assertEquals(golden.getBasicConstraints(), made.getBasicConstraints());
+        golden.getSubjectX500Principal().getEncoded(), created.getSubjectX500Principal().getEncoded());
+    assertEquals(golden.getCriticalExtensionOIDs(), created.getCriticalExtensionOIDs());
+    assertEquals(golden.getNonCriticalExtensionOIDs(), created.getNonCriticalExtensionOIDs());
+    assertEquals(golden.getBasicConstraints(), created.getBasicConstraints());
     assertEquals(
         Duration.between(golden.getNotBefore().toInstant(), golden.getNotAfter().toInstant()),
-        Duration.between(made.getNotBefore().toInstant(), made.getNotAfter().toInstant()));
+        Duration.between(created.getNotBefore().toInstant(), created.getNotAfter().toInstant()));
   }
 
   @Test
-  void aRevocationIsAddedToTheListWithTheSameBytes() throws Exception {
+  void appendsRevocationWithSameBytes() throws Exception {
     gossip("revoke", "--certificate", path("c2.crt"), "--list", path("list.txt"));
     assertEquals(
         Files.readString(folder.resolve("revoked.txt")),
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void anIssuersStoreIsBegunWithTheSameBytes() throws Exception {
+  void createsIssuerStoreWithSameBytes() throws Exception {
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     String[] args = {"init", "--settings", path("c1.xml"), "--store", path("store")};
     assertEquals(
--- a/tools/src/test/java/reachloom/tools/Installation.java
+++ b/tools/src/test/java/reachloom/tools/LoopbackCluster.java
@@ -23,19 +23,19 @@
 import reachloom.revision.net.IssuerServer;
 
 /**
- * Issuers c1 to c3 and members g1, g2 on loopback, with keys, certificates and settings of their
- * own.
+ * A test cluster of the issuers c1 to c3 and the members g1 and g2 on the loopback interface, each
+ * with its own key, certificate and settings.
  */
-final class Installation implements AutoCloseable {
+final class LoopbackCluster implements AutoCloseable {
   static final List<String> ISSUERS = List.of("c1", "c2", "c3");
   private static final List<String> MEMBERS = List.of("g1", "g2");
-  private static final long PATIENCE_S = 60;
+  private static final long AWAIT_TIMEOUT_S = 60;
 
-  /** What a command said, and its exit status. */
-  record Said(int status, String out, String err) {}
+  /** The exit status and the output of a command. */
+  record CommandResult(int status, String out, String err) {}
 
-  /** A member that keeps what is put in force. */
-  private static final class Gateway {
+  /** A member that records the documents that are put in force. */
+  private static final class TestMember {
     final EventLoop loop = new EventLoop();
     final Map<Long, String> inForce = new TreeMap<>();
     GossipNode node;
@@ -43,7 +43,7 @@
     synchronized String put(long number, byte[] document) {
       String text = new String(document, StandardCharsets.UTF_8);
       if (text.contains("refuse")) {
-        return "refused.key: is not to its taste";
+        return "refused.key: is refused by the test member";
       }
       inForce.put(number, text);
       return "";
@@ -62,17 +62,17 @@
   private final Map<String, Integer> ports = new LinkedHashMap<>();
   private final Map<String, IssuerServer> servers = new LinkedHashMap<>();
   private final Map<String, Process> processes = new LinkedHashMap<>();
-  private final Map<String, Gateway> gateways = new LinkedHashMap<>();
+  private final Map<String, TestMember> members = new LinkedHashMap<>();
 
-  Installation(Path folder) throws Exception {
+  LoopbackCluster(Path folder) throws Exception {
     this.folder = folder;
     List<DatagramSocket> sockets = new ArrayList<>();
     List<String> all = new ArrayList<>(ISSUERS);
     all.addAll(MEMBERS);
-    for (String name : all) { // all at once, so that no port is drawn twice
-      DatagramSocket s = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
-      sockets.add(s);
-      ports.put(name, s.getLocalPort());
+    for (String name : all) { // all sockets stay open until the end, so that no port repeats
+      DatagramSocket socket = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
+      sockets.add(socket);
+      ports.put(name, socket.getLocalPort());
     }
     sockets.forEach(DatagramSocket::close);
     gossip("ca", "--name", "ca", "--out", path("ca"));
@@ -106,14 +106,14 @@
 
   private String settings(String name) {
     StringBuilder issuers = new StringBuilder();
-    for (String i : ISSUERS) {
+    for (String issuer : ISSUERS) {
       issuers
           .append("<issuer name=\"")
-          .append(i)
+          .append(issuer)
           .append("\" address=\"127.0.0.1:")
-          .append(ports.get(i))
+          .append(ports.get(issuer))
           .append("\" certificate=\"")
-          .append(i)
+          .append(issuer)
           .append(".crt\"/>");
     }
     return "<reachloom xmlns=\"urn:reachloom:settings:1\"><gossip cluster=\"test\" listen=\"127.0.0.1:"
@@ -133,29 +133,30 @@
         + "</configuration></gossip></reachloom>";
   }
 
-  // ---- What runs ----
+  // ---- Issuers and members ----
 
-  static Said revision(String... args) {
+  static CommandResult revision(String... args) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     int status = RevisionTool.run(args, new PrintStream(out), new PrintStream(err));
-    return new Said(
+    return new CommandResult(
         status, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
   }
 
   void init() {
-    for (String i : ISSUERS) {
-      Said said = revision("init", "--settings", path(i + ".xml"), "--store", path(i));
-      assertEquals(0, said.status(), said::err);
+    for (String issuer : ISSUERS) {
+      CommandResult result =
+          revision("init", "--settings", path(issuer + ".xml"), "--store", path(issuer));
+      assertEquals(0, result.status(), result::err);
     }
   }
 
   void start(String issuer) throws Exception {
     IssuerServer server = new IssuerServer(path(issuer + ".xml"), folder.resolve(issuer));
     servers.put(issuer, server);
-    Thread t = new Thread(server::run, issuer);
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(server::run, issuer);
+    thread.setDaemon(true);
+    thread.start();
   }
 
   void stop(String issuer) throws InterruptedException {
@@ -189,23 +190,28 @@
 
   void startMembers() throws Exception {
     for (String name : MEMBERS) {
-      Gateway g = new Gateway();
-      var s = IssuerServer.readSettings(path(name + ".xml"));
-      g.node =
+      TestMember member = new TestMember();
+      var settings = IssuerServer.readSettings(path(name + ".xml"));
+      member.node =
           new GossipNode(
-              g.loop, s, NodeIdentity.read(s), name.hashCode(), (engine, level) -> {}, g::put);
-      gateways.put(name, g);
-      g.loop.post(0, g.node::start);
-      Thread t = new Thread(g.loop, name);
-      t.setDaemon(true);
-      t.start();
+              member.loop,
+              settings,
+              NodeIdentity.read(settings),
+              name.hashCode(),
+              (engine, level) -> {},
+              member::put);
+      members.put(name, member);
+      member.loop.post(0, member.node::start);
+      Thread thread = new Thread(member.loop, name);
+      thread.setDaemon(true);
+      thread.start();
     }
   }
 
-  // ---- What is asked ----
+  // ---- Documents and results ----
 
-  /** Gives a document to an issuer, and waits until it is in force everywhere. */
-  Said issue(String issuer, String document) throws IOException {
+  /** Submits a document to an issuer, and waits until it is in force everywhere. */
+  CommandResult issue(String issuer, String document) throws IOException {
     Path file = folder.resolve("document.json");
     Files.writeString(file, document);
     return revision(
@@ -213,39 +219,40 @@
   }
 
   String document(String member, long number) {
-    return gateways.get(member).document(number);
+    return members.get(member).document(number);
   }
 
   long newest(String member) {
-    return gateways.get(member).newest();
+    return members.get(member).newest();
   }
 
   void awaitIssuer(String issuer) throws InterruptedException {
     await(() -> Files.exists(folder.resolve(issuer).resolve("status.json")));
   }
 
-  static void await(BooleanSupplier wanted) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-    while (!wanted.getAsBoolean()) {
-      assertEquals(true, System.nanoTime() < until, "not within " + PATIENCE_S + " s");
+  static void await(BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
+    while (!condition.getAsBoolean()) {
+      assertEquals(
+          true, System.nanoTime() < deadlineNanos, "not within " + AWAIT_TIMEOUT_S + " s");
       Thread.sleep(20);
     }
   }
 
   @Override
   public void close() throws InterruptedException {
-    for (IssuerServer s : servers.values()) {
-      s.stop();
+    for (IssuerServer server : servers.values()) {
+      server.stop();
     }
-    for (Process p : processes.values()) {
-      p.destroyForcibly().waitFor();
+    for (Process process : processes.values()) {
+      process.destroyForcibly().waitFor();
     }
-    for (Gateway g : gateways.values()) {
-      g.loop.post(
+    for (TestMember member : members.values()) {
+      member.loop.post(
           0,
           () -> {
-            g.node.stop();
-            g.loop.end();
+            member.node.stop();
+            member.loop.end();
           });
     }
   }
--- a/tools/src/test/java/reachloom/tools/RevisionToolTest.java
+++ b/tools/src/test/java/reachloom/tools/RevisionToolTest.java
@@ -12,44 +12,44 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reachloom.gossip.net.StatusClient;
-import reachloom.tools.Installation.Said;
+import reachloom.tools.LoopbackCluster.CommandResult;
 
-/** Three issuers and two members on loopback sockets, as operators use them. */
+/** Tests {@code reachloom revision} with three issuers and two members on loopback sockets. */
 class RevisionToolTest {
   @TempDir Path folder;
 
-  private Installation all;
+  private LoopbackCluster cluster;
 
   @BeforeEach
-  void make() throws Exception {
-    all = new Installation(folder);
+  void createCluster() throws Exception {
+    cluster = new LoopbackCluster(folder);
   }
 
   @AfterEach
-  void end() throws Exception {
-    all.close();
+  void closeCluster() throws Exception {
+    cluster.close();
   }
 
   private void startAll() throws Exception {
-    all.init();
-    for (String issuer : Installation.ISSUERS) {
-      all.start(issuer);
+    cluster.init();
+    for (String issuer : LoopbackCluster.ISSUERS) {
+      cluster.start(issuer);
     }
-    all.startMembers();
+    cluster.startMembers();
   }
 
   @Test
-  void aDocumentIsInForceAtBothMembersAndThatIsKnown() throws Exception {
+  void issuesDocumentsAndReportsRolloutStatus() throws Exception {
     startAll();
-    Said said = all.issue("c1", "{\"changelog\": \"127.0.0.1:1\"}");
-    assertEquals(0, said.status(), said::toString);
-    assertTrue(said.out().contains("issued as revision 1"), said::out);
-    assertTrue(said.out().contains("revision 1 is in force at 2 of 2 members"), said::out);
-    assertEquals("{\"changelog\": \"127.0.0.1:1\"}", all.document("g1", 1));
-    assertEquals("{\"changelog\": \"127.0.0.1:1\"}", all.document("g2", 1));
-    said = all.issue("c3", "{\"changelog\": \"127.0.0.1:2\"}");
-    assertEquals(0, said.status(), said::toString);
-    assertEquals("{\"changelog\": \"127.0.0.1:2\"}", all.document("g2", 2));
+    CommandResult outcome = cluster.issue("c1", "{\"changelog\": \"127.0.0.1:1\"}");
+    assertEquals(0, outcome.status(), outcome::toString);
+    assertTrue(outcome.out().contains("issued as revision 1"), outcome::out);
+    assertTrue(outcome.out().contains("revision 1 is in force at 2 of 2 members"), outcome::out);
+    assertEquals("{\"changelog\": \"127.0.0.1:1\"}", cluster.document("g1", 1));
+    assertEquals("{\"changelog\": \"127.0.0.1:1\"}", cluster.document("g2", 1));
+    outcome = cluster.issue("c3", "{\"changelog\": \"127.0.0.1:2\"}");
+    assertEquals(0, outcome.status(), outcome::toString);
+    assertEquals("{\"changelog\": \"127.0.0.1:2\"}", cluster.document("g2", 2));
     String status =
         StatusClient.ask(
             address(),
@@ -70,160 +70,164 @@
   }
 
   @Test
-  void whatCannotBeIssuedIsToldWithItsReasonAndTheLargestIs() throws Exception {
+  void rejectsInvalidDocumentsAndIssuesLargestOne() throws Exception {
     startAll();
-    Said twice = all.issue("c1", "{\"a\": 1,\n\"a\": 2}");
-    assertTrue(twice.err().contains("document.json: the document is not JSON: line 2"), twice::err);
-    Said own = all.issue("c1", "{\"listen\": \"127.0.0.1:1\"}");
-    assertTrue(own.err().contains("document.json: listen: is each gateway's own"), own::err);
-    String most = "{\"x\": \"" + "y".repeat(16 * 1024 - 9) + "\"}";
-    Said over =
-        all.issue("c1", most.replace("yy", "yyy").substring(0, 1) + " " + most.substring(1));
-    assertEquals(2, over.status());
-    assertTrue(over.err().contains("has 16385 bytes; 1 to 16384 are allowed"), over::err);
-    assertEquals(0, all.newest("g1"));
-    Said said = all.issue("c1", most);
-    assertEquals(0, said.status(), said::toString);
-    assertEquals(most, all.document("g2", 1));
+    CommandResult duplicateKey = cluster.issue("c1", "{\"a\": 1,\n\"a\": 2}");
+    assertTrue(
+        duplicateKey.err().contains("document.json: the document is not JSON: line 2"),
+        duplicateKey::err);
+    CommandResult ownSetting = cluster.issue("c1", "{\"listen\": \"127.0.0.1:1\"}");
+    assertTrue(
+        ownSetting.err().contains("document.json: listen: is each gateway's own"),
+        ownSetting::err);
+    String largest = "{\"x\": \"" + "y".repeat(16 * 1024 - 9) + "\"}";
+    CommandResult tooLarge =
+        cluster.issue("c1", largest.replace("yy", "yyy").substring(0, 1) + " " + largest.substring(1));
+    assertEquals(2, tooLarge.status());
+    assertTrue(tooLarge.err().contains("has 16385 bytes; 1 to 16384 are allowed"), tooLarge::err);
+    assertEquals(0, cluster.newest("g1"));
+    CommandResult outcome = cluster.issue("c1", largest);
+    assertEquals(0, outcome.status(), outcome::toString);
+    assertEquals(largest, cluster.document("g2", 1));
   }
 
   @Test
-  void aDocumentPutIntoTheInboxByHandIsCheckedThereToo() throws Exception {
+  void checksDocumentCopiedIntoInbox() throws Exception {
     startAll();
-    all.awaitIssuer("c1");
+    cluster.awaitIssuer("c1");
     Files.writeString(folder.resolve("c1/inbox/.a.next"), "[]");
     Files.move(folder.resolve("c1/inbox/.a.next"), folder.resolve("c1/inbox/a.json"));
     Path result = folder.resolve("c1/outbox/a.result");
-    Installation.await(() -> Files.exists(result));
-    String told = Files.readString(result);
-    assertTrue(told.contains("REFUSED") && told.contains("the document is not an object"), told);
+    LoopbackCluster.await(() -> Files.exists(result));
+    String text = Files.readString(result);
+    assertTrue(text.contains("REFUSED") && text.contains("the document is not an object"), text);
     assertFalse(Files.exists(folder.resolve("c1/inbox/a.json")));
   }
 
   @Test
-  void aMemberThatRefusesIsNamed() throws Exception {
+  void reportsMembersThatRefuseRevision() throws Exception {
     startAll();
-    Said said = all.issue("c2", "{\"refuse\": 1}");
-    assertEquals(3, said.status(), said::toString);
-    assertTrue(said.err().contains("in force at 0 of 2 members, refused by 2"), said::err);
-    assertEquals(0, all.issue("c2", "{\"good\": 1}").status());
-    assertEquals("{\"good\": 1}", all.document("g1", 2));
+    CommandResult outcome = cluster.issue("c2", "{\"refuse\": 1}");
+    assertEquals(3, outcome.status(), outcome::toString);
+    assertTrue(outcome.err().contains("in force at 0 of 2 members, refused by 2"), outcome::err);
+    assertEquals(0, cluster.issue("c2", "{\"good\": 1}").status());
+    assertEquals("{\"good\": 1}", cluster.document("g1", 2));
   }
 
   @Test
-  void withoutAMajorityItSaysSoAndGoesOnOnceOneIsBack() throws Exception {
-    all.init();
-    all.startMembers();
-    all.start("c1");
-    all.awaitIssuer("c1");
-    Said said = all.issue("c1", "{\"lost\": 1}");
-    assertEquals(1, said.status(), said::toString);
-    assertTrue(said.err().contains("NO_MAJORITY") && said.err().contains("withdrawn"), said::err);
-    all.start("c2");
-    said = all.issue("c1", "{\"back\": 1}");
-    assertEquals(0, said.status(), said::toString);
-    assertEquals("{\"back\": 1}", all.document("g1", 1));
+  void reportsMissingMajorityAndRecoversWithIt() throws Exception {
+    cluster.init();
+    cluster.startMembers();
+    cluster.start("c1");
+    cluster.awaitIssuer("c1");
+    CommandResult outcome = cluster.issue("c1", "{\"lost\": 1}");
+    assertEquals(1, outcome.status(), outcome::toString);
+    assertTrue(outcome.err().contains("NO_MAJORITY") && outcome.err().contains("withdrawn"), outcome::err);
+    cluster.start("c2");
+    outcome = cluster.issue("c1", "{\"back\": 1}");
+    assertEquals(0, outcome.status(), outcome::toString);
+    assertEquals("{\"back\": 1}", cluster.document("g1", 1));
   }
 
   @Test
-  void issuersThatAreStartedAgainKeepTheLogAndHandItOut() throws Exception {
+  void keepsRevisionsAfterRestartOfAllIssuers() throws Exception {
     startAll();
-    assertEquals(0, all.issue("c1", "{\"kept\": 1}").status());
-    for (String issuer : Installation.ISSUERS) {
-      all.stop(issuer);
+    assertEquals(0, cluster.issue("c1", "{\"kept\": 1}").status());
+    for (String issuer : LoopbackCluster.ISSUERS) {
+      cluster.stop(issuer);
     }
-    for (String issuer : Installation.ISSUERS) {
-      all.start(issuer);
+    for (String issuer : LoopbackCluster.ISSUERS) {
+      cluster.start(issuer);
     }
-    Said said = all.issue("c2", "{\"next\": 1}");
-    assertEquals(0, said.status(), said::toString);
-    assertTrue(said.out().contains("issued as revision 2"), said::out);
+    CommandResult outcome = cluster.issue("c2", "{\"next\": 1}");
+    assertEquals(0, outcome.status(), outcome::toString);
+    assertTrue(outcome.out().contains("issued as revision 2"), outcome::out);
   }
 
   @Test
-  void aStoreThatIsBrokenForeignOrInUseIsNotUsed() throws Exception {
-    all.init();
-    Said again =
-        Installation.revision("init", "--settings", all.path("c1.xml"), "--store", all.path("c1"));
+  void refusesCorruptForeignOrLockedStore() throws Exception {
+    cluster.init();
+    CommandResult again =
+        LoopbackCluster.revision("init", "--settings", cluster.path("c1.xml"), "--store", cluster.path("c1"));
     assertEquals(2, again.status());
-    assertTrue(again.err().contains("issuer.state: is there already"), again::err);
-    all.start("c1");
+    assertTrue(again.err().contains("issuer.state: already exists"), again::err);
+    cluster.start("c1");
     assertEquals(2, serve("c1").status());
     assertTrue(serve("c1").err().contains("issuer.lock: another process uses this store"));
     Path state = folder.resolve("c2/issuer.state");
     byte[] good = Files.readAllBytes(state);
     for (int length : new int[] {0, 10, good.length - 1}) {
       Files.write(state, java.util.Arrays.copyOf(good, length));
-      Said torn = serve("c2");
-      assertEquals(2, torn.status());
+      CommandResult truncated = serve("c2");
+      assertEquals(2, truncated.status());
       assertTrue(
-          torn.err().contains(state + ": is ") && torn.err().contains("it is not used"), torn::err);
-      assertEquals(length, Files.size(state), "left as it is");
+          truncated.err().contains(state + ": is ") && truncated.err().contains("the file is not used"), truncated::err);
+      assertEquals(length, Files.size(state), "the state file is not changed");
     }
     byte[] altered = good.clone();
     altered[good.length / 2] ^= 1;
     Files.write(state, altered);
-    assertTrue(serve("c2").err().contains("its checksum does not hold"));
+    assertTrue(serve("c2").err().contains("its checksum does not match"));
     Files.copy(
         folder.resolve("c1/issuer.state"),
         state,
         java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     assertTrue(
         serve("c2").err().contains("belongs to issuer 'c1' of 'test', not to 'c2' of 'test'"));
-    Said member =
-        Installation.revision("serve", "--settings", all.path("g1.xml"), "--store", all.path("g1"));
+    CommandResult member =
+        LoopbackCluster.revision("serve", "--settings", cluster.path("g1.xml"), "--store", cluster.path("g1"));
     assertTrue(member.err().contains("'g1' is not among the issuers"), member::err);
   }
 
-  private Said serve(String issuer) {
-    return Installation.revision(
-        "serve", "--settings", all.path(issuer + ".xml"), "--store", all.path(issuer));
+  private CommandResult serve(String issuer) {
+    return LoopbackCluster.revision(
+        "serve", "--settings", cluster.path(issuer + ".xml"), "--store", cluster.path(issuer));
   }
 
   @Test
-  void anIssuerWhoseStoreWasLostGivesNoVoteAndSaysSo() throws Exception {
-    all.init();
+  void abstainsAfterLossOfStore() throws Exception {
+    cluster.init();
     Files.delete(folder.resolve("c2/issuer.state"));
-    all.start("c1");
-    all.start("c2");
-    all.awaitIssuer("c2");
-    Said said = all.issue("c2", "{\"a\": 1}");
-    assertTrue(said.err().contains("ABSTAINS") && said.err().contains("lost its store"), said::err);
+    cluster.start("c1");
+    cluster.start("c2");
+    cluster.awaitIssuer("c2");
+    CommandResult outcome = cluster.issue("c2", "{\"a\": 1}");
+    assertTrue(outcome.err().contains("ABSTAINS") && outcome.err().contains("lost its store"), outcome::err);
     assertFalse(Files.exists(folder.resolve("c2/issuer.state")));
   }
 
   @Test
-  void processesOfWhichTheSourceIsKilledHalfWay() throws Exception {
-    all.init();
-    for (String issuer : Installation.ISSUERS) {
-      all.startProcess(issuer);
+  void keepsIssuingWhenProposingProcessIsKilled() throws Exception {
+    cluster.init();
+    for (String issuer : LoopbackCluster.ISSUERS) {
+      cluster.startProcess(issuer);
     }
-    all.startMembers();
-    all.awaitIssuer("c1");
-    all.awaitIssuer("c2");
-    Said first = all.issue("c1", "{\"first\": 1}");
+    cluster.startMembers();
+    cluster.awaitIssuer("c1");
+    cluster.awaitIssuer("c2");
+    CommandResult first = cluster.issue("c1", "{\"first\": 1}");
     assertEquals(0, first.status(), first::toString);
-    for (int i = 0; i < 2; i++) { // as soon as it has taken the document: in any phase
+    for (int i = 0; i < 2; i++) { // c1 is killed once it has taken the document, in any phase
       String name = "half" + i;
       Files.writeString(folder.resolve("c1/inbox/." + name), "{\"" + name + "\": 1}");
       Files.move(folder.resolve("c1/inbox/." + name), folder.resolve("c1/inbox/" + name + ".json"));
       Path taken = folder.resolve("c1/taken/" + name + ".json");
       Path result = folder.resolve("c1/outbox/" + name + ".result");
-      Installation.await(() -> Files.exists(taken) || Files.exists(result));
-      all.kill("c1");
+      LoopbackCluster.await(() -> Files.exists(taken) || Files.exists(result));
+      cluster.kill("c1");
       String next = "{\"next" + i + "\": 1}";
-      Said said = all.issue("c2", next);
-      assertEquals(0, said.status(), said::toString);
-      long number = all.newest("g1");
-      assertEquals(next, all.document("g1", number));
-      Installation.await(() -> all.newest("g2") == number);
-      assertEquals(next, all.document("g2", number));
-      all.startProcess("c1");
-      Installation.await(() -> Files.exists(result));
+      CommandResult outcome = cluster.issue("c2", next);
+      assertEquals(0, outcome.status(), outcome::toString);
+      long number = cluster.newest("g1");
+      assertEquals(next, cluster.document("g1", number));
+      LoopbackCluster.await(() -> cluster.newest("g2") == number);
+      assertEquals(next, cluster.document("g2", number));
+      cluster.startProcess("c1");
+      LoopbackCluster.await(() -> Files.exists(result));
     }
-    Said last = all.issue("c1", "{\"last\": 1}");
+    CommandResult last = cluster.issue("c1", "{\"last\": 1}");
     assertEquals(0, last.status(), last::toString);
-    Installation.await(() -> all.newest("g1") == all.newest("g2"));
-    assertEquals("{\"last\": 1}", all.document("g2", all.newest("g2")));
+    LoopbackCluster.await(() -> cluster.newest("g1") == cluster.newest("g2"));
+    assertEquals("{\"last\": 1}", cluster.document("g2", cluster.newest("g2")));
   }
 }
--- a/tools/src/test/java/reachloom/tools/RunRevisionTool.java
+++ b/tools/src/test/java/reachloom/tools/RunRevisionTool.java
@@ -1,13 +1,13 @@
 package reachloom.tools;
 
 /**
- * Runs {@code reachloom revision} as a process of its own, without the jars that a build makes
- * last.
+ * Runs {@code reachloom revision} in a separate process from the test's class path, because the
+ * jars are built only after the tests.
  */
 final class RunRevisionTool {
   private RunRevisionTool() {}
 
-  /** Exits with the tool's status. */
+  /** Runs the tool and exits with its status. */
   public static void main(String[] args) {
     System.exit(RevisionTool.run(args, System.out, System.err));
   }
