--- a/tools/src/main/java/reachloom/tools/CertificateIssuer.java
+++ b/tools/src/main/java/reachloom/tools/CertificateIssuer.java
@@ -19,8 +19,8 @@
 import reachloom.time.WallClock;
 
 /**
- * A certificate authority. Its certificates are as small as X.509 allows, because the first
- * datagram to each peer carries one.
+ * A certificate authority. Its certificates are as small as X.509 allows, because datagrams to a
+ * peer carry one until the peer is known to hold it.
  */
 final class CertificateIssuer {
   private static final int SERIAL_BITS = 63;
@@ -31,21 +31,27 @@
   private final String name;
   private final PrivateKey key;
 
-  /** Creates an issuer with that common name and signing key. */
+  /** Creates an authority with that common name and signing key. */
   CertificateIssuer(String name, PrivateKey key) {
     this.name = name;
     this.key = key;
   }
 
-  /** Returns the encoded certificate of the authority itself, valid from now on. */
-  byte[] issueOwn(PublicKey publicKey, Duration validity)
+  /**
+   * Returns the encoded certificate of the authority itself, valid from 5 minutes ago until {@code
+   * validity} from now.
+   */
+  byte[] issueSelfSigned(PublicKey publicKey, Duration validity)
       throws IOException, OperatorCreationException {
     X509v3CertificateBuilder builder = builder(name, publicKey, validity);
     builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(0));
     return sign(builder);
   }
 
-  /** Returns the encoded certificate of an instance with that common name, valid from now on. */
+  /**
+   * Returns the encoded certificate of an instance with that common name, valid from 5 minutes ago
+   * until {@code validity} from now.
+   */
   byte[] issue(String subject, PublicKey publicKey, Duration validity)
       throws IOException, OperatorCreationException {
     return sign(builder(subject, publicKey, validity));
--- a/tools/src/main/java/reachloom/tools/CommandLineTool.java
+++ b/tools/src/main/java/reachloom/tools/CommandLineTool.java
@@ -24,12 +24,15 @@
   /** Exit status of a command that failed. */
   static final int FAILED = 1;
 
-  /** Exit status for invalid options, settings or documents. */
+  /** Exit status for invalid options or settings. */
   static final int BAD_USAGE = 2;
 
   private static final int USAGE_COLUMNS = 100;
 
-  /** The action of a command; an exception ends it with {@link #FAILED} or {@link #BAD_USAGE}. */
+  /**
+   * The action of a command. A checked exception ends it with {@link #FAILED} or
+   * {@link #BAD_USAGE}; an unchecked one is passed on.
+   */
   interface Action {
     /** Runs the command with the given options; returns the exit status. */
     int run(CommandLine options) throws Exception;
@@ -48,7 +51,7 @@
    *
    * @param program the name of the program, such as {@code reachloom gossip}
    * @param out receives help that was requested
-   * @param err receives errors, and usage if no command is named
+   * @param err receives errors, and usage if no known command is named
    * @param failureText returns the text to print for an exception that ends a command with {@link
    * #FAILED}
    */
--- a/tools/src/main/java/reachloom/tools/GossipTool.java
+++ b/tools/src/main/java/reachloom/tools/GossipTool.java
@@ -53,7 +53,7 @@
    */
   public static int run(String[] args, PrintStream out, PrintStream err) {
     GossipTool tool = new GossipTool(out);
-    return new CommandLineTool("reachloom gossip", out, err, Exception::getMessage)
+    return new CommandLineTool("reachloom gossip", out, err, Exception::toString)
         .add("ca", authorityOptions(), tool::createAuthority)
         .add(
             "key",
@@ -79,7 +79,8 @@
   private static Options signOptions() {
     return new Options()
         .addOption(null, "ca", true, "the authority's files CA.key and CA.crt")
-        .addOption(null, "public", true, "the instance's OUT.pub")
+        .addOption(
+            null, "public", true, "the instance's public key file (OUT.pub of the command key)")
         .addOption(null, "name", true, "name of the instance")
         .addOption(null, "days", true, "validity in days (default 365)")
         .addOption(null, "out", true, "the certificate file to write");
@@ -109,7 +110,7 @@
     KeyPair keys = generateKeys();
     byte[] certificate =
         new CertificateIssuer(name, keys.getPrivate())
-            .issueOwn(keys.getPublic(), days(options, "3650"));
+            .issueSelfSigned(keys.getPublic(), days(options, "3650"));
     writeSecret(withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
     write(withSuffix(pathPrefix, ".crt"), Pem.text(CERTIFICATE, certificate));
     out.println(pathPrefix + ".crt: " + certificate.length + " bytes");
@@ -217,9 +218,10 @@
   }
 
   private static InetSocketAddress address(CommandLine options) throws ParseException {
-    String[] address = CommandLineTool.required(options, "address").split(":");
+    String text = CommandLineTool.required(options, "address");
+    String[] address = text.split(":");
     if (address.length != 2 || !address[0].matches("[0-9.]+") || !address[1].matches("\\d{1,5}")) {
-      throw new ParseException("--address: is not of the form 10.0.0.1:7946");
+      throw new ParseException("--address: '" + text + "' is not of the form 10.0.0.1:7946");
     }
     return new InetSocketAddress(address[0], Integer.parseInt(address[1]));
   }
--- a/tools/src/main/java/reachloom/tools/RevisionTool.java
+++ b/tools/src/main/java/reachloom/tools/RevisionTool.java
@@ -42,7 +42,10 @@
   private static final int NOT_IN_FORCE_EVERYWHERE = 3;
   private static final int USAGE_COLUMNS = 100;
 
-  /** A running issuer reports a result within 8 s plus a fraction of a second. */
+  /**
+   * A running issuer reports a result within 8 s (the timeout of {@code ProposalQueue}) plus a
+   * fraction of a second for its polls; without one by this time, no issuer is running.
+   */
   private static final Duration RESULT_TIMEOUT = Duration.ofSeconds(15);
 
   private static final Duration STOP_TIMEOUT = Duration.ofSeconds(10);
@@ -60,8 +63,9 @@
    * Runs one command.
    *
    * @param args the command and its options
-   * @return the exit status: 0 for success, 1 for failure, 2 for invalid options or files, 3 if a
-   * revision is issued but not in force everywhere before the timeout
+   * @return the exit status: 0 for success, 1 for failure, 2 for invalid options, files or stores,
+   *     3 if a revision is issued but not in force everywhere when the wait ends: at its timeout,
+   *     or once all members that lack the revision have refused it
    */
   public static int run(String[] args, PrintStream out, PrintStream err) {
     return new RevisionTool(out, err).run(args);
@@ -77,12 +81,12 @@
                 null,
                 "store",
                 true,
-                "its directory, created for an issuer that has never voted"));
+                "the issuer's directory, created for an issuer that has never promised or voted"));
     all.put(
         "serve",
         new Options()
             .addOption(null, "settings", true, "the issuer's settings (XML)")
-            .addOption(null, "store", true, "its directory"));
+            .addOption(null, "store", true, "the issuer's directory"));
     all.put(
         "check",
         new Options()
@@ -201,8 +205,8 @@
   // ---- Documents ----
 
   /**
-   * Reads the document and checks, as far as possible on this machine, that it could be put in
-   * force.
+   * Reads the document and checks its form, and with {@code --like} that the configuration with it
+   * is valid; then prints the keys that take effect only after a restart.
    */
   private byte[] readChecked(CommandLine line) throws ParseException, ConfigException, IOException {
     Path file = Path.of(required(line, "document"));
@@ -282,7 +286,8 @@
       return OK;
     }
     err.println(
-        (System.nanoTime() > deadlineNanos ? "after " + seconds + " s: " : "")
+        "reachloom revision issue: "
+            + (System.nanoTime() > deadlineNanos ? "after " + seconds + " s: " : "")
             + status
             + (status.members() == 0 ? "; no member is known" : ""));
     return NOT_IN_FORCE_EVERYWHERE;
