--- a/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -29,7 +29,10 @@
  */
 public final class GossipProtocol implements MessageSender, RevisionMessageSender {
   private static final int ASSESSMENTS_PER_PERIOD = 4;
-  private static final int ASSESSMENTS_PER_REPORT = 2; // minimum interval of early failure reports
+
+  /** Minimum interval, in assessment intervals, between reports that failures trigger. */
+  private static final int ASSESSMENTS_PER_REPORT = 2;
+
   private static final double MIN_LEVEL_CHANGE = 0.1; // smaller changes are not reported
   private static final int MAX_REPORTS_PER_PACKET = 32;
 
--- a/decisions/src/main/java/reachloom/gossip/SequenceWindow.java
+++ b/decisions/src/main/java/reachloom/gossip/SequenceWindow.java
@@ -2,7 +2,7 @@
 
 /**
  * The sequence numbers received from one sender: a window of 64 numbers that ends with the largest
- * one (the anti-replay window of RFC 6479).
+ * one (the anti-replay window of RFC 4303, section 3.4.3).
  */
 final class SequenceWindow {
   private long largest = Long.MIN_VALUE;
--- a/decisions/src/main/java/reachloom/membership/AntiEntropySync.java
+++ b/decisions/src/main/java/reachloom/membership/AntiEntropySync.java
@@ -12,10 +12,11 @@
 /**
  * Synchronizes the member tables of two nodes (anti-entropy): a node sends digests of its members,
  * and the responder returns the members that differ or are missing. The interval grows with each
- * round that finds no difference. Confined to the thread that calls {@link MembershipService}.
+ * round that brings no new member. Confined to the thread that calls {@link MembershipService}.
  */
 final class AntiEntropySync {
-    private static final int MAX_INTERVAL_PERIODS = 12; // mean interval between two rounds
+  /** Maximum of the mean interval between two rounds. */
+  private static final int MAX_INTERVAL_PERIODS = 12;
 
   /** Members added since the last request after which the next request is brought forward. */
   private static final int EARLY_SYNC_NEW_MEMBERS = 3;
@@ -32,10 +33,10 @@
   private final SplittableRandom random;
   private long nextSyncAtNanos;
 
-  /** The last member name covered by the previous request; empty to start with the first member. */
-  private String lastRequestedName = "";
+  /** The name after which the next request starts; empty for the start of the table. */
+  private String continueAfterName = "";
 
-  /** Whether the last response contained new members, or was truncated. */
+  /** Whether the last response contained new members, was truncated, or was not requested. */
   private boolean incomplete;
 
   /** The member whose last response was truncated; null for none. */
@@ -44,7 +45,7 @@
   /** Whether a request is waiting for its response. */
   private boolean requestPending;
 
-  /** Consecutive rounds that found no difference. */
+  /** Consecutive rounds without new members. */
   private int unchangedRounds;
 
   /** Members added since the last request. */
@@ -80,8 +81,8 @@
 
   /**
    * Sends a request to a random member when the next round is due. A member whose last response was
-   * truncated is requested again: requests to it no longer need to carry a certificate, and it
-   * holds the members that it left out.
+   * truncated gets the next request as well: it holds the members that it left out, and the request
+   * need not carry this node's certificate, which it has received before.
    */
   void tick(long nowNanos) {
     if (nowNanos < nextSyncAtNanos || members.presentCount() == 0) {
@@ -98,17 +99,18 @@
 
   private void request(long nowNanos, Member responder) {
     int salt = random.nextInt();
-    MembershipMessage empty = new MembershipMessage.SyncRequest(lastRequestedName, "", salt, List.of());
+    MembershipMessage empty =
+        new MembershipMessage.SyncRequest(continueAfterName, "", salt, List.of());
     int bytes = messenger.messageBytes(responder, empty) + MAX_NAME_BYTES;
     if (!messenger.hasRoom(nowNanos, Purpose.SYNC, bytes)) {
       nextSyncAtNanos = nowNanos + random.nextLong(periodNanos);
       return;
     }
     int maxDigests = (messenger.maxSyncBytes(nowNanos, bytes) - bytes) / DIGEST_BYTES;
-    MembershipMessage.SyncRequest request = digestsFrom(lastRequestedName, salt, maxDigests);
+    MembershipMessage.SyncRequest request = digestsFrom(continueAfterName, salt, maxDigests);
     messenger.sendWithoutQueuedUpdates(nowNanos, responder, request, 0);
-    lastRequestedName = request.lastName();
-        requestPending = true;
+    continueAfterName = request.lastName();
+    requestPending = true;
     newMembers = 0;
     scheduleNext(nowNanos, request.lastName().isEmpty());
   }
--- a/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -10,7 +10,7 @@
 public final class BandwidthLimiter {
   /** The purpose that a datagram is sent for, which determines its share of the limit. */
   public enum Purpose {
-    /** Messages of the failure detector, and leave messages. */
+    /** Pings, requests for indirect pings, and leave messages. */
     PROBE(1),
     /** Welcome messages to a joining node that knows no member yet. */
     WELCOME(0.95),
@@ -61,8 +61,11 @@
   }
 
   /**
-   * Returns the maximum size, in bytes, of a datagram of {@code bytes} bytes with piggybacked
-   * updates and reports.
+   * Returns the size, in bytes, up to which a datagram may be filled with piggybacked updates and
+   * reports.
+   *
+   * @param bytes its size without them
+   * @param maxBytes the maximum size of a packet
    */
   public int maxWithPiggyback(long nowNanos, int bytes, int maxBytes) {
         double remainingBytes =
--- a/decisions/src/main/java/reachloom/membership/JoinProtocol.java
+++ b/decisions/src/main/java/reachloom/membership/JoinProtocol.java
@@ -71,8 +71,7 @@
     long seed = nonMembers.get(random.nextInt(nonMembers.size()));
     messenger.send(nowNanos, Purpose.SYNC, "", seed, ping(""));
     if (members.presentCount() == 0) {
-            // Backs off: the more attempts have failed, the more other nodes are likely to be
-            // joining.
+      // Twice as long from the second failed attempt on: other nodes are likely to be joining too.
       long delayNanos = periodNanos << Math.min(failedAttempts++, MAX_BACKOFF_DOUBLINGS);
       nextReconnectAtNanos = nowNanos + delayNanos / 2 + random.nextLong(delayNanos);
     }
@@ -101,8 +100,8 @@
 
   /**
    * Sends a random sample of the members to a joining node. When many nodes join at once, a few
-   * samples that spread their next requests over all members help more than many that keep them at
-   * the seeds.
+   * random samples, which spread the joining nodes' next requests over all members, help more than
+   * many welcomes from the seeds, which draw all of these requests to the seeds.
    *
    * @param local this node's own update, whose size determines the size of the sample
    */
--- a/decisions/src/main/java/reachloom/membership/MemberTable.java
+++ b/decisions/src/main/java/reachloom/membership/MemberTable.java
@@ -12,10 +12,10 @@
 import java.util.stream.Stream;
 
 /**
- * The other members in this node's view, and the order in which they are pinged. Every change of a
- * member is queued as an update for the other members; a change of state is also reported to
- * {@link MessageSender#onMemberChanged}. Confined to the thread that calls {@link
- * MembershipService}.
+ * The other members in this node's view, and the order in which they are pinged. Changes of known
+ * members are queued as updates for the other members; a change of state or place is also reported
+ * to {@link MessageSender#onMemberChanged}. Updates of added members are queued by {@link
+ * UpdateProcessor}. Confined to the thread that calls {@link MembershipService}.
  */
 final class MemberTable {
   private static final int MAX_MEMBERS = 2_048; // absent members included
--- a/decisions/src/main/java/reachloom/membership/MembershipService.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipService.java
@@ -15,9 +15,9 @@
  * <p>Differences from these papers: a node does not accept another node's verdict that a member has
  * failed or left. Such an update counts as one more accusation, and each node runs the timeout for
  * a refutation by itself. A node that lies can therefore cause a healthy member to be suspected,
- * but not to be removed from the list. A packet from the member itself, whose sender is
- * authenticated, takes precedence over all that other members report of its address and
- * incarnation.
+ * but not to be removed from the list. The first packet from the member itself, whose
+ * sender is authenticated, corrects an address that other members reported for the same
+ * incarnation. A reported incarnation that is too high stays until the member exceeds it.
  *
  * <p>All times are nanoseconds of the caller's clock, which must not go back. Not thread-safe: all
  * methods are called from one thread. The same events and seed give the same messages in the same
@@ -27,7 +27,7 @@
   private static final long SECOND_NANOS = 1_000_000_000;
   private static final int TICKS_PER_PERIOD = 10;
   private static final double MAX_TICK_DELAY_PERIODS = 0.5; // a longer delay counts as a pause
-  private static final int MAX_PAUSE_PENALTY = 10; // points of the local health score
+  private static final int MAX_PAUSE_PENALTY = 10; // points; 8 already give the worst health score
   private static final int LEAVE_RECEIVERS = 6; // members that receive the leave message
   private static final int PAYLOAD_RECEIVERS = 3; // members that receive one payload
 
@@ -153,9 +153,9 @@
 
   /**
    * After a pause of this process, worsens the node's own health score and extends the pending
-   * deadlines:
-   * messages missed during the pause must not count against other members. The cost: the failure of
-   * a member during the pause is detected later by the length of the pause.
+   * deadlines: messages missed during the pause must not count against other members. The cost: the
+   * failure of a member during the pause is detected later by the length of the pause and one more
+   * timeout.
    */
   private void compensateForPause(long nowNanos) {
     long lateNanos = nowNanos - lastTickNanos - tickIntervalNanos();
--- a/decisions/src/main/java/reachloom/membership/Suspicion.java
+++ b/decisions/src/main/java/reachloom/membership/Suspicion.java
@@ -9,7 +9,8 @@
  * refutation to spread through the cluster (Lifeguard, section IV-B).
  */
 final class Suspicion {
-  // memberlist has 4 periods per decade of members; here the final pings replace the fourth.
+  // HashiCorp's memberlist uses 4 periods per power of ten of the cluster size; here the final
+  // pings replace the fourth.
   private static final double MIN_TIMEOUT_PERIODS_PER_DECADE = 3;
   private static final double MAX_TIMEOUT_FACTOR = 6; // maximum timeout / minimum timeout
   private static final int CONFIRMATIONS = 2; // further accusers that reduce it to the minimum
@@ -46,7 +47,10 @@
     return Math.max(startedAtNanos + (long) (minTimeoutNanos * factor), finalPingDeadlineNanos);
   }
 
-  /** Records a final ping, which the member must acknowledge before the deadline. */
+  /**
+   * Records a final ping, which the member must answer with a higher incarnation before the
+   * deadline.
+   */
   void onFinalPing(long deadlineNanos) {
     finalPings++;
     finalPingDeadlineNanos = deadlineNanos;
--- a/decisions/src/main/java/reachloom/membership/SuspicionTracker.java
+++ b/decisions/src/main/java/reachloom/membership/SuspicionTracker.java
@@ -70,10 +70,10 @@
   }
 
   /**
-   * Declares a suspect failed after its timeout has expired and the final pings by this node were
-   * not acknowledged. The final pings also notify the suspect of the accusation, so that a
-   * refutation that has spread to other nodes but not to this one arrives in reply. The cost: a
-   * real failure is declared some periods later.
+   * Declares a suspect failed after its timeout has expired and it has not answered the final pings
+   * by this node with a higher incarnation. The final pings also notify the suspect of the
+   * accusation, so that a refutation that has spread to other nodes but not to this one arrives in
+   * reply. The cost: a real failure is declared some periods later.
    */
   void expireSuspicions(long nowNanos, FinalPing finalPing) {
     for (Member member : List.copyOf(members.all())) {
--- a/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Processes a member's own packet, which shows that the member is alive, its address and its
+   * Processes a member's own packet, which proves that it is alive and states its address and
    * incarnation.
    */
   Optional<Member> onPacketReceived(long nowNanos, MembershipUpdate self) {
@@ -85,7 +85,9 @@
    */
   void apply(long nowNanos, MembershipUpdate update, String reporter, boolean disseminate) {
     if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_CLOCK_LEAD_SECONDS) {
-      return; // no honest node has reached it, and it could leave no higher one for a refutation
+      // No honest node has such an incarnation yet, and the largest one could not be exceeded by a
+      // refutation.
+      return;
     }
     if (update.member().equals(local.name())) {
       applyToSelf(update);
--- a/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -37,13 +37,17 @@
   private static final double MIN_ACCUSING_RATIO = 0.5; // failure ratio of an accusing report
   private static final double MAX_VOUCHING_RATIO = 0.2; // failure ratio of a vouching report
   private static final int MIN_ATTEMPTS = 2; // a single attempt may be chance
-  private static final int MIN_FAILURES_WITHOUT_SUCCESS = 1; // without any success; has less weight
+  // A report without any success accuses from this number on; few attempts give it less weight.
+  private static final int MIN_FAILURES_WITHOUT_SUCCESS = 1;
   private static final double HALF_WEIGHT_ATTEMPTS = 1; // attempts that give half the weight
   private static final long EVALUATION_INTERVAL_NANOS = SECOND_NANOS; // per peer and engine
   private static final long CONTRADICTION_LIFETIME_NANOS = 60 * SECOND_NANOS;
 
-  /** The maximum level by the accusation of a single peer, or of one group that counts as one. */
-  private static final double MAX_LEVEL_OF_SINGLE_ACCUSER = 0.4;
+  /**
+   * The maximum level by the accusation of a single peer, or of one group that counts as one; also
+   * the level of engines beyond the maximum share of accused engines.
+   */
+  private static final double MAX_LEVEL_WITHOUT_QUORUM = 0.4;
 
   private static final double PRIOR_WEIGHT = 0.15; // weight against each accusation
   private static final double MAX_ACCUSED_SHARE = 0.25; // of the engines
@@ -106,7 +110,7 @@
     this.ownOutcomes = ownOutcomes;
   }
 
-  /** Stores the reports of a peer; ignores those with impossible values. */
+  /** Stores the reports of a peer; ignores those with negative values or past their lifetime. */
   public void onReports(long nowNanos, String peerName, List<PeerReport> reports) {
     ReportingPeer peer = peers.get(peerName);
     if (peer == null) {
@@ -162,7 +166,8 @@
    * have too few own attempts.
    *
    * @param engines name and incarnation of each engine in use
-   * @return assessments of the engines with a level above 0, the highest level first
+   * @return assessments of the engines with a level above 0, ordered by the level before the limit
+   *     on the share of accused engines is applied, the highest first
    */
   public List<Assessment> assess(long nowNanos, Map<String, Long> engines) {
     recoverReputations(nowNanos);
@@ -260,14 +265,15 @@
     double total = groups.totalWeight();
     double level = total <= 0 ? 0 : total / (total + opposingWeight);
     if (groups.count() <= 1) {
-      level = Math.min(level, MAX_LEVEL_OF_SINGLE_ACCUSER);
+      level = Math.min(level, MAX_LEVEL_WITHOUT_QUORUM);
     }
     return new Assessment(engine, incarnation, level, accusers, vouchers);
   }
 
   /**
-   * Returns the weight of a report: full at first, fading over the second half of its
-   * lifetime.
+   * Returns the weight of a report: the square of the peer's reputation, times the freshness (1 in
+   * the first half of the lifetime, then falling to 0), times a factor that grows with the number
+   * of attempts.
    */
   private static double weight(long nowNanos, ReportingPeer peer, StoredReport stored) {
     double age = (double) (nowNanos - stored.atNanos()) / REPORT_LIFETIME_NANOS;
@@ -291,7 +297,7 @@
     List<Assessment> bounded = new ArrayList<>();
     for (Assessment assessment : order) {
       boolean overLimit = assessment.level >= ACCUSED_LEVEL && bounded.size() >= maxAccused;
-      bounded.add(overLimit ? assessment.withLevel(MAX_LEVEL_OF_SINGLE_ACCUSER) : assessment);
+      bounded.add(overLimit ? assessment.withLevel(MAX_LEVEL_WITHOUT_QUORUM) : assessment);
     }
     return bounded;
   }
--- a/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
+++ b/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
@@ -83,7 +83,7 @@
     for (int i = 0; i < 1_000; i++) {
       admitted += admit(5, true, now, i) == null ? 1 : 0;
     }
-    assertTrue(admitted <= 20, admitted + "");
+    assertTrue(admitted <= 20, admitted + " datagrams of one member admitted");
     assertNull(admit(limiter, now, new Arrival(6, true, true, false, "q", now, 1)));
   }
 
--- a/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
+++ b/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
@@ -420,7 +420,7 @@
   }
 
   @Test
-  void accusesNoMemberAfterLocalPause() {
+  void declaresNoMemberDeadAfterLocalPause() {
     join("a", "b", "c");
     advance(16 * SECOND_NANOS);
     receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.SUSPECT, "b"));
--- a/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
+++ b/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
@@ -47,7 +47,7 @@
   }
 
   /** Lets peers accuse, for some seconds, an engine that serves this node's own attempts. */
-  private void accuseHealthy(String engine, int seconds, String... peers) {
+  private void accuseHealthyEngine(String engine, int seconds, String... peers) {
     for (int i = 0; i < seconds; i++) {
       now += SECOND_NANOS;
       recordServed(engine);
@@ -104,8 +104,8 @@
 
   @Test
   void lowersReputationOfContradictedPeer() {
-    accuseHealthy("e1", 10, "liar");
-    assertTrue(quorum.reputation("liar") < 0.05, quorum.reputation("liar") + "");
+    accuseHealthyEngine("e1", 10, "liar");
+    assertTrue(quorum.reputation("liar") < 0.05, "reputation " + quorum.reputation("liar"));
     assertTrue(quorum.contradictions("liar") >= 8);
     now += 10 * SECOND_NANOS;
     level("e1");
@@ -131,11 +131,11 @@
 
   @Test
   void countsPeersContradictedTogetherAsOne() {
-    accuseHealthy("e1", 1, "x", "y", "z"); // their reputations alone would still suffice
+    accuseHealthyEngine("e1", 1, "x", "y", "z"); // their reputations alone would still suffice
     for (String p : new String[] {"x", "y", "z"}) {
       report(p, "e2", 0, 50); // another engine, without own attempts
     }
-    assertTrue(level("e2") < WeightedQuorum.ACCUSED_LEVEL, level("e2") + "");
+    assertTrue(level("e2") < WeightedQuorum.ACCUSED_LEVEL, "level " + level("e2"));
     report("a", "e2", 0, 5);
     report("b", "e2", 0, 5);
     assertTrue(level("e2") >= WeightedQuorum.ACCUSED_LEVEL, "two honest peers still form a quorum");
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void startsEmptyForNewIncarnationOfEngine() {
+  void reportsAndOutcomesStartEmptyForNewIncarnation() {
     report("p", "e1", 0, 5);
     report("q", "e1", 0, 5);
     engines.put("e1", 77L);
@@ -231,7 +231,10 @@
         ownOutcomes.reportsToSend(now, 1).get(0),
         "attempts served earlier do not hide the failures");
     now += 15 * SECOND_NANOS;
-    assertEquals(2, ownOutcomes.reportsToSend(now, 1).get(0).timedOut(), "the streak is reported until an attempt is served");
+    assertEquals(
+        2,
+        ownOutcomes.reportsToSend(now, 1).get(0).timedOut(),
+        "a streak outlasts the window");
     ownOutcomes.record(now, "e0", 0, Observation.SERVED);
     assertEquals(1, ownOutcomes.reportsToSend(now, 1).get(0).served());
   }
--- a/gateway/src/main/java/reachloom/revision/net/FileStore.java
+++ b/gateway/src/main/java/reachloom/revision/net/FileStore.java
@@ -82,7 +82,7 @@
       Files.createDirectories(file.getParent());
       FileChannel channel =
           FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-      if (isLocked(channel)) {
+      if (tryLock(channel)) {
         return channel;
       }
       closeQuietly(channel);
@@ -92,7 +92,7 @@
     throw new StoreException(file, "another process uses this store");
   }
 
-  private static boolean isLocked(FileChannel channel) throws IOException {
+  private static boolean tryLock(FileChannel channel) throws IOException {
     try {
       FileLock held = channel.tryLock();
       return held != null;
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -215,7 +215,8 @@
           List<String> before = issuerAddresses(settings);
           if (!issuerAddresses(next).equals(before)) {
             LOG.log(
-                Level.WARNING, "issuers: have changed; the change takes effect after a restart only");
+                Level.WARNING,
+                "the issuers in the settings have changed; this takes effect only after a restart");
           }
           settings = next;
           node.reload(next);
--- a/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
+++ b/gateway/src/main/java/reachloom/revision/net/RolloutStatus.java
@@ -18,7 +18,8 @@
  * @param inForce the number of members that have the revision in force
  * @param refused the number of members that have refused the revision
  * @param lacking the names of some members and places that lack the revision
- * @param longestMillis the longest time for which a member has lacked the revision; 0 if unknown
+ * @param longestMillis the longest time for which a member has lacked the revision; 0 if no member
+ *     lacks it, or if unknown
  */
 public record RolloutStatus(
     long number, int members, int inForce, int refused, List<String> lacking, long longestMillis) {
--- a/gateway/src/main/java/reachloom/revision/net/SpoolClient.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolClient.java
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Waits until a revision is in force everywhere, each member that lacks it has refused it, or the
-   * timeout has expired.
+   * Waits until a revision or a newer one is in force everywhere, each member that lacks the
+   * revision has refused it, or the timeout has expired.
    *
    * @param number the revision
    * @return the last status that was read
--- a/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
+++ b/gateway/src/main/java/reachloom/revision/net/SpoolDirectory.java
@@ -85,9 +85,10 @@
   // ---- The inbox ----
 
   /**
-   * Processes the documents in the inbox in the order of their names. A document that was not there
-   * at the last poll is no older than the time since that poll. Only for documents that were there
-   * before the first poll does the age depend on the file's modification time and the wall clock.
+   * Processes up to 16 documents in the inbox, in the order of their names. A document that was not
+   * there at the last poll that found all files is no older than the time since that poll. Its age
+   * is the smaller of that time and the age by the file's modification time and the wall clock;
+   * before the first such poll it is the latter.
    *
    * @param nowMillis the process's own time, which is never stepped
    */
