--- a/gateway/src/main/java/reachloom/gateway/ClientConnections.java
+++ b/gateway/src/main/java/reachloom/gateway/ClientConnections.java
@@ -200,7 +200,7 @@
 
     @Override
     public void received(IoSession session, ClientCall call, int bytes) {
-      if (Sockets.hasEnded(session)) {
+      if (Sockets.isEndOfStream(session)) {
         return; // the client is gone: nothing is owed to it, and nothing may begin
       }
       long receivedAtNanos = loop.now();
@@ -208,12 +208,12 @@
     }
 
     @Override
-    public void begun(IoSession session) {
+    public void messageStarted(IoSession session) {
       loop.post(0, () -> onMessageBegun(session));
     }
 
     @Override
-    public void spoilt(IoSession session) {
+    public void inputMalformed(IoSession session) {
       loop.post(0, () -> onMalformed(session));
     }
 
--- a/gateway/src/main/java/reachloom/gateway/EngineConnector.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnector.java
@@ -116,7 +116,7 @@
       EngineConnection connection, InetSocketAddress address, ConnectFuture future) {
     LOG.log(
         Level.DEBUG, "engine {0} at {1}: {2}", connection.engine(), address, future.getException());
-    boolean failedLocally = sockets.failedHere(future);
+    boolean failedLocally = sockets.failedLocally(future);
     connection.setConnectFailedLocally(failedLocally);
     if (failedLocally) {
       loop.deadlines()
@@ -140,12 +140,12 @@
     }
 
     @Override
-    public void begun(IoSession session) {
+    public void messageStarted(IoSession session) {
       post(session, 0, events::onPartialResponse);
     }
 
     @Override
-    public void spoilt(IoSession session) {
+    public void inputMalformed(IoSession session) {
       post(session, 0, events::onUndecodableResponse);
     }
 
--- a/gateway/src/main/java/reachloom/gateway/LingeringClose.java
+++ b/gateway/src/main/java/reachloom/gateway/LingeringClose.java
@@ -45,7 +45,7 @@
     if (session.isClosing() || closing.containsKey(session)) {
       return;
     }
-    DecodingHandler.readNoMore(session);
+    DecodingHandler.discardInput(session);
     closing.put(session, loop.deadlines().add(loop.now() + timeoutNanos, () -> cut(session)));
     session.getCloseFuture().addListener(future -> loop.post(0, () -> cut(session)));
     sockets.shutOutputOnceWritten(session);
--- a/gateway/src/main/java/reachloom/gateway/RequestFields.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestFields.java
@@ -31,7 +31,7 @@
             fields.getOrDefault("txn", ""),
             config.names().classes().indexOf(fields.getOrDefault("verb", "")),
             tenants.isEmpty() ? 0 : tenants.indexOf(fields.getOrDefault("team", "")),
-            Numbers.whole(fields.get("limit"), 0),
+            Numbers.parseNonNegative(fields.get("limit"), 0),
             fields.get("unique"));
     return read.isValid(config) ? Optional.of(read) : Optional.empty();
   }
--- a/gateway/src/main/java/reachloom/gateway/ResultCollector.java
+++ b/gateway/src/main/java/reachloom/gateway/ResultCollector.java
@@ -70,7 +70,7 @@
     attempt.pages.add(page);
     attempt.resultBytes += page.length;
     bufferedBytes += page.length;
-    if (attempt.resultBytes > MAX_RESULT_BYTES || !Rows.whole(page)) {
+    if (attempt.resultBytes > MAX_RESULT_BYTES || !Rows.isValid(page)) {
       pool.closeOnProtocolError(
           attempt.connection,
           "a page with incomplete rows, or " + attempt.resultBytes + " bytes of a result");
--- a/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
@@ -34,7 +34,7 @@
   }
 
   /** Discards what is still received on a connection from now on; from any thread. */
-  public static void readNoMore(IoSession session) {
+  public static void discardInput(IoSession session) {
     session.removeAttribute(DECODER);
   }
 
@@ -93,10 +93,10 @@
           peer,
           session.getRemoteAddress(),
           fault);
-      readNoMore(session);
-      listener.spoilt(session);
+      discardInput(session);
+      listener.inputMalformed(session);
     } else if (decoder.partial() && (!before || share[0] == 0)) {
-      listener.begun(session);
+      listener.messageStarted(session);
     }
   }
 
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
@@ -93,12 +93,12 @@
 
   /** The work that the query took, in milliseconds; 0 where it is not told. */
   public long costMs() {
-    return Math.round(Numbers.real(fields.get(COST), 0));
+    return Math.round(Numbers.parseDouble(fields.get(COST), 0));
   }
 
   /** The memory that the query took, in MB; 0 where it is not told. */
   public double memoryMb() {
-    return Numbers.real(fields.get(MEMORY), 0);
+    return Numbers.parseDouble(fields.get(MEMORY), 0);
   }
 
   /** What a running query reports. */
@@ -114,7 +114,7 @@
 
   /** The amount that a running query reports, whose unit its kind tells; 0 where it is missing. */
   public double progressAmount() {
-    return Numbers.real(fields.get(PROGRESS_AMOUNT), 0);
+    return Numbers.parseDouble(fields.get(PROGRESS_AMOUNT), 0);
   }
 
   /** The load report of the engine, if there is one; a value that it leaves out is 0. */
@@ -127,7 +127,7 @@
     for (String value : text.split(";")) {
       int colon = value.indexOf(':');
       if (colon > 0) {
-        values.put(value.substring(0, colon), Numbers.real(value.substring(colon + 1), 0));
+        values.put(value.substring(0, colon), Numbers.parseDouble(value.substring(colon + 1), 0));
       }
     }
     return Optional.of(
@@ -139,7 +139,7 @@
   }
 
   private OptionalLong wholeNumber(String field) {
-    long number = Numbers.whole(fields.get(field), -1);
+    long number = Numbers.parseNonNegative(fields.get(field), -1);
     return number < 0 ? OptionalLong.empty() : OptionalLong.of(number);
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -108,7 +108,7 @@
   }
 
   private static int bodyLength(String text) {
-    long length = Numbers.whole(text, -1);
+    long length = Numbers.parseNonNegative(text, -1);
     return length >= 0 && length <= MAX_BODY_BYTES ? (int) length : -1;
   }
 
--- a/gateway/src/main/java/reachloom/gateway/wire/Listener.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Listener.java
@@ -20,10 +20,10 @@
   void received(IoSession session, M message, int bytes);
 
   /** A message has begun that is not whole yet; the next one received ends it. */
-  default void begun(IoSession session) {}
+  default void messageStarted(IoSession session) {}
 
   /** What was received can't be decoded, and nothing more is: the connection is to be closed. */
-  default void spoilt(IoSession session) {
+  default void inputMalformed(IoSession session) {
     session.closeNow();
   }
 
--- a/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
@@ -9,7 +9,7 @@
   /**
    * Parses a whole number from 0 up in plain digits; {@code otherwise} where it is none, or null.
    */
-  public static long whole(String text, long otherwise) {
+  public static long parseNonNegative(String text, long otherwise) {
     if (text == null || text.isEmpty() || text.length() > MAX_DIGITS) {
       return otherwise;
     }
@@ -25,7 +25,7 @@
   }
 
   /** Parses a finite number; {@code otherwise} where it is none, or null. */
-  public static double real(String text, double otherwise) {
+  public static double parseDouble(String text, double otherwise) {
     if (text == null || text.length() > 2 * MAX_DIGITS) {
       return otherwise;
     }
--- a/gateway/src/main/java/reachloom/gateway/wire/Rows.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Rows.java
@@ -14,7 +14,7 @@
   private Rows() {}
 
   /** Whether a page consists of whole rows of valid text; an empty page does. */
-  public static boolean whole(byte[] page) {
+  public static boolean isValid(byte[] page) {
     int tabs = 0;
     for (byte b : page) {
       if (b == '\n' && tabs != TABS || b != '\n' && b != '\t' && b >= 0 && b < ' ') {
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -133,7 +133,7 @@
   }
 
   /** Whether the other side has sent its last; known with the last of what it sent, or later. */
-  public static boolean hasEnded(IoSession session) {
+  public static boolean isEndOfStream(IoSession session) {
     return session.containsAttribute(ENDED);
   }
 
@@ -257,7 +257,7 @@
    * Whether a dial failed on this machine, before anything left it, so that it tells nothing of the
    * other side; then it is counted.
    */
-  public boolean failedHere(ConnectFuture future) {
+  public boolean failedLocally(ConnectFuture future) {
     boolean here = LocalFailures.isOfThisMachine(future.getException());
     if (here) {
       failures.note("connect", future.getException());
--- a/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
@@ -221,7 +221,7 @@
     if (underscore < 0 || digits.length() > MAX_DIGITS || schema.equalsIgnoreCase(STAGING)) {
       return NONE;
     }
-    return (int) Numbers.whole(digits, NONE);
+    return (int) Numbers.parseNonNegative(digits, NONE);
   }
 
   private static boolean isPart(char c) {
--- a/gateway/src/test/java/reachloom/gateway/wire/RowsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/RowsTest.java
@@ -9,7 +9,7 @@
 /** Pages: whole rows of three columns, and all that is none. */
 class RowsTest {
   private static boolean whole(String page) {
-    return Rows.whole(page.getBytes(StandardCharsets.UTF_8));
+    return Rows.isValid(page.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
@@ -35,6 +35,6 @@
   void noiseIsNoText() {
     byte[] page = "a\tb\tc\n".getBytes(StandardCharsets.UTF_8);
     page[2] = (byte) 0xfe;
-    assertFalse(Rows.whole(page));
+    assertFalse(Rows.isValid(page));
   }
 }
