--- a/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
@@ -160,7 +160,7 @@
   }
 
   private void signAndSend(Outgoing next) throws IOException, GeneralSecurityException {
-    byte[] datagram = identity.seal(next.unsigned());
+    byte[] datagram = identity.appendSignature(next.unsigned());
     channel.send(ByteBuffer.wrap(datagram), PackedAddress.unpack(next.address()));
     sent.incrementAndGet();
     sentBytes.addAndGet(datagram.length + GossipCodec.UDP_HEADER_BYTES);
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -185,7 +185,7 @@
 
   private void checkUsable(X509Certificate certificate, long wallClockMillis)
       throws RejectedDatagramException {
-    if (identity.revoked(certificate)) {
+    if (identity.isRevoked(certificate)) {
       throw new RejectedDatagramException(RejectionReason.REVOKED);
     }
     if (wallClockMillis < certificate.getNotBefore().getTime()
--- a/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -56,7 +56,7 @@
                   + issuer.name()
                   + "'");
         }
-        if (!self.trusts(certificate, atMillis) || self.revoked(certificate)) {
+        if (!self.trusts(certificate, atMillis) || self.isRevoked(certificate)) {
           throw new ConfigException(
               issuer.certificateFile() + ": no authority vouches for it, or it is revoked");
         }
--- a/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -168,7 +168,7 @@
    *
    * @throws GeneralSecurityException if the key can't be used
    */
-  public byte[] seal(byte[] unsigned) throws GeneralSecurityException {
+  public byte[] appendSignature(byte[] unsigned) throws GeneralSecurityException {
     byte[] signature = sign(unsigned);
     byte[] datagram = Arrays.copyOf(unsigned, unsigned.length + signature.length);
     System.arraycopy(signature, 0, datagram, unsigned.length, signature.length);
@@ -218,7 +218,7 @@
   }
 
   /** Whether a certificate has been revoked. */
-  public boolean revoked(X509Certificate candidate) {
+  public boolean isRevoked(X509Certificate candidate) {
     return revokedSerials.contains(serial(candidate));
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -76,7 +76,7 @@
             .map(issuer -> new Peer(issuer.name(), PackedAddress.pack(issuer.address()), 0))
             .toList();
     LocalMember self =
-        new LocalMember(name, configuration.place(), issuers, configuration.quorum(), seal());
+        new LocalMember(name, configuration.place(), issuers, configuration.quorum(), signatureScheme());
     dissemination =
         new RevisionDissemination(self, new SplittableRandom(seed), sender, this, loop.now());
   }
@@ -98,7 +98,7 @@
   }
 
   /** Signs and proves votes by the certificates that were read last. */
-  public SignatureScheme seal() {
+  public SignatureScheme signatureScheme() {
     return new SignatureScheme() {
       @Override
       public byte[] sign(byte[] chain) {
@@ -118,7 +118,7 @@
   }
 
   /** This instance is an issuer, with that consensus node; to be called before it starts. */
-  public void join(ConsensusNode node) {
+  public void setConsensusNode(ConsensusNode node) {
     consensusNode = node;
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
@@ -53,7 +53,7 @@
    * @throws IOException if a file can't be used, or no complete answer came
    * @throws GeneralSecurityException if the key can't be used
    */
-  public static String ask(
+  public static String fetchStatus(
       InetSocketAddress instance,
       String clusterName,
       Path keyFile,
@@ -77,10 +77,10 @@
     } catch (ConfigException e) {
       throw new IOException(e.getMessage(), e);
     }
-    return new StatusClient(instance, clusterName, identity).ask();
+    return new StatusClient(instance, clusterName, identity).fetchStatus();
   }
 
-  private String ask() throws IOException, GeneralSecurityException {
+  private String fetchStatus() throws IOException, GeneralSecurityException {
     SortedMap<Integer, String> pages = new TreeMap<>();
     int count = 1;
     try (DatagramSocket socket = new DatagramSocket()) {
@@ -116,7 +116,7 @@
             WallClock.unixMillis(),
             Optional.of(identity.encodedCertificate()),
             0);
-    byte[] datagram = identity.seal(GossipCodec.encode(envelope, request));
+    byte[] datagram = identity.appendSignature(GossipCodec.encode(envelope, request));
     socket.send(new DatagramPacket(datagram, datagram.length, instance));
   }
 
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -71,10 +71,10 @@
               identity.name(),
               node.revisions().issuers(),
               new ConsensusEnvironment(
-                  node.revisions().seal(), store, node.revisions().dissemination(), node.gossip()),
+                  node.revisions().signatureScheme(), store, node.revisions().dissemination(), node.gossip()),
               new SplittableRandom(seed),
               loop.now());
-      node.revisions().join(consensus);
+      node.revisions().setConsensusNode(consensus);
     } catch (ConfigException | IOException e) {
       store.close();
       throw e;
--- a/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
@@ -95,7 +95,7 @@
                 Optional.ofNullable(signer.encodedCertificate()),
                 0),
             PING);
-    return signer.seal(unsigned);
+    return signer.appendSignature(unsigned);
   }
 
   @Test
@@ -152,8 +152,8 @@
     long lastValid = Instant.parse("2126-11-06T13:24:41Z").toEpochMilli();
     assertTrue(identity.trusts(second, lastValid));
     assertFalse(identity.trusts(second, lastValid + 1_000));
-    assertFalse(identity.revoked(certificate("gateway-1.crt")));
-    assertTrue(identity.revoked(second));
+    assertFalse(identity.isRevoked(certificate("gateway-1.crt")));
+    assertTrue(identity.isRevoked(second));
     assertEquals(
         NodeIdentity.serial(second) + "  # " + NodeIdentity.commonName(second) + "\n",
         GoldenResources.text("identity/revoked.txt"));
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -258,7 +258,7 @@
     thread.setDaemon(true);
     thread.start();
     String text =
-        StatusClient.ask(
+        StatusClient.fetchStatus(
             settings.listen(),
             "golden",
             folder.resolve("asker.key"),
--- a/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
+++ b/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
@@ -492,7 +492,7 @@
         NodeIdentity.certificate(Pem.read(KEYS.resolve("c2.crt"), "CERTIFICATE"));
     assertTrue(identity.trusts(own, time));
     assertTrue(identity.trusts(other, time));
-    assertFalse(identity.revoked(own));
-    assertTrue(identity.revoked(other));
+    assertFalse(identity.isRevoked(own));
+    assertTrue(identity.isRevoked(other));
   }
 }
--- a/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
+++ b/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
@@ -58,7 +58,7 @@
                 certified ? Optional.of(sender.encodedCertificate()) : Optional.empty(),
                 0),
             new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
-    return sender.seal(unsigned);
+    return sender.appendSignature(unsigned);
   }
 
   private VerifiedDatagram enter(long time, byte[] bytes) {
--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -200,7 +200,7 @@
                 new MembershipMessage.Ping(1, ""),
                 List.of(),
                 List.of()));
-    return id.seal(unsigned);
+    return id.appendSignature(unsigned);
   }
 
   @Test
@@ -284,7 +284,7 @@
                 0),
             new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
     signed[signed.length - 7] = 77; // the kind of its message
-    byte[] whole = id.seal(signed);
+    byte[] whole = id.appendSignature(signed);
     send(one.listen, whole);
     await(x -> refused(one, "NONSENSE") == 1);
     assertEquals(1, one.members());
--- a/tools/src/main/java/reachloom/tools/GossipTool.java
+++ b/tools/src/main/java/reachloom/tools/GossipTool.java
@@ -182,7 +182,7 @@
       throws ParseException, IOException, GeneralSecurityException {
     InetSocketAddress address = address(options);
     out.print(
-        StatusClient.ask(
+        StatusClient.fetchStatus(
             address,
             CommandLineTool.required(options, "cluster"),
             Path.of(CommandLineTool.required(options, "key")),
--- a/tools/src/test/java/reachloom/tools/RevisionToolTest.java
+++ b/tools/src/test/java/reachloom/tools/RevisionToolTest.java
@@ -51,7 +51,7 @@
     assertEquals(0, said.status(), said::toString);
     assertEquals("{\"changelog\": \"127.0.0.1:2\"}", all.document("g2", 2));
     String status =
-        StatusClient.ask(
+        StatusClient.fetchStatus(
             address(),
             "test",
             folder.resolve("g1.key"),
