--- a/gateway/src/main/java/reachloom/gossip/wire/DatagramEnvelope.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/DatagramEnvelope.java
@@ -3,15 +3,16 @@
 import java.util.Optional;
 
 /**
- * What a datagram tells beside its packet, so that it can be proved.
+ * The fields of a datagram, beside its packet, by which the receiver authenticates it.
  *
  * @param cluster {@link GossipCodec#clusterChecksum} of the cluster's name
- * @param sequenceNumber grows with each datagram of a sender, over restarts too; against replays
+ * @param sequenceNumber increases with each datagram of a sender, across restarts as well;
+ *     protects against replays
  * @param sentAtMillis the sender's time, in Unix milliseconds
- * @param certificate the sender's certificate (X.509, DER), brought along until the receiver is
- *     known to hold it
- * @param knownCertificate {@link GossipCodec#certificateChecksum} of the receiver's certificate as
- *     the sender holds it; 0 where it holds none
+ * @param certificate the sender's certificate (X.509, DER), included until the receiver is known
+ *     to hold it
+ * @param knownCertificate {@link GossipCodec#certificateChecksum} of the receiver's certificate
+ *     that the sender holds; 0 if it holds none
  */
 public record DatagramEnvelope(
     int cluster,
--- a/gateway/src/main/java/reachloom/gossip/wire/DatagramHeaderCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/DatagramHeaderCodec.java
@@ -7,22 +7,23 @@
 import reachloom.gossip.RejectionReason;
 
 /**
- * A datagram's header as bytes:
+ * Encodes and decodes the header of a datagram, which is big-endian:
  *
  * <pre>
  * header = "RG" version:1 flags:1 cluster:4 sender:text sequenceNumber:8 sentAtMillis:8 address:6
  *          incarnation:8 knownCertificate:4 [certificate: length:2 bytes]
  * </pre>
  *
- * <p>The certificate is there where the lowest bit of the flags is set. A version differs where old
- * readers can't go on; whatever can be skipped comes without one. No state, any thread.
+ * <p>The certificate is present if the lowest bit of the flags is set. The version changes only when
+ * older readers can't decode a datagram; additions that they can skip keep the version. Stateless
+ * and thread-safe.
  */
 final class DatagramHeaderCodec {
   private static final int MAGIC = 'R' << Byte.SIZE | 'G';
   private static final int VERSION = 1;
   private static final int FLAG_CERTIFICATE = 1;
 
-  /** Bytes of all fields but the sender's name and the certificate. */
+  /** Size in bytes of all fields except the sender's name and the certificate. */
   private static final int FIXED_BYTES =
       Short.BYTES
           + 1
@@ -34,19 +35,21 @@
           + Long.BYTES
           + Integer.BYTES;
 
-  /** Bytes of the shortest header: its sender's name has one byte. */
+  /** Size in bytes of the shortest header, in which the sender's name has one byte. */
   static final int MIN_BYTES = FIXED_BYTES + 2;
 
   private DatagramHeaderCodec() {}
 
-  /** Returns a header's bytes; {@code certificateBytes} is 0 where it brings no certificate. */
+  /**
+   * Returns the size of a header in bytes; {@code certificateBytes} is 0 for a header without
+   * certificate.
+   */
   static int size(String sender, int certificateBytes) {
     return FIXED_BYTES
         + WireFields.textSize(sender)
         + (certificateBytes > 0 ? Short.BYTES + certificateBytes : 0);
   }
 
-  /** Writes a header. */
   static void put(ByteBuffer out, DatagramEnvelope envelope, Packet packet) {
     Optional<byte[]> certificate = envelope.certificate();
     out.putShort((short) MAGIC).put((byte) VERSION);
@@ -62,7 +65,7 @@
   /**
    * Reads a header.
    *
-   * @throws RejectedDatagramException of {@link RejectionReason#FORM} or {@link
+   * @throws RejectedDatagramException with {@link RejectionReason#FORM} or {@link
    *     RejectionReason#VERSION}
    */
   static DatagramHeader read(ByteBuffer in) throws RejectedDatagramException {
--- a/gateway/src/main/java/reachloom/gossip/wire/EncodingTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/EncodingTransport.java
@@ -7,14 +7,14 @@
 import reachloom.peerreport.PeerReport;
 import reachloom.revision.RevisionMessage;
 
-/** A transport whose packets are encoded by {@link GossipCodec}: tells their sizes on the wire. */
+/** A transport whose packets {@link GossipCodec} encodes; it computes their sizes on the wire. */
 public abstract class EncodingTransport implements Transport {
-  /** Returns the name of the instance that sends. */
+  /** Returns the name of the sending instance. */
   protected abstract String sender();
 
   /**
-   * Returns the bytes of the certificate that a datagram to that member has to bring, 0 where the
-   * member is known to hold it.
+   * Returns the size in bytes of the certificate that a datagram to {@code receiver} has to include,
+   * 0 if the receiver is known to hold it.
    */
   protected abstract int certificateBytes(String receiver);
 
--- a/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
@@ -17,7 +17,8 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * Datagrams of gossip as bytes, big-endian, at most {@link #MAX_DATAGRAM_BYTES} of them:
+ * Encodes and decodes gossip datagrams, which are big-endian and at most {@link
+ * #MAX_DATAGRAM_BYTES} long:
  *
  * <pre>
  * datagram = header section* signature:64
@@ -25,10 +26,10 @@
  * text     = length:1 UTF-8
  * </pre>
  *
- * <p>The header is {@link DatagramHeaderCodec}'s, the sections those of {@link SectionKind}:
- * sections of a kind that is not known are skipped. The signature is over all that stands before
- * it; it is made and verified elsewhere. What is too long for a datagram is the caller's to avoid,
- * by the sizes given here. No state, any thread.
+ * <p>{@link DatagramHeaderCodec} documents the header, {@link SectionKind} the kinds of sections;
+ * sections of an unknown kind are skipped. The signature covers all bytes before it; callers sign
+ * and verify. Callers also keep each datagram within the limit, by means of the sizes computed here.
+ * Stateless and thread-safe.
  */
 public final class GossipCodec {
   /** The largest datagram, in bytes, without the headers of IP and UDP. */
@@ -42,8 +43,8 @@
 
   private static final int SECTION_HEADER_BYTES = 1 + Short.BYTES;
 
-  /** Sections that each datagram has, empty ones too: message, membership updates, peer reports. */
-  private static final int SECTIONS_IN_EACH = 3;
+  /** Sections that every datagram has, even if empty: message, membership updates, peer reports. */
+  private static final int MANDATORY_SECTIONS = 3;
 
   private GossipCodec() {}
 
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Returns the checksum that stands for an encoded certificate, never 0: a member tells by it
-   * which certificate of its peer it holds, so that no other need be sent again.
+   * Returns the checksum that identifies an encoded certificate, never 0. A member reports by it
+   * which certificate of its peer it holds, so that the peer does not send that certificate again.
    */
   public static int certificateChecksum(byte[] certificate) {
     return checksum(certificate) | 1;
@@ -66,59 +67,62 @@
     return (int) sum.getValue();
   }
 
-  // ---- Fields, for the codec of revision messages ----
+  // ---- Fields of revision messages ----
 
-  static int text(String text) {
+  static int textSize(String text) {
     return WireFields.textSize(text);
   }
 
-  static void put(ByteBuffer out, String text) {
+  static void putText(ByteBuffer out, String text) {
     WireFields.putText(out, text);
   }
 
-  static String text(ByteBuffer in) {
+  static String readText(ByteBuffer in) {
     return WireFields.readText(in);
   }
 
-  static String name(ByteBuffer in) {
+  static String readName(ByteBuffer in) {
     return WireFields.readName(in);
   }
 
-  static ByteBuffer take(ByteBuffer in, int length) {
+  static ByteBuffer slice(ByteBuffer in, int length) {
     return WireFields.slice(in, length);
   }
 
   // ---- Sizes ----
 
   /**
-   * Returns the bytes on the wire of a datagram with that message and nothing piggybacked, headers
-   * of IP and UDP and the signature included; {@code certificateBytes} is the length of the
-   * certificate brought along, 0 for none.
+   * Returns the size in bytes of a datagram with that message and nothing piggybacked, including IP
+   * and UDP headers and the signature; {@code certificateBytes} is the length of the included
+   * certificate, 0 for none.
    */
   public static int datagramSize(String sender, MembershipMessage message, int certificateBytes) {
     return UDP_HEADER_BYTES
         + DatagramHeaderCodec.size(sender, certificateBytes)
-        + SECTIONS_IN_EACH * SECTION_HEADER_BYTES
+        + MANDATORY_SECTIONS * SECTION_HEADER_BYTES
         + MembershipMessageCodec.size(message)
         + SIGNATURE_BYTES;
   }
 
-  /** Returns the bytes that one membership update adds to a datagram. */
+  /** Returns the number of bytes that one membership update adds to a datagram. */
   public static int updateSize(MembershipUpdate update) {
     return MembershipUpdateCodec.size(update);
   }
 
-  /** Returns the bytes that one peer report adds to a datagram. */
+  /** Returns the number of bytes that one peer report adds to a datagram. */
   public static int peerReportSize(PeerReport report) {
     return PeerReportCodec.size(report);
   }
 
-  /** Returns the bytes that one more revision message adds to a datagram that has some. */
+  /** Returns the number of bytes that one more revision message adds to a datagram with some. */
   public static int revisionMessageSize(RevisionMessage message) {
     return RevisionMessageCodec.size(message);
   }
 
-  /** Returns the bytes that a place (0 for none) and revision messages add to a datagram. */
+  /**
+   * Returns the number of bytes that a place (0 for none) and revision messages add to a datagram,
+   * including the headers of their sections.
+   */
   public static int piggybackSize(int place, List<RevisionMessage> messages) {
     int placeSize = place == 0 ? 0 : SECTION_HEADER_BYTES + Short.BYTES;
     int messagesSize =
@@ -130,7 +134,7 @@
 
   // ---- Encoding ----
 
-  /** Returns all of a datagram that is signed, which is all but its signature. */
+  /** Encodes the signed part of a datagram: all of its bytes except the signature. */
   public static byte[] encode(DatagramEnvelope envelope, Packet packet) {
     ByteBuffer out = ByteBuffer.allocate(2 * MAX_DATAGRAM_BYTES);
     DatagramHeaderCodec.put(out, envelope, packet);
@@ -167,10 +171,10 @@
   // ---- Decoding ----
 
   /**
-   * Reads the header of a datagram with its signature. Nothing of it is proved yet.
+   * Decodes the header of a complete datagram, signature included. No field is authenticated yet.
    *
-   * @throws RejectedDatagramException of {@link RejectionReason#FORM} or {@link
-   *     RejectionReason#VERSION} where it can't be read
+   * @throws RejectedDatagramException with {@link RejectionReason#FORM} or {@link
+   *     RejectionReason#VERSION} if the header can't be decoded
    */
   public static DatagramHeader decodeHeader(byte[] datagram) throws RejectedDatagramException {
     if (datagram.length > MAX_DATAGRAM_BYTES
@@ -182,10 +186,10 @@
   }
 
   /**
-   * Reads the sections of a datagram whose signature holds.
+   * Decodes the sections of a datagram whose signature has been verified.
    *
-   * @throws RejectedDatagramException of {@link RejectionReason#NONSENSE}, whoever signed it, where
-   *     they can't be read or hold no message
+   * @throws RejectedDatagramException with {@link RejectionReason#NONSENSE}, despite the valid
+   *     signature, if the sections can't be decoded or hold no message
    */
   public static Packet decodeContent(byte[] datagram, DatagramHeader header)
       throws RejectedDatagramException {
@@ -208,13 +212,13 @@
       Optional<SectionKind> kind = SectionKind.of(in.get());
       ByteBuffer section = WireFields.slice(in, Short.toUnsignedInt(in.getShort()));
       if (kind.isEmpty()) {
-        continue; // of a later version
+        continue; // a kind of a later version
       }
       switch (kind.get()) {
         case MESSAGE -> message = MembershipMessageCodec.read(section);
         case MEMBERSHIP_UPDATES -> updates.addAll(MembershipUpdateCodec.readAll(section));
         case PEER_REPORTS -> reports.addAll(PeerReportCodec.readAll(section));
-        case REVISION_MESSAGES -> revisionMessages.addAll(RevisionMessageCodec.words(section));
+        case REVISION_MESSAGES -> revisionMessages.addAll(RevisionMessageCodec.readAll(section));
         case PLACE -> place = Short.toUnsignedInt(section.getShort());
       }
     }
--- a/gateway/src/main/java/reachloom/gossip/wire/MembershipMessageCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/MembershipMessageCodec.java
@@ -13,19 +13,19 @@
 import reachloom.membership.MembershipMessage;
 
 /**
- * Membership messages as bytes: one of kind, then the fields of that kind. The table of {@link
- * Format}s holds each kind's number, size, writer and reader side by side; a new message is one
- * more line of it. No state, any thread.
+ * Encodes and decodes membership messages: one byte for the kind, then the fields of that kind. The
+ * table of {@link Format}s holds the number, size, writer and reader of each kind; a new message is
+ * one more entry. Stateless and thread-safe.
  */
 final class MembershipMessageCodec {
   private static final int KIND_BYTES = 1;
 
   /**
-   * How one kind of message stands on the wire.
+   * The wire format of one kind of message.
    *
-   * @param kind its number, which no other kind ever gets
+   * @param kind its number, which is never assigned to another kind
    * @param type its class
-   * @param fieldsSize bytes of its fields, the kind's own byte aside
+   * @param fieldsSize computes the size of its fields in bytes, without the byte for the kind
    * @param writer writes its fields
    * @param reader reads its fields
    */
@@ -122,12 +122,12 @@
 
   private MembershipMessageCodec() {}
 
-  /** Returns the bytes of a message, its kind included. */
+  /** Returns the size of a message in bytes, including its kind. */
   static int size(MembershipMessage message) {
     return BY_TYPE.get(message.getClass()).size(message);
   }
 
-  /** Writes a message behind its kind. */
+  /** Writes the kind of a message and then its fields. */
   static void put(ByteBuffer out, MembershipMessage message) {
     BY_TYPE.get(message.getClass()).put(out, message);
   }
@@ -135,8 +135,7 @@
   /**
    * Reads a message.
    *
-   * @throws RejectedDatagramException of {@link RejectionReason#NONSENSE} for a kind that is not
-   *     known
+   * @throws RejectedDatagramException with {@link RejectionReason#NONSENSE} for an unknown kind
    */
   static MembershipMessage read(ByteBuffer in) throws RejectedDatagramException {
     Format<?> format = BY_KIND.get((int) in.get());
@@ -190,7 +189,10 @@
         .put(text);
   }
 
-  /** Reads a page of status; it goes to a terminal, so only printable ASCII and line ends pass. */
+  /**
+   * Reads a page of status text. It is printed on a terminal, so characters other than printable
+   * ASCII and line feeds are replaced.
+   */
   private static MembershipMessage.StatusPage readStatusPage(ByteBuffer in) {
     int page = Short.toUnsignedInt(in.getShort());
     int pageCount = Short.toUnsignedInt(in.getShort());
--- a/gateway/src/main/java/reachloom/gossip/wire/MembershipUpdateCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/MembershipUpdateCodec.java
@@ -7,21 +7,21 @@
 import reachloom.membership.MembershipUpdate;
 
 /**
- * Membership updates as bytes:
+ * Encodes and decodes membership updates:
  *
  * <pre>
  * update = length:1 member:text address:6 incarnation:8 state:1 accuser:text [place:2]
  * </pre>
  *
- * <p>The place is left out where it is not known. Whatever follows the known fields of an update is
- * skipped, so that later versions may add to them. No state, any thread.
+ * <p>The place is omitted if it is unknown. Bytes after the known fields of an update are skipped,
+ * so that later versions may add fields. Stateless and thread-safe.
  */
 final class MembershipUpdateCodec {
   private static final MemberState[] STATES = MemberState.values();
 
   private MembershipUpdateCodec() {}
 
-  /** Returns the bytes of one update, its length byte included. */
+  /** Returns the size of one update in bytes, including its length byte. */
   static int size(MembershipUpdate update) {
     return 1
         + WireFields.textSize(update.member())
@@ -32,12 +32,11 @@
         + (update.place() == 0 ? 0 : Short.BYTES);
   }
 
-  /** Returns the bytes of several updates, one behind the other. */
+  /** Returns the total size of several updates in bytes. */
   static int size(List<MembershipUpdate> updates) {
     return updates.stream().mapToInt(MembershipUpdateCodec::size).sum();
   }
 
-  /** Writes one update. */
   static void put(ByteBuffer out, MembershipUpdate update) {
     out.put((byte) (size(update) - 1));
     WireFields.putText(out, update.member());
@@ -50,8 +49,8 @@
   }
 
   /**
-   * Reads updates up to the buffer's end. Those that this version can't use (a state that it does
-   * not know, no name, a negative incarnation) are left out.
+   * Reads updates up to the end of the buffer. Updates that this version can't use (an unknown
+   * state, an empty name, a negative incarnation) are omitted.
    */
   static List<MembershipUpdate> readAll(ByteBuffer in) {
     List<MembershipUpdate> updates = new ArrayList<>();
--- a/gateway/src/main/java/reachloom/gossip/wire/PeerReportCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/PeerReportCodec.java
@@ -6,14 +6,14 @@
 import reachloom.peerreport.PeerReport;
 
 /**
- * Peer reports of engines as bytes:
+ * Encodes and decodes peer reports of engines:
  *
  * <pre>
  * report = length:1 engine:text incarnation:8 served:2 failed:2 timedOut:2 ageMillis:4
  * </pre>
  *
- * <p>Counts and ages that don't fit are written as the largest that do. Whatever follows the known
- * fields is skipped. No state, any thread.
+ * <p>Counts and ages that exceed their fields are written as the largest value that fits. Bytes
+ * after the known fields are skipped. Stateless and thread-safe.
  */
 final class PeerReportCodec {
   private static final int MAX_COUNT = 0xffff;
@@ -21,12 +21,11 @@
 
   private PeerReportCodec() {}
 
-  /** Returns the bytes of one report, its length byte included. */
+  /** Returns the size of one report in bytes, including its length byte. */
   static int size(PeerReport report) {
     return 1 + WireFields.textSize(report.engine()) + Long.BYTES + 3 * Short.BYTES + Integer.BYTES;
   }
 
-  /** Writes one report. */
   static void put(ByteBuffer out, PeerReport report) {
     out.put((byte) (size(report) - 1));
     WireFields.putText(out, report.engine());
@@ -41,7 +40,7 @@
     return (short) Math.min(MAX_COUNT, value);
   }
 
-  /** Reads reports up to the buffer's end. */
+  /** Reads reports up to the end of the buffer. */
   static List<PeerReport> readAll(ByteBuffer in) {
     List<PeerReport> reports = new ArrayList<>();
     while (in.hasRemaining()) {
--- a/gateway/src/main/java/reachloom/gossip/wire/RejectedDatagramException.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RejectedDatagramException.java
@@ -3,14 +3,14 @@
 import reachloom.gossip.RejectionReason;
 
 /**
- * A datagram that is not accepted, with the reason as it is counted. Thrown for each bad datagram
- * of a flood, it carries no stack trace.
+ * Thrown when a datagram is rejected, with the reason under which the rejection is counted. It
+ * carries no stack trace, since it is thrown for each invalid datagram of a flood.
  */
 public final class RejectedDatagramException extends Exception {
   private static final long serialVersionUID = 1L;
   private final transient RejectionReason reason;
 
-  /** Creates an exception with that reason, which is also its message. */
+  /** Creates an exception whose message is the name of the reason. */
   public RejectedDatagramException(RejectionReason reason) {
     super(reason.name(), null, false, false);
     this.reason = reason;
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionFields.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionFields.java
@@ -9,15 +9,15 @@
 import reachloom.revision.Vote;
 
 /**
- * The fields that several revision messages have, as bytes; the form is at {@link
- * RevisionMessageCodec}. What can't be read throws {@link BufferUnderflowException}, as the rest of
- * a datagram does.
+ * Encodes and decodes the fields that several revision messages share, in the format that {@link
+ * RevisionMessageCodec} documents. Readers throw {@link BufferUnderflowException} for malformed
+ * fields, as for the rest of a datagram.
  */
 final class RevisionFields {
   private static final int FIXED_REVISION_BYTES =
       Long.BYTES + 2 * Revision.HASH_BYTES + Integer.BYTES + Long.BYTES;
 
-  /** As many as there may be issuers. */
+  /** The largest number of issuers. */
   private static final int MAX_VOTES = 9;
 
   private RevisionFields() {}
@@ -25,11 +25,11 @@
   // ---- Sizes ----
 
   static int size(Revision revision) {
-    return FIXED_REVISION_BYTES + GossipCodec.text(revision.issuer());
+    return FIXED_REVISION_BYTES + GossipCodec.textSize(revision.issuer());
   }
 
   static int size(Vote vote) {
-    return GossipCodec.text(vote.issuer()) + 1 + vote.signature().length;
+    return GossipCodec.textSize(vote.issuer()) + 1 + vote.signature().length;
   }
 
   static int size(List<Vote> votes) {
@@ -37,7 +37,7 @@
   }
 
   static int size(Ballot ballot) {
-    return Long.BYTES + GossipCodec.text(ballot.issuer());
+    return Long.BYTES + GossipCodec.textSize(ballot.issuer());
   }
 
   // ---- Writing ----
@@ -48,11 +48,11 @@
         .put(revision.digest())
         .putInt(revision.size())
         .putLong(revision.issuedAt());
-    GossipCodec.put(out, revision.issuer());
+    GossipCodec.putText(out, revision.issuer());
   }
 
   static void write(ByteBuffer out, Vote vote) {
-    GossipCodec.put(out, vote.issuer());
+    GossipCodec.putText(out, vote.issuer());
     out.put((byte) vote.signature().length).put(vote.signature());
   }
 
@@ -63,12 +63,12 @@
 
   static void write(ByteBuffer out, Ballot ballot) {
     out.putLong(ballot.round());
-    GossipCodec.put(out, ballot.issuer());
+    GossipCodec.putText(out, ballot.issuer());
   }
 
   // ---- Reading ----
 
-  /** A number of a revision or of a round: never negative. */
+  /** Reads the number of a revision or of a round, which is never negative. */
   static long readNumber(ByteBuffer in) {
     long number = in.getLong();
     if (number < 0) {
@@ -102,7 +102,7 @@
             readBytes(in, Revision.HASH_BYTES),
             in.getInt(),
             in.getLong(),
-            GossipCodec.name(in));
+            GossipCodec.readName(in));
     if (revision.size() < 0 || revision.size() > Revision.MAX_DOCUMENT_BYTES) {
       throw new BufferUnderflowException();
     }
@@ -110,7 +110,7 @@
   }
 
   static Vote readVote(ByteBuffer in) {
-    return new Vote(GossipCodec.name(in), readBytes(in, readUnsignedByte(in)));
+    return new Vote(GossipCodec.readName(in), readBytes(in, readUnsignedByte(in)));
   }
 
   static List<Vote> readVotes(ByteBuffer in) {
@@ -126,11 +126,11 @@
   }
 
   static Ballot readBallot(ByteBuffer in) {
-    return new Ballot(readNumber(in), GossipCodec.name(in));
+    return new Ballot(readNumber(in), GossipCodec.readName(in));
   }
 
-  /** A text for operators: printable ASCII, whatever came. */
+  /** Reads a text for operators; characters other than printable ASCII are replaced. */
   static String readPrintable(ByteBuffer in) {
-    return GossipCodec.text(in).replaceAll("[^\\x20-\\x7e]", "?");
+    return GossipCodec.readText(in).replaceAll("[^\\x20-\\x7e]", "?");
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageCodec.java
@@ -8,17 +8,18 @@
 import reachloom.revision.RevisionMessage;
 
 /**
- * Revision messages as bytes, big-endian:
+ * Encodes and decodes revision messages, which are big-endian:
  *
  * <pre>
- * messages = (length:2 kind:1 bytes)*       unknown kinds, and what follows the known fields, are skipped
+ * messages = (length:2 kind:1 bytes)*
  * revision = number:8 previous:32 digest:32 size:4 issuedAt:8 issuer:text
  * ballot   = round:8 issuer:text
  * vote     = issuer:text length:1 signature
  * </pre>
  *
- * <p>To add a message, give it the next kind here, in {@link RevisionMessageWriter}, and in {@link
- * #size}. Stateless.
+ * <p>Messages of unknown kinds, and bytes after the known fields of a message, are skipped. A new
+ * message gets the next kind here, a method in {@link RevisionMessageWriter} and a case in {@link
+ * #size}. Stateless and thread-safe.
  */
 final class RevisionMessageCodec {
   static final byte HAVE = 1;
@@ -35,12 +36,12 @@
 
   private static final int HEADER_BYTES = Short.BYTES + 1;
 
-  /** Names in a {@link RevisionMessage.Census}. */
-  private static final int MAX_LACKING = 32;
+  /** The largest number of names in a {@link RevisionMessage.Census}. */
+  private static final int MAX_LACKING_NAMES = 32;
 
   private RevisionMessageCodec() {}
 
-  /** Bytes of one message, with its length and kind. */
+  /** Returns the size of one message in bytes, including its length and kind. */
   static int size(RevisionMessage message) {
     return HEADER_BYTES + bodySize(message);
   }
@@ -55,9 +56,9 @@
     } else if (message instanceof RevisionMessage.Piece piece) {
       return 2 * Long.BYTES + 3 * Short.BYTES + piece.bytes().length;
     } else if (message instanceof RevisionMessage.Acknowledgement acknowledgement) {
-      return 2 * Long.BYTES + GossipCodec.text(acknowledgement.refusal());
+      return 2 * Long.BYTES + GossipCodec.textSize(acknowledgement.refusal());
     } else if (message instanceof RevisionMessage.Census census) {
-      int names = census.lacking().stream().mapToInt(GossipCodec::text).sum();
+      int names = census.lacking().stream().mapToInt(GossipCodec::textSize).sum();
       return 4 * Short.BYTES + Long.BYTES + Integer.BYTES + 1 + names;
     } else if (message instanceof RevisionMessage.Prepare prepare) {
       return RevisionFields.size(prepare.ballot()) + Long.BYTES;
@@ -76,24 +77,24 @@
     } else if (message instanceof RevisionMessage.Rejected rejected) {
       return RevisionFields.size(rejected.ballot()) + RevisionFields.size(rejected.promised());
     }
-    throw new IllegalArgumentException("a message without a form: " + message);
+    throw new IllegalArgumentException("revision message without a wire format: " + message);
   }
 
-  /** Writes one message, with its length and kind. */
+  /** Writes one message, preceded by its length and kind. */
   static void put(ByteBuffer out, RevisionMessage message) {
     out.putShort((short) (size(message) - Short.BYTES));
     message.dispatch(new RevisionMessageWriter(out));
   }
 
   /**
-   * Reads all messages that are left; those of unknown kinds are left out.
+   * Reads all remaining messages; those of unknown kinds are skipped.
    *
-   * @throws BufferUnderflowException where one is malformed, as for the rest of a datagram
+   * @throws BufferUnderflowException if a message is malformed, as for the rest of a datagram
    */
-  static List<RevisionMessage> words(ByteBuffer in) {
+  static List<RevisionMessage> readAll(ByteBuffer in) {
     List<RevisionMessage> messages = new ArrayList<>();
     while (in.hasRemaining()) {
-      read(GossipCodec.take(in, RevisionFields.readUnsignedShort(in))).ifPresent(messages::add);
+      read(GossipCodec.slice(in, RevisionFields.readUnsignedShort(in))).ifPresent(messages::add);
     }
     return messages;
   }
@@ -134,7 +135,7 @@
           case REJECTED ->
               new RevisionMessage.Rejected(
                   RevisionFields.readBallot(in), RevisionFields.readBallot(in));
-          default -> null; // of a later version
+          default -> null; // a kind of a later version
         });
   }
 
@@ -163,12 +164,12 @@
     int refused = RevisionFields.readUnsignedShort(in);
     long longestMillis = Integer.toUnsignedLong(in.getInt());
     int count = RevisionFields.readUnsignedByte(in);
-    if (count > MAX_LACKING) {
+    if (count > MAX_LACKING_NAMES) {
       throw new BufferUnderflowException();
     }
     List<String> lacking = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      lacking.add(GossipCodec.name(in));
+      lacking.add(GossipCodec.readName(in));
     }
     return new RevisionMessage.Census(
         place, number, members, inForce, refused, lacking, longestMillis);
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import reachloom.revision.RevisionMessage;
 
-/** Writes the kind and the fields of one message; the form is at {@link RevisionMessageCodec}. */
+/** Writes the kind and fields of one message in the format of {@link RevisionMessageCodec}. */
 final class RevisionMessageWriter implements RevisionMessage.Handler {
   private final ByteBuffer out;
 
@@ -49,7 +49,7 @@
   @Override
   public void onAcknowledgement(RevisionMessage.Acknowledgement message) {
     out.put(RevisionMessageCodec.ACKNOWLEDGEMENT).putLong(message.number()).putLong(message.mark());
-    GossipCodec.put(out, message.refusal());
+    GossipCodec.putText(out, message.refusal());
   }
 
   @Override
@@ -62,7 +62,7 @@
         .putShort((short) message.refused())
         .putInt((int) Math.min(Integer.MAX_VALUE, message.longest()))
         .put((byte) message.lacking().size());
-    message.lacking().forEach(name -> GossipCodec.put(out, name));
+    message.lacking().forEach(name -> GossipCodec.putText(out, name));
   }
 
   @Override
--- a/gateway/src/main/java/reachloom/gossip/wire/SectionKind.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/SectionKind.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** What a section of a datagram holds; the number that stands for it on the wire never changes. */
+/** The kinds of sections in a datagram. The number of a kind on the wire never changes. */
 enum SectionKind {
-  /** The one {@link reachloom.membership.MembershipMessage} that a datagram is sent for. */
+  /** The {@link reachloom.membership.MembershipMessage}, exactly one in each datagram. */
   MESSAGE(1),
   /** Membership updates, piggybacked. */
   MEMBERSHIP_UPDATES(2),
   /** Peer reports of engines, piggybacked. */
   PEER_REPORTS(3),
-  /** Messages about revisions of the configuration, piggybacked; only where there are any. */
+  /** Messages about revisions of the configuration, piggybacked; absent if there are none. */
   REVISION_MESSAGES(4),
-  /** The sender's place: region and zone; only where it is known. */
+  /** The sender's place (region and zone); absent if it is unknown. */
   PLACE(5);
 
   private static final SectionKind[] KINDS = values();
@@ -23,12 +23,12 @@
     this.code = (byte) code;
   }
 
-  /** Returns the number that stands for this kind on the wire. */
+  /** Returns the number of this kind on the wire. */
   byte code() {
     return code;
   }
 
-  /** Returns the kind of that number, or empty for one of a later version. */
+  /** Returns the kind with that number, or empty for a kind of a later version. */
   static Optional<SectionKind> of(byte code) {
     for (SectionKind kind : KINDS) {
       if (kind.code == code) {
--- a/gateway/src/main/java/reachloom/gossip/wire/WireFields.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/WireFields.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The fields that every part of a datagram is made of: texts, names, socket addresses and slices,
- * all big-endian.
+ * Reads and writes the basic fields of datagrams: texts, names, socket addresses and slices, all
+ * big-endian.
  *
- * <p>Readers throw {@link BufferUnderflowException} for whatever can't be read, be it torn or not
- * allowed; {@link GossipCodec} turns that into a reason for rejection. No state, any thread.
+ * <p>Readers throw {@link BufferUnderflowException} for fields that are truncated or invalid; {@link
+ * GossipCodec} turns that into a rejection reason. Stateless and thread-safe.
  */
 final class WireFields {
   /** Longest name of a member, an engine or an issuer, in bytes. */
@@ -20,18 +20,18 @@
 
   private WireFields() {}
 
-  /** Returns the bytes that {@link #putText} writes: one of length, then UTF-8. */
+  /** Returns the number of bytes that {@link #putText} writes: one for the length, then UTF-8. */
   static int textSize(String text) {
     return 1 + text.getBytes(StandardCharsets.UTF_8).length;
   }
 
-  /** Writes a text of at most 255 bytes of UTF-8 behind its length. */
+  /** Writes the length of a text, which is at most 255 bytes of UTF-8, and then the text. */
   static void putText(ByteBuffer out, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     out.put((byte) bytes.length).put(bytes);
   }
 
-  /** Reads a text of at most 255 bytes; what it holds is not checked. */
+  /** Reads a text of at most 255 bytes; its characters are not checked. */
   static String readText(ByteBuffer in) {
     int length = Byte.toUnsignedInt(in.get());
     if (length > in.remaining()) {
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Reads a name, possibly empty. Names go into tables and log lines, so nothing but printable
-   * ASCII without blanks passes, and at most {@link #MAX_NAME_BYTES} of it.
+   * Reads a name, which may be empty. Names appear in tables and log lines, so only printable ASCII
+   * without spaces is accepted, and at most {@link #MAX_NAME_BYTES} of it.
    */
   static String readName(ByteBuffer in) {
     if (!in.hasRemaining() || Byte.toUnsignedInt(in.get(in.position())) > MAX_NAME_BYTES) {
@@ -62,13 +62,13 @@
     out.putShort((short) (address >>> Integer.SIZE)).putInt((int) address);
   }
 
-  /** Reads what {@link #putAddress} wrote. */
+  /** Reads an address in the form that {@link #putAddress} writes. */
   static long readAddress(ByteBuffer in) {
     long high = Short.toUnsignedLong(in.getShort());
     return high << Integer.SIZE | Integer.toUnsignedLong(in.getInt());
   }
 
-  /** Takes the next {@code length} bytes as a buffer of their own, and moves on behind them. */
+  /** Returns the next {@code length} bytes as a buffer of their own and advances past them. */
   static ByteBuffer slice(ByteBuffer in, int length) {
     if (length > in.remaining()) {
       throw new BufferUnderflowException();
--- a/gateway/src/main/java/reachloom/gossip/wire/package-info.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The wire format of gossip: pure codecs, bytes in and values out, one a family of messages. {@link
- * reachloom.gossip.wire.GossipCodec} is the one that others use.
+ * The wire format of gossip: stateless codecs, one for each family of messages. Other packages use
+ * {@link reachloom.gossip.wire.GossipCodec}.
  */
 package reachloom.gossip.wire;
--- a/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -206,7 +206,7 @@
   @Test
   void whatALaterVersionAddsIsSkipped() {
     List<RevisionMessage> read =
-        RevisionMessageCodec.words(ByteBuffer.wrap(stored("later-version")));
+        RevisionMessageCodec.readAll(ByteBuffer.wrap(stored("later-version")));
     assertEquals(2, read.size());
     RevisionMessage.Have have = assertInstanceOf(RevisionMessage.Have.class, read.get(0));
     assertEquals(7, have.inForce());
@@ -229,7 +229,7 @@
       })
   void whatCanNotBeOneIsRefused(String name) {
     ByteBuffer in = ByteBuffer.wrap(stored(name));
-    assertThrows(BufferUnderflowException.class, () -> RevisionMessageCodec.words(in));
+    assertThrows(BufferUnderflowException.class, () -> RevisionMessageCodec.readAll(in));
   }
 
   // ---- Fields that several messages have ----
@@ -267,7 +267,7 @@
   /** The one message that is stored there, after it was seen that it is encoded as it is stored. */
   private static <T extends RevisionMessage> T golden(String name, Class<T> type) {
     byte[] stored = stored(name);
-    List<RevisionMessage> read = RevisionMessageCodec.words(ByteBuffer.wrap(stored));
+    List<RevisionMessage> read = RevisionMessageCodec.readAll(ByteBuffer.wrap(stored));
     assertEquals(1, read.size());
     T message = assertInstanceOf(type, read.get(0));
     assertArrayEquals(stored, encoded(message));
