--- a/gateway/src/main/java/reachloom/gossip/net/CertificateCache.java
+++ b/gateway/src/main/java/reachloom/gossip/net/CertificateCache.java
@@ -8,22 +8,22 @@
 import reachloom.gossip.wire.GossipCodec;
 
 /**
- * Certificates of members that were proved, by name; the least recently used one goes where there
- * are too many. Used by the receiving thread and by the event loop, each under this object's lock.
+ * Caches the verified certificates of members by name and evicts the least recently used one when it
+ * is full. Thread-safe: the receiving thread and the event loop use it under this object's lock.
  */
 final class CertificateCache {
   private static final int MAX_CERTIFICATES = 2_048;
 
   private final Map<String, X509Certificate> certificates = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** Returns the certificate that is held of a member, or empty for none. */
+  /** Returns the cached certificate of a member, or empty if there is none. */
   synchronized Optional<X509Certificate> get(String member) {
     return Optional.ofNullable(certificates.get(member));
   }
 
   /**
-   * Returns the {@link GossipCodec#certificateChecksum} of the certificate that is held of a
-   * member, 0 for none: by it the member knows that it need not send its certificate again.
+   * Returns the {@link GossipCodec#certificateChecksum} of the cached certificate of a member, 0 if
+   * there is none. It tells the member whether to send its certificate again.
    */
   synchronized int checksum(String member) {
     X509Certificate certificate = certificates.get(member);
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Holds a member's certificate in place of the one before. */
+  /** Caches a member's certificate in place of its previous one. */
   synchronized void put(String member, X509Certificate certificate) {
     if (certificates.size() >= MAX_CERTIFICATES) {
       certificates.remove(certificates.keySet().iterator().next());
@@ -42,7 +42,7 @@
     certificates.put(member, certificate);
   }
 
-  /** Forgets all certificates. */
+  /** Removes all certificates. */
   synchronized void clear() {
     certificates.clear();
   }
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
@@ -17,32 +17,32 @@
 import reachloom.gossip.wire.GossipCodec;
 
 /**
- * The UDP socket of gossip, with two daemon threads of its own: one receives datagrams and has them
- * verified, the other signs and sends. Verified datagrams are handed on by the receiving thread; a
- * flood costs these threads alone, and no more than the rate limiter lets through.
+ * The UDP socket of gossip, with two daemon threads: one receives datagrams, has them verified and
+ * passes the verified ones on; the other signs and sends. A flood takes time of these threads only,
+ * and no more than the rate limiter admits.
  *
- * <p>Methods may be called from any thread. Not on Apache MINA, which keeps a session for each
- * remote address that a datagram names: with forged addresses, that is memory for whoever sends.
+ * <p>Thread-safe. It does not use Apache MINA, which keeps a session for each remote address that a
+ * datagram names: forged source addresses would let a sender exhaust the memory.
  */
 final class DatagramTransport implements AutoCloseable {
   private static final Logger LOG = System.getLogger(DatagramTransport.class.getName());
 
-  /** Datagrams that wait to be signed; more are dropped. */
-  private static final int MAX_QUEUED = 256;
+  /** The largest number of datagrams that wait to be signed; further ones are dropped. */
+  private static final int MAX_QUEUED_DATAGRAMS = 256;
 
   private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
 
-  /** A datagram that waits for its signature. */
+  /** A datagram that is queued to be signed and sent. */
   private record Outgoing(long address, byte[] unsigned) {}
 
-  /** Ends the sending thread. */
+  /** Queued last: ends the sending thread. */
   private static final Outgoing END = new Outgoing(0, new byte[0]);
 
   private final DatagramChannel channel;
   private final DatagramVerifier verifier;
   private final LongSupplier clockNanos;
   private final Consumer<VerifiedDatagram> receiver;
-  private final ArrayBlockingQueue<Outgoing> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
+  private final ArrayBlockingQueue<Outgoing> queue = new ArrayBlockingQueue<>(MAX_QUEUED_DATAGRAMS);
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicLong sent = new AtomicLong();
   private final AtomicLong sentBytes = new AtomicLong();
@@ -55,10 +55,10 @@
    * Binds the socket and starts both threads.
    *
    * @param listen the address to bind
-   * @param verifier verifies what is received, on the receiving thread
-   * @param identity signs what is sent
-   * @param clockNanos this process's time, read on the receiving thread
-   * @param receiver is handed each verified datagram, on the receiving thread
+   * @param verifier verifies received datagrams, on the receiving thread
+   * @param identity signs the datagrams to be sent
+   * @param clockNanos the time of this process, read on the receiving thread
+   * @param receiver receives each verified datagram, on the receiving thread
    * @throws IOException if the address can't be bound
    */
   DatagramTransport(
@@ -94,30 +94,33 @@
     return thread;
   }
 
-  /** Signs by another key from now on. */
+  /** Replaces the identity that signs datagrams. */
   void setIdentity(NodeIdentity next) {
     identity = next;
   }
 
-  /** Signs and sends, in the order given; dropped, and counted, where too much waits. */
+  /**
+   * Queues a datagram to be signed and sent in the order of the calls. If the queue is full, the
+   * datagram is dropped and counted.
+   */
   void send(long address, byte[] unsigned) {
     if (!queue.offer(new Outgoing(address, unsigned))) {
       dropped.incrementAndGet();
     }
   }
 
-  /** Returns what went through the socket so far. */
+  /** Returns the traffic of the socket so far. */
   GossipNode.Traffic traffic() {
     return new GossipNode.Traffic(sent.get(), sentBytes.get(), received.get(), receivedBytes.get());
   }
 
-  /** Returns how many datagrams were not sent since too many waited. */
+  /** Returns the number of datagrams that were dropped because the queue was full. */
   long dropped() {
     return dropped.get();
   }
 
   private void receiveAll() {
-    // One byte more than is allowed shows what is too large.
+    // One extra byte shows whether a datagram exceeds the limit.
     ByteBuffer buffer = ByteBuffer.allocateDirect(GossipCodec.MAX_DATAGRAM_BYTES + 1);
     while (channel.isOpen()) {
       try {
@@ -166,7 +169,7 @@
     sentBytes.addAndGet(datagram.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
-  /** Closes the socket once what waits has been sent; where too much waits, at once. */
+  /** Closes the socket after all queued datagrams have been sent, or at once if the queue is full. */
   @Override
   public void close() {
     if (!queue.offer(END)) {
@@ -174,17 +177,17 @@
     }
   }
 
-  /** Closes the socket at once, as the end of the process would. */
+  /** Closes the socket at once and discards queued datagrams, as the end of the process would. */
   void abandon() {
     queue.clear();
     closeChannel();
-    queue.offer(END); // ends the thread that waits for something to sign
+    queue.offer(END); // ends the sending thread, which waits for a datagram
   }
 
   /**
    * Waits until both threads have ended and the address is free again.
    *
-   * @param millis the longest wait, for each of the two
+   * @param millis the longest wait for each of the two threads, in milliseconds
    */
   void awaitClosed(long millis) throws InterruptedException {
     for (Thread thread : threads) {
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -16,12 +16,12 @@
 import reachloom.time.WallClock;
 
 /**
- * Accepts datagrams whose sender is proved, or rejects them and counts why. Checks go by their
- * cost: form, cluster, freshness and rate first, then the certificate, then the signature, and only
- * then the content.
+ * Accepts datagrams whose sender is authenticated, rejects all others and counts the rejections by
+ * reason. Checks run in the order of their cost: form, cluster, freshness and rate first, then the
+ * certificate, then the signature, and last the content.
  *
- * <p>{@link #verify} is the receiving thread's. The event loop reads counts and certificates'
- * checksums, and hands in identity and members; what both use is locked or volatile.
+ * <p>{@link #verify} runs on the receiving thread. The event loop reads counts and certificate
+ * checksums, and sets the identity and the member addresses; shared state is locked or volatile.
  */
 final class DatagramVerifier {
   private static final long NANOS_PER_MILLISECOND = 1_000_000;
@@ -33,24 +33,24 @@
   private volatile NodeIdentity identity;
   private volatile Set<Long> memberAddresses = Set.of();
 
-  /** Creates a verifier for an instance that passes no revisions on, by this machine's clock. */
+  /** Creates a verifier that uses this machine's wall clock and expects no revision messages. */
   DatagramVerifier(String clusterName, NodeIdentity identity, long periodNanos) {
     this(clusterName, identity, periodNanos, false);
   }
 
   /**
-   * Creates a verifier by this machine's wall clock.
+   * Creates a verifier that uses this machine's wall clock.
    *
    * @param clusterName datagrams of other clusters are rejected
-   * @param identity whom this instance trusts
-   * @param periodNanos period of gossip; members may send more where it is short
-   * @param revisions whether members pass revisions of the configuration on as well
+   * @param identity the authorities that this instance trusts, and the revoked certificates
+   * @param periodNanos the gossip period; a shorter period lets members send more
+   * @param revisions whether members also forward revisions of the configuration
    */
   DatagramVerifier(String clusterName, NodeIdentity identity, long periodNanos, boolean revisions) {
     this(clusterName, identity, periodNanos, revisions, WallClock::unixNanos);
   }
 
-  /** The same with a wall clock handed in, in Unix nanoseconds. */
+  /** Creates a verifier with the given wall clock, in Unix nanoseconds. */
   DatagramVerifier(
       String clusterName,
       NodeIdentity identity,
@@ -63,23 +63,23 @@
     this.identity = identity;
   }
 
-  /** Replaces keys, authorities and revocations: whoever is known has to pass them again. */
+  /** Replaces keys, authorities and revocations; every member's certificate is verified again. */
   void setIdentity(NodeIdentity next) {
     identity = next;
     certificates.clear();
   }
 
-  /** Replaces the addresses that members are known to send from, packed. */
+  /** Replaces the packed addresses that members are known to send from. */
   void setMemberAddresses(Set<Long> addresses) {
     memberAddresses = addresses;
   }
 
-  /** Returns the checksum of a member's certificate as held here, 0 for none. */
+  /** Returns the checksum of a member's cached certificate, 0 if there is none. */
   int knownCertificate(String member) {
     return certificates.checksum(member);
   }
 
-  /** Returns how many datagrams were rejected so far, by reason; reasons without any are absent. */
+  /** Returns the number of rejected datagrams so far by reason; reasons without any are absent. */
   Map<RejectionReason, Long> rejections() {
     synchronized (rateLimiter) {
       return rateLimiter.rejections();
@@ -89,10 +89,10 @@
   /**
    * Verifies a datagram.
    *
-   * @param nowNanos this process's own time; certificates are valid by the wall clock
-   * @param source the packed address that it came from
-   * @param datagram all of its bytes
-   * @return what it holds, or empty where it was rejected, which is counted
+   * @param nowNanos the time of this process; certificates are checked against the wall clock
+   * @param source the packed source address of the datagram
+   * @param datagram the complete datagram
+   * @return the verified datagram, or empty if it was rejected, which is counted
    */
   Optional<VerifiedDatagram> verify(long nowNanos, long source, byte[] datagram) {
     synchronized (rateLimiter) {
@@ -118,14 +118,14 @@
     if (!admitted(nowNanos, wallClock, source, header, known.isPresent())) {
       return Optional.empty();
     }
-    boolean unchanged = known.isPresent() && brings(known.get(), envelope.certificate());
+    boolean unchanged = known.isPresent() && isSameOrAbsent(known.get(), envelope.certificate());
     long wallClockMillis = wallClock / NANOS_PER_MILLISECOND;
     X509Certificate certificate =
         unchanged ? known.get() : trustedCertificate(header, wallClockMillis);
     checkUsable(certificate, wallClockMillis);
     checkSignature(certificate, datagram);
     if (!rateLimiter.acceptSequenceNumber(sender, envelope.sequenceNumber())) {
-      return Optional.empty(); // a replay, counted
+      return Optional.empty(); // a replay, counted by the rate limiter
     }
     if (!unchanged) {
       certificates.put(sender, certificate);
@@ -138,7 +138,7 @@
             envelope.sentAtMillis()));
   }
 
-  /** Whether the cheap checks let it pass; one that doesn't is counted. */
+  /** Whether the rate limiter admits a datagram before its signature is verified; counts rejections. */
   private boolean admitted(
       long nowNanos, long wallClockNow, long source, DatagramHeader header, boolean known) {
     DatagramEnvelope envelope = header.envelope();
@@ -154,16 +154,16 @@
     return rateLimiter.admit(nowNanos, wallClockNow, arrival).isEmpty();
   }
 
-  /** Whether a datagram brings no other certificate than the one that is held. */
-  private static boolean brings(X509Certificate known, Optional<byte[]> brought) {
+  /** Whether a datagram has either no certificate or the cached one. */
+  private static boolean isSameOrAbsent(X509Certificate known, Optional<byte[]> received) {
     try {
-      return brought.isEmpty() || Arrays.equals(known.getEncoded(), brought.get());
+      return received.isEmpty() || Arrays.equals(known.getEncoded(), received.get());
     } catch (GeneralSecurityException e) {
       return false;
     }
   }
 
-  /** Reads the certificate that a datagram brings; an authority has to vouch for it. */
+  /** Decodes the certificate in a datagram and checks that a trusted authority issued it to the sender. */
   private X509Certificate trustedCertificate(DatagramHeader header, long wallClockMillis)
       throws RejectedDatagramException {
     byte[] encoded =
@@ -178,7 +178,7 @@
         return certificate;
       }
     } catch (GeneralSecurityException e) {
-      // can't be read: rejected below
+      // not a certificate: rejected below
     }
     throw new RejectedDatagramException(RejectionReason.CERTIFICATE);
   }
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -25,16 +25,18 @@
 import reachloom.time.WallClock;
 
 /**
- * This instance among the others: ties {@link GossipProtocol} to the event loop's timers, to the
- * socket and to the gateway, whose outcomes it hears as an {@link EngineOutcomeListener}.
+ * Runs gossip in this instance: connects {@link GossipProtocol} to the timers of the event loop, to
+ * the socket and to the gateway, whose attempt outcomes it receives as an {@link
+ * EngineOutcomeListener}.
  *
- * <p>Confined to the event loop's thread, but for {@link #traffic} and {@link #awaitClosed}. The
- * socket's own threads are {@link DatagramTransport}'s; what they verify is posted to the loop.
+ * <p>Confined to the event loop's thread, except {@link #traffic} and {@link #awaitClosed}. {@link
+ * DatagramTransport} has threads of its own; the datagrams that they verify are posted to the event
+ * loop.
  */
 public final class GossipNode implements EngineOutcomeListener {
   private static final Logger LOG = System.getLogger(GossipNode.class.getName());
 
-  /** What went through the socket so far; bytes count what IP and UDP add. */
+  /** Datagrams and bytes that the socket sent and received; bytes include IP and UDP headers. */
   public record Traffic(long sent, long sentBytes, long received, long receivedBytes) {}
 
   private final EventLoop loop;
@@ -46,13 +48,16 @@
   private final StatusResponder statusResponder;
   private final Set<String> engines = new LinkedHashSet<>();
 
-  /** Empty where the settings give the instance no part in spreading the configuration. */
+  /** Empty if the settings have no configuration to distribute. */
   private final Optional<RevisionService> revisions;
 
   private NodeIdentity identity;
   private boolean stopped;
 
-  /** Creates an instance that hears of revisions, where the settings say so, but applies none. */
+  /**
+   * Creates an instance that takes part in distributing revisions, if the settings say so, but
+   * applies none.
+   */
   public GossipNode(
       EventLoop loop,
       GossipSettings settings,
@@ -66,12 +71,12 @@
   /**
    * Creates an instance and binds its socket; nothing is sent before {@link #start}.
    *
-   * @param loop runs the instance
+   * @param loop the event loop that runs the instance
    * @param settings addresses, files and limits
    * @param identity key, certificate and trusted authorities
-   * @param seed of the protocol's random draws
-   * @param peerReports is told, on the loop, how far peers report an engine as faulty: 0 not at all
-   *     to 1
+   * @param seed seed of the protocol's random numbers
+   * @param peerReports receives, on the event loop, the name of an engine and the degree to which
+   *     peers report it as faulty, from 0 (not at all) to 1
    * @param installer puts revisions of the configuration in force
    * @throws IOException if the socket can't be bound
    * @throws ConfigException if the issuers' certificates can't be used
@@ -165,8 +170,8 @@
   }
 
   /**
-   * Takes over keys, authorities, revocations and seeds read anew. Where they can't be used, or
-   * name another instance, those before stay in use and a warning is logged.
+   * Reloads keys, authorities, revocations and seeds. If they can't be used or name another
+   * instance, the previous ones stay in use and a warning is logged.
    */
   public void reload(GossipSettings next) {
     try {
@@ -190,12 +195,12 @@
     } catch (ConfigException e) {
       LOG.log(
           Level.WARNING,
-          "gossip settings not reloaded, those before stay in use: {0}",
+          "gossip settings not reloaded, the previous ones stay in use: {0}",
           e.getMessage());
     }
   }
 
-  /** Tells the others that this instance leaves, and closes the socket once that is sent. */
+  /** Announces to other members that this instance leaves, then closes the socket. */
   public void stop() {
     if (!stopped) {
       stopped = true;
@@ -204,43 +209,43 @@
     }
   }
 
-  /** Closes the socket and tells nobody, as the end of the process would. */
+  /** Closes the socket without an announcement, as the end of the process would. */
   public void abandon() {
     stopped = true;
     transport.abandon();
   }
 
   /**
-   * Waits until what {@link #stop} sends is out and the socket is closed; from any thread but the
-   * loop's.
+   * Waits until the datagrams that {@link #stop} queues are sent and the socket is closed. May be
+   * called from any thread except the event loop's.
    *
-   * @param millis half of the longest wait
+   * @param millis half of the longest wait, in milliseconds
    */
   public void awaitClosed(long millis) throws InterruptedException {
     transport.awaitClosed(millis);
   }
 
-  /** Returns what went through the socket so far; from any thread. */
+  /** Returns the traffic of the socket so far. May be called from any thread. */
   public Traffic traffic() {
     return transport.traffic();
   }
 
-  /** Returns the protocol that runs here. */
+  /** Returns the gossip protocol of this instance. */
   public GossipProtocol gossip() {
     return gossip;
   }
 
   /**
-   * Returns this instance's part in spreading the configuration.
+   * Returns the service that distributes revisions of the configuration.
    *
-   * @throws IllegalStateException if the settings give it none
+   * @throws IllegalStateException if the settings have no configuration to distribute
    */
   public RevisionService revisions() {
     return revisions.orElseThrow(
-        () -> new IllegalStateException("the settings name no configuration to spread"));
+        () -> new IllegalStateException("the gossip settings have no configuration to distribute"));
   }
 
-  // ---- What the gateway learns of engines ----
+  // ---- Events of engines, from the gateway ----
 
   @Override
   public void onEndpoints(boolean complete, List<EngineMember> members) {
@@ -271,7 +276,7 @@
         .ifPresent(observation -> gossip.recordOutcome(loop.now(), engine, observation));
   }
 
-  // ---- What the others send ----
+  // ---- Datagrams of other members ----
 
   private void receive(VerifiedDatagram datagram) {
     if (stopped) {
@@ -285,7 +290,7 @@
     }
   }
 
-  /** Returns the status as of now. */
+  /** Returns the current status. */
   StatusReport status() {
     long nowNanos = loop.now();
     StatusReport report =
@@ -294,7 +299,7 @@
             .traffic(sender.sentBytes(), settings.bytesPerSecond(), transport)
             .rejections(verifier.rejections())
             .certificate(identity.x509Certificate(), WallClock.instant());
-    revisions.ifPresent(service -> report.lines(service.lines(nowNanos)));
+    revisions.ifPresent(service -> report.lines(service.statusLines(nowNanos)));
     return report.members(gossip.membership(), gossip.quorum()).assessments(gossip.assessments());
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -13,16 +13,16 @@
 import reachloom.revision.SignatureScheme;
 
 /**
- * The votes of issuers as Ed25519 signatures (RFC 8032): proved by the certificates that the
- * settings name, each of which an authority has to have signed for that very name. Immutable, so
- * that it is replaced as a whole when certificates are read again; may be used from any thread.
+ * Signs and verifies the votes of issuers with Ed25519 (RFC 8032). Votes are verified by the
+ * certificates that the settings name; a trusted authority must have issued each of them for the
+ * issuer's name. Immutable and thread-safe: it is replaced as a whole when certificates are reloaded.
  */
 final class IssuerSignatures implements SignatureScheme {
   /**
-   * Precedes the chain in what is signed (domain separation): no datagram and no other signature of
-   * the same key passes for a vote.
+   * Precedes the hash chain in the signed content (domain separation), so that no datagram and no
+   * other signature by the same key is valid as a vote.
    */
-  private static final byte[] PURPOSE =
+  private static final byte[] SIGNATURE_CONTEXT =
       "reachloom revision 1\n".getBytes(StandardCharsets.US_ASCII);
 
   private final NodeIdentity self;
@@ -36,9 +36,9 @@
   /**
    * Reads and checks the certificates of all issuers that the settings name.
    *
-   * @param atMillis the time at which they have to be valid, Unix milliseconds
-   * @throws ConfigException where a file can't be read, or its certificate is not to be trusted;
-   *     the message names the file or the issuer
+   * @param atMillis the time at which they must be valid, in Unix milliseconds
+   * @throws ConfigException if a file can't be read or its certificate is not trusted; the message
+   *     names the file or the issuer
    */
   static IssuerSignatures read(ConfigurationSettings settings, NodeIdentity self, long atMillis)
       throws ConfigException {
@@ -58,7 +58,7 @@
         }
         if (!self.trusts(certificate, atMillis) || self.isRevoked(certificate)) {
           throw new ConfigException(
-              issuer.certificateFile() + ": no authority vouches for it, or it is revoked");
+              issuer.certificateFile() + ": not issued by a trusted authority, not valid now, or revoked");
         }
         keys.put(issuer.name(), certificate.getPublicKey());
       } catch (IOException e) {
@@ -75,7 +75,7 @@
     try {
       return self.sign(content(chain));
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("the key signed when it was read", e);
+      throw new IllegalStateException("signing failed, although the key was checked when it was read", e);
     }
   }
 
@@ -87,8 +87,8 @@
   }
 
   private static byte[] content(byte[] chain) {
-    byte[] content = Arrays.copyOf(PURPOSE, PURPOSE.length + chain.length);
-    System.arraycopy(chain, 0, content, PURPOSE.length, chain.length);
+    byte[] content = Arrays.copyOf(SIGNATURE_CONTEXT, SIGNATURE_CONTEXT.length + chain.length);
+    System.arraycopy(chain, 0, content, SIGNATURE_CONTEXT.length, chain.length);
     return content;
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -24,9 +24,10 @@
 import reachloom.config.GossipSettings;
 
 /**
- * Who this instance is, and whom it trusts: an Ed25519 key (RFC 8032), the certificate that names
- * it, the authorities that vouch for others, and the certificates that are revoked. Read from files
- * as a whole, so that it is replaced as a whole. Immutable, any thread.
+ * The identity of this instance and the certificates that it trusts: an Ed25519 key (RFC 8032), the
+ * certificate that names the instance, the authorities that issue certificates of others, and the
+ * revoked certificates. All are read from files together and replaced together. Immutable and
+ * thread-safe.
  */
 public final class NodeIdentity {
   /** The signature algorithm of all datagrams and certificates. */
@@ -58,7 +59,7 @@
   /**
    * Reads all files that the settings name, and checks that key and certificate belong together.
    *
-   * @throws ConfigException if a file can't be read or used, with the file or cause
+   * @throws ConfigException if a file can't be read or used; the message names the file or cause
    */
   public static NodeIdentity read(GossipSettings settings) throws ConfigException {
     try {
@@ -90,7 +91,7 @@
     return certificate(Pem.read(file, CERTIFICATE_LABEL));
   }
 
-  /** Reads serial numbers, one a line, comments behind {@code #}; none where there is no file. */
+  /** Reads serial numbers, one per line, comments after {@code #}; none if there is no file. */
   private static Set<String> readRevoked(Path list) throws IOException {
     Set<String> serials = new LinkedHashSet<>();
     if (list != null && Files.exists(list)) {
@@ -104,7 +105,7 @@
     return serials;
   }
 
-  /** Whether the private key is that of the certificate: what it signs has to be verified. */
+  /** Whether the private key belongs to the certificate, by verifying a signature made with it. */
   private boolean ownsKey() throws GeneralSecurityException {
     byte[] sample = {1};
     return verify(certificate.getPublicKey(), sample, sample.length, sign(sample));
@@ -113,7 +114,7 @@
   /**
    * Parses an encoded certificate (X.509, DER).
    *
-   * @throws GeneralSecurityException if it is none
+   * @throws GeneralSecurityException if the bytes are not a certificate
    */
   public static X509Certificate certificate(byte[] encoded) throws GeneralSecurityException {
     return (X509Certificate)
@@ -121,7 +122,7 @@
             .generateCertificate(new ByteArrayInputStream(encoded));
   }
 
-  /** Returns the common name that a certificate gives its owner, or "" where it gives none. */
+  /** Returns the common name of a certificate's subject, or "" if it has none. */
   public static String commonName(X509Certificate certificate) {
     for (String part : certificate.getSubjectX500Principal().getName().split(",")) {
       if (part.startsWith("CN=")) {
@@ -131,7 +132,7 @@
     return "";
   }
 
-  /** Returns a certificate's serial number in hexadecimal, as lists of revoked ones hold it. */
+  /** Returns a certificate's serial number in hexadecimal, as in revocation lists. */
   public static String serial(X509Certificate certificate) {
     return HexFormat.of().formatHex(certificate.getSerialNumber().toByteArray());
   }
@@ -141,7 +142,7 @@
     return name;
   }
 
-  /** Returns this instance's certificate as it goes over the wire; not to be changed. */
+  /** Returns this instance's certificate as it is sent (X.509, DER); must not be modified. */
   public byte[] encodedCertificate() {
     return encodedCertificate;
   }
@@ -164,7 +165,7 @@
   }
 
   /**
-   * Returns a datagram as it is sent: {@code unsigned} with its signature behind.
+   * Returns a complete datagram: {@code unsigned}, followed by its signature.
    *
    * @throws GeneralSecurityException if the key can't be used
    */
@@ -175,7 +176,7 @@
     return datagram;
   }
 
-  /** Whether that key's owner signed the first {@code length} bytes. */
+  /** Whether {@code signature} is the key owner's over the first {@code length} bytes. */
   public static boolean verify(PublicKey key, byte[] bytes, int length, byte[] signature) {
     try {
       Signature verifier = Signature.getInstance(ALGORITHM);
--- a/gateway/src/main/java/reachloom/gossip/net/PackedAddress.java
+++ b/gateway/src/main/java/reachloom/gossip/net/PackedAddress.java
@@ -4,14 +4,17 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Socket addresses as one number: an IPv4 address above 16 bits of port. No state, any thread. */
+/**
+ * Packs a socket address into one number: the IPv4 address, then 16 bits of port. Stateless and
+ * thread-safe.
+ */
 final class PackedAddress {
   private static final int IPV4_BYTES = 4;
   private static final int MAX_PORT = 0xffff;
 
   private PackedAddress() {}
 
-  /** Packs a resolved address; of an IPv6 address the last four bytes. */
+  /** Packs a resolved address; for an IPv6 address, only the last four bytes. */
   static long pack(InetSocketAddress address) {
     byte[] ip = address.getAddress().getAddress();
     long packed = 0;
@@ -21,7 +24,7 @@
     return packed << Short.SIZE | address.getPort();
   }
 
-  /** Returns the address that was packed. */
+  /** Returns the address that {@link #pack} packed. */
   static InetSocketAddress unpack(long packed) {
     byte[] ip = new byte[IPV4_BYTES];
     long rest = packed >>> Short.SIZE;
@@ -32,7 +35,7 @@
     try {
       return new InetSocketAddress(InetAddress.getByAddress(ip), (int) packed & MAX_PORT);
     } catch (UnknownHostException e) {
-      throw new IllegalStateException("four bytes are an address", e);
+      throw new IllegalStateException("four bytes are always an IPv4 address", e);
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/PacketSender.java
+++ b/gateway/src/main/java/reachloom/gossip/net/PacketSender.java
@@ -10,16 +10,16 @@
 import reachloom.gossip.wire.GossipCodec;
 
 /**
- * Encodes packets and hands them to the socket to be signed and sent. Knows which members hold this
- * instance's certificate, so that it goes out no more often than needed. Confined to the event
+ * Encodes packets and passes them to the socket to be signed and sent. Tracks which members hold
+ * this instance's certificate, so that it is sent no more often than needed. Confined to the event
  * loop.
  */
 final class PacketSender extends EncodingTransport {
   private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
-  /** Takes encoded datagrams that have no signature yet. */
+  /** Receives encoded datagrams that are not signed yet. */
   interface Output {
-    /** Signs and sends, in the order given, to a packed address. */
+    /** Signs a datagram and sends it to a packed address, in the order of the calls. */
     void send(long address, byte[] unsigned);
   }
 
@@ -35,11 +35,12 @@
   /**
    * Creates a sender.
    *
-   * @param clusterName the cluster that datagrams are marked with
-   * @param identity who sends
-   * @param clockNanos the event loop's time; it is past all sequence numbers of earlier processes
-   * @param verifier knows which members' certificates are held here
-   * @param output takes what is to be sent
+   * @param clusterName name of the cluster whose checksum each datagram holds
+   * @param identity identity of the sender
+   * @param clockNanos the event loop's time; sequence numbers start at it, which is past those of
+   *     earlier processes
+   * @param verifier caches the members' certificates
+   * @param output receives the datagrams to be sent
    */
   PacketSender(
       String clusterName,
@@ -55,15 +56,15 @@
     nextSequenceNumber = clockNanos.getAsLong();
   }
 
-  /** Replaces key and certificate; members hold the certificate before, and get the new one. */
+  /** Replaces key and certificate; members hold the previous certificate and are sent the new one. */
   void setIdentity(NodeIdentity next) {
     identity = next;
     certificateHolders.clear();
   }
 
   /**
-   * Notes which certificate of this instance a member holds, by its checksum: one that still holds
-   * the certificate before has to get the new one.
+   * Records which certificate of this instance a member holds, by its checksum: a member that still
+   * holds the previous certificate is sent the new one.
    */
   void noteKnownCertificate(String member, int checksum) {
     if (checksum == GossipCodec.certificateChecksum(identity.encodedCertificate())) {
@@ -73,7 +74,7 @@
     }
   }
 
-  /** Returns the bytes of all datagrams so far, headers of IP and UDP included. */
+  /** Returns the total size in bytes of all datagrams so far, including IP and UDP headers. */
   long sentBytes() {
     return sentBytes;
   }
@@ -93,7 +94,7 @@
     send(to, address, packet, clockNanos.getAsLong() / NANOS_PER_MILLISECOND);
   }
 
-  /** Sends a packet that bears the given time, in Unix milliseconds, as its own. */
+  /** Sends a packet with the given time of sending, in Unix milliseconds. */
   void send(String to, long address, Packet packet, long sentAtMillis) {
     Optional<byte[]> certificate =
         certificateHolders.contains(to)
--- a/gateway/src/main/java/reachloom/gossip/net/Pem.java
+++ b/gateway/src/main/java/reachloom/gossip/net/Pem.java
@@ -9,10 +9,10 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Files in PEM (RFC 7468), as keys and certificates are stored. No state, any thread. */
+/** Reads and writes keys and certificates in PEM (RFC 7468). Stateless and thread-safe. */
 public final class Pem {
   private static final int MAX_FILE_BYTES = 64 * 1024;
-  private static final int COLUMNS = 64;
+  private static final int LINE_CHARS = 64;
   private static final Set<PosixFilePermission> OWNER_PERMISSIONS =
       Set.of(
           PosixFilePermission.OWNER_READ,
@@ -22,9 +22,9 @@
   private Pem() {}
 
   /**
-   * Returns the bytes of a file's first block of that label.
+   * Returns the decoded bytes of the first block with that label in a file.
    *
-   * @throws IOException if the file can't be read, is too large, or holds no such block
+   * @throws IOException if the file can't be read, is too large, or has no such block
    */
   public static byte[] read(Path file, String label) throws IOException {
     if (Files.size(file) > MAX_FILE_BYTES) {
@@ -35,7 +35,7 @@
     int from = text.indexOf(begin);
     int to = text.indexOf(end(label));
     if (from < 0 || to < from) {
-      throw new IOException(file + ": holds no " + label);
+      throw new IOException(file + ": has no PEM block '" + label + "'");
     }
     try {
       return Base64.getMimeDecoder().decode(text.substring(from + begin.length(), to).strip());
@@ -47,20 +47,21 @@
   /**
    * Returns the bytes of a private key.
    *
-   * @throws IOException if the file can't be read, or others than its owner may use it
+   * @throws IOException if the file can't be read, or its permissions admit users other than its
+   *     owner
    */
   public static byte[] readPrivate(Path file) throws IOException {
-    Set<PosixFilePermission> others = EnumSet.copyOf(Files.getPosixFilePermissions(file));
-    others.removeAll(OWNER_PERMISSIONS);
-    if (!others.isEmpty()) {
-      throw new IOException(file + ": others than its owner may use it (" + others + ")");
+    Set<PosixFilePermission> excess = EnumSet.copyOf(Files.getPosixFilePermissions(file));
+    excess.removeAll(OWNER_PERMISSIONS);
+    if (!excess.isEmpty()) {
+      throw new IOException(file + ": users other than its owner have access (" + excess + ")");
     }
     return read(file, "PRIVATE KEY");
   }
 
-  /** Returns one block as text, its last line ended. */
+  /** Returns one block as text that ends with a line feed. */
   public static String text(String label, byte[] bytes) {
-    String base64 = Base64.getMimeEncoder(COLUMNS, new byte[] {'\n'}).encodeToString(bytes);
+    String base64 = Base64.getMimeEncoder(LINE_CHARS, new byte[] {'\n'}).encodeToString(bytes);
     return begin(label) + "\n" + base64 + "\n" + end(label) + "\n";
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -22,10 +22,10 @@
 import reachloom.time.WallClock;
 
 /**
- * Revisions of the installation's configuration at this instance: ties {@link
- * RevisionDissemination} to gossip, and to whoever puts a document in force. Confined to the event
- * loop's thread, but for {@link Installer#put}, which runs on a thread of its own, one document at
- * a time.
+ * Distributes revisions of the installation's configuration at this instance: connects {@link
+ * RevisionDissemination} to gossip and to the {@link Installer} that puts a document in force.
+ * Confined to the event loop's thread, except {@link Installer#put}, which runs on a separate
+ * thread, one document at a time.
  */
 public final class RevisionService implements PiggybackPayload, RevisionDissemination.Host {
   private static final Logger LOG = System.getLogger(RevisionService.class.getName());
@@ -36,7 +36,8 @@
      * Puts a document in force; may block.
      *
      * @param number the number of its revision
-     * @return an empty string, or why it can't be put in force; then the one before stays
+     * @return an empty string, or why the document can't be put in force; then the previous one
+     *     stays in force
      */
     String put(long number, byte[] document);
   }
@@ -46,17 +47,17 @@
   private final RevisionDissemination dissemination;
   private final List<Peer> issuers;
 
-  /** Replaced as a whole when certificates are read again. */
+  /** Replaced as a whole when certificates are reloaded. */
   private volatile SignatureScheme signatures;
 
-  /** Null where this instance is no issuer. */
+  /** Null if this instance is not an issuer. */
   private ConsensusNode consensusNode;
 
   /**
-   * Starts with no revision.
+   * Creates a service that holds no revision.
    *
-   * @param settings with {@code configuration}
-   * @throws ConfigException where the issuers' certificates can't be used
+   * @param settings must have a {@code configuration}
+   * @throws ConfigException if the issuers' certificates can't be used
    */
   RevisionService(
       EventLoop loop,
@@ -82,9 +83,9 @@
   }
 
   /**
-   * Reads the issuers' certificates again.
+   * Reloads the issuers' certificates.
    *
-   * @throws ConfigException where they can't be used; then those before stay
+   * @throws ConfigException if they can't be used; then the previous ones stay in use
    */
   void reload(GossipSettings settings, NodeIdentity identity) throws ConfigException {
     signatures =
@@ -92,12 +93,12 @@
             settings.configuration().orElseThrow(), identity, WallClock.unixMillis());
   }
 
-  /** This member's part in spreading revisions; for the event loop's thread. */
+  /** Returns the dissemination of revisions, which is confined to the event loop's thread. */
   public RevisionDissemination dissemination() {
     return dissemination;
   }
 
-  /** Signs and proves votes by the certificates that were read last. */
+  /** Returns a scheme that signs and verifies votes by the certificates that were loaded last. */
   public SignatureScheme signatureScheme() {
     return new SignatureScheme() {
       @Override
@@ -112,18 +113,18 @@
     };
   }
 
-  /** All issuers that the settings name, where they listen. */
+  /** Returns all issuers that the settings name, with the addresses at which they listen. */
   public List<Peer> issuers() {
     return issuers;
   }
 
-  /** This instance is an issuer, with that consensus node; to be called before it starts. */
+  /** Makes this instance an issuer with that consensus node; must be called before it starts. */
   public void setConsensusNode(ConsensusNode node) {
     consensusNode = node;
   }
 
-  /** The status of this instance, in lines of printable ASCII. */
-  List<String> lines(long now) {
+  /** Returns the status of revisions at this instance, in lines of printable ASCII. */
+  List<String> statusLines(long now) {
     List<String> lines = new ArrayList<>(dissemination.lines(now));
     if (consensusNode != null) {
       lines.addAll(consensusNode.statusLines());
@@ -131,7 +132,7 @@
     return lines;
   }
 
-  // ---- The payload of gossip ----
+  // ---- Payload piggybacked on gossip ----
 
   @Override
   public List<RevisionMessage> messages() {
@@ -139,10 +140,10 @@
   }
 
   @Override
-  public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
-    dissemination.hear(now, sender, words);
+  public void onMessages(long now, Peer sender, List<RevisionMessage> messages) {
+    dissemination.hear(now, sender, messages);
     if (consensusNode != null) {
-      consensusNode.receive(now, sender, words);
+      consensusNode.receive(now, sender, messages);
     }
   }
 
@@ -156,7 +157,7 @@
     dissemination.tick(now);
   }
 
-  // ---- The host of the dissemination ----
+  // ---- Host of the dissemination ----
 
   @Override
   public void apply(long nowNanos, Revision revision, byte[] document) {
@@ -165,7 +166,7 @@
     thread.start();
   }
 
-  /** Runs on a thread of its own; the result goes back to the event loop. */
+  /** Puts a document in force on a separate thread and posts the result to the event loop. */
   private void install(long number, byte[] document) {
     String rejection = installer.put(number, document);
     loop.post(0, () -> installed(number, rejection));
--- a/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusClient.java
@@ -21,8 +21,8 @@
 import reachloom.time.WallClock;
 
 /**
- * Asks an instance for its status, page by page, over its gossip address; both sides prove who they
- * are. Blocks; one object is for one request and one thread.
+ * Requests the status of an instance, page by page, at its gossip address; each side authenticates
+ * the other. Blocks; one object serves one request on one thread.
  */
 public final class StatusClient {
   private static final int ATTEMPTS_PER_PAGE = 5;
@@ -45,12 +45,12 @@
   /**
    * Returns all pages of an instance's status as one text.
    *
-   * @param instance where the instance listens for gossip
+   * @param instance the gossip address of the instance
    * @param clusterName name of its cluster
    * @param keyFile the operator's private key
    * @param certificateFile the operator's certificate
-   * @param authorityFile certificate of the authority that vouches for the instance
-   * @throws IOException if a file can't be used, or no complete answer came
+   * @param authorityFile certificate of the authority that issued the instance's certificate
+   * @throws IOException if a file can't be used, or the instance sent no complete status
    * @throws GeneralSecurityException if the key can't be used
    */
   public static String fetchStatus(
@@ -99,8 +99,9 @@
     if (pages.size() < count || pages.isEmpty()) {
       throw new IOException(
           instance
-              + ": no answer; is it that cluster, and is the certificate signed by an "
-              + "authority that it trusts?");
+              + ": no complete status received; check that the instance runs in cluster '"
+              + clusterName
+              + "' and trusts the authority that issued this certificate");
     }
     return String.join("", pages.values());
   }
--- a/gateway/src/main/java/reachloom/gossip/net/StatusReport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusReport.java
@@ -13,11 +13,11 @@
 import reachloom.peerreport.WeightedQuorum.Assessment;
 
 /**
- * What an operator wants to know of an instance, a line each, in ASCII. Built and read on the event
- * loop's thread.
+ * The status of an instance for operators, as lines of ASCII. Confined to the event loop's
+ * thread.
  */
 final class StatusReport {
-  /** The largest page, in bytes: it has to fit into a datagram. */
+  /** Limit of a page in bytes, so that it fits into a datagram. */
   private static final int MAX_PAGE_BYTES = 900;
 
   private static final int MAX_PAGES = 200;
@@ -26,12 +26,12 @@
   private final long nowNanos;
   private final List<String> lines = new ArrayList<>();
 
-  /** Creates an empty report as of that time of the event loop. */
+  /** Creates an empty report for the given time of the event loop. */
   StatusReport(long nowNanos) {
     this.nowNanos = nowNanos;
   }
 
-  /** Adds who the instance is. */
+  /** Adds the name, cluster, incarnation and health of the instance. */
   StatusReport instance(String name, String clusterName, MembershipService membership) {
     lines.add(
         "instance "
@@ -48,10 +48,10 @@
   }
 
   /**
-   * Adds what it sent and received.
+   * Adds the traffic that the instance sent and received.
    *
-   * @param sentBytes bytes handed to the transport, headers and those dropped included
-   * @param bytesPerSecond the limit of what it sends
+   * @param sentBytes bytes passed to the transport, including headers and dropped datagrams
+   * @param bytesPerSecond the limit of the sending rate
    */
   StatusReport traffic(long sentBytes, int bytesPerSecond, DatagramTransport transport) {
     GossipNode.Traffic traffic = transport.traffic();
@@ -72,13 +72,13 @@
     return this;
   }
 
-  /** Adds how many datagrams were rejected, by reason. */
+  /** Adds the number of rejected datagrams by reason. */
   StatusReport rejections(Map<RejectionReason, Long> counts) {
     lines.add("refused " + counts);
     return this;
   }
 
-  /** Adds a warning where the instance's own certificate is not valid at that time. */
+  /** Adds a warning if the instance's own certificate is not valid at that time. */
   StatusReport certificate(X509Certificate certificate, Instant wallClock) {
     long millis = wallClock.toEpochMilli();
     if (millis < certificate.getNotBefore().getTime()
@@ -89,13 +89,13 @@
     return this;
   }
 
-  /** Adds lines as they are. */
+  /** Adds the given lines unchanged. */
   StatusReport lines(List<String> more) {
     lines.addAll(more);
     return this;
   }
 
-  /** Adds each member, and how far its reports of engines are trusted. */
+  /** Adds each member, with the reputation of its reports of engines. */
   StatusReport members(MembershipService membership, WeightedQuorum quorum) {
     membership.members().forEach(member -> lines.add(line(member, quorum)));
     return this;
@@ -118,7 +118,7 @@
         + quorum.contradictions(member.name());
   }
 
-  /** Adds what is believed of engines by peers' reports. */
+  /** Adds the assessments of engines that follow from peer reports. */
   StatusReport assessments(List<Assessment> assessments) {
     for (Assessment assessment : assessments) {
       lines.add(
@@ -134,20 +134,20 @@
     return this;
   }
 
-  /** Returns the lines, cut to what fits into a page, other characters than ASCII replaced. */
+  /** Returns the lines, truncated to the size of a page, with non-ASCII characters replaced. */
   List<String> lines() {
-    return lines.stream().map(StatusReport::cut).map(StatusReport::ascii).toList();
+    return lines.stream().map(StatusReport::truncate).map(StatusReport::toAscii).toList();
   }
 
-  private static String cut(String line) {
+  private static String truncate(String line) {
     return line.length() > MAX_PAGE_BYTES - 1 ? line.substring(0, MAX_PAGE_BYTES - 1) : line;
   }
 
-  private static String ascii(String line) {
+  private static String toAscii(String line) {
     return new String(line.getBytes(StandardCharsets.US_ASCII), StandardCharsets.US_ASCII);
   }
 
-  /** Returns the lines in pages that fit into a datagram each; there is always one. */
+  /** Returns the lines in pages that each fit into a datagram; there is at least one page. */
   List<String> pages() {
     List<String> pages = new ArrayList<>();
     StringBuilder page = new StringBuilder();
--- a/gateway/src/main/java/reachloom/gossip/net/StatusResponder.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusResponder.java
@@ -8,8 +8,8 @@
 import reachloom.membership.MembershipMessage;
 
 /**
- * Answers operators who ask for this instance's status, one page a datagram, within the limit of
- * what may be sent. Confined to the event loop.
+ * Answers operators' requests for the status of this instance, one page per datagram, within the
+ * bandwidth limit. Confined to the event loop.
  */
 final class StatusResponder {
   private final String name;
@@ -22,7 +22,7 @@
    * Creates a responder.
    *
    * @param name this instance's name
-   * @param address where it listens, packed
+   * @param address the packed address at which the instance listens
    */
   StatusResponder(
       String name,
@@ -38,13 +38,14 @@
   }
 
   /**
-   * Answers with one page, to where the request came from; with nothing where there is no such page
-   * or the limit is reached, so that the operator asks again. The answer bears the time of the
-   * request: that is fresh by the clock of whoever asked, however far from this machine's.
+   * Sends the requested page to the source of the request. Sends nothing if there is no such page or
+   * the bandwidth limit is reached, so that the client repeats the request. The answer has the time
+   * of sending of the request, which is fresh by the client's clock even if that clock differs from
+   * this machine's.
    *
    * @param datagram the request with its sender's address and time
-   * @param request its message
-   * @param report the status as of now
+   * @param request the message of the request
+   * @param report the current status
    */
   void answer(
       VerifiedDatagram datagram, MembershipMessage.StatusRequest request, StatusReport report) {
--- a/gateway/src/main/java/reachloom/gossip/net/VerifiedDatagram.java
+++ b/gateway/src/main/java/reachloom/gossip/net/VerifiedDatagram.java
@@ -3,12 +3,12 @@
 import reachloom.gossip.Packet;
 
 /**
- * A datagram whose sender is proved.
+ * A datagram whose sender is authenticated.
  *
- * @param packet what it holds
- * @param knownCertificate checksum of this instance's certificate as its sender holds it, 0 where
- *     it holds none
- * @param source the address that it came from, packed as {@link PackedAddress} does
- * @param sentAtMillis its sender's time, in Unix milliseconds
+ * @param packet the decoded content
+ * @param knownCertificate checksum of this instance's certificate that the sender holds, 0 if it
+ *     holds none
+ * @param source the source address, packed by {@link PackedAddress}
+ * @param sentAtMillis the time of sending by the sender's clock, in Unix milliseconds
  */
 record VerifiedDatagram(Packet packet, int knownCertificate, long source, long sentAtMillis) {}
--- a/gateway/src/test/java/reachloom/gossip/GoldenResources.java
+++ b/gateway/src/test/java/reachloom/gossip/GoldenResources.java
@@ -20,12 +20,12 @@
     }
   }
 
-  /** Returns a resource as text; the stored resources hold ASCII alone. */
+  /** Returns a resource as text; the stored resources contain only ASCII. */
   public static String text(String name) throws IOException {
     return new String(bytes(name), StandardCharsets.US_ASCII);
   }
 
-  /** Returns the bytes that a resource spells as hexadecimal digits, white space aside. */
+  /** Decodes a resource of hexadecimal digits, ignoring white space. */
   public static byte[] hex(String name) throws IOException {
     return HexFormat.of().parseHex(text(name).replaceAll("\\s", ""));
   }
--- a/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/IdentityGoldenTest.java
@@ -34,8 +34,8 @@
 import reachloom.membership.MembershipMessage;
 
 /**
- * Stored keys, certificates and a signed datagram are read with the same values, and written again
- * to the same bytes. Time is handed in: the machine's clock doesn't matter.
+ * Stored keys, certificates and a signed datagram are read with the same values and written to the
+ * same bytes. Times are passed in, so that the machine's clock doesn't matter.
  */
 class IdentityGoldenTest {
   private static final String CLUSTER = "golden";
@@ -76,16 +76,16 @@
                 List.of()));
   }
 
-  private byte[] block(String name, String label) throws Exception {
+  private byte[] pemBlock(String name, String label) throws Exception {
     Path file = Files.write(folder.resolve(name), GoldenResources.bytes("identity/" + name));
     return Pem.read(file, label);
   }
 
   private X509Certificate certificate(String name) throws Exception {
-    return NodeIdentity.certificate(block(name, "CERTIFICATE"));
+    return NodeIdentity.certificate(pemBlock(name, "CERTIFICATE"));
   }
 
-  private static byte[] sealed(NodeIdentity signer) throws Exception {
+  private static byte[] signedPing(NodeIdentity signer) throws Exception {
     byte[] unsigned =
         GossipCodec.encode(
             new DatagramEnvelope(
@@ -99,14 +99,14 @@
   }
 
   @Test
-  void storedIdentityIsReadWithTheSameNameAndCertificate() throws Exception {
+  void readsStoredIdentity() throws Exception {
     assertEquals("gateway-1", identity.name());
-    assertArrayEquals(block("gateway-1.crt", "CERTIFICATE"), identity.encodedCertificate());
+    assertArrayEquals(pemBlock("gateway-1.crt", "CERTIFICATE"), identity.encodedCertificate());
     assertEquals(certificate("gateway-1.crt"), identity.x509Certificate());
   }
 
   @Test
-  void storedCertificateHasTheSameFields() throws Exception {
+  void readsFieldsOfStoredCertificate() throws Exception {
     X509Certificate own = identity.x509Certificate();
     assertEquals("gateway-1", NodeIdentity.commonName(own));
     assertEquals("054cbfcf4fd2dd4c", NodeIdentity.serial(own));
@@ -117,11 +117,11 @@
     assertEquals(-1, own.getBasicConstraints());
     assertEquals(231, own.getEncoded().length);
     assertEquals(0xab31_da75, GossipCodec.certificateChecksum(own.getEncoded()));
-    assertArrayEquals(block("gateway-1.pub", "PUBLIC KEY"), own.getPublicKey().getEncoded());
+    assertArrayEquals(pemBlock("gateway-1.pub", "PUBLIC KEY"), own.getPublicKey().getEncoded());
   }
 
   @Test
-  void storedAuthorityHasTheSameFields() throws Exception {
+  void readsFieldsOfStoredAuthority() throws Exception {
     X509Certificate authority = certificate("ca.crt");
     assertEquals("golden-authority", NodeIdentity.commonName(authority));
     assertEquals("2cb6f520cd2cd91e", NodeIdentity.serial(authority));
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void storedPrivateKeyHasTheSameSeed() throws Exception {
+  void readsSeedOfStoredPrivateKey() throws Exception {
     EdECPrivateKey key =
         (EdECPrivateKey)
             KeyFactory.getInstance(NodeIdentity.ALGORITHM)
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void trustAndRevocationAreThoseOfTheStoredFiles() throws Exception {
+  void appliesTrustAndRevocationOfStoredFiles() throws Exception {
     X509Certificate second = certificate("gateway-2.crt");
     assertTrue(identity.trusts(certificate("gateway-1.crt"), SENT_AT_MILLIS));
     assertTrue(identity.trusts(second, SENT_AT_MILLIS));
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void keysAndCertificatesAreWrittenToTheStoredBytes() throws Exception {
+  void writesKeysAndCertificatesAsStored() throws Exception {
     for (String name : List.of("ca.crt", "gateway-1.crt", "gateway-2.crt")) {
       assertEquals(
           GoldenResources.text("identity/" + name),
@@ -174,16 +174,16 @@
     assertEquals(
         GoldenResources.text("identity/gateway-1.key"), Pem.text("PRIVATE KEY", privateKey));
     PublicKey publicKey =
-        keys.generatePublic(new X509EncodedKeySpec(block("gateway-1.pub", "PUBLIC KEY")));
+        keys.generatePublic(new X509EncodedKeySpec(pemBlock("gateway-1.pub", "PUBLIC KEY")));
     assertEquals(
         GoldenResources.text("identity/gateway-1.pub"),
         Pem.text("PUBLIC KEY", publicKey.getEncoded()));
   }
 
   @Test
-  void aDatagramIsSignedToTheStoredBytes() throws Exception {
+  void signsDatagramToStoredBytes() throws Exception {
     byte[] stored = GoldenResources.hex("identity/signed-ping.hex");
-    assertArrayEquals(stored, sealed(identity)); // RFC 8032: the same key and text, the same bytes
+    assertArrayEquals(stored, signedPing(identity)); // RFC 8032: signatures are deterministic
     int signed = stored.length - GossipCodec.SIGNATURE_BYTES;
     byte[] signature = Arrays.copyOfRange(stored, signed, stored.length);
     assertTrue(
@@ -194,17 +194,17 @@
   }
 
   @Test
-  void theStoredDatagramIsTakenAsItsSendersPing() throws Exception {
+  void acceptsStoredDatagram() throws Exception {
     long nowNanos = SENT_AT_MILLIS * MILLISECOND_NANOS;
     DatagramVerifier verifier =
         new DatagramVerifier(CLUSTER, identity, 1_000 * MILLISECOND_NANOS, false, () -> nowNanos);
-    VerifiedDatagram entered =
+    VerifiedDatagram verified =
         verifier.verify(nowNanos, 9, GoldenResources.hex("identity/signed-ping.hex")).orElse(null);
-    assertNotNull(entered, () -> verifier.rejections().toString());
-    assertEquals(PING, entered.packet());
-    assertEquals(SENT_AT_MILLIS, entered.sentAtMillis());
-    assertEquals(9, entered.source());
-    assertEquals(0, entered.knownCertificate());
+    assertNotNull(verified, () -> verifier.rejections().toString());
+    assertEquals(PING, verified.packet());
+    assertEquals(SENT_AT_MILLIS, verified.sentAtMillis());
+    assertEquals(9, verified.source());
+    assertEquals(0, verified.knownCertificate());
     assertEquals(
         GossipCodec.certificateChecksum(identity.encodedCertificate()),
         verifier.knownCertificate("gateway-1"));
--- a/gateway/src/test/java/reachloom/gossip/net/IssuerSignaturesGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/IssuerSignaturesGoldenTest.java
@@ -25,9 +25,9 @@
 import reachloom.revision.SignatureScheme;
 
 /**
- * The signature of a vote, fixed by one that an earlier version made: it is proved, and made again
- * to the same bytes (Ed25519 is deterministic). A difference means that members of two versions
- * would not believe each other's issuers.
+ * Signs and verifies a vote whose signature an earlier version stored; signing again must give the
+ * same bytes (Ed25519 is deterministic). A difference means that members of two versions would
+ * reject the votes of each other's issuers.
  */
 class IssuerSignaturesGoldenTest {
   private static final long VALID_AT_MILLIS = 1_800_000_000_000L;
@@ -59,17 +59,17 @@
   }
 
   @Test
-  void storedVoteIsProved() {
+  void verifiesStoredVote() {
     assertTrue(signatures.verify("c1", chain, vote));
   }
 
   @Test
-  void voteIsSignedToTheStoredBytes() {
+  void signsVoteToStoredBytes() {
     assertArrayEquals(vote, signatures.sign(chain));
   }
 
   @Test
-  void voteProvesNothingForAnotherIssuerOrChain() {
+  void rejectsVoteOfAnotherIssuerOrChain() {
     assertFalse(signatures.verify("c2", chain, vote));
     assertFalse(signatures.verify("c3", chain, vote), "not an issuer");
     byte[] otherChain = chain.clone();
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void certificateOfAnotherNameIsRejectedWithItsFile() throws IOException {
+  void rejectsCertificateOfAnotherName() throws IOException {
     Files.copy(
         folder.resolve("c1.crt"), folder.resolve("c2.crt"), StandardCopyOption.REPLACE_EXISTING);
     ConfigException e = assertThrows(ConfigException.class, () -> read(VALID_AT_MILLIS));
@@ -91,21 +91,21 @@
   }
 
   @Test
-  void certificateThatIsNotValidYetIsRejectedWithItsFile() {
+  void rejectsCertificateThatIsNotValidYet() {
     ConfigException e = assertThrows(ConfigException.class, () -> read(1_000_000_000_000L));
     assertEquals(
-        folder.resolve("c1.crt") + ": no authority vouches for it, or it is revoked",
+        folder.resolve("c1.crt") + ": not issued by a trusted authority, not valid now, or revoked",
         e.getMessage());
   }
 
   @Test
-  void revokedCertificateIsRejectedWithItsFile() throws IOException {
-    try (InputStream in = resource("keys/revoked.txt")) { // it lists the certificate of c2
+  void rejectsRevokedCertificate() throws IOException {
+    try (InputStream in = resource("keys/revoked.txt")) { // lists the certificate of c2
       Files.copy(in, folder.resolve("revoked.txt"));
     }
     ConfigException e = assertThrows(ConfigException.class, () -> read(VALID_AT_MILLIS));
     assertEquals(
-        folder.resolve("c2.crt") + ": no authority vouches for it, or it is revoked",
+        folder.resolve("c2.crt") + ": not issued by a trusted authority, not valid now, or revoked",
         e.getMessage());
   }
 
@@ -113,7 +113,7 @@
     return IssuerSignaturesGoldenTest.class.getResourceAsStream("/golden/" + name);
   }
 
-  /** The bytes of a resource: hexadecimal digits, with comments from '#' to the end of a line. */
+  /** Reads a resource of hexadecimal digits, with comments from '#' to the end of a line. */
   private static byte[] stored(String name) throws IOException {
     try (InputStream in = resource(name + ".hex")) {
       String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -34,13 +34,13 @@
 import reachloom.peerreport.PeerReport;
 
 /**
- * The text that {@code reachloom gossip status} prints, against {@code golden/status}, which was
- * written by commit 09d85ed: operators read it, and scripts cut values out of it. The keys and
- * certificates beside it serve this test alone.
+ * Compares the text that {@code reachloom gossip status} prints with {@code golden/status}, which
+ * commit 09d85ed wrote: operators read it, and scripts extract values from it. Only this test uses
+ * the keys and certificates in that folder.
  *
- * <p>The node's own events lie {@link #AGE_SECONDS} back on its clock, so that what it holds is the
- * same in each run. What depends on the time of the run is written as a word in braces: its
- * incarnation, the wall clock, and over the wire the counters of datagrams.
+ * <p>The node's events happen {@link #AGE_SECONDS} in the past of its clock, so that its state is the
+ * same in each run. Values that depend on the time of the run are replaced by words in braces: the
+ * incarnation, the wall clock and, for the status over the network, the counters of datagrams.
  */
 class StatusGoldenTest {
   private static final Path ROOT = Path.of("src/test/resources/golden/status");
@@ -53,7 +53,7 @@
   private static final int PLACE = 0x0207;
   private static final long LOOPBACK = 0x7f000001L << 16;
 
-  private static final Locale USUAL = Locale.getDefault();
+  private static final Locale DEFAULT_LOCALE = Locale.getDefault();
 
   @TempDir Path folder;
 
@@ -61,21 +61,21 @@
   private GossipNode node;
   private long nowNanos;
 
-  /** When the ages of the recorded text are right. */
-  private long playedAtNanos;
+  /** The time of the event loop at which the ages in the recorded text are exact. */
+  private long referenceNanos;
 
-  /** Shares and levels are formatted by the locale. */
+  /** Reputations and levels are formatted in the default locale. */
   @BeforeAll
-  static void useEnglishNumbers() {
+  static void useEnglishLocale() {
     Locale.setDefault(Locale.ENGLISH);
   }
 
   @AfterAll
   static void restoreLocale() {
-    Locale.setDefault(USUAL);
+    Locale.setDefault(DEFAULT_LOCALE);
   }
 
-  /** Version control keeps no permissions, and a key that others may read is not taken. */
+  /** Version control keeps no permissions, and a key that other users may read is rejected. */
   @BeforeEach
   void copyKeys() throws IOException {
     for (String key : List.of("g1.key", "asker.key")) {
@@ -118,37 +118,37 @@
     return node.gossip();
   }
 
-  /** A packet of that member has come, which listens at a port of loopback where nobody does. */
-  private void hear(
+  /** Delivers a packet of a member whose address is an unused port of the loopback interface. */
+  private void receive(
       String sender,
       int place,
       MembershipMessage message,
-      List<MembershipUpdate> news,
-      List<PeerReport> claims) {
+      List<MembershipUpdate> updates,
+      List<PeerReport> reports) {
     long address = address(sender);
     gossip()
-        .receive(nowNanos, new Packet(sender, address, place, 5, message, news, claims, List.of()));
+        .receive(nowNanos, new Packet(sender, address, place, 5, message, updates, reports, List.of()));
   }
 
   private static long address(String member) {
     return LOOPBACK | Integer.parseInt(member.substring(1));
   }
 
-  private void accuse(String accuser, String member) {
-    MembershipUpdate news =
+  private void suspect(String accuser, String member) {
+    MembershipUpdate update =
         new MembershipUpdate(member, address(member), 5, MemberState.SUSPECT, accuser);
-    hear(accuser, 0, new MembershipMessage.PayloadOnly(), List.of(news), List.of());
+    receive(accuser, 0, new MembershipMessage.PayloadOnly(), List.of(update), List.of());
   }
 
-  private void report(String peer, PeerReport... claims) {
-    hear(peer, 0, new MembershipMessage.PayloadOnly(), List.of(), List.of(claims));
+  private void report(String peer, PeerReport... reports) {
+    receive(peer, 0, new MembershipMessage.PayloadOnly(), List.of(), List.of(reports));
   }
 
   private static PeerReport failed(String engine) {
     return new PeerReport(engine, 0, 0, 3, 0, 0);
   }
 
-  private void passSeconds(long seconds) {
+  private void advanceSeconds(long seconds) {
     for (long until = nowNanos + seconds * SECOND_NANOS; nowNanos < until; ) {
       nowNanos += TICK_NANOS;
       gossip().tick(nowNanos);
@@ -156,18 +156,19 @@
   }
 
   /**
-   * Members in each state, and engines that others accuse, vouch for and are contradicted about.
+   * Creates members in each state, and engines about which peers report failures, successes and
+   * contradictions.
    */
-  private void play() {
-    playedAtNanos = loop.now() / SECOND_NANOS * SECOND_NANOS;
-    nowNanos = playedAtNanos - AGE_SECONDS * SECOND_NANOS;
+  private void createMembersAndEngines() {
+    referenceNanos = loop.now() / SECOND_NANOS * SECOND_NANOS;
+    nowNanos = referenceNanos - AGE_SECONDS * SECOND_NANOS;
     for (int i = 2; i <= 14; i++) {
-      hear("g" + i, i == 8 ? PLACE : 0, new MembershipMessage.PayloadOnly(), List.of(), List.of());
+      receive("g" + i, i == 8 ? PLACE : 0, new MembershipMessage.PayloadOnly(), List.of(), List.of());
     }
-    hear("g5", 0, new MembershipMessage.Leave(), List.of(), List.of());
-    accuse("g2", "g4");
-    passSeconds(30); // more than g4 has to object
-    accuse("g2", "g3");
+    receive("g5", 0, new MembershipMessage.Leave(), List.of(), List.of());
+    suspect("g2", "g4");
+    advanceSeconds(30); // longer than g4 has to refute the suspicion
+    suspect("g2", "g3");
     for (int i = 1; i <= 8; i++) {
       gossip().addEngine("s-0000000" + i, 0);
     }
@@ -176,36 +177,36 @@
     report("g2", failed("s-00000001"), failed("s-00000002"));
     report("g6", failed("s-00000001"), failed("s-00000003"));
     report("g7", new PeerReport("s-00000001", 0, 5, 0, 0, 0));
-    passSeconds(1);
+    advanceSeconds(1);
   }
 
   /**
-   * The text with words for what depends on the time of the run; an age that is the recorded one
-   * and as much above it as has passed since {@link #playedAtNanos} counts as the recorded one.
+   * Replaces values that depend on the time of the run. An age counts as the recorded one if it
+   * exceeds that by at most the time since {@link #referenceNanos}.
    */
-  private String steady(List<String> lines, String recorded) {
-    Iterator<String> ages = AGE.matcher(recorded).results().map(m -> m.group(1)).iterator();
-    double passed = (loop.now() - playedAtNanos) / (double) SECOND_NANOS;
-    List<String> steady = new ArrayList<>();
+  private String normalize(List<String> lines, String recorded) {
+    Iterator<String> recordedAges = AGE.matcher(recorded).results().map(m -> m.group(1)).iterator();
+    double elapsedSeconds = (loop.now() - referenceNanos) / (double) SECOND_NANOS;
+    List<String> normalized = new ArrayList<>();
     for (String line : lines) {
-      String own = "incarnation " + gossip().membership().incarnation() + " health";
-      String text = line.replace(own, "incarnation {start} health");
+      String ownIncarnation = "incarnation " + gossip().membership().incarnation() + " health";
+      String text = line.replace(ownIncarnation, "incarnation {start} health");
       text = text.replaceFirst("wall clock, \\d{4}-\\S+Z$", "wall clock, {now}");
       Matcher age = AGE.matcher(text);
-      if (age.find() && ages.hasNext()) {
-        String expected = ages.next();
-        long late = Long.parseLong(age.group(1)) - Long.parseLong(expected);
-        if (late >= 0 && late <= Math.ceil(passed)) {
+      if (age.find() && recordedAges.hasNext()) {
+        String expected = recordedAges.next();
+        long excess = Long.parseLong(age.group(1)) - Long.parseLong(expected);
+        if (excess >= 0 && excess <= Math.ceil(elapsedSeconds)) {
           text = age.replaceFirst(" for " + expected + " s standing");
         }
       }
-      steady.add(text + "\n");
+      normalized.add(text + "\n");
     }
-    return String.join("", steady);
+    return String.join("", normalized);
   }
 
-  /** Datagrams are signed and sent by a thread of their own, so that their count comes late. */
-  private void awaitDatagramsOf(String recorded) throws InterruptedException {
+  /** Waits for the sending thread, which counts datagrams only when it has sent them. */
+  private void awaitSentDatagrams(String recorded) throws InterruptedException {
     Matcher count = Pattern.compile("sent (\\d+), received").matcher(recorded);
     assertTrue(count.find());
     for (int i = 0; i < 400 && node.traffic().sent() < Long.parseLong(count.group(1)); i++) {
@@ -218,42 +219,42 @@
   }
 
   @Test
-  void membersAndEnginesHaveALineEach() throws Exception {
+  void listsMembersAndEngines() throws Exception {
     open(settings("g1.crt"));
-    play();
+    createMembersAndEngines();
     String recorded = golden("members.txt");
-    awaitDatagramsOf(recorded);
-    assertEquals(recorded, steady(node.status().lines(), recorded));
+    awaitSentDatagrams(recorded);
+    assertEquals(recorded, normalize(node.status().lines(), recorded));
   }
 
   @Test
-  void anIssuerTellsItsRevisionAndWhatIsKnownOfEachPlace() throws Exception {
-    GossipSettings alone = settings("g1.crt");
+  void reportsRevisionAndPlacesOfIssuer() throws Exception {
+    GossipSettings withoutConfiguration = settings("g1.crt");
     ConfigurationSettings.Issuer issuer =
-        new ConfigurationSettings.Issuer("g1", alone.listen(), ROOT.resolve("g1.crt"));
-    open(alone.with(new ConfigurationSettings(PLACE, List.of(issuer))));
+        new ConfigurationSettings.Issuer("g1", withoutConfiguration.listen(), ROOT.resolve("g1.crt"));
+    open(withoutConfiguration.with(new ConfigurationSettings(PLACE, List.of(issuer))));
     nowNanos = loop.now();
-    playedAtNanos = nowNanos;
-    hear("g2", PLACE, new MembershipMessage.PayloadOnly(), List.of(), List.of());
-    hear("g3", 0x0101, new MembershipMessage.PayloadOnly(), List.of(), List.of());
+    referenceNanos = nowNanos;
+    receive("g2", PLACE, new MembershipMessage.PayloadOnly(), List.of(), List.of());
+    receive("g3", 0x0101, new MembershipMessage.PayloadOnly(), List.of(), List.of());
     gossip().tick(nowNanos);
     String recorded = golden("issuer.txt");
-    awaitDatagramsOf(recorded);
-    assertEquals(recorded, steady(node.status().lines(), recorded));
+    awaitSentDatagrams(recorded);
+    assertEquals(recorded, normalize(node.status().lines(), recorded));
   }
 
   @Test
-  void anExpiredCertificateIsTold() throws Exception {
+  void warnsOfExpiredCertificate() throws Exception {
     open(settings("g1-expired.crt"));
     String recorded = golden("expired-certificate.txt");
-    assertEquals(recorded, steady(node.status().lines(), recorded));
+    assertEquals(recorded, normalize(node.status().lines(), recorded));
   }
 
   @Test
-  void theSameTextGoesOverTheWireInPages() throws Exception {
+  void statusRequestReturnsSameTextInPages() throws Exception {
     GossipSettings settings = settings("g1.crt");
     open(settings);
-    play();
+    createMembersAndEngines();
     Thread thread = new Thread(loop);
     thread.setDaemon(true);
     thread.start();
@@ -267,7 +268,7 @@
     assertTrue(text.length() > 900, "more than one page");
     String recorded = golden("members.txt");
     assertEquals(
-        withoutCounters(recorded), withoutCounters(steady(text.lines().toList(), recorded)));
+        withoutCounters(recorded), withoutCounters(normalize(text.lines().toList(), recorded)));
   }
 
   private static String withoutCounters(String text) {
--- a/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/DatagramGoldenTest.java
@@ -26,7 +26,7 @@
 
 /**
  * Stored datagrams, one of each message and of each section, are decoded to the same values and
- * encoded to the same bytes. The stored signatures are zeros: no codec looks at them.
+ * encoded to the same bytes. The stored signatures are zeros, since codecs do not verify them.
  */
 class DatagramGoldenTest {
   private static final long SENDER_ADDRESS = 0x0a00_0001L << 16 | 7946;
@@ -35,7 +35,7 @@
   private static final long SEQUENCE_NUMBER = 0x0102_0304_0506_0708L;
   private static final long TIME_MILLIS = 1_700_000_000_123L;
   private static final int CLUSTER_CHECKSUM = 0x426b_212b;
-  private static final int KNOWN_CERTIFICATE_MARK = 0x89ab_cdef;
+  private static final int KNOWN_CERTIFICATE_CHECKSUM = 0x89ab_cdef;
   private static final long MILLISECOND_NANOS = 1_000_000;
   private static final byte[] CERTIFICATE =
       "a certificate, opaque".getBytes(StandardCharsets.UTF_8);
@@ -49,12 +49,12 @@
               "gateway-4", 0, Long.MAX_VALUE, MemberState.DEAD, "gateway-2", 0x0203),
           new MembershipUpdate("g", 1, 1, MemberState.LEFT, "", 0xffff));
 
-  private static final List<PeerReport> CLAIMS =
+  private static final List<PeerReport> REPORTS =
       List.of(
           new PeerReport("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5 * MILLISECOND_NANOS),
           new PeerReport("s-1", -1, 0, 0, 1, Integer.MAX_VALUE * MILLISECOND_NANOS));
 
-  private static final List<RevisionMessage> WORDS =
+  private static final List<RevisionMessage> REVISION_MESSAGES =
       List.of(
           new RevisionMessage.Have(7, -5, 8),
           new RevisionMessage.Acknowledgement(7, 0x1122_3344_5566_7788L, "settings: no such key"),
@@ -86,10 +86,10 @@
     packets.put(
         "status-page", packet(new MembershipMessage.StatusPage(1, 3, "instance g1\nrefused {}\n")));
     packets.put("section-news", packet(0, ALL_STATES, List.of(), List.of()));
-    packets.put("section-claims", packet(0, List.of(), CLAIMS, List.of()));
-    packets.put("section-words", packet(0, List.of(), List.of(), WORDS));
+    packets.put("section-claims", packet(0, List.of(), REPORTS, List.of()));
+    packets.put("section-words", packet(0, List.of(), List.of(), REVISION_MESSAGES));
     packets.put("section-place", packet(0x0102, List.of(), List.of(), List.of()));
-    packets.put("all-sections", packet(0x0102, ALL_STATES, CLAIMS, WORDS));
+    packets.put("all-sections", packet(0x0102, ALL_STATES, REPORTS, REVISION_MESSAGES));
     packets.put("certificate", packet(new MembershipMessage.Ack(1)));
     return packets;
   }
@@ -100,18 +100,18 @@
 
   private static Packet packet(
       int place,
-      List<MembershipUpdate> news,
-      List<PeerReport> claims,
-      List<RevisionMessage> words) {
+      List<MembershipUpdate> updates,
+      List<PeerReport> reports,
+      List<RevisionMessage> revisionMessages) {
     return new Packet(
         "gateway-1",
         SENDER_ADDRESS,
         place,
         INCARNATION,
         new MembershipMessage.PayloadOnly(),
-        news,
-        claims,
-        words);
+        updates,
+        reports,
+        revisionMessages);
   }
 
   static Set<String> names() {
@@ -122,7 +122,7 @@
     return name.equals("certificate") ? CERTIFICATE : null;
   }
 
-  /** Encodes a packet as a whole datagram, with zeros for its signature. */
+  /** Encodes a packet as a complete datagram whose signature is zeros. */
   private static byte[] encode(Packet packet, byte[] certificate) {
     byte[] unsigned =
         GossipCodec.encode(
@@ -131,14 +131,14 @@
                 SEQUENCE_NUMBER,
                 TIME_MILLIS,
                 Optional.ofNullable(certificate),
-                KNOWN_CERTIFICATE_MARK),
+                KNOWN_CERTIFICATE_CHECKSUM),
             packet);
     return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void storedDatagramIsDecodedToTheSameValues(String name) throws Exception {
+  void decodesStoredDatagram(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
     Packet expected = PACKETS.get(name);
     DatagramHeader header = GossipCodec.decodeHeader(stored);
@@ -148,7 +148,7 @@
     assertEquals(TIME_MILLIS, header.envelope().sentAtMillis());
     assertEquals(SENDER_ADDRESS, header.address());
     assertEquals(INCARNATION, header.incarnation());
-    assertEquals(KNOWN_CERTIFICATE_MARK, header.envelope().knownCertificate());
+    assertEquals(KNOWN_CERTIFICATE_CHECKSUM, header.envelope().knownCertificate());
     assertArrayEquals(certificate(name), header.envelope().certificate().orElse(null));
     byte[] certificate = certificate(name);
     assertEquals(
@@ -168,7 +168,7 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void decodedDatagramIsEncodedToTheStoredBytes(String name) throws Exception {
+  void encodesToStoredBytes(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
     DatagramHeader header = GossipCodec.decodeHeader(stored);
     byte[] encoded =
@@ -180,21 +180,21 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void storedDatagramHasTheSizeThatWasPlanned(String name) throws Exception {
+  void storedDatagramHasComputedSize(String name) throws Exception {
     byte[] stored = GoldenResources.hex("datagrams/" + name + ".hex");
     Packet packet = PACKETS.get(name);
     byte[] certificate = certificate(name);
-    int planned =
+    int computed =
         GossipCodec.datagramSize(
                 packet.sender(), packet.message(), certificate == null ? 0 : certificate.length)
             + packet.updates().stream().mapToInt(GossipCodec::updateSize).sum()
             + packet.reports().stream().mapToInt(GossipCodec::peerReportSize).sum()
             + GossipCodec.piggybackSize(packet.place(), packet.revisionMessages());
-    assertEquals(planned, stored.length + GossipCodec.UDP_HEADER_BYTES);
+    assertEquals(computed, stored.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
   @Test
-  void eachKindOfMessageHasAStoredDatagram() {
+  void everyMessageKindHasStoredDatagram() {
     Set<Class<?>> kinds =
         Stream.of(MembershipMessage.class.getPermittedSubclasses()).collect(Collectors.toSet());
     Set<Class<?>> stored =
@@ -203,7 +203,7 @@
   }
 
   @Test
-  void clusterAndCertificateHaveTheStoredChecksums() {
+  void computesStoredChecksums() {
     assertEquals(CLUSTER_CHECKSUM, GossipCodec.clusterChecksum("golden"));
     assertEquals(0x32cd_db79, GossipCodec.certificateChecksum(CERTIFICATE));
   }
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -25,13 +25,14 @@
 import reachloom.revision.Vote;
 
 /**
- * Gossip's datagrams: what is written is read, what is torn or made up is refused with its reason.
+ * Encoding and decoding of gossip datagrams: round trips, computed sizes, and rejection of truncated,
+ * corrupted or unknown input.
  */
 class GossipCodecTest {
   private static final long ADDRESS = 0x7f000001L << 16 | 7946;
-  private static final MembershipUpdate NEWS =
+  private static final MembershipUpdate UPDATE =
       new MembershipUpdate("g2", ADDRESS + 1, 1_700_000_000L, MemberState.SUSPECT, "g3");
-  private static final PeerReport CLAIM =
+  private static final PeerReport REPORT =
       new PeerReport("s-00c41f7a", 1_700_000_000_000L, 12, 3, 65_535, 5_000_000);
   private static final List<MembershipMessage> MESSAGES =
       List.of(
@@ -41,7 +42,7 @@
           new MembershipMessage.PingRequest(9, "g4", ADDRESS),
           new MembershipMessage.Nack(0),
           new MembershipMessage.SyncRequest("a", "", 5, List.of(0, 1, 65_535)),
-          new MembershipMessage.SyncResponse(true, List.of(NEWS)),
+          new MembershipMessage.SyncResponse(true, List.of(UPDATE)),
           new MembershipMessage.SyncResponse(false, List.of()),
           new MembershipMessage.PayloadOnly(),
           new MembershipMessage.StatusRequest(3),
@@ -53,7 +54,7 @@
       new Revision(7, CHAIN, CHAIN, 99, 1_700_000_000_000L, "c1");
   private static final Ballot BALLOT = new Ballot(3, "c2");
   private static final Vote VOTE = new Vote("c2", new byte[GossipCodec.SIGNATURE_BYTES]);
-  private static final List<RevisionMessage> WORDS =
+  private static final List<RevisionMessage> REVISION_MESSAGES =
       List.of(
           new RevisionMessage.Have(7, -5, 8),
           new RevisionMessage.Notice(REVISION, List.of(VOTE, VOTE, VOTE)),
@@ -68,8 +69,8 @@
           new RevisionMessage.Accepted(BALLOT, 8, VOTE),
           new RevisionMessage.Rejected(BALLOT, new Ballot(4, "c1")));
 
-  /** A packet that bears that word, and a place. */
-  private static Packet packet(RevisionMessage w) {
+  /** Returns a packet with one revision message and a place. */
+  private static Packet packet(RevisionMessage message) {
     return new Packet(
         "g1",
         ADDRESS,
@@ -78,20 +79,22 @@
         new MembershipMessage.PayloadOnly(),
         List.of(),
         List.of(),
-        List.of(w));
+        List.of(message));
   }
 
-  private static Packet packet(MembershipMessage m) {
+  private static Packet packet(MembershipMessage message) {
     return new Packet(
         "g1",
         ADDRESS,
         1_700_000_001L,
-        m,
-        List.of(NEWS, new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, "")),
-        List.of(CLAIM));
+        message,
+        List.of(UPDATE, new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, "")),
+        List.of(REPORT));
   }
 
-  private static byte[] whole(Packet p, byte[] certificate, boolean knows) {
+  /** Encodes a packet as a complete datagram whose signature is zeros. */
+  private static byte[] datagram(
+      Packet packet, byte[] certificate, boolean knowsCertificate) {
     byte[] signed =
         GossipCodec.encode(
             new DatagramEnvelope(
@@ -99,66 +102,66 @@
                 42,
                 1_234,
                 Optional.ofNullable(certificate),
-                knows ? 7 : 0),
-            p);
+                knowsCertificate ? 7 : 0),
+            packet);
     return Arrays.copyOf(signed, signed.length + GossipCodec.SIGNATURE_BYTES);
   }
 
   @Test
-  void whatIsWrittenIsReadAndWeighsWhatWasSaid() throws Exception {
-    for (MembershipMessage m : MESSAGES) {
-      Packet p = packet(m);
-      byte[] bytes = whole(p, null, true);
-      DatagramHeader head = GossipCodec.decodeHeader(bytes);
-      assertEquals(p, GossipCodec.decodeContent(bytes, head));
-      assertEquals(42, head.envelope().sequenceNumber());
-      assertEquals(1_234, head.envelope().sentAtMillis());
-      assertEquals(GossipCodec.clusterChecksum("east"), head.envelope().cluster());
-      assertEquals(7, head.envelope().knownCertificate());
-      assertTrue(head.envelope().certificate().isEmpty());
-      int weight =
-          GossipCodec.datagramSize("g1", m, 0)
+  void roundTripsMembershipMessagesWithComputedSize() throws Exception {
+    for (MembershipMessage message : MESSAGES) {
+      Packet p = packet(message);
+      byte[] bytes = datagram(p, null, true);
+      DatagramHeader header = GossipCodec.decodeHeader(bytes);
+      assertEquals(p, GossipCodec.decodeContent(bytes, header));
+      assertEquals(42, header.envelope().sequenceNumber());
+      assertEquals(1_234, header.envelope().sentAtMillis());
+      assertEquals(GossipCodec.clusterChecksum("east"), header.envelope().cluster());
+      assertEquals(7, header.envelope().knownCertificate());
+      assertTrue(header.envelope().certificate().isEmpty());
+      int expectedBytes =
+          GossipCodec.datagramSize("g1", message, 0)
               + p.updates().stream().mapToInt(GossipCodec::updateSize).sum()
-              + GossipCodec.peerReportSize(CLAIM);
-      assertEquals(weight, bytes.length + GossipCodec.UDP_HEADER_BYTES, m.toString());
+              + GossipCodec.peerReportSize(REPORT);
+      assertEquals(expectedBytes, bytes.length + GossipCodec.UDP_HEADER_BYTES, message.toString());
     }
     byte[] certificate = new byte[250];
-    byte[] bytes = whole(packet(new MembershipMessage.Ack(1)), certificate, false);
+    byte[] bytes = datagram(packet(new MembershipMessage.Ack(1)), certificate, false);
     assertArrayEquals(
         certificate, GossipCodec.decodeHeader(bytes).envelope().certificate().orElseThrow());
     assertEquals(
         GossipCodec.datagramSize("g1", new MembershipMessage.Ack(1), 250)
-            + GossipCodec.updateSize(NEWS)
+            + GossipCodec.updateSize(UPDATE)
             + GossipCodec.updateSize(new MembershipUpdate("g9", 0, 0, MemberState.ALIVE, ""))
-            + GossipCodec.peerReportSize(CLAIM),
+            + GossipCodec.peerReportSize(REPORT),
         bytes.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
   @Test
-  void wordsAreReadAsWrittenAndWeighWhatWasSaid() throws Exception {
-    for (RevisionMessage w : WORDS) {
-      byte[] bytes = whole(packet(w), null, false);
+  void roundTripsRevisionMessagesWithComputedSize() throws Exception {
+    for (RevisionMessage message : REVISION_MESSAGES) {
+      byte[] bytes = datagram(packet(message), null, false);
       Packet read = GossipCodec.decodeContent(bytes, GossipCodec.decodeHeader(bytes));
       assertEquals(0x0102, read.place());
-      assertEquals(w.getClass(), read.revisionMessages().get(0).getClass());
-      assertArrayEquals(bytes, whole(read, null, false), w.toString());
+      assertEquals(message.getClass(), read.revisionMessages().get(0).getClass());
+      assertArrayEquals(bytes, datagram(read, null, false), message.toString());
       assertEquals(
           GossipCodec.datagramSize("g1", new MembershipMessage.PayloadOnly(), 0)
-              + GossipCodec.piggybackSize(0x0102, List.of(w)),
+              + GossipCodec.piggybackSize(0x0102, List.of(message)),
           bytes.length + GossipCodec.UDP_HEADER_BYTES,
-          w.toString());
+          message.toString());
     }
   }
 
   @Test
-  void aWordOfALaterKindIsSkippedAndOneWithImpossibleFiguresIsNonsense() throws Exception {
-    byte[] bytes = whole(packet(new RevisionMessage.Have(1, 2, 3)), null, false);
+  void skipsUnknownRevisionMessageAndRejectsInvalidFields() throws Exception {
+    byte[] bytes = datagram(packet(new RevisionMessage.Have(1, 2, 3)), null, false);
     int kind =
         bytes.length
             - GossipCodec.SIGNATURE_BYTES
             - 5
             - 3 * Long.BYTES
-            - 1; // before a place's section
+            - 1; // before the section of the place
     byte[] later = bytes.clone();
     later[kind] = 99;
     assertEquals(
@@ -173,7 +176,7 @@
                 () -> GossipCodec.decodeContent(negative, GossipCodec.decodeHeader(negative)))
             .reason());
     byte[] large =
-        whole(
+        datagram(
             packet(
                 new RevisionMessage.Propose(
                     BALLOT,
@@ -189,32 +192,32 @@
   }
 
   @Test
-  void withoutPlaceAndWordsTheBytesAreThoseOfBefore() {
+  void omitsSectionsOfAbsentPlaceAndRevisionMessages() {
     Packet p = packet(new MembershipMessage.PayloadOnly());
-    byte[] bytes = whole(p, null, false);
-    int claims = bytes.length - GossipCodec.SIGNATURE_BYTES - GossipCodec.peerReportSize(CLAIM) - 3;
-    assertEquals(3, bytes[claims], "the section of claims is the last one");
+    byte[] bytes = datagram(p, null, false);
+    int reportSection = bytes.length - GossipCodec.SIGNATURE_BYTES - GossipCodec.peerReportSize(REPORT) - 3;
+    assertEquals(3, bytes[reportSection], "peer reports are the last section");
     assertEquals(
         1 + 3 + 6 + 8 + 1 + 3,
-        GossipCodec.updateSize(NEWS)); // length, name, address, number, state, name
+        GossipCodec.updateSize(UPDATE)); // length, name, address, incarnation, state, accuser
     assertEquals(0, GossipCodec.piggybackSize(0, List.of()));
   }
 
   private static List<byte[]> samples() {
     List<byte[]> all = new ArrayList<>();
-    MESSAGES.forEach(m -> all.add(whole(packet(m), null, true)));
-    MESSAGES.forEach(m -> all.add(whole(packet(m), new byte[200], true)));
-    WORDS.forEach(w -> all.add(whole(packet(w), null, true)));
+    MESSAGES.forEach(m -> all.add(datagram(packet(m), null, true)));
+    MESSAGES.forEach(m -> all.add(datagram(packet(m), new byte[200], true)));
+    REVISION_MESSAGES.forEach(w -> all.add(datagram(packet(w), null, true)));
     return all;
   }
 
   @Test
-  void tornAtEachByteItIsRefusedNeverThrownAbout() {
+  void truncatedDatagramThrowsNothingButRejection() {
     for (byte[] bytes : samples()) {
       for (int length = 0; length < bytes.length; length++) {
-        byte[] torn = Arrays.copyOf(bytes, length);
+        byte[] truncated = Arrays.copyOf(bytes, length);
         try {
-          GossipCodec.decodeContent(torn, GossipCodec.decodeHeader(torn));
+          GossipCodec.decodeContent(truncated, GossipCodec.decodeHeader(truncated));
         } catch (RejectedDatagramException e) {
           assertTrue(e.reason() == RejectionReason.FORM || e.reason() == RejectionReason.NONSENSE);
         }
@@ -223,9 +226,9 @@
   }
 
   @Test
-  void randomBytesAndFlippedBitsAreRefusedOrReadAsSomethingBounded() {
+  void corruptedDatagramIsRejectedOrStaysBounded() {
     SplittableRandom random = new SplittableRandom(3);
-    int refused = 0;
+    int rejected = 0;
     List<byte[]> samples = samples();
     for (int i = 0; i < 50_000; i++) {
       byte[] bytes = samples.get(i % samples.size()).clone();
@@ -237,18 +240,18 @@
         assertTrue(
             p.sender().length() <= 32 && p.sender().chars().allMatch(c -> c > ' ' && c < 0x7f));
       } catch (RejectedDatagramException e) {
-        refused++;
+        rejected++;
       }
       byte[] noise = new byte[random.nextInt(1_300)];
       random.nextBytes(noise);
       assertThrows(RejectedDatagramException.class, () -> GossipCodec.decodeHeader(noise));
     }
-    assertTrue(refused > 1_000);
+    assertTrue(rejected > 1_000);
   }
 
   @Test
-  void anOversizeDatagramAnotherVersionAndAnotherClusterAreTold() throws Exception {
-    byte[] bytes = whole(packet(MESSAGES.get(0)), null, false);
+  void rejectsOversizeAndOtherVersionAndDistinguishesClusters() throws Exception {
+    byte[] bytes = datagram(packet(MESSAGES.get(0)), null, false);
     assertEquals(
         RejectionReason.FORM,
         assertThrows(
@@ -264,12 +267,12 @@
   }
 
   @Test
-  void whatALaterVersionAddsIsSkipped() throws Exception {
+  void skipsUnknownSection() throws Exception {
     Packet p = packet(new MembershipMessage.PayloadOnly());
-    byte[] bytes = whole(p, null, false);
+    byte[] bytes = datagram(p, null, false);
     ByteArrayOutputStream longer = new ByteArrayOutputStream();
     longer.write(bytes, 0, bytes.length - GossipCodec.SIGNATURE_BYTES);
-    longer.write(new byte[] {99, 0, 3, 1, 2, 3}); // a section of a kind not known here
+    longer.write(new byte[] {99, 0, 3, 1, 2, 3}); // a section of an unknown kind
     longer.write(new byte[GossipCodec.SIGNATURE_BYTES]);
     assertEquals(
         p,
@@ -278,17 +281,17 @@
   }
 
   @Test
-  void fieldsBehindThoseKnownOfAPieceOfNewsAreSkipped() throws Exception {
+  void skipsUnknownFieldsOfMembershipUpdate() throws Exception {
     MembershipUpdate all =
         new MembershipUpdate("g2", ADDRESS + 1, 1_700_000_000L, MemberState.SUSPECT, "g3", 0x0102);
     Packet p =
         new Packet("g1", ADDRESS, 1, new MembershipMessage.PayloadOnly(), List.of(all), List.of());
-    byte[] bytes = whole(p, null, false);
+    byte[] bytes = datagram(p, null, false);
     int at =
         bytes.length
             - GossipCodec.SIGNATURE_BYTES
             - 3
-            - GossipCodec.updateSize(all); // its length byte
+            - GossipCodec.updateSize(all); // index of its length byte
     List<Byte> longer = new ArrayList<>();
     for (int i = 0; i < bytes.length; i++) {
       if (i == at + GossipCodec.updateSize(all)) {
--- a/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/RevisionMessageGoldenTest.java
@@ -23,11 +23,11 @@
 import reachloom.revision.Vote;
 
 /**
- * The wire form of every revision message, fixed by bytes that an earlier version wrote (resources
- * {@code golden/revision-messages}): what is stored is decoded, each field is compared, and
- * encoding it again gives the stored bytes. A difference means that two versions in one cluster
- * would no longer understand each other; the resources are never written anew to make this test
- * pass.
+ * The wire format of every revision message, compared with bytes that an earlier version wrote
+ * (resources {@code golden/revision-messages}): each stored message is decoded, its fields are
+ * compared, and encoding it again must give the stored bytes. A difference means that two versions
+ * in one cluster would no longer understand each other; the resources must never be regenerated to
+ * make this test pass.
  */
 class RevisionMessageGoldenTest {
   private static final String RESOURCES = "/golden/revision-messages/";
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void acknowledgementOfWhatIsInForce() {
+  void acknowledgementOfRevisionInForce() {
     RevisionMessage.Acknowledgement acknowledgement =
         golden("acknowledgement", RevisionMessage.Acknowledgement.class);
     assertEquals(8, acknowledgement.number());
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void acknowledgementWithARefusal() {
+  void acknowledgementWithRefusal() {
     RevisionMessage.Acknowledgement acknowledgement =
         golden("acknowledgement-refused", RevisionMessage.Acknowledgement.class);
     assertEquals(9, acknowledgement.number());
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void censusOfAPlaceWhereAllHaveIt() {
+  void completeCensus() {
     RevisionMessage.Census census = golden("census-complete", RevisionMessage.Census.class);
     assertEquals(0x0102, census.place());
     assertEquals(8, census.number());
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void aDurationBeyondTheFieldIsWrittenAsTheLargest() {
+  void encodesExcessiveDurationAsMaximum() {
     RevisionMessage.Census tooLong =
         new RevisionMessage.Census(
             0xfe02, 8, 60_000, 58, 40_001, List.of("gateway-9", "gateway-10"), 1L << 40);
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void promiseOfOneThatHasAcceptedNothing() {
+  void promiseWithoutAcceptedRevision() {
     RevisionMessage.Promise promise = golden("promise", RevisionMessage.Promise.class);
     assertBallot(3, "issuer-2", promise.ballot());
     assertEquals(8, promise.number());
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void promiseWithAnAcceptedRevision() {
+  void promiseWithAcceptedRevision() {
     RevisionMessage.Promise promise = golden("promise-accepted", RevisionMessage.Promise.class);
     assertBallot(4, "issuer-3", promise.ballot());
     assertEquals(8, promise.number());
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void acceptedWithTheLongestSignature() {
+  void acceptedWithLongestSignature() {
     RevisionMessage.Accepted accepted =
         golden("accepted-long-signature", RevisionMessage.Accepted.class);
     assertBallot(3, "issuer-2", accepted.ballot());
@@ -194,17 +194,17 @@
     assertBallot(0x0102030405060708L, "issuer-3", rejected.promised());
   }
 
-  /** What an issuer signs, and what the next revision names as the one before. */
+  /** An issuer signs the hash chain, and the next revision refers to it as the previous one. */
   @Test
-  void theHashChainOfARevision() {
+  void hashChainOfRevision() {
     Revision revision = golden("propose", RevisionMessage.Propose.class).revision();
     assertArrayEquals(stored("revision-chain"), revision.chain());
     assertEquals(ByteBuffer.wrap(stored("revision-chain")).getLong(), revision.mark());
   }
 
-  /** A message of a kind not known here, then one with a field more than is known here. */
+  /** The stored bytes hold a message of an unknown kind, then one with an additional field. */
   @Test
-  void whatALaterVersionAddsIsSkipped() {
+  void skipsUnknownMessagesAndFields() {
     List<RevisionMessage> read =
         RevisionMessageCodec.readAll(ByteBuffer.wrap(stored("later-version")));
     assertEquals(2, read.size());
@@ -227,12 +227,12 @@
         "malformed-blank-in-name",
         "malformed-length-beyond-the-end"
       })
-  void whatCanNotBeOneIsRefused(String name) {
+  void rejectsMalformedMessages(String name) {
     ByteBuffer in = ByteBuffer.wrap(stored(name));
     assertThrows(BufferUnderflowException.class, () -> RevisionMessageCodec.readAll(in));
   }
 
-  // ---- Fields that several messages have ----
+  // ---- Fields of several messages ----
 
   private static void assertRevision(Revision revision) {
     assertEquals(0x0102030405060708L, revision.number());
@@ -253,7 +253,7 @@
     assertArrayEquals(bytes(firstByte, length), vote.signature());
   }
 
-  /** So many bytes, each one more than the one before. */
+  /** Returns {@code length} bytes, each one more than the previous byte. */
   private static byte[] bytes(int first, int length) {
     byte[] bytes = new byte[length];
     for (int i = 0; i < length; i++) {
@@ -264,7 +264,7 @@
 
   // ---- Stored bytes ----
 
-  /** The one message that is stored there, after it was seen that it is encoded as it is stored. */
+  /** Decodes the only message of a resource and asserts that it is encoded to the stored bytes. */
   private static <T extends RevisionMessage> T golden(String name, Class<T> type) {
     byte[] stored = stored(name);
     List<RevisionMessage> read = RevisionMessageCodec.readAll(ByteBuffer.wrap(stored));
@@ -277,11 +277,11 @@
   private static byte[] encoded(RevisionMessage message) {
     ByteBuffer out = ByteBuffer.allocate(RevisionMessageCodec.size(message));
     RevisionMessageCodec.put(out, message);
-    assertEquals(0, out.remaining(), "the size that was told");
+    assertEquals(0, out.remaining(), "bytes left of the computed size");
     return out.array();
   }
 
-  /** The bytes of a resource: hexadecimal digits, with comments from '#' to the end of a line. */
+  /** Reads a resource of hexadecimal digits, with comments from '#' to the end of a line. */
   private static byte[] stored(String name) {
     try (InputStream in =
         RevisionMessageGoldenTest.class.getResourceAsStream(RESOURCES + name + ".hex")) {
