--- a/gateway/src/main/java/reachloom/gateway/wire/Bytes.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Bytes.java
@@ -3,13 +3,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A range of a byte array, which is shared and not copied.
+ * A range of a byte array. The array is shared, not copied.
  *
  * @param from the index of the first byte
  * @param length the number of bytes
  */
 public record Bytes(byte[] array, int from, int length) {
-  /** The whole of an array. */
+  /** Returns the range of an entire array. */
   public static Bytes of(byte[] array) {
     return new Bytes(array, 0, array.length);
   }
--- a/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
@@ -15,7 +15,8 @@
 
 /**
  * Decodes the frames of the change log: a length, the number of the event, the kind of the frame,
- * and a record for each engine, all big-endian. Not thread-safe: one decoder for each connection.
+ * and a record for each engine, all big-endian. Not thread-safe: each connection has its own
+ * decoder.
  */
 public final class ChangeLogDecoder implements Decoder<EndpointListEvent> {
   private static final int HEADER_BYTES = Long.BYTES + 1;
@@ -30,24 +31,29 @@
   private static final int LOW_BYTE = 0xff;
   private static final int LOW_SHORT = 0xffff;
   private static final long LOW_INT = 0xffffffffL;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
   private final FrameDecoder frames =
       new FrameDecoder(HEADER_BYTES, HEADER_BYTES + RECORD_BYTES * MAX_RECORDS);
   private final int zoneCount;
   private final int engineKindCount;
+
+  /** Why the stream can't be decoded any further; null while it can. */
   private String fault;
 
   /**
-   * A decoder that knows how many zones and kinds of engines the settings list; a record with
-   * another one is a fault.
+   * Creates a decoder.
+   *
+   * @param zoneCount the number of zones in the settings; a record with another zone is a fault
+   * @param engineKindCount the number of kinds of engines in the settings; a record with another
+   *     kind is a fault
    */
   public ChangeLogDecoder(int zoneCount, int engineKindCount) {
     this.zoneCount = zoneCount;
     this.engineKindCount = engineKindCount;
   }
 
-  /** What a client writes first: the number of the last event that it has, 0 for none. */
+  /** Encodes the first message of a client: the number of its last event, 0 for none. */
   public static ByteBuffer hello(long lastEventNumber) {
     return ByteBuffer.allocate(Long.BYTES).putLong(lastEventNumber).flip();
   }
@@ -59,11 +65,11 @@
 
   @Override
   public String feed(byte[] bytes, int from, int to, Consumer<? super EndpointListEvent> messages) {
-    String broken = frames.feed(bytes, from, to, frame -> decode(frame, messages));
-    return fault != null ? fault : broken;
+    String frameFault = frames.feed(bytes, from, to, frame -> decode(frame, messages));
+    return fault != null ? fault : frameFault;
   }
 
-  /** Decodes a frame and passes it on; once a frame had a fault, those behind it are ignored. */
+  /** Decodes a frame and passes its event on; frames after a malformed one are ignored. */
   private void decode(byte[] bytes, Consumer<? super EndpointListEvent> messages) {
     if (fault != null) {
       return;
@@ -72,7 +78,7 @@
     long number = frame.getLong();
     int kindNumber = frame.get() & LOW_BYTE;
     if (!isWellFormed(kindNumber, frame.remaining())) {
-      fault = "a frame of kind " + kindNumber + " with " + frame.remaining() + " bytes";
+      fault = "a frame of kind " + kindNumber + " with " + frame.remaining() + " bytes of records";
       return;
     }
     List<EngineMember> members = new ArrayList<>(frame.remaining() / RECORD_BYTES);
@@ -99,23 +105,23 @@
     int zone = record.get() & LOW_BYTE;
     int kind = record.get() & LOW_BYTE;
     if (zone >= zoneCount || kind >= engineKindCount) {
-      fault = "engine " + name + " of zone " + zone + " and kind " + kind;
+      fault = "engine " + name + " of unknown zone " + zone + " or kind " + kind;
       return;
     }
     int cell = record.getShort() & LOW_SHORT;
     double weight = GatewayConfig.weight(record.getInt() & LOW_INT);
-    long incarnation = record.getLong() * MILLISECOND;
+    long incarnation = record.getLong() * NANOS_PER_MILLISECOND;
     EngineEndpoint endpoint =
         new EngineEndpoint(name, state, kind, zone, cell, weight, incarnation);
     try {
       InetAddress host = InetAddress.getByAddress(address);
       members.add(new EngineMember(endpoint, new InetSocketAddress(host, port)));
-    } catch (UnknownHostException e) { // four bytes are always an address
-      fault = "engine " + name + " without an address";
+    } catch (UnknownHostException e) { // unreachable: four bytes are always an address
+      fault = "engine " + name + " with an invalid address";
     }
   }
 
-  /** A state that is not known counts as draining: nothing new is sent. */
+  /** Returns the state with that number; an unknown state counts as draining, so that no new requests are sent. */
   private static EngineState state(byte number) {
     return switch (number) {
       case STATE_UP -> EngineState.UP;
--- a/gateway/src/main/java/reachloom/gateway/wire/ClientCall.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ClientCall.java
@@ -2,22 +2,22 @@
 
 import java.util.Map;
 
-/** A message of a client, as {@link ThriftReader} reads it. */
+/** A decoded message of a client; {@link ThriftReader} decodes it. */
 public sealed interface ClientCall {
-  /** The client's sequence number, which the response repeats. */
+  /** Returns the client's sequence number, which the response repeats. */
   int seq();
 
   /**
    * Calls the handler's method for this kind of call.
    *
-   * @param context is passed on as it is
+   * @param context is passed to the handler unchanged
    */
   <C> void dispatch(Handler<C> handler, C context);
 
   /**
-   * Carries out calls, one method for each kind.
+   * Handles calls, one method for each kind.
    *
-   * @param <C> what is known of a call beside its content
+   * @param <C> the context of a call
    */
   interface Handler<C> {
     /** Runs a statement. */
@@ -29,11 +29,11 @@
     /** Reports whether the gateway is ready. */
     void check(C context, Check call);
 
-    /** Turns down a call that can be read but not served. */
+    /** Rejects a call that was decoded but can't be served. */
     void unusable(C context, Unusable call);
   }
 
-  /** Runs a statement, whose bytes stay in the frame that brought them. */
+  /** Runs a statement, whose bytes are a range of the received frame. */
   record Execute(int seq, Map<String, String> fields, Bytes statement) implements ClientCall {
     @Override
     public <C> void dispatch(Handler<C> handler, C context) {
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Cancels the call of the target's number: the client no longer waits for its response. */
+  /** Cancels the call with the sequence number {@code target}: the client waits no longer for it. */
   record Interrupt(int seq, int target) implements ClientCall {
     @Override
     public <C> void dispatch(Handler<C> handler, C context) {
@@ -58,7 +58,7 @@
   }
 
   /**
-   * A readable call that can't be served; the response is an application exception.
+   * A decoded call that can't be served; the response is an application exception.
    *
    * @param type the type of that exception
    */
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Bytes that are no call. {@link ClientCallDecoder} ends the connection on it, so that none is
-   * ever dispatched.
+   * Bytes that are not a valid call. {@link ClientCallDecoder} reports them as a fault, which closes
+   * the connection, so that none is ever dispatched.
    */
   record Broken(String why) implements ClientCall {
     @Override
@@ -81,7 +81,7 @@
 
     @Override
     public <C> void dispatch(Handler<C> handler, C context) {
-      throw new IllegalStateException("no call: " + why);
+      throw new IllegalStateException("a malformed call can't be dispatched: " + why);
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/wire/ClientCallDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ClientCallDecoder.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes the byte stream of one client connection: {@link FrameDecoder} cuts it into frames and
- * {@link ThriftReader} reads each frame as a call. After the first malformed frame the stream can
- * no longer be trusted, and nothing that follows is decoded.
+ * Decodes the byte stream of one client connection: {@link FrameDecoder} splits it into frames and
+ * {@link ThriftReader} decodes each frame as a call. Nothing after the first malformed frame is
+ * decoded, since frame boundaries can't be trusted any more.
  *
  * <p>Not thread-safe: confined to the thread that serves the sockets.
  */
@@ -15,7 +15,7 @@
 
   private final FrameDecoder frames = new FrameDecoder(MIN_FRAME_BYTES, MAX_FRAME_BYTES);
 
-  /** Why the stream can't be used any more; null while it can. */
+  /** Why the stream can't be decoded any further; null while it can. */
   private String fault;
 
   @Override
--- a/gateway/src/main/java/reachloom/gateway/wire/Decoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Decoder.java
@@ -3,19 +3,19 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes a stream of bytes into messages. It buffers a message that is not whole yet, within a
- * bound. Confined to the thread that serves the sockets.
+ * Decodes a stream of bytes into messages. It buffers an incomplete message, up to a bound. Confined
+ * to the thread that serves the sockets.
  *
- * @param <M> the messages
+ * @param <M> the type of the messages
  */
 public interface Decoder<M> {
   /**
-   * Takes the next bytes and passes on the messages that are whole.
+   * Decodes the next bytes and passes on the messages that are complete.
    *
-   * @return null, or why the stream can't be used any more
+   * @return null, or why the stream can't be decoded any further
    */
   String feed(byte[] bytes, int from, int to, Consumer<? super M> messages);
 
-  /** Whether a message has begun that is not whole yet. */
+  /** Whether the decoder buffers an incomplete message. */
   boolean partial();
 }
--- a/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
@@ -9,59 +9,65 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Connects a decoder to the sockets: decodes what is received and passes it on. Whatever goes wrong
- * closes the connection that it went wrong on, and nothing else. Called on the thread that serves
- * the sockets, where not said otherwise.
+ * Connects a decoder to the sockets: decodes the received bytes and passes the messages on. A
+ * failure closes only the connection on which it occurs. Methods are called on the thread that
+ * serves the sockets unless stated otherwise.
  *
- * @param <M> the messages
+ * @param <M> the type of the messages
  */
 public final class DecodingHandler<M> extends IoHandlerAdapter {
   private static final Logger LOG = System.getLogger(DecodingHandler.class.getName());
   private static final AttributeKey DECODER = new AttributeKey(DecodingHandler.class, "decoder");
 
-  private static final AttributeKey ONCE_WRITTEN =
-      new AttributeKey(DecodingHandler.class, "onceWritten");
+  private static final AttributeKey WRITTEN_ACTION =
+      new AttributeKey(DecodingHandler.class, "writtenAction");
 
   private final String peer;
-  private final Supplier<Decoder<M>> decoders;
+  private final Supplier<Decoder<M>> decoderFactory;
   private final Listener<M> listener;
 
-  /** A handler for connections to peers of that name, each with a decoder of its own. */
-  public DecodingHandler(String peer, Supplier<Decoder<M>> decoders, Listener<M> listener) {
+  /**
+   * Creates a handler.
+   *
+   * @param peer the role of the remote side in log lines
+   * @param decoderFactory creates the decoder of each connection
+   */
+  public DecodingHandler(
+      String peer, Supplier<Decoder<M>> decoderFactory, Listener<M> listener) {
     this.peer = peer;
-    this.decoders = decoders;
+    this.decoderFactory = decoderFactory;
     this.listener = listener;
   }
 
-  /** Discards what is still received on a connection from now on; from any thread. */
+  /** Discards all further input of a connection. May be called from any thread. */
   public static void discardInput(IoSession session) {
     session.removeAttribute(DECODER);
   }
 
   /**
-   * Does that once all that was handed to the connection is written; on either thread, and perhaps
-   * twice.
+   * Runs an action once all bytes that were passed to the connection are written. The action runs on
+   * the calling thread or the one that serves the sockets, and may run twice.
    */
-  static void onceWritten(IoSession session, Runnable then) {
-    session.setAttribute(ONCE_WRITTEN, then);
-    writtenAll(session);
+  static void runOnceWritten(IoSession session, Runnable action) {
+    session.setAttribute(WRITTEN_ACTION, action);
+    runActionIfWritten(session);
   }
 
-  private static void writtenAll(IoSession session) {
+  private static void runActionIfWritten(IoSession session) {
     if (session.getScheduledWriteMessages() == 0
-        && session.getAttribute(ONCE_WRITTEN) instanceof Runnable then) {
-      then.run();
+        && session.getAttribute(WRITTEN_ACTION) instanceof Runnable action) {
+      action.run();
     }
   }
 
   @Override
   public void messageSent(IoSession session, Object message) {
-    writtenAll(session);
+    runActionIfWritten(session);
   }
 
   @Override
   public void sessionOpened(IoSession session) {
-    session.setAttribute(DECODER, decoders.get());
+    session.setAttribute(DECODER, decoderFactory.get());
     listener.opened(session);
   }
 
@@ -75,16 +81,17 @@
     IoBuffer buffer = (IoBuffer) message;
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
-    boolean before = decoder.partial();
-    int[] share = {bytes.length}; // of memory: a message takes about the bytes it came in
+    boolean wasPartial = decoder.partial();
+    // The first message is charged with the memory of all received bytes, the others with none.
+    int[] uncharged = {bytes.length};
     String fault =
         decoder.feed(
             bytes,
             0,
             bytes.length,
             m -> {
-              listener.received(session, m, share[0]);
-              share[0] = 0;
+              listener.received(session, m, uncharged[0]);
+              uncharged[0] = 0;
             });
     if (fault != null) {
       LOG.log(
@@ -95,7 +102,7 @@
           fault);
       discardInput(session);
       listener.inputMalformed(session);
-    } else if (decoder.partial() && (!before || share[0] == 0)) {
+    } else if (decoder.partial() && (!wasPartial || uncharged[0] == 0)) {
       listener.messageStarted(session);
     }
   }
--- a/gateway/src/main/java/reachloom/gateway/wire/EndpointListEvent.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EndpointListEvent.java
@@ -6,27 +6,27 @@
 /**
  * An event of the change log.
  *
- * @param number the number of the event; for a heartbeat, of the last event before it
- * @param kind what the engines named here mean
- * @param members the engines that it names
+ * @param number the number of the event; for a heartbeat, the number of the event before it
+ * @param kind the meaning of {@code members}
+ * @param members the engines in the event
  */
 public record EndpointListEvent(long number, Kind kind, List<EngineMember> members) {
-  /** What an event says of the endpoint list. */
+  /** The kinds of events. */
   public enum Kind {
-    /** Nothing has changed. */
+    /** The endpoint list has not changed. */
     HEARTBEAT,
-    /** The list is complete: engines that are not named have been removed. */
+    /** The event has the complete list: engines that are not in it have been removed. */
     COMPLETE_LIST,
-    /** The engines that are named have changed. */
+    /** The engines in the event have changed. */
     CHANGES
   }
 
-  /** Whether it says only that nothing has changed. */
+  /** Whether the event reports no change. */
   public boolean isHeartbeat() {
     return kind == Kind.HEARTBEAT;
   }
 
-  /** Whether engines that are not named have been removed. */
+  /** Whether the event has the complete list, so that engines not in it have been removed. */
   public boolean isComplete() {
     return kind == Kind.COMPLETE_LIST;
   }
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineCommandWriter.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineCommandWriter.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes commands to engines: one line each, with a statement behind that of a request. */
+/** Encodes commands to engines: one line each; a statement follows the line of a request. */
 public final class EngineCommandWriter {
   private static final int DEFAULT_PRIORITY = 1;
   private static final String LINE_END = "\r\n";
@@ -11,13 +11,13 @@
   private EngineCommandWriter() {}
 
   /**
-   * Runs a statement.
+   * Encodes the command to run a statement.
    *
    * @param id the request's id
    * @param queryClass the name of the query's class
-   * @param budgetMs what is left of the attempt's time, in milliseconds
-   * @param key the idempotency key; null where the client gave none
-   * @param priority the query's priority; 1 is the default and not written
+   * @param budgetMs the remaining time of the attempt, in milliseconds
+   * @param key the idempotency key; null if the client gave none
+   * @param priority the query's priority; the default, 1, is not written
    */
   public static ByteBuffer run(
       String id, String queryClass, long budgetMs, String key, int priority, Bytes statement) {
@@ -44,30 +44,30 @@
         .flip();
   }
 
-  /** Cancels a request. */
+  /** Encodes the command to cancel a request. */
   public static ByteBuffer cancel(String id) {
     return line("QUIT " + id);
   }
 
-  /** Changes the priority of a request that is running. */
+  /** Encodes the command to change the priority of a running request. */
   public static ByteBuffer setPriority(String id, int priority) {
     return line("PRIO " + id + ' ' + priority);
   }
 
-  /** Asks for a page of a result, by its place from 0. */
+  /** Encodes the command to fetch a page of a result; pages are numbered from 0. */
   public static ByteBuffer fetchPage(String id, int page) {
     return line("NEXT " + id + ' ' + page);
   }
 
-  /** Releases a result: no more of its pages are wanted. */
+  /** Encodes the command to release a result, of which no more pages will be fetched. */
   public static ByteBuffer releaseResult(String id) {
     return line("FREE " + id);
   }
 
   /**
-   * Checks the engine's health.
+   * Encodes the command to check an engine's health.
    *
-   * @param tag the id that the response bears
+   * @param tag the id that the response repeats
    * @param loadReport whether the engine is to report its load
    */
   public static ByteBuffer checkHealth(String tag, boolean loadReport) {
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
@@ -8,12 +8,12 @@
 import reachloom.scheduler.api.ProgressKind;
 
 /**
- * A response of an engine to a command. The methods give the meaning of the fields that the
- * protocol names; a field that is missing or can't be read has the value that each method tells.
+ * A response of an engine to a command. The methods interpret the fields of the protocol; each
+ * method documents its value for a field that is missing or malformed.
  *
- * @param id the id of the request or health check that it answers
- * @param status what it says
- * @param fields the fields by the protocol's names
+ * @param id the id of the request or health check that the response belongs to
+ * @param status the status of the response
+ * @param fields the fields by their names in the protocol
  * @param body the page of rows that follows the line; not copied
  */
 public record EngineResponse(String id, Status status, Map<String, String> fields, byte[] body) {
@@ -25,10 +25,10 @@
   private static final String PROGRESS_KIND = "detail";
   private static final String PROGRESS_AMOUNT = "figure";
 
-  /** The amount by which a waiting query tells that it waits for a load and not for memory. */
+  /** The amount that a waiting query reports if it waits for a load rather than for memory. */
   private static final double WAITS_FOR_LOAD = 2;
 
-  /** What a response says. */
+  /** The status of a response. */
   public enum Status {
     /** The first page of a result. */
     RESULT("OK"),
@@ -38,15 +38,15 @@
     BUSY("BUSY"),
     /** The request failed. */
     ERROR("ERR"),
-    /** The request was over before it came, and has not run. */
+    /** The request had ended before it reached the engine, and has not run. */
     NOT_RUN("VOID"),
     /** The request is still running. */
     PROGRESS("NOTE"),
-    /** The engine takes requests. */
+    /** The engine accepts requests. */
     UP("UP"),
-    /** The engine takes no requests. */
+    /** The engine accepts no requests. */
     DOWN("DOWN"),
-    /** A word that the protocol does not have. */
+    /** A word that is not part of the protocol. */
     UNKNOWN("OTHER");
 
     private final String wireName;
@@ -55,12 +55,12 @@
       this.wireName = wireName;
     }
 
-    /** The word for it in the protocol; a made-up one for {@link #UNKNOWN}. */
+    /** Returns the word for the status in the protocol; {@link #UNKNOWN} has a word of its own. */
     public String wireName() {
       return wireName;
     }
 
-    /** The status for a word of the protocol. */
+    /** Returns the status for a word, or {@link #UNKNOWN}. */
     static Status of(String word) {
       for (Status status : values()) {
         if (status.wireName.equals(word)) {
@@ -71,37 +71,37 @@
     }
   }
 
-  /** How many pages the result has; empty where it can't be read. */
+  /** Returns the number of pages of the result; empty if it is missing or malformed. */
   public OptionalLong pageCount() {
     return wholeNumber(PAGE_COUNT);
   }
 
-  /** The number of pages as it was sent, for the log; null where it is missing. */
+  /** Returns the number of pages as it was sent, for the log; null if it is missing. */
   public String pageCountText() {
     return fields.get(PAGE_COUNT);
   }
 
-  /** The place of this page in the result, from 0; empty where it can't be read. */
+  /** Returns the index of this page in the result, from 0; empty if it is missing or malformed. */
   public OptionalLong pageNumber() {
     return wholeNumber(PAGE_NUMBER);
   }
 
-  /** The place of this page as it was sent, for the log; null where it is missing. */
+  /** Returns the index of this page as it was sent, for the log; null if it is missing. */
   public String pageNumberText() {
     return fields.get(PAGE_NUMBER);
   }
 
-  /** The work that the query took, in milliseconds; 0 where it is not told. */
+  /** Returns the work of the query in milliseconds; 0 if it is missing or malformed. */
   public long costMs() {
     return Math.round(Numbers.parseDouble(fields.get(COST), 0));
   }
 
-  /** The memory that the query took, in MB; 0 where it is not told. */
+  /** Returns the memory that the query used, in MB; 0 if it is missing or malformed. */
   public double memoryMb() {
     return Numbers.parseDouble(fields.get(MEMORY), 0);
   }
 
-  /** What a running query reports. */
+  /** Returns the kind of progress that a running query reports. */
   public ProgressKind progressKind() {
     return switch (fields.getOrDefault(PROGRESS_KIND, "")) {
       case "so_far" -> ProgressKind.PROGRESS;
@@ -112,12 +112,12 @@
     };
   }
 
-  /** The amount that a running query reports, whose unit its kind tells; 0 where it is missing. */
+  /** Returns the amount of progress, whose unit depends on the kind; 0 if missing or malformed. */
   public double progressAmount() {
     return Numbers.parseDouble(fields.get(PROGRESS_AMOUNT), 0);
   }
 
-  /** The load report of the engine, if there is one; a value that it leaves out is 0. */
+  /** Returns the load report of the engine, if there is one; an omitted value is 0. */
   public Optional<LoadReport> loadReport() {
     String text = fields.get(LOAD_REPORT);
     if (text == null) {
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes the responses of engines: a line {@code ID STATUS FIELDS LENGTH}, a body of so many
- * bytes, and the end of a line. Lines end with CR and LF; fields are {@code NAME=VALUE} with commas
- * between, or a hyphen for none. Not thread-safe: one decoder for each connection.
+ * Decodes the responses of engines: a line {@code ID STATUS FIELDS LENGTH}, a body of {@code LENGTH}
+ * bytes, and a line end. Lines end with CR and LF; fields are {@code NAME=VALUE}, separated by
+ * commas, or a hyphen for none. Not thread-safe: each connection has its own decoder.
  */
 public final class EngineResponseDecoder implements Decoder<EngineResponse> {
   private static final int MAX_LINE_BYTES = 4096;
-  private static final int MAX_BODY_BYTES = 6_000; // a page, as the protocol says
+  private static final int MAX_BODY_BYTES = 6_000; // a page of the protocol
   private static final int INITIAL_LINE_BYTES = 128;
   private static final int TOKENS = 4;
   private static final byte[] EMPTY_BODY = new byte[0];
@@ -45,11 +45,11 @@
         case LINE -> fault = decodeLineByte(bytes[at++]);
         case BODY -> at += copyBody(bytes, at, to);
         case BODY_CR -> {
-          fault = bytes[at++] == '\r' ? null : "a body longer than it says";
+          fault = bytes[at++] == '\r' ? null : "a body longer than its announced length";
           state = State.BODY_LF;
         }
         case BODY_LF -> {
-          fault = bytes[at++] == '\n' ? null : "a body longer than it says";
+          fault = bytes[at++] == '\n' ? null : "a body longer than its announced length";
           state = State.LINE;
           if (fault == null) {
             messages.accept(response);
@@ -60,7 +60,7 @@
     return fault;
   }
 
-  /** Copies what there is of the body; gives how many bytes that is. */
+  /** Copies the available bytes of the body and returns their number. */
   private int copyBody(byte[] bytes, int from, int to) {
     byte[] body = response.body();
     int length = Math.min(to - from, body.length - bodyLength);
@@ -84,7 +84,7 @@
 
   private String appendToLine(byte next) {
     if (lineLength == MAX_LINE_BYTES) {
-      return "a line without end";
+      return "a line longer than " + MAX_LINE_BYTES + " bytes";
     }
     if (lineLength == line.length) {
       line = Arrays.copyOf(line, Math.min(MAX_LINE_BYTES, 2 * lineLength));
@@ -97,7 +97,7 @@
     String[] tokens = text.split(" ", -1);
     int length = tokens.length == TOKENS ? bodyLength(tokens[TOKENS - 1]) : -1;
     if (length < 0 || tokens[0].isEmpty()) {
-      return "a line that is no answer";
+      return "a line that is not a response";
     }
     byte[] body = length == 0 ? EMPTY_BODY : new byte[length];
     response =
@@ -119,7 +119,7 @@
     Map<String, String> fields = new HashMap<>();
     for (String field : text.split(",")) {
       int equals = field.indexOf('=');
-      if (equals > 0) { // what is no field is ignored
+      if (equals > 0) { // anything else is ignored
         fields.put(field.substring(0, equals), field.substring(equals + 1));
       }
     }
--- a/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into frames: a length in four bytes, unsigned and big-endian, then as many bytes.
- * Memory grows with the bytes that have been received, not with the length that was announced.
+ * Splits a stream into frames: a length of four bytes, unsigned and big-endian, then that number of
+ * bytes. Memory grows with the bytes received, not with the announced length.
  */
 public final class FrameDecoder implements Decoder<byte[]> {
   private static final int INITIAL_BYTES = 512;
@@ -18,7 +18,7 @@
   private byte[] frame;
   private int received;
 
-  /** A decoder of frames whose length lies within the bounds, both included. */
+  /** Creates a decoder of frames whose length is within the bounds, both inclusive. */
   public FrameDecoder(int minBytes, int maxBytes) {
     this.minBytes = minBytes;
     this.maxBytes = maxBytes;
@@ -41,7 +41,7 @@
         if (length < minBytes || length > maxBytes) {
           return "a frame of " + length + " bytes";
         }
-        // The length is only a promise: memory follows the bytes that have been received.
+        // The announced length is untrusted: the buffer grows with the bytes received.
         frame = new byte[(int) Math.min(length, INITIAL_BYTES)];
         received = 0;
       }
@@ -55,11 +55,11 @@
       at += part;
       received += part;
       if (received == length) {
-        byte[] whole = frame;
+        byte[] complete = frame;
         frame = null;
         length = 0;
         lengthBytes = 0;
-        messages.accept(whole);
+        messages.accept(complete);
       }
     }
     return null;
--- a/gateway/src/main/java/reachloom/gateway/wire/Listener.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Listener.java
@@ -3,30 +3,30 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Receives the events of connections, on the thread that serves the sockets: implementations must
- * not block, and post what they receive to the event loop.
+ * Receives the events of connections on the thread that serves the sockets. Implementations must
+ * not block; they post events to the event loop.
  *
- * @param <M> the messages
+ * @param <M> the type of the messages
  */
 public interface Listener<M> {
-  /** A connection is up. */
+  /** A connection was established. */
   void opened(IoSession session);
 
   /**
    * A message was received.
    *
-   * @param bytes about what it takes in memory
+   * @param bytes the approximate memory of the message, in bytes
    */
   void received(IoSession session, M message, int bytes);
 
-  /** A message has begun that is not whole yet; the next one received ends it. */
+  /** An incomplete message was received; the next complete message is this one. */
   default void messageStarted(IoSession session) {}
 
-  /** What was received can't be decoded, and nothing more is: the connection is to be closed. */
+  /** Malformed input was received; no more input is decoded, and the connection must be closed. */
   default void inputMalformed(IoSession session) {
     session.closeNow();
   }
 
-  /** A connection is closed, by whichever side. */
+  /** A connection was closed by either side. */
   void closed(IoSession session);
 }
--- a/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
@@ -10,22 +10,21 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * System calls that fail for lack of memory, buffers, descriptors or addresses on this machine.
- * They say nothing about the other side, and are temporary: the call is repeated. Counts them, and
- * logs them once in a while. Thread-safe.
+ * Classifies failed system calls, and counts and logs those that fail for lack of memory, buffers,
+ * descriptors or addresses on this machine. Such failures say nothing about the remote side and are
+ * temporary: the call is retried. They are logged at most once per second. Thread-safe.
  */
 final class LocalFailures {
   private static final Logger LOG = System.getLogger(LocalFailures.class.getName());
-  private static final long LOG_INTERVAL = 1_000_000_000; // nanoseconds
+  private static final long LOG_INTERVAL_NANOS = 1_000_000_000;
 
   /**
-   * So long until the next try, in milliseconds: a call that goes on failing must not take the
-   * processor.
+   * Delay before a retry, so that a call that fails repeatedly does not occupy the processor.
    */
-  private static final long PAUSE_MS = 2;
+  private static final long RETRY_DELAY_MS = 2;
 
-  /** What the system says of ENOBUFS, ENOMEM, EINTR and EAGAIN. */
-  private static final Set<String> TEMPORARY =
+  /** The messages of ENOBUFS, ENOMEM, EINTR and EAGAIN. */
+  private static final Set<String> TEMPORARY_ERRORS =
       Set.of(
           "No buffer space available",
           "Cannot allocate memory",
@@ -33,19 +32,19 @@
           "Resource temporarily unavailable");
 
   private final AtomicLong count = new AtomicLong();
-  private final AtomicLong loggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL);
+  private final AtomicLong loggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL_NANOS);
 
   /**
-   * Whether a read or write failed for want of something on this machine, and the connection still
-   * stands.
+   * Whether a read or write failed for lack of a resource on this machine, so that the connection is
+   * still usable.
    */
   static boolean isTemporary(IOException failure) {
-    return failure.getMessage() != null && TEMPORARY.contains(failure.getMessage());
+    return failure.getMessage() != null && TEMPORARY_ERRORS.contains(failure.getMessage());
   }
 
   /**
-   * Whether a dial failed before it left this machine: refusals, time-outs and hosts out of reach
-   * have exceptions of their own, and a reset comes from the other side.
+   * Whether a connection attempt failed on this machine before anything was sent. Refused connections, time-outs and
+   * unreachable hosts have exceptions of their own, and a reset comes from the remote side.
    */
   static boolean isOfThisMachine(Throwable failure) {
     if (failure instanceof ConnectException || failure instanceof NoRouteToHostException) {
@@ -57,28 +56,28 @@
     return failure instanceof IOException e && isTemporary(e);
   }
 
-  /** Notes a failure, and waits a moment, on a thread of the sockets. */
+  /** Records a failure and waits before the retry, on a thread of the sockets. */
   void pause(String call, IOException failure) {
-    note(call, failure);
+    record(call, failure);
     try {
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(RETRY_DELAY_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Notes a failure. */
-  void note(String call, Throwable failure) {
-    long all = count.incrementAndGet();
+  /** Counts a failure, and logs it unless another one was logged within the interval. */
+  void record(String call, Throwable failure) {
+    long total = count.incrementAndGet();
     long now = System.nanoTime();
     long last = loggedAt.get();
-    if (now - last >= LOG_INTERVAL && loggedAt.compareAndSet(last, now)) {
+    if (now - last >= LOG_INTERVAL_NANOS && loggedAt.compareAndSet(last, now)) {
       LOG.log(
           Level.WARNING,
-          "a system call failed on this machine, and is made again: {0}: {1}; {2} so far",
+          "system call {0} failed for lack of a local resource and is retried: {1}; {2} failures so far",
           call,
           failure.getMessage(),
-          all);
+          total);
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
@@ -1,13 +1,14 @@
 package reachloom.gateway.wire;
 
-/** Parses numbers of other programs: what can't be read is a default, not an exception. */
+/** Parses numbers from untrusted input: malformed numbers give a default, not an exception. */
 public final class Numbers {
   private static final int MAX_DIGITS = 18;
 
   private Numbers() {}
 
   /**
-   * Parses a whole number from 0 up in plain digits; {@code otherwise} where it is none, or null.
+   * Parses a non-negative integer of decimal digits; returns {@code otherwise} if the text is null or
+   * malformed.
    */
   public static long parseNonNegative(String text, long otherwise) {
     if (text == null || text.isEmpty() || text.length() > MAX_DIGITS) {
@@ -24,7 +25,7 @@
     return read;
   }
 
-  /** Parses a finite number; {@code otherwise} where it is none, or null. */
+  /** Parses a finite number; returns {@code otherwise} if the text is null or malformed. */
   public static double parseDouble(String text, double otherwise) {
     if (text == null || text.length() > 2 * MAX_DIGITS) {
       return otherwise;
--- a/gateway/src/main/java/reachloom/gateway/wire/Rows.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Rows.java
@@ -13,7 +13,7 @@
 
   private Rows() {}
 
-  /** Whether a page consists of whole rows of valid text; an empty page does. */
+  /** Whether a page consists of complete rows of valid text; an empty page does. */
   public static boolean isValid(byte[] page) {
     int tabs = 0;
     for (byte b : page) {
@@ -23,12 +23,12 @@
       tabs = b == '\n' ? 0 : b == '\t' ? tabs + 1 : tabs;
     }
     boolean ends = page.length == 0 || page[page.length - 1] == '\n';
-    return ends && readable(page);
+    return ends && isUtf8(page);
   }
 
-  private static boolean readable(byte[] page) {
+  private static boolean isUtf8(byte[] page) {
     for (byte b : page) {
-      if (b < 0) { // most pages are plain: only others are looked at again
+      if (b < 0) { // most pages are ASCII; only others need decoding
         try {
           StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(page));
           return true;
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -37,16 +37,17 @@
   private static final int INITIAL_READ_BYTES = 2048;
   private static final int MAX_READ_BYTES = 16 * 1024;
 
-  /** Bytes that are read from a connection in one go where so much is there. */
-  private static final int MAX_READ_AT_ONCE = 256 * 1024;
+  /** Limit of the bytes that one read takes from a connection, in bytes. */
+  private static final int MAX_SINGLE_READ_BYTES = 256 * 1024;
 
   private static final long CONNECT_CHECK_INTERVAL_MS = 50;
   private static final long ACCEPT_PAUSE_MS = 2;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final long LIBRARY_TIMEOUT_FACTOR = 2;
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
+  private static final long MINA_TIMEOUT_FACTOR = 2;
   private static final int END_OF_STREAM = -1;
 
-  private static final AttributeKey ENDED = new AttributeKey(Sockets.class, "ended");
+  private static final AttributeKey END_OF_STREAM_READ =
+      new AttributeKey(Sockets.class, "endOfStreamRead");
 
   private final ExecutorService threads =
       Executors.newCachedThreadPool(
@@ -56,31 +57,31 @@
             return t;
           });
   private final LocalFailures failures = new LocalFailures();
-  private final HalfClosing processor = new HalfClosing(threads);
+  private final HalfClosingProcessor processor = new HalfClosingProcessor(threads);
   private final BoundedAcceptor acceptor;
   private final List<NioSocketConnector> connectors = new CopyOnWriteArrayList<>();
 
   /**
-   * The library's, which can also shut the output of a connection alone. It reads all that is there
-   * before anything of it is passed on, so that one who sends much and goes has gone before the
-   * first of it counts.
+   * MINA's processor, which can also shut down only the output of a connection. It reads all
+   * available bytes before it passes any of them on, so that the end of a stream is known before the
+   * first message of a client that sends a lot and then closes the connection is handled.
    */
-  private final class HalfClosing extends NioProcessor {
-    HalfClosing(Executor threads) {
+  private final class HalfClosingProcessor extends NioProcessor {
+    HalfClosingProcessor(Executor threads) {
       super(threads);
     }
 
     @Override
     protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
       try {
-        return Math.max(
-            0, super.write(session, buffer, length)); // interrupted: nothing was written
+        // A negative number means that the call was interrupted and wrote nothing.
+        return Math.max(0, super.write(session, buffer, length));
       } catch (IOException e) {
         if (!LocalFailures.isTemporary(e)) {
           throw e;
         }
         failures.pause("write", e);
-        return 0; // the library tries again once the connection takes something
+        return 0; // MINA retries once the connection is writable
       }
     }
 
@@ -89,31 +90,29 @@
       int read;
       try {
         read = super.read(session, buffer);
-        read =
-            read < END_OF_STREAM
-                ? 0
-                : read; // interrupted: the platform tells that by other numbers
+        // Numbers below -1 mean that the call was interrupted.
+        read = read < END_OF_STREAM ? 0 : read;
       } catch (IOException e) {
         if (!LocalFailures.isTemporary(e)) {
           throw e;
         }
         failures.pause("read", e);
-        return 0; // what is there is still there
+        return 0; // the available bytes can still be read
       }
       if (read == END_OF_STREAM) {
-        session.setAttribute(ENDED);
-      } else if (!buffer.hasRemaining() && buffer.capacity() < MAX_READ_AT_ONCE) {
-        buffer.expand(buffer.capacity()); // the library goes on while there is room
+        session.setAttribute(END_OF_STREAM_READ);
+      } else if (!buffer.hasRemaining() && buffer.capacity() < MAX_SINGLE_READ_BYTES) {
+        buffer.expand(buffer.capacity()); // MINA reads on while the buffer has room
       }
       return read;
     }
 
-    private void shutOutput(IoSession session) {
+    private void shutdownOutput(IoSession session) {
       for (SelectionKey key : selector.keys()) {
         if (key.attachment() == session && key.channel() instanceof SocketChannel channel) {
           try {
             channel.shutdownOutput();
-          } catch (IOException e) { // it has ended by itself
+          } catch (IOException e) { // the connection is already closed
             session.closeNow();
           }
           return;
@@ -123,32 +122,35 @@
   }
 
   /**
-   * Shuts the output of a connection once all that was handed to it is written; nothing may be
-   * written later. It takes no place among the clients any more: whoever ends connections bounds
-   * those that are ending.
+   * Shuts down the output of a connection once all bytes passed to it are written; nothing may be
+   * written later. The connection no longer counts towards the limit of client connections: the caller
+   * limits the number of connections that are closing.
    */
   public void shutOutputOnceWritten(IoSession session) {
-    acceptor.leave(session);
-    DecodingHandler.onceWritten(session, () -> processor.shutOutput(session));
+    acceptor.release(session);
+    DecodingHandler.runOnceWritten(session, () -> processor.shutdownOutput(session));
   }
 
-  /** Whether the other side has sent its last; known with the last of what it sent, or later. */
+  /**
+   * Whether the remote side has ended its stream. This becomes known when its last bytes are read, or
+   * later.
+   */
   public static boolean isEndOfStream(IoSession session) {
-    return session.containsAttribute(ENDED);
+    return session.containsAttribute(END_OF_STREAM_READ);
   }
 
   /**
-   * Sockets of which at most that many are held for clients; further ones wait in the system's
-   * queue.
+   * Creates sockets with at most {@code maxClients} client connections; further connections wait in
+   * the accept queue of the operating system.
    */
   public Sockets(int maxClients) {
     acceptor = new BoundedAcceptor(maxClients);
   }
 
   /**
-   * Accepts no faster than connections are closed. Without that, a flood of connections takes all
-   * descriptors while the loop has still to decide which of them to keep, and nothing is left to
-   * reach engines with.
+   * Accepts client connections up to a limit, then only as others are closed. Without the limit, a
+   * flood of connections would take all descriptors before the event loop decides which of them to
+   * keep, and none would be left for connections to engines.
    */
   private final class BoundedAcceptor extends NioSocketAcceptor {
     private final int maxHeld;
@@ -164,56 +166,56 @@
     protected NioSession accept(IoProcessor<NioSession> of, ServerSocketChannel channel)
         throws Exception {
       if (held.get() >= maxHeld) {
-        Thread.sleep(ACCEPT_PAUSE_MS); // this thread does nothing else
+        Thread.sleep(ACCEPT_PAUSE_MS); // this thread only accepts
         return null;
       }
-      NioSession session = acceptOrWait(of, channel);
+      NioSession session = acceptOrPause(of, channel);
       if (session != null) {
         held.incrementAndGet();
         holders.add(session);
-        session.getCloseFuture().addListener(f -> leave(session));
+        session.getCloseFuture().addListener(f -> release(session));
       }
       return session;
     }
 
     /**
-     * The next connection; null where the call failed, and whoever waits is accepted a little
-     * later.
+     * Accepts the next connection; returns null if the call failed, after a delay, and the waiting
+     * connection is accepted by a later call.
      */
-    private NioSession acceptOrWait(IoProcessor<NioSession> of, ServerSocketChannel channel)
+    private NioSession acceptOrPause(IoProcessor<NioSession> of, ServerSocketChannel channel)
         throws Exception {
       try {
         return super.accept(of, channel);
-      } catch (IOException e) { // the library would accept nothing for a second
+      } catch (IOException e) { // MINA would pause accepting for a second
         failures.pause("accept", e);
         return null;
       }
     }
 
-    private void leave(IoSession session) {
+    private void release(IoSession session) {
       if (holders.remove(session)) {
         held.decrementAndGet();
       }
     }
   }
 
-  /** Listens for clients on that address only. */
+  /** Listens for clients on the given address only. */
   public void listen(InetSocketAddress address, IoHandler handler) throws IOException {
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
-    acceptor.setCloseOnDeactivation(
-        false); // else unbinding cuts all connections, whatever they are owed
+    // Otherwise unbind() would close all connections, including those with pending responses.
+    acceptor.setCloseOnDeactivation(false);
     configure(acceptor.getSessionConfig());
     acceptor.setHandler(handler);
     acceptor.bind(address);
   }
 
-  /** Takes no new clients. */
+  /** Stops accepting clients. */
   public void unbind() {
     acceptor.unbind();
   }
 
-  /** Ends all connections and threads at once; nothing can be made of this any more. */
+  /** Closes all connections and ends all threads at once; this object can't be used afterwards. */
   public void abandon() {
     acceptor.dispose();
     connectors.forEach(NioSocketConnector::dispose);
@@ -222,17 +224,18 @@
   }
 
   /**
-   * A connector whose connections that handler serves, for dials that are given up after that time
-   * at the latest. The library ends one that is not up some time later: whoever waits gives it up
-   * first.
+   * Creates a connector whose connections are served by a handler. The caller gives up a connection
+   * attempt after {@code dialTimeoutNanos} at the latest; MINA's own time-out is later, so that the
+   * caller's applies first.
    */
-  public NioSocketConnector connector(IoHandler handler, long dialTimeout) {
+  public NioSocketConnector connector(IoHandler handler, long dialTimeoutNanos) {
     NioSocketConnector connector = new NioSocketConnector(threads, processor);
     connectors.add(connector);
     connector.setHandler(handler);
     connector.setConnectTimeoutCheckInterval(CONNECT_CHECK_INTERVAL_MS);
     connector.setConnectTimeoutMillis(
-        LIBRARY_TIMEOUT_FACTOR * Math.max(CONNECT_CHECK_INTERVAL_MS, dialTimeout / MILLISECOND));
+        MINA_TIMEOUT_FACTOR
+            * Math.max(CONNECT_CHECK_INTERVAL_MS, dialTimeoutNanos / NANOS_PER_MILLISECOND));
     configure(connector.getSessionConfig());
     return connector;
   }
@@ -242,34 +245,34 @@
     config.setMinReadBufferSize(MIN_READ_BYTES);
     config.setReadBufferSize(INITIAL_READ_BYTES);
     config.setMaxReadBufferSize(MAX_READ_BYTES);
-    // The library measures it on the wall clock, and ends all that wait to write once that goes
-    // forward.
-    // Who takes nothing is ended by bounds of the gateway: on unsent answers and on rest.
+    // MINA measures the write time-out by the wall clock, and closes all connections that wait to
+    // write when that clock jumps forward. The gateway closes connections that read nothing by its
+    // own limits: on unsent responses and on idle time.
     config.setWriteTimeout(0);
   }
 
-  /** Puts bytes on a connection. */
+  /** Writes bytes to a connection. */
   public static WriteFuture write(IoSession session, ByteBuffer bytes) {
     return session.write(IoBuffer.wrap(bytes));
   }
 
   /**
-   * Whether a dial failed on this machine, before anything left it, so that it tells nothing of the
-   * other side; then it is counted.
+   * Whether a connection attempt failed on this machine before anything was sent, so that it says
+   * nothing about the remote side. Such a failure is counted.
    */
   public boolean failedLocally(ConnectFuture future) {
-    boolean here = LocalFailures.isOfThisMachine(future.getException());
-    if (here) {
-      failures.note("connect", future.getException());
+    boolean local = LocalFailures.isOfThisMachine(future.getException());
+    if (local) {
+      failures.record("connect", future.getException());
     }
-    return here;
+    return local;
   }
 
   /**
-   * Gives up a connection that is not up yet; one that comes up all the same is closed. It is not
-   * cancelled: the library counts a dial down that is cancelled while its connection is up and its
-   * session is still to be made, though it has counted it down before. Its worker then ends with
-   * the next dial unserved, and so on with each cancel: such a connector never connects again.
+   * Gives up a connection attempt; the connection is closed if it is established later. The future
+   * is not cancelled, because MINA counts down an attempt twice that is cancelled after its
+   * connection is established and before its session is created. Its worker then ends without
+   * serving the next attempt, and again after each such cancel: the connector never connects again.
    */
   public static void giveUp(ConnectFuture future) {
     future.addListener(
--- a/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
@@ -8,22 +8,29 @@
 import java.util.Set;
 
 /**
- * Finds the group of tables that a statement reads or writes: the number behind the underscore in
- * the name of a schema. Strings and comments are passed over. A name after a word that names tables
- * counts before any other, since an alias may look like a schema.
+ * Finds the group of tables that a statement reads or writes: the number after the last underscore in
+ * the name of a schema. Strings and comments are skipped. A name after a keyword that introduces
+ * tables takes precedence over other names, since an alias may look like a schema.
  */
 public final class TableGroup {
-  /** The group of a statement that names none. */
+  /** The result for a statement that names no group. */
   public static final int NONE = -1;
 
-  private static final Set<String> TABLE_WORDS =
+  /** Keywords that a table name follows. */
+  private static final Set<String> TABLE_KEYWORDS =
       Set.of(
           "from", "join", "into", "update", "table", "using", "copy", "truncate", "only", "view");
-  private static final Set<String> LIST_WORDS =
+  
+  /** Keywords that a list of tables follows. */
+  private static final Set<String> TABLE_LIST_KEYWORDS =
       Set.of("from", "using", "table", "truncate", "only");
-  private static final Set<String> QUERY_WORDS =
+  
+  /** Keywords that begin a subquery. */
+  private static final Set<String> QUERY_KEYWORDS =
       Set.of("select", "with", "insert", "update", "delete", "merge", "values");
-  private static final Set<String> NOT_FUNCTIONS =
+  
+  /** Keywords that are no function names: a bracket after them is no argument list. */
+  private static final Set<String> NON_FUNCTION_KEYWORDS =
       Set.of(
           "from",
           "join",
@@ -55,7 +62,7 @@
           "returning");
   private static final String STAGING = "staging";
   private static final int MAX_DIGITS = 9;
-  private static final int MAX_DEPTH = 256;
+  private static final int MAX_NESTING = 256;
 
   private final byte[] text;
   private final int end;
@@ -68,67 +75,68 @@
     end = statement.from() + statement.length();
   }
 
-  /** The group of a statement, or {@link #NONE}. */
+  /** Returns the group of a statement, or {@link #NONE}. */
   public static int of(Bytes statement) {
     return new TableGroup(statement).find();
   }
 
   private int find() {
-    // For each open bracket whether it is the argument list of a function, where FROM names no
+    // For each open bracket, whether it is the argument list of a function, where FROM introduces no
     // table.
     Deque<Boolean> functions = new ArrayDeque<>();
-    boolean inList = false; // within the tables after FROM, where a comma starts the next one
-    boolean wanted = false; // the next name is a table's
-    String before = ""; // the last bare word
+    boolean inList = false; // within a list of tables, where a comma precedes the next one
+    boolean expectsTable = false; // the next name is that of a table
+    // The previous word in lower case, "name" for a quoted or dotted name, empty for other tokens.
+    String previous = "";
     while (skipToToken()) {
       char c = (char) text[at];
       if (isPart(c)) {
         boolean bare = isNameStart(c);
         List<String> parts = name();
         String word = bare && parts.size() == 1 ? parts.get(0).toLowerCase(Locale.ROOT) : "";
-        if (QUERY_WORDS.contains(word) && !functions.isEmpty() && functions.peek()) {
+        if (QUERY_KEYWORDS.contains(word) && !functions.isEmpty() && functions.peek()) {
           functions.pop();
           functions.push(false);
         }
         boolean inFunction = !functions.isEmpty() && functions.peek();
-        if (TABLE_WORDS.contains(word) && !inFunction) {
-          wanted = true;
-          inList = LIST_WORDS.contains(word);
-        } else if (word.isEmpty() || wanted) {
+        if (TABLE_KEYWORDS.contains(word) && !inFunction) {
+          expectsTable = true;
+          inList = TABLE_LIST_KEYWORDS.contains(word);
+        } else if (word.isEmpty() || expectsTable) {
           int group = group(parts);
-          if (wanted && group != NONE) {
+          if (expectsTable && group != NONE) {
             return group;
           }
           fallback = fallback == NONE ? group : fallback;
-          wanted = wanted && Set.of("if", "not", "exists", "lateral").contains(word);
-        } else if (!word.equals("as") && NOT_FUNCTIONS.contains(word)) {
+          expectsTable = expectsTable && Set.of("if", "not", "exists", "lateral").contains(word);
+        } else if (!word.equals("as") && NON_FUNCTION_KEYWORDS.contains(word)) {
           inList = false;
         }
-        before = word.isEmpty() ? "name" : word;
+        previous = word.isEmpty() ? "name" : word;
         continue;
       }
       if (c == '(') {
         boolean function =
-            !before.isEmpty()
-                && !NOT_FUNCTIONS.contains(before)
-                && !TABLE_WORDS.contains(before)
-                && !wanted;
-        if (functions.size() >= MAX_DEPTH) {
+            !previous.isEmpty()
+                && !NON_FUNCTION_KEYWORDS.contains(previous)
+                && !TABLE_KEYWORDS.contains(previous)
+                && !expectsTable;
+        if (functions.size() >= MAX_NESTING) {
           return fallback;
         }
         functions.push(function);
       } else if (c == ')' && !functions.isEmpty()) {
         functions.pop();
       } else if (c == ',' && inList) {
-        wanted = functions.isEmpty() || !functions.peek();
+        expectsTable = functions.isEmpty() || !functions.peek();
       }
-      before = "";
+      previous = "";
       at++;
     }
     return fallback;
   }
 
-  /** A name of one or more parts with dots between; quoted parts lose their quotes. */
+  /** Reads a name of one or more parts separated by dots; quotes are removed. */
   private List<String> name() {
     List<String> parts = new ArrayList<>();
     parts.add(part());
@@ -159,7 +167,7 @@
     return new Bytes(text, from, Math.max(0, at - 1 - from)).text();
   }
 
-  /** Moves behind the closing quote; a doubled one stands for itself. */
+  /** Advances past the closing quote; a doubled quote is part of the text. */
   private void skipQuoted(byte quote) {
     at++;
     while (at < end) {
@@ -174,7 +182,7 @@
     }
   }
 
-  /** Passes over space, strings, comments and numbers; false at the end of the statement. */
+  /** Skips space, strings, comments and numbers; returns false at the end of the statement. */
   private boolean skipToToken() {
     while (at < end) {
       byte c = text[at];
@@ -209,7 +217,8 @@
   }
 
   /**
-   * The number in a name's schema, which stands before the table; NONE where it has none that fits.
+   * Returns the number in the schema of a name, the part before the table; NONE if it has no valid
+   * number.
    */
   private static int group(List<String> parts) {
     if (parts.size() < 2) {
--- a/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Reads the messages of clients: Thrift's strict binary protocol, one message in a frame. Fields
- * that are not known are skipped. A frame that can't be read is a value, {@link ClientCall.Broken},
- * never an exception; neither depth nor size of what it announces costs more than its bytes.
+ * Decodes the messages of clients: Thrift's strict binary protocol, one message per frame. Unknown
+ * fields are skipped. A malformed frame gives a value, {@link ClientCall.Broken}, never an
+ * exception; announced sizes and nesting cost no more than the bytes of the frame.
  */
 public final class ThriftReader {
   static final int VERSION = 0x8001;
@@ -36,14 +36,14 @@
   private final byte[] frame;
   private int at;
 
-  /** Why the frame can't be read; null while it can. Once set, all further reads give nothing. */
+  /** Why the frame is malformed; null while it isn't. Once set, further reads return nothing. */
   private String fault;
 
   private ThriftReader(byte[] frame) {
     this.frame = frame;
   }
 
-  /** Reads the message in a frame. */
+  /** Decodes the message in a frame. */
   public static ClientCall read(byte[] frame) {
     return new ThriftReader(frame).message();
   }
@@ -92,7 +92,7 @@
       }
     }
     return fields == null || body == null
-        ? bad(seq, "execute", "fields or body missing or of another type")
+        ? protocolError(seq, "execute", "fields or body missing or of another type")
         : new ClientCall.Execute(seq, fields, body);
   }
 
@@ -107,7 +107,7 @@
       }
     }
     return target == null
-        ? bad(seq, "interrupt", "seqid missing or of another type")
+        ? protocolError(seq, "interrupt", "seqid missing or of another type")
         : new ClientCall.Interrupt(seq, target);
   }
 
@@ -116,11 +116,11 @@
     return new ClientCall.Check(seq);
   }
 
-  private static ClientCall bad(int seq, String method, String why) {
+  private static ClientCall protocolError(int seq, String method, String why) {
     return new ClientCall.Unusable(seq, method, PROTOCOL_ERROR, why);
   }
 
-  /** Reads a map of texts; null where it is another map, or larger than a request's may be. */
+  /** Reads a map of texts; returns null for another type of map or more than the allowed fields. */
   private Map<String, String> strings() {
     int keys = u8();
     int values = u8();
@@ -170,7 +170,7 @@
     }
   }
 
-  /** Skips elements, or pairs where the second type is given; each takes a byte at least. */
+  /** Skips elements, or pairs if {@code second} is not STOP; each takes at least one byte. */
   private void skipPairs(int first, int second, int size, int depth) {
     if (size < 0 || size > frame.length - at) {
       fault = "a collection of " + size;
--- a/gateway/src/main/java/reachloom/gateway/wire/ThriftWriter.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ThriftWriter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes responses to clients, each as one whole frame that is ready to be sent. */
+/** Encodes responses to clients, each as one complete frame. */
 public final class ThriftWriter {
   private static final int REPLY = 2;
   private static final int EXCEPTION = 3;
@@ -16,17 +16,17 @@
 
   private ThriftWriter() {}
 
-  /** The result of a served request: all pages in order. */
+  /** Encodes the result of a served request: all pages in order. */
   public static ByteBuffer answer(int seq, List<Bytes> pages) {
     return answer(EXECUTE, seq, pages, true);
   }
 
-  /** The response to {@code check}: whether the gateway is ready. */
-  public static ByteBuffer check(int seq, boolean good) {
-    return answer(CHECK, seq, List.of(), good);
+  /** Encodes the response to {@code check}: whether the gateway is ready. */
+  public static ByteBuffer check(int seq, boolean ready) {
+    return answer(CHECK, seq, List.of(), ready);
   }
 
-  private static ByteBuffer answer(byte[] method, int seq, List<Bytes> pages, boolean good) {
+  private static ByteBuffer answer(byte[] method, int seq, List<Bytes> pages, boolean success) {
     int body = pages.stream().mapToInt(Bytes::length).sum();
     ByteBuffer out =
         head(
@@ -48,21 +48,21 @@
     pages.forEach(p -> out.put(p.array(), p.from(), p.length()));
     emptyMap(out, 2);
     field(out, ThriftReader.BOOL, 3);
-    out.put((byte) (good ? 1 : 0));
+    out.put((byte) (success ? 1 : 0));
     return end(out);
   }
 
-  /** A rejected request, which was never forwarded: a retry is harmless. */
+  /** Encodes the rejection of a request that was never forwarded, so that a retry is safe. */
   public static ByteBuffer busy(int seq) {
     return declared(seq, 1);
   }
 
-  /** A failed request, which may have run. */
+  /** Encodes the failure of a request that may have run. */
   public static ByteBuffer failed(int seq) {
     return declared(seq, 2);
   }
 
-  /** One of the exceptions that the service declares: a struct of an empty map. */
+  /** Encodes an exception that the service declares: a struct with an empty map. */
   private static ByteBuffer declared(int seq, int id) {
     ByteBuffer out = head(EXECUTE, REPLY, seq, FIELD_BYTES + EMPTY_MAP_BYTES + 1 + 1);
     field(out, ThriftReader.STRUCT, id);
@@ -70,7 +70,7 @@
     return end(out);
   }
 
-  /** An application exception, for a call that could be read but not served. */
+  /** Encodes an application exception, for a call that was decoded but can't be served. */
   public static ByteBuffer exception(ClientCall.Unusable call) {
     byte[] why = call.why().getBytes(StandardCharsets.UTF_8);
     byte[] method = call.method().getBytes(StandardCharsets.UTF_8);
--- a/gateway/src/main/java/reachloom/gateway/wire/package-info.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is spoken: pure codecs (bytes in, values out) and the thin handlers that put them on
- * sockets.
+ * The wire protocols of the gateway: codecs for clients, engines and the change log, without I/O of
+ * their own, and the handlers that connect them to sockets (Apache MINA).
  */
 package reachloom.gateway.wire;
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import reachloom.scheduler.api.EngineState;
 
-/** Frames of the change log. */
+/** Frames of the change log: events in any split, unknown states and malformed frames. */
 class ChangeLogDecoderTest {
   private static ByteBuffer frame(long number, int kind, int records) {
     return ByteBuffer.allocate(13 + 27 * records)
@@ -34,13 +34,13 @@
   }
 
   @Test
-  void eventsAreTheSameHoweverTheyAreCut() {
+  void decodesEventsInAnySplit() {
     byte[] stream =
-        Feeds.join(
+        DecoderAssertions.concat(
             frame(0, 0, 0).array(),
             record(frame(4, 1, 1), 0xc41f7a, 0, 2, 1).array(),
             record(record(frame(5, 2, 2), 1, 1, 0, 0), 2, 2, 0, 0).array());
-    List<EndpointListEvent> read = Feeds.alike(stream, ChangeLogDecoderTest::decoder, c -> c);
+    List<EndpointListEvent> read = DecoderAssertions.decodeInAnySplit(stream, ChangeLogDecoderTest::decoder, c -> c);
     assertEquals(
         List.of(true, false, false), read.stream().map(EndpointListEvent::isHeartbeat).toList());
     assertEquals(
@@ -57,27 +57,27 @@
   }
 
   @Test
-  void aStateNotKnownTakesNothingNew() {
+  void unknownStateCountsAsDraining() {
     List<EndpointListEvent> read =
-        Feeds.alike(
+        DecoderAssertions.decodeInAnySplit(
             record(frame(5, 2, 1), 1, 9, 0, 0).array(), ChangeLogDecoderTest::decoder, c -> c);
     assertEquals(EngineState.DRAINING, read.get(0).members().get(0).endpoint().state());
   }
 
   @Test
-  void framesThatCannotBeReadBreakTheConnection() {
-    assertNotNull(Feeds.fault(ByteBuffer.allocate(4).putInt(8).array(), decoder()));
-    assertNotNull(Feeds.fault(ByteBuffer.allocate(4).putInt(-1).array(), decoder()));
-    assertNotNull(Feeds.fault(frame(1, 3, 0).array(), decoder()));
-    assertNotNull(Feeds.fault(frame(1, 0, 1).array(), decoder()));
-    assertNotNull(Feeds.fault(record(frame(1, 2, 1), 1, 0, 3, 0).array(), decoder()));
-    assertNotNull(Feeds.fault(record(frame(1, 2, 1), 1, 0, 0, 2).array(), decoder()));
-    ByteBuffer cut = ByteBuffer.allocate(4 + 9 + 26).putInt(9 + 26).putLong(1).put((byte) 2);
-    assertNotNull(Feeds.fault(cut.array(), decoder()));
+  void rejectsMalformedFrames() {
+    assertNotNull(DecoderAssertions.faultOf(ByteBuffer.allocate(4).putInt(8).array(), decoder()));
+    assertNotNull(DecoderAssertions.faultOf(ByteBuffer.allocate(4).putInt(-1).array(), decoder()));
+    assertNotNull(DecoderAssertions.faultOf(frame(1, 3, 0).array(), decoder()));
+    assertNotNull(DecoderAssertions.faultOf(frame(1, 0, 1).array(), decoder()));
+    assertNotNull(DecoderAssertions.faultOf(record(frame(1, 2, 1), 1, 0, 3, 0).array(), decoder()));
+    assertNotNull(DecoderAssertions.faultOf(record(frame(1, 2, 1), 1, 0, 0, 2).array(), decoder()));
+    ByteBuffer truncated = ByteBuffer.allocate(4 + 9 + 26).putInt(9 + 26).putLong(1).put((byte) 2);
+    assertNotNull(DecoderAssertions.faultOf(truncated.array(), decoder()));
   }
 
   @Test
-  void theFirstWordIsTheLastNumberHeld() {
+  void helloContainsLastEventNumber() {
     assertEquals(ByteBuffer.allocate(8).putLong(41).flip(), ChangeLogDecoder.hello(41));
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
@@ -24,20 +24,20 @@
 import reachloom.scheduler.api.EngineState;
 
 /**
- * The bytes between a gateway and the change log, against those that version 09d85ed wrote and
- * read. The stored files stand for all change logs that are deployed: a test here that fails means
- * that the wire format has changed, never that a file is to be written anew.
+ * Compares the bytes between a gateway and the change log with those that version 09d85ed wrote and
+ * read. The stored files represent all deployed change logs: a failure means that the wire format has
+ * changed; the files must never be regenerated.
  */
 class ChangeLogGoldenTest {
   private static final String FOLDER = "change-log";
   private static final int ZONES = 3;
   private static final int KINDS = 2;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
   private static final EngineMember UP =
       member(
           new EngineEndpoint(
-              "s-00c41f7a", EngineState.UP, 1, 2, 2, 1.5, 1_700_000_000_123L * MILLISECOND),
+              "s-00c41f7a", EngineState.UP, 1, 2, 2, 1.5, 1_700_000_000_123L * NANOS_PER_MILLISECOND),
           "127.1.2.3",
           41_000);
   private static final EngineMember DRAINING =
@@ -45,25 +45,25 @@
           new EngineEndpoint("s-00000001", EngineState.DRAINING, 0, 0, 0, 1.0, 0),
           "10.0.0.1",
           4100);
-  private static final EngineMember GONE =
+  private static final EngineMember REMOVED =
       member(
           new EngineEndpoint(
-              "s-ffffffff", EngineState.REMOVED, 0, 1, 65_535, 4_294_967.295, 7 * MILLISECOND),
+              "s-ffffffff", EngineState.REMOVED, 0, 1, 65_535, 4_294_967.295, 7 * NANOS_PER_MILLISECOND),
           "255.255.255.255",
           65_535);
   private static final EngineMember UNKNOWN_STATE =
       member(
           new EngineEndpoint("s-00000002", EngineState.DRAINING, 0, 0, 1, 0.25, 0), "127.0.0.1", 1);
 
-  private static final Map<String, EndpointListEvent> READ = read();
-  private static final Map<String, ByteBuffer> WRITTEN = written();
+  private static final Map<String, EndpointListEvent> EVENTS = expectedEvents();
+  private static final Map<String, ByteBuffer> HELLOS = encodedHellos();
 
-  private static Map<String, EndpointListEvent> read() {
+  private static Map<String, EndpointListEvent> expectedEvents() {
     Map<String, EndpointListEvent> read = new LinkedHashMap<>();
     read.put("nothing-new", new EndpointListEvent(41, Kind.HEARTBEAT, List.of()));
     read.put("whole-list", new EndpointListEvent(4, Kind.COMPLETE_LIST, List.of(UP, DRAINING)));
     read.put("whole-list-empty", new EndpointListEvent(5, Kind.COMPLETE_LIST, List.of()));
-    read.put("changes", new EndpointListEvent(6, Kind.CHANGES, List.of(DRAINING, GONE)));
+    read.put("changes", new EndpointListEvent(6, Kind.CHANGES, List.of(DRAINING, REMOVED)));
     read.put("changes-up", new EndpointListEvent(7, Kind.CHANGES, List.of(UP)));
     read.put(
         "changes-unknown-state", new EndpointListEvent(8, Kind.CHANGES, List.of(UNKNOWN_STATE)));
@@ -71,27 +71,27 @@
     return read;
   }
 
-  private static Map<String, ByteBuffer> written() {
+  private static Map<String, ByteBuffer> encodedHellos() {
     Map<String, ByteBuffer> written = new LinkedHashMap<>();
     written.put("hello-at-event-41", ChangeLogDecoder.hello(41));
     written.put("hello-for-all-events", ChangeLogDecoder.hello(0));
     return written;
   }
 
-  private static EngineMember member(EngineEndpoint info, String address, int port) {
+  private static EngineMember member(EngineEndpoint endpoint, String address, int port) {
     try {
-      return new EngineMember(info, new InetSocketAddress(InetAddress.getByName(address), port));
+      return new EngineMember(endpoint, new InetSocketAddress(InetAddress.getByName(address), port));
     } catch (UnknownHostException e) {
       throw new IllegalArgumentException(e);
     }
   }
 
   static Stream<Arguments> frames() {
-    return READ.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+    return EVENTS.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
   }
 
   static Stream<Arguments> hellos() {
-    return WRITTEN.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+    return HELLOS.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
   }
 
   private static Decoder<EndpointListEvent> decoder() {
@@ -100,33 +100,33 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("frames")
-  void storedFramesAreReadWithAllTheirFieldsHoweverTheyAreCut(
+  void decodesStoredFramesInAnySplit(
       String name, EndpointListEvent expected) {
     byte[] stored = GoldenHex.read(FOLDER, name);
     assertEquals(
-        List.of(expected), Feeds.alike(stored, ChangeLogGoldenTest::decoder, change -> change));
+        List.of(expected), DecoderAssertions.decodeInAnySplit(stored, ChangeLogGoldenTest::decoder, change -> change));
   }
 
   @Test
-  void storedFramesThatFollowEachOtherAreReadAsOneByOne() {
+  void decodesConcatenatedStoredFrames() {
     byte[][] stored =
-        READ.keySet().stream().map(name -> GoldenHex.read(FOLDER, name)).toArray(byte[][]::new);
+        EVENTS.keySet().stream().map(name -> GoldenHex.read(FOLDER, name)).toArray(byte[][]::new);
     List<EndpointListEvent> read = new ArrayList<>();
-    byte[] stream = Feeds.join(stored);
+    byte[] stream = DecoderAssertions.concat(stored);
     assertNull(decoder().feed(stream, 0, stream.length, read::add));
-    assertEquals(List.copyOf(READ.values()), read);
+    assertEquals(List.copyOf(EVENTS.values()), read);
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("hellos")
-  void hellosAreWrittenAsTheStoredBytes(String name, ByteBuffer written) {
+  void encodesHellosToStoredBytes(String name, ByteBuffer written) {
     assertEquals(GoldenHex.hex(GoldenHex.read(FOLDER, name)), GoldenHex.hex(written));
   }
 
   @Test
-  void eachStoredFileIsLookedAt() {
-    TreeSet<String> names = new TreeSet<>(READ.keySet());
-    names.addAll(WRITTEN.keySet());
+  void everyStoredFileIsTested() {
+    TreeSet<String> names = new TreeSet<>(EVENTS.keySet());
+    names.addAll(HELLOS.keySet());
     assertEquals(names, GoldenHex.names(FOLDER));
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/wire/ClientFramesGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ClientFramesGoldenTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The frames of clients as files: what is read from each stored request, and the bytes of each
- * answer. The files are never written anew; a change of one is a change of the protocol.
+ * Compares stored client frames with the decoded requests and the encoded responses. The files must
+ * never be regenerated: a change of one is a change of the protocol.
  */
 class ClientFramesGoldenTest {
   private static final Path FRAMES = Path.of("src/test/resources/golden/client-frames");
@@ -36,7 +36,7 @@
   private static final int PROTOCOL_ERROR = 7;
   private static final String INCOMPLETE_EXECUTE = "fields or body missing or of another type";
 
-  /** What a stored request says: the message, and its statement where it is one to execute. */
+  /** The expected call of a stored request, with the hexadecimal statement of an execute call. */
   private record Request(ClientCall call, String statement) {
     static Request execute(int seq, Map<String, String> fields, String statement) {
       return new Request(
@@ -58,14 +58,14 @@
   }
 
   private static final Map<String, Request> REQUESTS = new TreeMap<>();
-  private static final Map<String, ByteBuffer> ANSWERS = new TreeMap<>();
+  private static final Map<String, ByteBuffer> RESPONSES = new TreeMap<>();
 
   static {
     executeRequests();
     otherRequests();
-    unservedRequests();
+    unusableRequests();
     brokenRequests();
-    answers();
+    responses();
   }
 
   private static void executeRequests() {
@@ -115,7 +115,7 @@
     REQUESTS.put("check-empty", Request.of(new ClientCall.Check(16)));
   }
 
-  private static void unservedRequests() {
+  private static void unusableRequests() {
     REQUESTS.put("unknown-method", Request.unusable(17, "drop", UNKNOWN_METHOD, "unknown method"));
     REQUESTS.put(
         "unknown-method-64-bytes",
@@ -149,22 +149,22 @@
     REQUESTS.put("broken-nesting", Request.broken("nested too deeply"));
   }
 
-  private static void answers() {
-    Bytes stretch = new Bytes("xa\tb\tc\ny".getBytes(StandardCharsets.UTF_8), 1, 6);
+  private static void responses() {
+    Bytes range = new Bytes("xa\tb\tc\ny".getBytes(StandardCharsets.UTF_8), 1, 6);
     Bytes empty = Bytes.of(new byte[0]);
-    Bytes wide = Bytes.of("ü\t数\t\n".getBytes(StandardCharsets.UTF_8));
-    ANSWERS.put("served-no-page", ThriftWriter.answer(7, List.of()));
-    ANSWERS.put("served-one-page", ThriftWriter.answer(8, List.of(stretch)));
-    ANSWERS.put("served-pages", ThriftWriter.answer(-9, List.of(stretch, empty, wide)));
-    ANSWERS.put("check-ready", ThriftWriter.check(10, true));
-    ANSWERS.put("check-not-ready", ThriftWriter.check(Integer.MAX_VALUE, false));
-    ANSWERS.put("busy", ThriftWriter.busy(11));
-    ANSWERS.put("failed", ThriftWriter.failed(12));
-    ANSWERS.put(
+    Bytes nonAscii = Bytes.of("ü\t数\t\n".getBytes(StandardCharsets.UTF_8));
+    RESPONSES.put("served-no-page", ThriftWriter.answer(7, List.of()));
+    RESPONSES.put("served-one-page", ThriftWriter.answer(8, List.of(range)));
+    RESPONSES.put("served-pages", ThriftWriter.answer(-9, List.of(range, empty, nonAscii)));
+    RESPONSES.put("check-ready", ThriftWriter.check(10, true));
+    RESPONSES.put("check-not-ready", ThriftWriter.check(Integer.MAX_VALUE, false));
+    RESPONSES.put("busy", ThriftWriter.busy(11));
+    RESPONSES.put("failed", ThriftWriter.failed(12));
+    RESPONSES.put(
         "exception-unknown-method",
         ThriftWriter.exception(
             new ClientCall.Unusable(13, "drop", UNKNOWN_METHOD, "unknown method")));
-    ANSWERS.put(
+    RESPONSES.put(
         "exception-protocol-error",
         ThriftWriter.exception(
             new ClientCall.Unusable(14, "exécute", PROTOCOL_ERROR, INCOMPLETE_EXECUTE)));
@@ -174,14 +174,14 @@
     return names("requests");
   }
 
-  static List<String> answerNames() throws IOException {
+  static List<String> responseNames() throws IOException {
     return names("answers");
   }
 
   @Test
-  void everyStoredFrameHasItsCaseAndEveryCaseItsFrame() throws IOException {
+  void storedFilesMatchTestCases() throws IOException {
     assertEquals(List.copyOf(REQUESTS.keySet()), names("requests"));
-    assertEquals(List.copyOf(ANSWERS.keySet()), names("answers"));
+    assertEquals(List.copyOf(RESPONSES.keySet()), names("answers"));
     assertEquals(
         List.of(
             "empty-frame",
@@ -193,7 +193,7 @@
 
   @ParameterizedTest
   @MethodSource("requests")
-  void aStoredRequestIsReadFieldByField(String name) throws IOException {
+  void decodesStoredRequest(String name) throws IOException {
     Request expected = REQUESTS.get(name);
     ClientCall read = ThriftReader.read(message("requests", name));
     if (expected.call() instanceof ClientCall.Execute execute) {
@@ -207,21 +207,21 @@
               .formatHex(
                   statement.array(), statement.from(), statement.from() + statement.length()));
     } else {
-      assertEquals(expected.call(), read); // records: all their fields
+      assertEquals(expected.call(), read); // compares all fields of the records
     }
   }
 
   @ParameterizedTest
-  @MethodSource("answerNames")
-  void anAnswerIsWrittenAsItIsStored(String name) throws IOException {
-    ByteBuffer answer = ANSWERS.get(name);
-    byte[] written = new byte[answer.remaining()];
-    answer.duplicate().get(written);
+  @MethodSource("responseNames")
+  void encodesResponseToStoredBytes(String name) throws IOException {
+    ByteBuffer response = RESPONSES.get(name);
+    byte[] written = new byte[response.remaining()];
+    response.duplicate().get(written);
     assertArrayEquals(stored("answers", name), written);
   }
 
   @Test
-  void framesAreCutOutOfAStream() throws IOException {
+  void splitsStreamIntoFrames() throws IOException {
     byte[] stream = stored("streams", "four-frames-and-a-part");
     FrameDecoder decoder = new FrameDecoder(1, MAX_FRAME_BYTES);
     List<byte[]> frames = new ArrayList<>();
@@ -245,7 +245,7 @@
   }
 
   @Test
-  void framesBeyondTheBoundsAreNamed() throws IOException {
+  void reportsFramesOutOfBounds() throws IOException {
     Map<String, String> faults = new HashMap<>();
     for (String name : List.of("empty-frame", "frame-over-64-kib", "frame-of-unsigned-length")) {
       byte[] stream = stored("streams", name);
@@ -264,7 +264,7 @@
         faults);
   }
 
-  /** The message of a stored frame, which holds nothing else. */
+  /** Returns the message of a file that holds a single frame. */
   private static byte[] message(String kind, String name) throws IOException {
     byte[] stream = stored(kind, name);
     List<byte[]> frames = new ArrayList<>();
@@ -275,7 +275,7 @@
     return frames.get(0);
   }
 
-  /** The bytes of a file of hexadecimal digits; lines that begin with a hash are comments. */
+  /** Reads a file of hexadecimal digits; lines that begin with a hash are comments. */
   private static byte[] stored(String kind, String name) throws IOException {
     Path file = FRAMES.resolve(kind).resolve(name + ".hex");
     String digits =
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
@@ -19,29 +19,29 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The bytes between a gateway and its engines, against those that version 09d85ed wrote and read.
- * The stored files stand for all engines that are deployed: a test here that fails means that the
- * wire format has changed, never that a file is to be written anew.
+ * Compares the bytes between a gateway and its engines with those that version 09d85ed wrote and
+ * read. The stored files represent all deployed engines: a failure means that the wire format has
+ * changed; the files must never be regenerated.
  */
 class EngineLinesGoldenTest {
-  private static final String COMMANDS = "engine-lines/commands";
-  private static final String ANSWERS = "engine-lines/answers";
+  private static final String COMMANDS_FOLDER = "engine-lines/commands";
+  private static final String RESPONSES_FOLDER = "engine-lines/answers";
   private static final String REQUEST = "9f3c00d1b2a47e58";
   private static final String KEY = "91f03b7c55d20a64";
-  private static final String PROBE = "p41";
+  private static final String HEALTH_CHECK = "p41";
   private static final String ROWS = "a\tb\tc\n\u00e4\t\t\u20ac\n";
-  private static final Map<String, ByteBuffer> WRITTEN = written();
-  private static final Map<String, Fields> READ = read();
+  private static final Map<String, ByteBuffer> COMMANDS = encodedCommands();
+  private static final Map<String, Fields> RESPONSES = expectedResponses();
 
-  /** All fields of an answer, with the body's bytes as digits so that answers can be compared. */
+  /** All fields of a response, with the body as digits so that responses can be compared. */
   private record Fields(
       String id, EngineResponse.Status status, Map<String, String> fields, String body) {
-    Fields(EngineResponse answer) {
-      this(answer.id(), answer.status(), answer.fields(), GoldenHex.hex(answer.body()));
+    Fields(EngineResponse response) {
+      this(response.id(), response.status(), response.fields(), GoldenHex.hex(response.body()));
     }
   }
 
-  private static Map<String, ByteBuffer> written() {
+  private static Map<String, ByteBuffer> encodedCommands() {
     Bytes plain = new Bytes("<select 1>".getBytes(UTF_8), 1, 8);
     byte[] binary =
         "select \"\u00c3\u00a4\u00e2\u0082\u00ac\"\r\nfrom \0t\u00ff\r\n".getBytes(ISO_8859_1);
@@ -60,16 +60,16 @@
     written.put("prio", EngineCommandWriter.setPriority(REQUEST, 0));
     written.put("next", EngineCommandWriter.fetchPage(REQUEST, 1023));
     written.put("free", EngineCommandWriter.releaseResult(REQUEST));
-    written.put("info", EngineCommandWriter.checkHealth(PROBE, true));
-    written.put("noop", EngineCommandWriter.checkHealth(PROBE, false));
+    written.put("info", EngineCommandWriter.checkHealth(HEALTH_CHECK, true));
+    written.put("noop", EngineCommandWriter.checkHealth(HEALTH_CHECK, false));
     return written;
   }
 
-  private static Map<String, Fields> read() {
+  private static Map<String, Fields> expectedResponses() {
     Map<String, Fields> read = new LinkedHashMap<>();
     read.put(
         "ok-one-page",
-        answer(
+        response(
             EngineResponse.Status.RESULT,
             Map.of(
                 "fetches",
@@ -83,105 +83,105 @@
             ROWS.getBytes(UTF_8)));
     read.put(
         "ok-first-of-pages",
-        answer(
+        response(
             EngineResponse.Status.RESULT,
             Map.of("fetches", "1024", "effort", "0.5", "high", "0"),
             ROWS.getBytes(UTF_8)));
-    read.put("ok-without-rows", answer(EngineResponse.Status.RESULT, Map.of("fetches", "1")));
+    read.put("ok-without-rows", response(EngineResponse.Status.RESULT, Map.of("fetches", "1")));
     read.put(
         "ok-body-with-line-ends",
-        answer(
+        response(
             EngineResponse.Status.RESULT,
             Map.of("fetches", "1"),
             "a\tb\r\nc\n\r\n\0\u00ff".getBytes(ISO_8859_1)));
     read.put(
         "ok-largest-body",
-        answer(
+        response(
             EngineResponse.Status.RESULT,
             Map.of("fetches", "1"),
             ("x".repeat(5994) + "\tb\tcd\n").getBytes(UTF_8)));
     read.put(
-        "rows", answer(EngineResponse.Status.PAGE, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
-    read.put("busy", answer(EngineResponse.Status.BUSY, Map.of()));
+        "rows", response(EngineResponse.Status.PAGE, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
+    read.put("busy", response(EngineResponse.Status.BUSY, Map.of()));
     read.put(
         "busy-with-report",
-        answer(EngineResponse.Status.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
-    read.put("err", answer(EngineResponse.Status.ERROR, Map.of(), "no such table".getBytes(UTF_8)));
-    read.put("void", answer(EngineResponse.Status.NOT_RUN, Map.of()));
+        response(EngineResponse.Status.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
+    read.put("err", response(EngineResponse.Status.ERROR, Map.of(), "no such table".getBytes(UTF_8)));
+    read.put("void", response(EngineResponse.Status.NOT_RUN, Map.of()));
     read.put(
         "note-so-far",
-        answer(EngineResponse.Status.PROGRESS, Map.of("detail", "so_far", "figure", "0.25")));
+        response(EngineResponse.Status.PROGRESS, Map.of("detail", "so_far", "figure", "0.25")));
     read.put(
         "note-lacking",
-        answer(EngineResponse.Status.PROGRESS, Map.of("detail", "lacking", "figure", "12")));
+        response(EngineResponse.Status.PROGRESS, Map.of("detail", "lacking", "figure", "12")));
     read.put(
         "note-waiting",
-        answer(EngineResponse.Status.PROGRESS, Map.of("detail", "waiting", "figure", "2")));
+        response(EngineResponse.Status.PROGRESS, Map.of("detail", "waiting", "figure", "2")));
     read.put(
         "up-with-report",
-        probeAnswer(EngineResponse.Status.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
-    read.put("up", probeAnswer(EngineResponse.Status.UP, Map.of()));
-    read.put("down", probeAnswer(EngineResponse.Status.DOWN, Map.of()));
+        healthResponse(EngineResponse.Status.UP, Map.of("use", "util:0.1;queue:0;x0:0.1;x1:0.1")));
+    read.put("up", healthResponse(EngineResponse.Status.UP, Map.of()));
+    read.put("down", healthResponse(EngineResponse.Status.DOWN, Map.of()));
     read.put(
-        "unknown-word", answer(EngineResponse.Status.UNKNOWN, Map.of(), "xyz".getBytes(UTF_8)));
+        "unknown-word", response(EngineResponse.Status.UNKNOWN, Map.of(), "xyz".getBytes(UTF_8)));
     read.put(
         "unreadable-fields",
-        answer(
+        response(
             EngineResponse.Status.RESULT,
             Map.of("fetches", "1", "twice", "2", "note", "a=b", "empty", "")));
     return read;
   }
 
-  private static Fields answer(EngineResponse.Status status, Map<String, String> fields) {
-    return answer(status, fields, new byte[0]);
+  private static Fields response(EngineResponse.Status status, Map<String, String> fields) {
+    return response(status, fields, new byte[0]);
   }
 
-  private static Fields answer(
+  private static Fields response(
       EngineResponse.Status status, Map<String, String> fields, byte[] body) {
     return new Fields(REQUEST, status, fields, GoldenHex.hex(body));
   }
 
-  private static Fields probeAnswer(EngineResponse.Status status, Map<String, String> fields) {
-    return new Fields(PROBE, status, fields, "");
+  private static Fields healthResponse(EngineResponse.Status status, Map<String, String> fields) {
+    return new Fields(HEALTH_CHECK, status, fields, "");
   }
 
   static Stream<Arguments> commands() {
-    return WRITTEN.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+    return COMMANDS.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
   }
 
-  static Stream<Arguments> answers() {
-    return READ.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
+  static Stream<Arguments> responses() {
+    return RESPONSES.entrySet().stream().map(e -> arguments(e.getKey(), e.getValue()));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("commands")
-  void commandsAreWrittenAsTheStoredBytes(String name, ByteBuffer written) {
-    assertEquals(GoldenHex.hex(GoldenHex.read(COMMANDS, name)), GoldenHex.hex(written));
+  void encodesCommandsToStoredBytes(String name, ByteBuffer written) {
+    assertEquals(GoldenHex.hex(GoldenHex.read(COMMANDS_FOLDER, name)), GoldenHex.hex(written));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("answers")
-  void storedAnswersAreReadWithAllTheirFieldsHoweverTheyAreCut(String name, Fields expected) {
-    byte[] stored = GoldenHex.read(ANSWERS, name);
-    assertEquals(List.of(expected), Feeds.alike(stored, EngineResponseDecoder::new, Fields::new));
+  @MethodSource("responses")
+  void decodesStoredResponsesInAnySplit(String name, Fields expected) {
+    byte[] stored = GoldenHex.read(RESPONSES_FOLDER, name);
+    assertEquals(List.of(expected), DecoderAssertions.decodeInAnySplit(stored, EngineResponseDecoder::new, Fields::new));
   }
 
   @Test
-  void storedAnswersThatFollowEachOtherAreReadAsOneByOne() {
+  void decodesConcatenatedStoredResponses() {
     byte[][] stored =
-        READ.keySet().stream().map(name -> GoldenHex.read(ANSWERS, name)).toArray(byte[][]::new);
+        RESPONSES.keySet().stream().map(name -> GoldenHex.read(RESPONSES_FOLDER, name)).toArray(byte[][]::new);
     List<Fields> read = new ArrayList<>();
-    byte[] stream = Feeds.join(stored);
+    byte[] stream = DecoderAssertions.concat(stored);
     String fault =
         new EngineResponseDecoder()
-            .feed(stream, 0, stream.length, answer -> read.add(new Fields(answer)));
+            .feed(stream, 0, stream.length, response -> read.add(new Fields(response)));
     assertNull(fault);
-    assertEquals(List.copyOf(READ.values()), read);
+    assertEquals(List.copyOf(RESPONSES.values()), read);
   }
 
   @Test
-  void eachStoredFileIsLookedAt() {
-    assertEquals(new TreeSet<>(WRITTEN.keySet()), GoldenHex.names(COMMANDS));
-    assertEquals(new TreeSet<>(READ.keySet()), GoldenHex.names(ANSWERS));
+  void everyStoredFileIsTested() {
+    assertEquals(new TreeSet<>(COMMANDS.keySet()), GoldenHex.names(COMMANDS_FOLDER));
+    assertEquals(new TreeSet<>(RESPONSES.keySet()), GoldenHex.names(RESPONSES_FOLDER));
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Lines of engines: whole, torn and merged, and bytes that are none. */
+/** Responses of engines in any split, malformed responses, and the encoding of commands. */
 class EngineResponseDecoderTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void answersAreTheSameHoweverTheyAreCut() {
+  void decodesResponsesInAnySplit() {
     byte[] stream =
         bytes(
             "7f OK fetches=2,effort=12,high=3.5 7\r\na\tb\r\nc\n\r\n"
@@ -44,11 +44,11 @@
             "p1|UP|{use=util:0.5;queue:2}|",
             "8a|BUSY|{}|",
             "8b|OTHER|{}|xyz"),
-        Feeds.alike(stream, EngineResponseDecoder::new, EngineResponseDecoderTest::view));
+        DecoderAssertions.decodeInAnySplit(stream, EngineResponseDecoder::new, EngineResponseDecoderTest::view));
   }
 
   @Test
-  void linesThatAreNoAnswersEndTheConnection() {
+  void rejectsMalformedResponses() {
     for (String bad :
         List.of(
             "7f OK - -1\r\n",
@@ -60,12 +60,12 @@
             "7f OK - 1\r\nabc",
             "7f OK - x\r\n",
             "x".repeat(5000))) {
-      assertNotNull(Feeds.fault(bytes(bad), new EngineResponseDecoder()), bad);
+      assertNotNull(DecoderAssertions.faultOf(bytes(bad), new EngineResponseDecoder()), bad);
     }
   }
 
   @Test
-  void fieldsThatCannotBeReadArePassedOver() {
+  void ignoresMalformedFields() {
     List<EngineResponse> read = new ArrayList<>();
     byte[] stream = bytes("1 OK =x,novalue,fetches=1 0\r\n\r\n");
     assertNull(new EngineResponseDecoder().feed(stream, 0, stream.length, read::add));
@@ -73,17 +73,17 @@
   }
 
   @Test
-  void garbageNeverThrows() {
+  void randomBytesNeverThrow() {
     Random random = new Random(7);
     for (int round = 0; round < 2_000; round++) {
       byte[] garbage = new byte[random.nextInt(200)];
       random.nextBytes(garbage);
-      Feeds.fault(garbage, new EngineResponseDecoder());
+      DecoderAssertions.faultOf(garbage, new EngineResponseDecoder());
     }
   }
 
   @Test
-  void commandsAreLinesOfWords() {
+  void encodesCommands() {
     Bytes statement = new Bytes(bytes("xxselect 1yy"), 2, 8);
     assertEquals(
         "ASK 7f queue=report,budget=150,uniq=k1,weight=3 8\r\nselect 1\r\n",
--- a/gateway/src/test/java/reachloom/gateway/wire/GoldenHex.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/GoldenHex.java
@@ -13,15 +13,15 @@
 import java.util.stream.Stream;
 
 /**
- * Stored bytes of messages, one file per kind: hexadecimal digits, with spaces between fields and
- * comments on lines of their own that begin with {@code #}.
+ * Reads stored messages, one file per kind: hexadecimal digits, with spaces between fields and
+ * comment lines that begin with {@code #}.
  */
 final class GoldenHex {
   private static final String SUFFIX = ".hex";
 
   private GoldenHex() {}
 
-  /** The bytes of one message, by its folder and name below {@code golden/}. */
+  /** Returns the bytes of one message, by its folder and name below {@code golden/}. */
   static byte[] read(String folder, String name) {
     try (Stream<String> lines = Files.lines(folder(folder).resolve(name + SUFFIX))) {
       String digits =
@@ -35,7 +35,7 @@
     }
   }
 
-  /** The names of all messages that are stored in a folder. */
+  /** Returns the names of all messages that are stored in a folder. */
   static Set<String> names(String folder) {
     try (Stream<Path> files = Files.list(folder(folder))) {
       return files
@@ -46,14 +46,14 @@
     }
   }
 
-  /** The remaining bytes of a message as digits, for messages of failed assertions. */
+  /** Returns the remaining bytes of a message as digits, for readable assertion failures. */
   static String hex(ByteBuffer message) {
     byte[] bytes = new byte[message.remaining()];
     message.duplicate().get(bytes);
     return HexFormat.of().formatHex(bytes);
   }
 
-  /** Bytes as digits. */
+  /** Returns bytes as hexadecimal digits. */
   static String hex(byte[] bytes) {
     return HexFormat.of().formatHex(bytes);
   }
--- a/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
@@ -12,7 +12,7 @@
 
 class LocalFailuresTest {
   @Test
-  void whatThisMachineLacksIsToldFromWhatTheOtherSideDoes() {
+  void distinguishesLocalFromRemoteFailures() {
     assertTrue(LocalFailures.isOfThisMachine(new SocketException("Too many open files")));
     assertTrue(LocalFailures.isOfThisMachine(new BindException("Cannot assign requested address")));
     assertTrue(LocalFailures.isOfThisMachine(new IOException("Cannot allocate memory")));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void aConnectionThatHasEndedDoesNotPass() {
+  void closedConnectionIsNotTemporary() {
     assertTrue(LocalFailures.isTemporary(new IOException("No buffer space available")));
     assertFalse(LocalFailures.isTemporary(new IOException("Connection reset by peer")));
     assertFalse(LocalFailures.isTemporary(new IOException("Broken pipe")));
--- a/gateway/src/test/java/reachloom/gateway/wire/SocketsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/SocketsTest.java
@@ -15,10 +15,10 @@
 import org.apache.mina.core.session.IoSession;
 import org.junit.jupiter.api.Test;
 
-/** The sockets themselves: how many are held. */
+/** The limit of client connections that {@link Sockets} holds. */
 class SocketsTest {
   @Test
-  void noMoreClientsAreAcceptedThanMayBeHeld() throws Exception {
+  void acceptsNoMoreClientsThanLimit() throws Exception {
     InetSocketAddress address;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = (InetSocketAddress) free.getLocalSocketAddress();
@@ -42,8 +42,8 @@
       for (int i = 0; i < 4; i++) {
         held.add(opened.poll(10, TimeUnit.SECONDS));
       }
-      assertEquals(null, opened.poll(300, TimeUnit.MILLISECONDS), "the fifth waits");
-      for (int i = 0; i < 8; i++) { // each that is closed lets one in
+      assertEquals(null, opened.poll(300, TimeUnit.MILLISECONDS), "the fifth connection waits");
+      for (int i = 0; i < 8; i++) { // each closed connection admits another one
         held.poll().closeNow();
         held.add(opened.poll(10, TimeUnit.SECONDS));
       }
--- a/gateway/src/test/java/reachloom/gateway/wire/ThriftTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ThriftTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Thrift messages: what is read, what is written, and what is neither. */
+/** Decoding and encoding of Thrift messages, and rejection of malformed ones. */
 class ThriftTest {
   private static ByteBuffer head(String method, int type, int seq) {
     return text(ByteBuffer.allocate(512).putInt(0x80010000 | type), method).putInt(seq);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void callsAreRead() {
+  void decodesCalls() {
     ClientCall.Execute call =
         assertInstanceOf(ClientCall.Execute.class, ThriftReader.read(execute(7)));
     assertEquals(7, call.seq());
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void fieldsNotKnownAreSkipped() {
+  void skipsUnknownFields() {
     ByteBuffer out =
         head("check", 1, 1)
             .put((byte) 12)
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void readableCallsThatCannotBeServedAreAnsweredUnderTheirNumber() {
+  void unusableCallKeepsSequenceNumber() {
     ClientCall unknown = ThriftReader.read(end(head("drop", 1, 3).put((byte) 0)));
     assertEquals(
         ThriftReader.UNKNOWN_METHOD, assertInstanceOf(ClientCall.Unusable.class, unknown).type());
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void everyTruncatedCallIsBroken() {
+  void rejectsCallTruncatedAtAnyByte() {
     byte[] whole = execute(7);
     for (int length = 0; length < whole.length; length++) {
       assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(Arrays.copyOf(whole, length)));
@@ -110,10 +110,10 @@
   }
 
   @Test
-  void otherVersionsVastSizesAndEndlessNestingAreBroken() {
-    byte[] old = end(text(ByteBuffer.allocate(64), "check").put((byte) 1).putInt(1).put((byte) 0));
-    assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(old));
-    byte[] vast =
+  void rejectsOtherVersionHugeSizesAndDeepNesting() {
+    byte[] otherVersion = end(text(ByteBuffer.allocate(64), "check").put((byte) 1).putInt(1).put((byte) 0));
+    assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(otherVersion));
+    byte[] huge =
         end(
             head("execute", 1, 1)
                 .put((byte) 13)
@@ -121,7 +121,7 @@
                 .put((byte) 11)
                 .put((byte) 11)
                 .putInt(Integer.MAX_VALUE));
-    assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(vast));
+    assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(huge));
     byte[] negative = end(head("execute", 1, 1).put((byte) 11).putShort((short) 2).putInt(-5));
     assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(negative));
     ByteBuffer deep = head("check", 1, 1);
@@ -132,34 +132,34 @@
   }
 
   @Test
-  void garbageNeverThrows() {
+  void corruptedCallNeverThrows() {
     Random random = new Random(5);
     byte[] whole = execute(7);
     for (int round = 0; round < 20_000; round++) {
-      byte[] bent = whole.clone();
+      byte[] corrupted = whole.clone();
       for (int i = 0; i <= random.nextInt(3); i++) {
-        bent[random.nextInt(bent.length)] = (byte) random.nextInt();
+        corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
       }
-      assertNotNull(ThriftReader.read(bent));
+      assertNotNull(ThriftReader.read(corrupted));
     }
   }
 
   @Test
-  void framesAreTheSameHoweverTheyAreCut() {
-    byte[] stream = Feeds.join(frame(execute(1)), frame(execute(2)), frame(new byte[2000]));
-    List<Integer> lengths = Feeds.alike(stream, () -> new FrameDecoder(1, 4096), f -> f.length);
+  void decodesFramesInAnySplit() {
+    byte[] stream = DecoderAssertions.concat(frame(execute(1)), frame(execute(2)), frame(new byte[2000]));
+    List<Integer> lengths = DecoderAssertions.decodeInAnySplit(stream, () -> new FrameDecoder(1, 4096), f -> f.length);
     assertEquals(List.of(execute(1).length, execute(2).length, 2000), lengths);
   }
 
   @Test
-  void framesBeyondTheirBoundsAreRefusedBeforeTheyCome() {
-    assertNotNull(Feeds.fault(new byte[] {0, 0, 0, 0}, new FrameDecoder(1, 100)));
-    assertNotNull(Feeds.fault(new byte[] {0, 0, 0, 101}, new FrameDecoder(1, 100)));
-    assertNotNull(Feeds.fault(new byte[] {-1, -1, -1, -1}, new FrameDecoder(1, 100)));
+  void rejectsFrameLengthOutOfBounds() {
+    assertNotNull(DecoderAssertions.faultOf(new byte[] {0, 0, 0, 0}, new FrameDecoder(1, 100)));
+    assertNotNull(DecoderAssertions.faultOf(new byte[] {0, 0, 0, 101}, new FrameDecoder(1, 100)));
+    assertNotNull(DecoderAssertions.faultOf(new byte[] {-1, -1, -1, -1}, new FrameDecoder(1, 100)));
   }
 
   @Test
-  void answersHoldAllPagesInOrder() {
+  void responseContainsPagesInOrder() {
     ByteBuffer out =
         ThriftWriter.answer(
             7, List.of(new Bytes("xab".getBytes(), 1, 2), Bytes.of("cd".getBytes())));
@@ -189,7 +189,7 @@
   }
 
   @Test
-  void refusalsAndFailuresAreDeclaredExceptions() {
+  void rejectionsAndFailuresAreDeclaredExceptions() {
     for (int id = 1; id <= 2; id++) {
       ByteBuffer out = id == 1 ? ThriftWriter.busy(9) : ThriftWriter.failed(9);
       out.getInt();
