--- a/gateway/src/test/java/reachloom/DeployFileTest.java
+++ b/gateway/src/test/java/reachloom/DeployFileTest.java
@@ -17,23 +17,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the platform asks of the deploy file: one process by exec, IPv4, and nothing that it
- * refuses.
+ * The platform's requirements on the deploy file and the sources: a single process started by exec,
+ * IPv4, and no operation that the platform refuses.
  */
 class DeployFileTest {
   private static final Path ROOT = Path.of("..");
 
   @Test
-  void runIsOneProcessByExec() throws IOException {
+  void runExecutesSingleProcess() throws IOException {
     String run = line("run");
     assertTrue(run.startsWith("exec java "), run);
     assertTrue(run.endsWith(" -jar gateway/target/reachloom.jar serve"), run);
     assertFalse(
-        Pattern.compile("[|&;<>`$()]").matcher(run).find(), "a shell would have to stay: " + run);
+        Pattern.compile("[|&;<>`$()]").matcher(run).find(), "a shell would have to keep running: " + run);
   }
 
   @Test
-  void runKeepsToIpv4AndSetsTheLimitsOfItsMemory() throws IOException {
+  void runUsesIpv4AndLimitsMemory() throws IOException {
     List<String> flags = flags(line("run"));
     assertTrue(flags.contains("-Djava.net.preferIPv4Stack=true"), flags.toString());
     for (String limit :
@@ -48,11 +48,11 @@
   }
 
   /**
-   * A class archive made under other flags may be turned down at the start, which then takes
+   * The JVM may reject a class archive that was created with other flags; the start then takes
    * longer.
    */
   @Test
-  void theArchiveIsMadeUnderTheFlagsThatRunHas() throws IOException {
+  void classArchiveIsCreatedWithFlagsOfRun() throws IOException {
     List<String> build = new ArrayList<>(flags(line("build").replaceFirst("^.*&& java ", "java ")));
     List<String> run = new ArrayList<>(flags(line("run")));
     assertTrue(build.remove("-XX:ArchiveClassesAtExit=gateway/target/reachloom.jsa"));
@@ -61,11 +61,11 @@
   }
 
   /**
-   * Only the stand-ins and the laboratory start processes; file transfers and local sockets are
-   * refused.
+   * Only the stand-ins and the laboratory may start processes; the platform refuses file transfers
+   * and local sockets.
    */
   @Test
-  void theProgramStartsNoOtherAndUsesNothingRefused() throws IOException {
+  void sourcesStartNoProcessAndUseNothingRefused() throws IOException {
     Pattern refused =
         Pattern.compile(
             "ProcessBuilder|getRuntime\\(\\)\\.exec|\\.transfer(To|From)\\("
@@ -85,9 +85,9 @@
     assertEquals(List.of(), found);
   }
 
-  /** Libraries on the class path of what is run: each further one costs start, memory, or both. */
+  /** Each further library on the run-time class path costs start time, memory, or both. */
   @Test
-  void theGatewayKeepsItsFewLibraries() throws IOException {
+  void gatewayHasOnlyExpectedDependencies() throws IOException {
     String pom = Files.readString(ROOT.resolve("gateway/pom.xml"));
     Matcher m = Pattern.compile("<dependency>(.*?)</dependency>", Pattern.DOTALL).matcher(pom);
     String kept =
--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -13,15 +13,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The shape of the sources: sizes, where decisions may stand, and what may not be named. */
+/**
+ * The structure of the sources: dependencies between packages, where decisions may be made and clocks
+ * read, and names that must not occur.
+ */
 class ShapeTest {
   private static final Path ROOT = Path.of("..");
   private static final Path MAIN = ROOT.resolve("gateway/src/main/java/reachloom");
-  private static final Path PURE = ROOT.resolve("decisions/src/main/java/reachloom");
-  private static final Path SCHEDULER = PURE.resolve("scheduler");
+  private static final Path DECISIONS = ROOT.resolve("decisions/src/main/java/reachloom");
+  private static final Path SCHEDULER = DECISIONS.resolve("scheduler");
 
-  /** Holders of state, which decide nothing. */
-  private static final List<String> RECORDS =
+  /** Classes that hold state and make no decisions. */
+  private static final List<String> STATE_CLASSES =
       List.of(
           "AttemptListener",
           "AttemptRecord",
@@ -34,7 +37,7 @@
           "SchedulingDecision");
 
   @Test
-  void theWallClockIsReadInOnePlaceOfEachModuleThatNeedsIt() throws IOException {
+  void readsWallClockInExpectedClassesOnly() throws IOException {
     Pattern wall =
         Pattern.compile(
             "currentTimeMillis|(Instant|LocalDate|LocalDateTime|LocalTime"
@@ -52,11 +55,11 @@
                         ".*/(reachloom/time/WallClock|standin/model/RealTimeScheduler)\\.java:.*"))
             .toList();
     assertEquals(List.of(), unexpected);
-    assertEquals(2, readers.size(), "both places read it: " + readers);
+    assertEquals(2, readers.size(), "expected one use in each of two classes: " + readers);
   }
 
   @Test
-  void schedulerPointsToItsInterfaceFirst() throws IOException {
+  void schedulerHeaderRefersToInterface() throws IOException {
     List<String> head = Files.readAllLines(SCHEDULER.resolve("QueryScheduler.java")).subList(0, 5);
     assertTrue(
         head.stream().anyMatch(l -> l.contains("decisions/src/main/java/reachloom/scheduler/api")));
@@ -73,18 +76,17 @@
   }
 
   @Test
-  void noTunedValueStandsInStateOrInterface() throws IOException {
-    // Numbers other than the plain ones of bookkeeping and units have no place in holders or
-    // interface.
+  void stateAndInterfaceHoldNoTunedValues() throws IOException {
+    // State classes and the interface may contain only the numbers of bookkeeping and units.
     Pattern number = Pattern.compile("(?<![\\w.\"])(?!(?:0|1|-1|2|1e9)(?![\\w.]))\\d[\\w.]*");
-    assertNone(number, PURE.resolve("scheduler/state"), PURE.resolve("scheduler/api"));
-    for (String name : RECORDS) {
+    assertNone(number, DECISIONS.resolve("scheduler/state"), DECISIONS.resolve("scheduler/api"));
+    for (String name : STATE_CLASSES) {
       assertNone(number, SCHEDULER.resolve(name + ".java"));
     }
   }
 
   @Test
-  void decisionsKnowNoWireNames() throws IOException {
+  void decisionsContainNoWireNames() throws IOException {
     Pattern wire =
         Pattern.compile(
             "\\b(Relay|Busy|Surrender|StopAttempt|SoundOut|WakeAt|LimitsFor|gatewayId"
@@ -93,37 +95,37 @@
   }
 
   @Test
-  void noDeploymentIsNamedInTheSources() throws IOException {
+  void sourcesNameNoDeployment() throws IOException {
     Pattern names =
         Pattern.compile(
             "(?i)semarang|surabaya|bandung|rungkut|status-lookup|status-check"
                 + "|history-report|result-load|std-8|std-16|hall-[abc]");
-    assertNone(names, MAIN, PURE);
+    assertNone(names, MAIN, DECISIONS);
   }
 
   @Test
-  void decisionsReadNoClockDrawNoChanceOfTheirOwnAndTouchNothingOutside() throws IOException {
+  void decisionsUseNoClockRandomnessIoOrThreads() throws IOException {
     assertNone(
         Pattern.compile(
             "currentTimeMillis|nanoTime|Instant\\.now|Math\\.random|new Random\\("
                 + "|ThreadLocalRandom|import java\\.(net|nio\\.(channels|file)|io)|\\bThread\\b"),
-        PURE);
+        DECISIONS);
   }
 
   @Test
-  void codecsKnowNoSockets() throws IOException {
+  void codecsImportNoSocketClasses() throws IOException {
     Pattern sockets =
         Pattern.compile("import (org\\.apache\\.mina|java\\.nio\\.channels|java\\.net\\.Socket)");
-    List<String> wired =
+    List<String> codecImports =
         matches(MAIN.resolve("gateway/wire"), sockets).stream()
             .filter(
                 m -> !m.matches(".*/(DecodingHandler|Sockets|Listener|LocalFailures)\\.java:.*"))
             .toList();
-    assertEquals(List.of(), wired);
+    assertEquals(List.of(), codecImports);
   }
 
   @Test
-  void packagesDependOneWay() throws IOException {
+  void packagesDependInOneDirection() throws IOException {
     Pattern up =
         Pattern.compile("import reachloom\\.(scheduler\\.QueryScheduler|simulator|gateway)\\b");
     assertNone(up, MAIN.resolve("config"), SCHEDULER);
@@ -131,23 +133,24 @@
         Pattern.compile(
             "import reachloom\\.(scheduler\\.(?!api\\.)|simulator\\b|gateway\\.(wire|lifecycle)\\b)");
     assertNone(wire, MAIN.resolve("gateway/state"));
-    // Of the scheduler a front knows the interface, and QueryScheduler where it makes one.
-    Pattern front =
+    // The gateway may import the interface of the scheduler, and QueryScheduler to create one.
+    Pattern schedulerInternals =
         Pattern.compile("import reachloom\\.(scheduler\\.(?!api\\.|QueryScheduler;)|simulator\\b)");
-    assertNone(front, MAIN.resolve("gateway"));
+    assertNone(schedulerInternals, MAIN.resolve("gateway"));
   }
 
   @Test
-  void frontsKeepNoDecisions() throws IOException {
-    // The module alone looks at how engines report, rest or are loaded, and draws by chance.
+  void gatewayAndSimulatorAdapterMakeNoDecisions() throws IOException {
+    // Only the decisions module evaluates the reports, idleness and load of engines, and draws random
+    // numbers.
     Pattern decisions =
         Pattern.compile(
             "\\.(utilization|queueLength|memoryShare|diskShare|crossZonePrice|healthCheckPrice|priorityWeight"
                 + "|latencyObjectiveNanos|idempotencyWindowNanos|slowStartShare|overloadMultiple"
                 + "|retryBudgetWindowNanos)\\(\\)|\\bRandom\\b|Math\\.random");
     assertNone(decisions, MAIN.resolve("gateway"), MAIN.resolve("simulator"));
-    // Its own responses are three: unusable or beyond a bound, never forwarded, out of time; see
-    // architecture.md. The warm-up writes two that nobody reads.
+    // The gateway itself responds in three cases: unusable or beyond a limit, never forwarded, out
+    // of time; see architecture.md. The warm-up writes two responses that are discarded.
     List<String> responses =
         matches(MAIN.resolve("gateway"), Pattern.compile("ThriftWriter\\.(busy|failed)\\("));
     assertEquals(
