--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -38,18 +38,18 @@
 
   @Override
   public String feed(byte[] bytes, int from, int to, Consumer<? super EngineResponse> messages) {
-    int at = from;
+    int position = from;
     String fault = null;
-    while (at < to && fault == null) {
+    while (position < to && fault == null) {
       switch (state) {
-        case LINE -> fault = decodeLineByte(bytes[at++]);
-        case BODY -> at += copyBody(bytes, at, to);
+        case LINE -> fault = decodeLineByte(bytes[position++]);
+        case BODY -> position += copyBody(bytes, position, to);
         case BODY_CR -> {
-          fault = bytes[at++] == '\r' ? null : "a body longer than its announced length";
+          fault = bytes[position++] == '\r' ? null : "a body longer than its announced length";
           state = State.BODY_LF;
         }
         case BODY_LF -> {
-          fault = bytes[at++] == '\n' ? null : "a body longer than its announced length";
+          fault = bytes[position++] == '\n' ? null : "a body longer than its announced length";
           state = State.LINE;
           if (fault == null) {
             messages.accept(response);
--- a/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
@@ -31,10 +31,10 @@
 
   @Override
   public String feed(byte[] bytes, int from, int to, Consumer<? super byte[]> messages) {
-    int at = from;
-    while (at < to) {
+    int position = from;
+    while (position < to) {
       if (lengthBytes < Integer.BYTES) {
-        length = length << Byte.SIZE | bytes[at++] & BYTE_MASK;
+        length = length << Byte.SIZE | bytes[position++] & BYTE_MASK;
         if (++lengthBytes < Integer.BYTES) {
           continue;
         }
@@ -45,14 +45,14 @@
         frame = new byte[(int) Math.min(length, INITIAL_BYTES)];
         received = 0;
       }
-      int part = (int) Math.min(to - at, length - received);
+      int part = (int) Math.min(to - position, length - received);
       if (received + part > frame.length) {
         frame =
             Arrays.copyOf(
                 frame, (int) Math.min(length, Math.max(received + part, 2L * frame.length)));
       }
-      System.arraycopy(bytes, at, frame, received, part);
-      at += part;
+      System.arraycopy(bytes, position, frame, received, part);
+      position += part;
       received += part;
       if (received == length) {
         byte[] complete = frame;
--- a/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
@@ -46,7 +46,7 @@
    * Whether a connection attempt failed on this machine before anything was sent. Refused connections, time-outs and
    * unreachable hosts have exceptions of their own, and a reset comes from the remote side.
    */
-  static boolean isOfThisMachine(Throwable failure) {
+  static boolean isLocal(Throwable failure) {
     if (failure instanceof ConnectException || failure instanceof NoRouteToHostException) {
       return false;
     }
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -261,7 +261,7 @@
    * nothing about the remote side. Such a failure is counted.
    */
   public boolean failedLocally(ConnectFuture future) {
-    boolean local = LocalFailures.isOfThisMachine(future.getException());
+    boolean local = LocalFailures.isLocal(future.getException());
     if (local) {
       failures.record("connect", future.getException());
     }
--- a/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
@@ -66,12 +66,12 @@
 
   private final byte[] text;
   private final int end;
-  private int at;
+  private int position;
   private int fallback = NONE;
 
   private TableGroup(Bytes statement) {
     text = statement.array();
-    at = statement.from();
+    position = statement.from();
     end = statement.from() + statement.length();
   }
 
@@ -89,7 +89,7 @@
     // The previous word in lower case, "name" for a quoted or dotted name, empty for other tokens.
     String previous = "";
     while (skipToToken()) {
-      char c = (char) text[at];
+      char c = (char) text[position];
       if (isPart(c)) {
         boolean bare = isNameStart(c);
         List<String> parts = name();
@@ -131,7 +131,7 @@
         expectsTable = functions.isEmpty() || !functions.peek();
       }
       previous = "";
-      at++;
+      position++;
     }
     return fallback;
   }
@@ -140,43 +140,43 @@
   private List<String> name() {
     List<String> parts = new ArrayList<>();
     parts.add(part());
-    while (at + 1 < end && text[at] == '.' && isPart((char) text[at + 1])) {
-      at++;
+    while (position + 1 < end && text[position] == '.' && isPart((char) text[position + 1])) {
+      position++;
       parts.add(part());
     }
     return parts;
   }
 
   private String part() {
-    return isQuote((char) text[at]) ? quoted() : bare();
+    return isQuote((char) text[position]) ? quoted() : bare();
   }
 
   private String bare() {
-    int from = at;
-    while (at < end
-        && (isNameStart((char) text[at]) || isDigit((char) text[at]) || text[at] == '$')) {
-      at++;
+    int from = position;
+    while (position < end
+        && (isNameStart((char) text[position]) || isDigit((char) text[position]) || text[position] == '$')) {
+      position++;
     }
-    return new Bytes(text, from, at - from).text();
+    return new Bytes(text, from, position - from).text();
   }
 
   private String quoted() {
-    byte quote = text[at];
-    int from = at + 1;
+    byte quote = text[position];
+    int from = position + 1;
     skipQuoted(quote);
-    return new Bytes(text, from, Math.max(0, at - 1 - from)).text();
+    return new Bytes(text, from, Math.max(0, position - 1 - from)).text();
   }
 
   /** Advances past the closing quote; a doubled quote is part of the text. */
   private void skipQuoted(byte quote) {
-    at++;
-    while (at < end) {
-      if (text[at] != quote) {
-        at++;
-      } else if (at + 1 < end && text[at + 1] == quote) {
-        at += 2;
+    position++;
+    while (position < end) {
+      if (text[position] != quote) {
+        position++;
+      } else if (position + 1 < end && text[position + 1] == quote) {
+        position += 2;
       } else {
-        at++;
+        position++;
         return;
       }
     }
@@ -184,27 +184,27 @@
 
   /** Skips space, strings, comments and numbers; returns false at the end of the statement. */
   private boolean skipToToken() {
-    while (at < end) {
-      byte c = text[at];
+    while (position < end) {
+      byte c = text[position];
       if (c == '\'') {
         skipQuoted(c);
       } else if (c == '-' && next('-')) {
-        while (at < end && text[at] != '\n') {
-          at++;
+        while (position < end && text[position] != '\n') {
+          position++;
         }
       } else if (c == '/' && next('*')) {
-        at += 2;
-        while (at < end && !(text[at] == '*' && next('/'))) {
-          at++;
+        position += 2;
+        while (position < end && !(text[position] == '*' && next('/'))) {
+          position++;
         }
-        at = Math.min(end, at + 2);
+        position = Math.min(end, position + 2);
       } else if (isDigit((char) c)) {
-        while (at < end
-            && (isDigit((char) text[at]) || isNameStart((char) text[at]) || text[at] == '.')) {
-          at++;
+        while (position < end
+            && (isDigit((char) text[position]) || isNameStart((char) text[position]) || text[position] == '.')) {
+          position++;
         }
       } else if (c <= ' ' && c >= 0) {
-        at++;
+        position++;
       } else {
         return true;
       }
@@ -213,7 +213,7 @@
   }
 
   private boolean next(char c) {
-    return at + 1 < end && text[at + 1] == c;
+    return position + 1 < end && text[position + 1] == c;
   }
 
   /**
--- a/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ThriftReader.java
@@ -34,7 +34,7 @@
   private static final int BYTE_MASK = 0xff;
 
   private final byte[] frame;
-  private int at;
+  private int position;
 
   /** Why the frame is malformed; null while it isn't. Once set, further reads return nothing. */
   private String fault;
@@ -72,8 +72,8 @@
             yield new ClientCall.Unusable(seq, method, UNKNOWN_METHOD, "unknown method");
           }
         };
-    if (fault == null && at != frame.length) {
-      fault = (frame.length - at) + " bytes past the message";
+    if (fault == null && position != frame.length) {
+      fault = (frame.length - position) + " bytes past the message";
     }
     return fault == null ? call : new ClientCall.Broken(fault);
   }
@@ -172,7 +172,7 @@
 
   /** Skips elements, or pairs if {@code second} is not STOP; each takes at least one byte. */
   private void skipPairs(int first, int second, int size, int depth) {
-    if (size < 0 || size > frame.length - at) {
+    if (size < 0 || size > frame.length - position) {
       fault = "a collection of " + size;
     }
     for (int i = 0; i < size && fault == null; i++) {
@@ -193,13 +193,13 @@
 
   private Bytes binary() {
     int length = i32();
-    int from = at;
+    int from = position;
     move(length);
     return fault == null ? new Bytes(frame, from, length) : new Bytes(frame, 0, 0);
   }
 
   private int u8() {
-    int from = at;
+    int from = position;
     return move(Byte.BYTES) ? frame[from] & BYTE_MASK : STOP;
   }
 
@@ -212,13 +212,13 @@
   }
 
   private boolean move(int count) {
-    if (fault == null && (count < 0 || count > frame.length - at)) {
+    if (fault == null && (count < 0 || count > frame.length - position)) {
       fault = "ends within a value";
     }
     if (fault != null) {
       return false;
     }
-    at += count;
+    position += count;
     return true;
   }
 }
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -175,22 +175,22 @@
    */
   public void reload(GossipSettings next) {
     try {
-      NodeIdentity read = NodeIdentity.read(next);
-      if (!read.name().equals(identity.name())) {
+      NodeIdentity reloaded = NodeIdentity.read(next);
+      if (!reloaded.name().equals(identity.name())) {
         LOG.log(
             Level.WARNING,
             "gossip identity not reloaded: the certificate names {0}, this instance is {1}",
-            read.name(),
+            reloaded.name(),
             identity.name());
         return;
       }
       if (revisions.isPresent() && next.configuration().isPresent()) {
-        revisions.get().reload(next, read);
+        revisions.get().reload(next, reloaded);
       }
-      identity = read;
-      sender.setIdentity(read);
-      verifier.setIdentity(read);
-      transport.setIdentity(read);
+      identity = reloaded;
+      sender.setIdentity(reloaded);
+      verifier.setIdentity(reloaded);
+      transport.setIdentity(reloaded);
       gossip.membership().setSeeds(seeds(next));
     } catch (ConfigException e) {
       LOG.log(
--- a/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -195,16 +195,16 @@
    */
   public boolean trusts(X509Certificate candidate, long unixMillis) {
     Date time = new Date(unixMillis);
-    return authorities.stream().anyMatch(authority -> issued(authority, candidate, time));
+    return authorities.stream().anyMatch(authority -> isIssuer(authority, candidate, time));
   }
 
-  private static boolean issued(X509Certificate authority, X509Certificate candidate, Date time) {
+  private static boolean isIssuer(X509Certificate authority, X509Certificate candidate, Date time) {
     try {
       authority.checkValidity(time);
       candidate.checkValidity(time);
-      boolean named =
+      boolean namesAuthority =
           candidate.getIssuerX500Principal().equals(authority.getSubjectX500Principal());
-      if (!named || !isAuthority(authority) || isAuthority(candidate)) {
+      if (!namesAuthority || !isAuthority(authority) || isAuthority(candidate)) {
         return false;
       }
       candidate.verify(authority.getPublicKey());
--- a/gateway/src/test/java/reachloom/gateway/wire/DecoderAssertions.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/DecoderAssertions.java
@@ -16,22 +16,22 @@
   /** Asserts that the messages are the same however the stream is split, and returns them. */
   static <M, V> List<V> decodeInAnySplit(
       byte[] stream, Supplier<Decoder<M>> decoders, Function<M, V> view) {
-    List<V> whole = new ArrayList<>();
-    assertNull(decoders.get().feed(stream, 0, stream.length, m -> whole.add(view.apply(m))));
+    List<V> complete = new ArrayList<>();
+    assertNull(decoders.get().feed(stream, 0, stream.length, m -> complete.add(view.apply(m))));
     for (int split = 0; split <= stream.length; split++) {
       List<V> decoded = new ArrayList<>();
       Decoder<M> decoder = decoders.get();
       assertNull(decoder.feed(stream, 0, split, m -> decoded.add(view.apply(m))));
       assertNull(decoder.feed(stream, split, stream.length, m -> decoded.add(view.apply(m))));
-      assertEquals(whole, decoded, "split at " + split);
+      assertEquals(complete, decoded, "split at " + split);
     }
     List<V> single = new ArrayList<>();
     Decoder<M> decoder = decoders.get();
     for (int i = 0; i < stream.length; i++) {
       assertNull(decoder.feed(stream, i, i + 1, m -> single.add(view.apply(m))));
     }
-    assertEquals(whole, single);
-    return whole;
+    assertEquals(complete, single);
+    return complete;
   }
 
   /** Returns the fault that a decoder reports for a stream, or null for none. */
--- a/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
@@ -13,13 +13,13 @@
 class LocalFailuresTest {
   @Test
   void distinguishesLocalFromRemoteFailures() {
-    assertTrue(LocalFailures.isOfThisMachine(new SocketException("Too many open files")));
-    assertTrue(LocalFailures.isOfThisMachine(new BindException("Cannot assign requested address")));
-    assertTrue(LocalFailures.isOfThisMachine(new IOException("Cannot allocate memory")));
-    assertFalse(LocalFailures.isOfThisMachine(new ConnectException("Connection refused")));
-    assertFalse(LocalFailures.isOfThisMachine(new NoRouteToHostException("No route to host")));
-    assertFalse(LocalFailures.isOfThisMachine(new SocketException("Connection reset")));
-    assertFalse(LocalFailures.isOfThisMachine(null));
+    assertTrue(LocalFailures.isLocal(new SocketException("Too many open files")));
+    assertTrue(LocalFailures.isLocal(new BindException("Cannot assign requested address")));
+    assertTrue(LocalFailures.isLocal(new IOException("Cannot allocate memory")));
+    assertFalse(LocalFailures.isLocal(new ConnectException("Connection refused")));
+    assertFalse(LocalFailures.isLocal(new NoRouteToHostException("No route to host")));
+    assertFalse(LocalFailures.isLocal(new SocketException("Connection reset")));
+    assertFalse(LocalFailures.isLocal(null));
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gateway/wire/ThriftTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ThriftTest.java
@@ -101,12 +101,12 @@
 
   @Test
   void rejectsCallTruncatedAtAnyByte() {
-    byte[] whole = execute(7);
-    for (int length = 0; length < whole.length; length++) {
-      assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(Arrays.copyOf(whole, length)));
+    byte[] complete = execute(7);
+    for (int length = 0; length < complete.length; length++) {
+      assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(Arrays.copyOf(complete, length)));
     }
     assertInstanceOf(
-        ClientCall.Broken.class, ThriftReader.read(Arrays.copyOf(whole, whole.length + 1)));
+        ClientCall.Broken.class, ThriftReader.read(Arrays.copyOf(complete, complete.length + 1)));
   }
 
   @Test
@@ -134,9 +134,9 @@
   @Test
   void corruptedCallNeverThrows() {
     Random random = new Random(5);
-    byte[] whole = execute(7);
+    byte[] complete = execute(7);
     for (int round = 0; round < 20_000; round++) {
-      byte[] corrupted = whole.clone();
+      byte[] corrupted = complete.clone();
       for (int i = 0; i <= random.nextInt(3); i++) {
         corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
       }
