--- a/gateway/src/main/java/reachloom/gateway/wire/EndpointListEvent.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EndpointListEvent.java
@@ -6,7 +6,7 @@
 /**
  * An event of the change log.
  *
- * @param number the number of the event; for a heartbeat, the number of the event before it
+ * @param number the number of the event; for a heartbeat, of the last event before it
  * @param kind the meaning of {@code members}
  * @param members the engines in the event
  */
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
@@ -55,7 +55,7 @@
       this.wireName = wireName;
     }
 
-    /** Returns the word for the status in the protocol; {@link #UNKNOWN} has a word of its own. */
+    /** Returns the word for the status; for {@link #UNKNOWN}, one that the protocol does not have. */
     public String wireName() {
       return wireName;
     }
--- a/gateway/src/main/java/reachloom/gateway/wire/Listener.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Listener.java
@@ -19,7 +19,7 @@
    */
   void received(IoSession session, M message, int bytes);
 
-  /** An incomplete message was received; the next complete message is this one. */
+  /** The start of a message was received; the next message received is this one, complete. */
   default void messageStarted(IoSession session) {}
 
   /** Malformed input was received; no more input is decoded, and the connection must be closed. */
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -37,7 +37,7 @@
   private static final int INITIAL_READ_BYTES = 2048;
   private static final int MAX_READ_BYTES = 16 * 1024;
 
-  /** Limit of the bytes that one read takes from a connection, in bytes. */
+  /** Limit of the bytes that are read from a connection at once if more are available. */
   private static final int MAX_SINGLE_READ_BYTES = 256 * 1024;
 
   private static final long CONNECT_CHECK_INTERVAL_MS = 50;
