--- a/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
@@ -10,9 +10,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Classifies failed system calls, and counts and logs those that fail for lack of memory, buffers,
- * descriptors or addresses on this machine. Such failures say nothing about the remote side and are
- * temporary: the call is retried. They are logged at most once per second. Thread-safe.
+ * Classifies failed system calls, and counts and logs those that fail on this machine, mostly for
+ * lack of memory, buffers, descriptors or addresses. Such failures say nothing about the remote
+ * side and are temporary: the call is retried. They are logged at most once per second.
+ * Thread-safe.
  */
 final class LocalFailures {
   private static final Logger LOG = System.getLogger(LocalFailures.class.getName());
@@ -35,16 +36,17 @@
   private final AtomicLong loggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL_NANOS);
 
   /**
-   * Whether a read or write failed for lack of a resource on this machine, so that the connection is
-   * still usable.
+   * Whether a read or write failed temporarily on this machine, so that the connection is still
+   * usable.
    */
   static boolean isTemporary(IOException failure) {
     return failure.getMessage() != null && TEMPORARY_ERRORS.contains(failure.getMessage());
   }
 
   /**
-   * Whether a connection attempt failed on this machine before anything was sent. Refused connections, time-outs and
-   * unreachable hosts have exceptions of their own, and a reset comes from the remote side.
+   * Whether a connection attempt failed on this machine before anything was sent. Refused
+   * connections, time-outs and unreachable hosts have exceptions of their own, and a reset comes
+   * from the remote side.
    */
   static boolean isLocal(Throwable failure) {
     if (failure instanceof ConnectException || failure instanceof NoRouteToHostException) {
@@ -74,7 +76,7 @@
     if (now - last >= LOG_INTERVAL_NANOS && loggedAt.compareAndSet(last, now)) {
       LOG.log(
           Level.WARNING,
-          "system call {0} failed for lack of a local resource and is retried: {1}; {2} failures so far",
+          "system call {0} failed on this machine and is retried: {1}; {2} such failures so far",
           call,
           failure.getMessage(),
           total);
--- a/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
+++ b/gateway/src/main/java/reachloom/gossip/net/NodeIdentity.java
@@ -30,7 +30,7 @@
  * thread-safe.
  */
 public final class NodeIdentity {
-  /** The signature algorithm of all datagrams and certificates. */
+  /** The algorithm of the members' keys, and of the signatures of datagrams and votes. */
   public static final String ALGORITHM = "Ed25519";
 
   private static final String CERTIFICATE_LABEL = "CERTIFICATE";
@@ -80,7 +80,7 @@
       }
       return identity;
     } catch (IOException e) {
-      throw new ConfigException("gossip: " + e.getMessage());
+      throw new ConfigException("gossip: can't read a key, certificate or revocation file: " + e);
     } catch (GeneralSecurityException e) {
       throw new ConfigException("gossip: a key or certificate can't be used: " + e.getMessage());
     }
@@ -189,7 +189,8 @@
   }
 
   /**
-   * Whether one of the authorities signed that certificate, and both are valid at that time.
+   * Whether one of the authorities issued that certificate, both are valid at that time, and the
+   * certificate is not one of an authority.
    *
    * @param unixMillis Unix time in milliseconds
    */
