--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponse.java
@@ -14,7 +14,8 @@
  * @param id the id of the request or health check that the response belongs to
  * @param status the status of the response
  * @param fields the fields by their names in the protocol
- * @param body the page of rows that follows the line; not copied
+ * @param body the bytes that follow the line: a page of rows for RESULT and PAGE, a text for ERROR;
+ *     not copied
  */
 public record EngineResponse(String id, Status status, Map<String, String> fields, byte[] body) {
   private static final String PAGE_COUNT = "fetches";
@@ -25,7 +26,10 @@
   private static final String PROGRESS_KIND = "detail";
   private static final String PROGRESS_AMOUNT = "figure";
 
-  /** The amount that a waiting query reports if it waits for a load rather than for memory. */
+  /**
+   * The amount that a waiting query reports if it waits for its table group to be loaded rather
+   * than for memory.
+   */
   private static final double WAITS_FOR_LOAD = 2;
 
   /** The status of a response. */
@@ -55,7 +59,9 @@
       this.wireName = wireName;
     }
 
-    /** Returns the word for the status; for {@link #UNKNOWN}, one that the protocol does not have. */
+    /**
+     * Returns the word for the status; for {@link #UNKNOWN}, one that the protocol does not have.
+     */
     public String wireName() {
       return wireName;
     }
@@ -101,7 +107,7 @@
     return Numbers.parseDouble(fields.get(MEMORY), 0);
   }
 
-  /** Returns the kind of progress that a running query reports. */
+  /** Returns the kind of progress that a running query reports; OTHER if missing or unknown. */
   public ProgressKind progressKind() {
     return switch (fields.getOrDefault(PROGRESS_KIND, "")) {
       case "so_far" -> ProgressKind.PROGRESS;
@@ -117,7 +123,9 @@
     return Numbers.parseDouble(fields.get(PROGRESS_AMOUNT), 0);
   }
 
-  /** Returns the load report of the engine, if there is one; an omitted value is 0. */
+  /**
+   * Returns the engine's load report, if there is one; an omitted or malformed value in it is 0.
+   */
   public Optional<LoadReport> loadReport() {
     String text = fields.get(LOAD_REPORT);
     if (text == null) {
--- a/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Sockets.java
@@ -28,7 +28,7 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * All sockets of a gateway, served by Apache MINA with one thread that reads and writes. The
+ * All TCP sockets of a gateway, served by Apache MINA with one thread that reads and writes. The
  * methods may be called from any thread.
  */
 public final class Sockets {
@@ -63,8 +63,9 @@
 
   /**
    * MINA's processor, which can also shut down only the output of a connection. It reads all
-   * available bytes before it passes any of them on, so that the end of a stream is known before the
-   * first message of a client that sends a lot and then closes the connection is handled.
+   * available bytes, up to {@link #MAX_SINGLE_READ_BYTES}, before it passes any of them on, so that
+   * the end of a stream is known before the first message of a client that sends a lot and then
+   * closes the connection is handled.
    */
   private final class HalfClosingProcessor extends NioProcessor {
     HalfClosingProcessor(Executor threads) {
@@ -123,8 +124,8 @@
 
   /**
    * Shuts down the output of a connection once all bytes passed to it are written; nothing may be
-   * written later. The connection no longer counts towards the limit of client connections: the caller
-   * limits the number of connections that are closing.
+   * written later. The connection no longer counts towards the limit of client connections: the
+   * caller limits the number of connections that are closing.
    */
   public void shutOutputOnceWritten(IoSession session) {
     acceptor.release(session);
@@ -132,8 +133,8 @@
   }
 
   /**
-   * Whether the remote side has ended its stream. This becomes known when its last bytes are read, or
-   * later.
+   * Whether the remote side has ended its stream. This becomes known when its last bytes are read,
+   * or later.
    */
   public static boolean isEndOfStream(IoSession session) {
     return session.containsAttribute(END_OF_STREAM_READ);
@@ -148,9 +149,10 @@
   }
 
   /**
-   * Accepts client connections up to a limit, then only as others are closed. Without the limit, a
-   * flood of connections would take all descriptors before the event loop decides which of them to
-   * keep, and none would be left for connections to engines.
+   * Accepts client connections up to a limit, then only as others are closed or begin to close
+   * ({@link #shutOutputOnceWritten}). Without the limit, a flood of connections would take all
+   * descriptors before the event loop decides which of them to keep, and none would be left for
+   * connections to engines.
    */
   private final class BoundedAcceptor extends NioSocketAcceptor {
     private final int maxHeld;
@@ -179,8 +181,8 @@
     }
 
     /**
-     * Accepts the next connection; returns null if the call failed, after a delay, and the waiting
-     * connection is accepted by a later call.
+     * Accepts the next connection. If the call fails, waits and returns null; a later call accepts
+     * the connection.
      */
     private NioSession acceptOrPause(IoProcessor<NioSession> of, ServerSocketChannel channel)
         throws Exception {
@@ -270,9 +272,10 @@
 
   /**
    * Gives up a connection attempt; the connection is closed if it is established later. The future
-   * is not cancelled, because MINA counts down an attempt twice that is cancelled after its
-   * connection is established and before its session is created. Its worker then ends without
-   * serving the next attempt, and again after each such cancel: the connector never connects again.
+   * is not cancelled, because MINA subtracts an attempt twice from the connector's count of pending
+   * attempts if it is cancelled after its connection is established and before its session is
+   * created. The count is then too low, so the connector's worker thread ends while the next
+   * attempt is pending, and after each further such cancel: the connector never connects again.
    */
   public static void giveUp(ConnectFuture future) {
     future.addListener(
--- a/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Finds the group of tables that a statement reads or writes: the number after the last underscore in
- * the name of a schema. Strings and comments are skipped. A name after a keyword that introduces
+ * Finds the group of tables that a statement reads or writes: the number after the last underscore
+ * in the name of a schema. Strings and comments are skipped. A name after a keyword that introduces
  * tables takes precedence over other names, since an alias may look like a schema.
  */
 public final class TableGroup {
@@ -29,7 +29,10 @@
   private static final Set<String> QUERY_KEYWORDS =
       Set.of("select", "with", "insert", "update", "delete", "merge", "values");
   
-  /** Keywords that are no function names: a bracket after them is no argument list. */
+  /**
+   * Keywords that are no function names: a bracket after them is no argument list. Those that do
+   * not introduce a table, except AS, also end a list of tables.
+   */
   private static final Set<String> NON_FUNCTION_KEYWORDS =
       Set.of(
           "from",
@@ -81,12 +84,13 @@
   }
 
   private int find() {
-    // For each open bracket, whether it is the argument list of a function, where FROM introduces no
-    // table.
+    // For each open bracket, whether it is the argument list of a function, where FROM introduces
+    // no table.
     Deque<Boolean> functions = new ArrayDeque<>();
     boolean inList = false; // within a list of tables, where a comma precedes the next one
     boolean expectsTable = false; // the next name is that of a table
-    // The previous word in lower case, "name" for a quoted or dotted name, empty for other tokens.
+    // The previous word in lower case, "name" for a quoted or dotted name, empty after punctuation;
+    // strings, numbers and comments do not change it.
     String previous = "";
     while (skipToToken()) {
       char c = (char) text[position];
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramTransport.java
@@ -18,8 +18,8 @@
 
 /**
  * The UDP socket of gossip, with two daemon threads: one receives datagrams, has them verified and
- * passes the verified ones on; the other signs and sends. A flood takes time of these threads only,
- * and no more than the rate limiter admits.
+ * passes the verified ones on; the other signs and sends. A flood takes time of these threads only;
+ * the rate limiter bounds the number of signatures that are verified.
  *
  * <p>Thread-safe. It does not use Apache MINA, which keeps a session for each remote address that a
  * datagram names: forged source addresses would let a sender exhaust the memory.
@@ -169,7 +169,9 @@
     sentBytes.addAndGet(datagram.length + GossipCodec.UDP_HEADER_BYTES);
   }
 
-  /** Closes the socket after all queued datagrams have been sent, or at once if the queue is full. */
+  /**
+   * Closes the socket after all queued datagrams have been sent, or at once if the queue is full.
+   */
   @Override
   public void close() {
     if (!queue.offer(END)) {
--- a/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
+++ b/gateway/src/main/java/reachloom/gossip/net/DatagramVerifier.java
@@ -33,7 +33,10 @@
   private volatile NodeIdentity identity;
   private volatile Set<Long> memberAddresses = Set.of();
 
-  /** Creates a verifier that uses this machine's wall clock and expects no revision messages. */
+  /**
+   * Creates a verifier that uses this machine's wall clock, for members that forward no revisions,
+   * so that its rate limit is lower.
+   */
   DatagramVerifier(String clusterName, NodeIdentity identity, long periodNanos) {
     this(clusterName, identity, periodNanos, false);
   }
@@ -138,7 +141,9 @@
             envelope.sentAtMillis()));
   }
 
-  /** Whether the rate limiter admits a datagram before its signature is verified; counts rejections. */
+  /**
+   * Whether the rate limiter admits a datagram before its signature is verified; counts rejections.
+   */
   private boolean admitted(
       long nowNanos, long wallClockNow, long source, DatagramHeader header, boolean known) {
     DatagramEnvelope envelope = header.envelope();
@@ -163,7 +168,10 @@
     }
   }
 
-  /** Decodes the certificate in a datagram and checks that a trusted authority issued it to the sender. */
+  /**
+   * Decodes the certificate in a datagram and checks that a trusted authority issued it to the
+   * sender.
+   */
   private X509Certificate trustedCertificate(DatagramHeader header, long wallClockMillis)
       throws RejectedDatagramException {
     byte[] encoded =
--- a/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
+++ b/gateway/src/main/java/reachloom/gossip/net/GossipNode.java
@@ -55,8 +55,8 @@
   private boolean stopped;
 
   /**
-   * Creates an instance that takes part in distributing revisions, if the settings say so, but
-   * applies none.
+   * Creates an instance that takes part in distributing revisions, if the settings say so. It
+   * applies none, but reports each as in force.
    */
   public GossipNode(
       EventLoop loop,
@@ -170,8 +170,9 @@
   }
 
   /**
-   * Reloads keys, authorities, revocations and seeds. If they can't be used or name another
-   * instance, the previous ones stay in use and a warning is logged.
+   * Reloads keys, authorities, revocations, seeds and, if the instance distributes revisions, the
+   * issuers' certificates. If any of them can't be used, or the certificate names another instance,
+   * all previous ones stay in use and a warning is logged.
    */
   public void reload(GossipSettings next) {
     try {
@@ -200,7 +201,10 @@
     }
   }
 
-  /** Announces to other members that this instance leaves, then closes the socket. */
+  /**
+   * Queues the announcement that this instance leaves, and has the socket closed once that is sent;
+   * closes it at once if the queue is full.
+   */
   public void stop() {
     if (!stopped) {
       stopped = true;
@@ -219,7 +223,7 @@
    * Waits until the datagrams that {@link #stop} queues are sent and the socket is closed. May be
    * called from any thread except the event loop's.
    *
-   * @param millis half of the longest wait, in milliseconds
+   * @param millis the longest wait for each of the transport's two threads, in milliseconds
    */
   public void awaitClosed(long millis) throws InterruptedException {
     transport.awaitClosed(millis);
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -118,7 +118,10 @@
     return issuers;
   }
 
-  /** Makes this instance an issuer with that consensus node; must be called before it starts. */
+  /**
+   * Makes this instance an issuer with that consensus node; must be called before the instance
+   * starts.
+   */
   public void setConsensusNode(ConsensusNode node) {
     consensusNode = node;
   }
--- a/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
@@ -28,8 +28,8 @@
  *
  * <p>{@link DatagramHeaderCodec} documents the header, {@link SectionKind} the kinds of sections;
  * sections of an unknown kind are skipped. The signature covers all bytes before it; callers sign
- * and verify. Callers also keep each datagram within the limit, by means of the sizes computed here.
- * Stateless and thread-safe.
+ * and verify. Callers also keep each datagram within the limit, by means of the sizes computed
+ * here. Stateless and thread-safe.
  */
 public final class GossipCodec {
   /** The largest datagram, in bytes, without the headers of IP and UDP. */
@@ -114,7 +114,10 @@
     return PeerReportCodec.size(report);
   }
 
-  /** Returns the number of bytes that one more revision message adds to a datagram with some. */
+  /**
+   * Returns the number of bytes that one more revision message adds to a datagram that already has
+   * revision messages.
+   */
   public static int revisionMessageSize(RevisionMessage message) {
     return RevisionMessageCodec.size(message);
   }
