--- a/gateway/src/test/java/reachloom/ShapeTest.java
+++ b/gateway/src/test/java/reachloom/ShapeTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The structure of the sources: dependencies between packages, where decisions may be made and clocks
- * read, and names that must not occur.
+ * The structure of the sources: dependencies between packages, where decisions may be made and
+ * clocks read, and names that must not occur.
  */
 class ShapeTest {
   private static final Path ROOT = Path.of("..");
@@ -66,18 +66,19 @@
   }
 
   @Test
-  void schedulerHoldsNoStaticMutableState() throws IOException {
+  void schedulerHasNoStaticStateOrNondeterminism() throws IOException {
     Pattern field = Pattern.compile("\\bstatic (?!final )[\\w.<>\\[\\], ]+ \\w+( =.*)?;");
     assertEquals(List.of(), matches(SCHEDULER, field));
-    Pattern hazards =
+    Pattern nondeterminism =
         Pattern.compile(
             "currentTimeMillis|nanoTime|Math\\.random|new Random\\(|\\bHash(Map|Set)\\b");
-    assertNone(hazards, SCHEDULER);
+    assertNone(nondeterminism, SCHEDULER);
   }
 
   @Test
   void stateAndInterfaceHoldNoTunedValues() throws IOException {
-    // State classes and the interface may contain only the numbers of bookkeeping and units.
+    // State classes and the interface may contain no numbers but 0, 1, -1, 2 and 1e9, which are for
+    // bookkeeping and units.
     Pattern number = Pattern.compile("(?<![\\w.\"])(?!(?:0|1|-1|2|1e9)(?![\\w.]))\\d[\\w.]*");
     assertNone(number, DECISIONS.resolve("scheduler/state"), DECISIONS.resolve("scheduler/api"));
     for (String name : STATE_CLASSES) {
@@ -86,7 +87,7 @@
   }
 
   @Test
-  void decisionsContainNoWireNames() throws IOException {
+  void schedulerContainsNoWireNames() throws IOException {
     Pattern wire =
         Pattern.compile(
             "\\b(Relay|Busy|Surrender|StopAttempt|SoundOut|WakeAt|LimitsFor|gatewayId"
@@ -141,16 +142,19 @@
 
   @Test
   void gatewayAndSimulatorAdapterMakeNoDecisions() throws IOException {
-    // Only the decisions module evaluates the reports, idleness and load of engines, and draws random
-    // numbers.
+    // The gateway and the simulator adapter read no load reports, prices, weights or windows, and
+    // use neither java.util.Random nor Math.random: only the decisions module evaluates such
+    // values.
     Pattern decisions =
         Pattern.compile(
             "\\.(utilization|queueLength|memoryShare|diskShare|crossZonePrice|healthCheckPrice|priorityWeight"
                 + "|latencyObjectiveNanos|idempotencyWindowNanos|slowStartShare|overloadMultiple"
                 + "|retryBudgetWindowNanos)\\(\\)|\\bRandom\\b|Math\\.random");
     assertNone(decisions, MAIN.resolve("gateway"), MAIN.resolve("simulator"));
-    // The gateway itself responds in three cases: unusable or beyond a limit, never forwarded, out
-    // of time; see architecture.md. The warm-up writes two responses that are discarded.
+    // RequestHandler responds with busy or failed in four places: to an invalid request, to one
+    // beyond a limit, to a rejected and to a failed one. The last two are decisions of the
+    // scheduler, or the gateway's own once the time is up; see architecture.md. The warm-up writes
+    // two responses that are discarded.
     List<String> responses =
         matches(MAIN.resolve("gateway"), Pattern.compile("ThriftWriter\\.(busy|failed)\\("));
     assertEquals(
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -25,8 +25,8 @@
 import reachloom.revision.Vote;
 
 /**
- * Encoding and decoding of gossip datagrams: round trips, computed sizes, and rejection of truncated,
- * corrupted or unknown input.
+ * Encoding and decoding of gossip datagrams: round trips, computed sizes, and rejection of
+ * truncated, corrupted or unknown input.
  */
 class GossipCodecTest {
   private static final long ADDRESS = 0x7f000001L << 16 | 7946;
@@ -156,19 +156,15 @@
   @Test
   void skipsUnknownRevisionMessageAndRejectsInvalidFields() throws Exception {
     byte[] bytes = datagram(packet(new RevisionMessage.Have(1, 2, 3)), null, false);
-    int kind =
-        bytes.length
-            - GossipCodec.SIGNATURE_BYTES
-            - 5
-            - 3 * Long.BYTES
-            - 1; // before the section of the place
+    // The index of the message's kind; its 3 fields and the section of the place (5 bytes) follow.
+    int kindAt = bytes.length - GossipCodec.SIGNATURE_BYTES - 5 - 3 * Long.BYTES - 1;
     byte[] later = bytes.clone();
-    later[kind] = 99;
+    later[kindAt] = 99;
     assertEquals(
         List.of(),
         GossipCodec.decodeContent(later, GossipCodec.decodeHeader(later)).revisionMessages());
     byte[] negative = bytes.clone();
-    negative[kind + 1] = -1;
+    negative[kindAt + 1] = -1;
     assertEquals(
         RejectionReason.NONSENSE,
         assertThrows(
@@ -191,6 +187,7 @@
             .reason());
   }
 
+  /** Without place and revision messages, the bytes are those of versions that know neither. */
   @Test
   void omitsSectionsOfAbsentPlaceAndRevisionMessages() {
     Packet p = packet(new MembershipMessage.PayloadOnly());
@@ -219,14 +216,16 @@
         try {
           GossipCodec.decodeContent(truncated, GossipCodec.decodeHeader(truncated));
         } catch (RejectedDatagramException e) {
-          assertTrue(e.reason() == RejectionReason.FORM || e.reason() == RejectionReason.NONSENSE);
+          assertTrue(
+              e.reason() == RejectionReason.FORM || e.reason() == RejectionReason.NONSENSE,
+              "truncated to " + length + " bytes: " + e.reason());
         }
       }
     }
   }
 
   @Test
-  void corruptedDatagramIsRejectedOrStaysBounded() {
+  void corruptedDatagramIsRejectedOrHasValidSender() {
     SplittableRandom random = new SplittableRandom(3);
     int rejected = 0;
     List<byte[]> samples = samples();
@@ -246,7 +245,7 @@
       random.nextBytes(noise);
       assertThrows(RejectedDatagramException.class, () -> GossipCodec.decodeHeader(noise));
     }
-    assertTrue(rejected > 1_000);
+    assertTrue(rejected > 1_000, rejected + " of 50,000 datagrams were rejected");
   }
 
   @Test
