--- a/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/FrameDecoder.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into frames: a length in four bytes, unsigned and big-endian, then as many bytes.
- * Memory grows with the bytes that have been received, not with the length that was announced.
+ * Splits a stream into frames: a length of four bytes, unsigned and big-endian, then that number of
+ * bytes. Memory grows with the bytes received, not with the announced length.
  */
 public final class FrameDecoder implements Decoder<byte[]> {
   private static final int INITIAL_BYTES = 512;
@@ -18,7 +18,7 @@
   private byte[] frame;
   private int received;
 
-  /** A decoder of frames whose length lies within the bounds, both included. */
+  /** Creates a decoder of frames whose length is within the bounds, both inclusive. */
   public FrameDecoder(int minBytes, int maxBytes) {
     this.minBytes = minBytes;
     this.maxBytes = maxBytes;
@@ -31,35 +31,35 @@
 
   @Override
   public String feed(byte[] bytes, int from, int to, Consumer<? super byte[]> messages) {
-    int at = from;
-    while (at < to) {
+    int position = from;
+    while (position < to) {
       if (lengthBytes < Integer.BYTES) {
-        length = length << Byte.SIZE | bytes[at++] & BYTE_MASK;
+        length = length << Byte.SIZE | bytes[position++] & BYTE_MASK;
         if (++lengthBytes < Integer.BYTES) {
           continue;
         }
         if (length < minBytes || length > maxBytes) {
           return "a frame of " + length + " bytes";
         }
-        // The length is only a promise: memory follows the bytes that have been received.
+        // The announced length is untrusted: the buffer grows with the bytes received.
         frame = new byte[(int) Math.min(length, INITIAL_BYTES)];
         received = 0;
       }
-      int part = (int) Math.min(to - at, length - received);
+      int part = (int) Math.min(to - position, length - received);
       if (received + part > frame.length) {
         frame =
             Arrays.copyOf(
                 frame, (int) Math.min(length, Math.max(received + part, 2L * frame.length)));
       }
-      System.arraycopy(bytes, at, frame, received, part);
-      at += part;
+      System.arraycopy(bytes, position, frame, received, part);
+      position += part;
       received += part;
       if (received == length) {
-        byte[] whole = frame;
+        byte[] complete = frame;
         frame = null;
         length = 0;
         lengthBytes = 0;
-        messages.accept(whole);
+        messages.accept(complete);
       }
     }
     return null;
--- a/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/LocalFailuresTest.java
@@ -12,18 +12,18 @@
 
 class LocalFailuresTest {
   @Test
-  void whatThisMachineLacksIsToldFromWhatTheOtherSideDoes() {
-    assertTrue(LocalFailures.isOfThisMachine(new SocketException("Too many open files")));
-    assertTrue(LocalFailures.isOfThisMachine(new BindException("Cannot assign requested address")));
-    assertTrue(LocalFailures.isOfThisMachine(new IOException("Cannot allocate memory")));
-    assertFalse(LocalFailures.isOfThisMachine(new ConnectException("Connection refused")));
-    assertFalse(LocalFailures.isOfThisMachine(new NoRouteToHostException("No route to host")));
-    assertFalse(LocalFailures.isOfThisMachine(new SocketException("Connection reset")));
-    assertFalse(LocalFailures.isOfThisMachine(null));
+  void distinguishesLocalFromRemoteFailures() {
+    assertTrue(LocalFailures.isLocal(new SocketException("Too many open files")));
+    assertTrue(LocalFailures.isLocal(new BindException("Cannot assign requested address")));
+    assertTrue(LocalFailures.isLocal(new IOException("Cannot allocate memory")));
+    assertFalse(LocalFailures.isLocal(new ConnectException("Connection refused")));
+    assertFalse(LocalFailures.isLocal(new NoRouteToHostException("No route to host")));
+    assertFalse(LocalFailures.isLocal(new SocketException("Connection reset")));
+    assertFalse(LocalFailures.isLocal(null));
   }
 
   @Test
-  void aConnectionThatHasEndedDoesNotPass() {
+  void closedConnectionIsNotTemporary() {
     assertTrue(LocalFailures.isTemporary(new IOException("No buffer space available")));
     assertFalse(LocalFailures.isTemporary(new IOException("Connection reset by peer")));
     assertFalse(LocalFailures.isTemporary(new IOException("Broken pipe")));
