--- a/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
@@ -40,7 +40,7 @@
 
   private final EventLoop loop;
   private final EngineConnectionPool pool;
-  private final AttemptListener listener;
+  private final EngineClientListener listener;
   private final long unresponsiveAfterNanos;
   private final ResultCollector results;
 
@@ -56,7 +56,7 @@
   AttemptDispatcher(
       EventLoop loop,
       EngineConnectionPool pool,
-      AttemptListener listener,
+      EngineClientListener listener,
       long unresponsiveAfterNanos) {
     this.loop = loop;
     this.pool = pool;
--- a/gateway/src/main/java/reachloom/gateway/EngineClient.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineClient.java
@@ -38,7 +38,7 @@
       EventLoop loop,
       Sockets sockets,
       LingeringClose closing,
-      AttemptListener listener,
+      EngineClientListener listener,
       Options options) {
     long timeoutNanos = options.transport().dialTimeoutNanos();
     pool = new EngineConnectionPool(loop, sockets, closing, options, new ConnectionEvents());
--- a/gateway/src/main/java/reachloom/gateway/AttemptListener.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineClientListener.java
@@ -7,7 +7,7 @@
 import reachloom.scheduler.api.ProgressKind;
 
 /** Is told what becomes of attempts and health checks; called on the event loop's thread. */
-interface AttemptListener {
+interface EngineClientListener {
   /**
    * Whether an attempt may still begin. Asked in the instant before its first byte is written: it
    * may have waited for a connection, or for one that was slow to take what was written before.
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -34,7 +34,7 @@
  * thread runs beside it, and hands everything it reads to the loop.
  */
 public final class GatewayService
-    implements SchedulerActions, AttemptListener, ChangeLogClient.Subscriber {
+    implements SchedulerActions, EngineClientListener, ChangeLogClient.Subscriber {
   /**
    * The parts of the front log under one name: operators filter on it, and the logger bounds the
    * lines of a name in a second.
--- a/gateway/src/main/java/reachloom/gateway/HealthCheckClient.java
+++ b/gateway/src/main/java/reachloom/gateway/HealthCheckClient.java
@@ -21,7 +21,7 @@
 
   private final EventLoop loop;
   private final EngineConnectionPool pool;
-  private final AttemptListener listener;
+  private final EngineClientListener listener;
   private final long timeoutNanos;
   private final boolean requestsLoadReport;
   private long checkCount;
@@ -30,7 +30,7 @@
   HealthCheckClient(
       EventLoop loop,
       EngineConnectionPool pool,
-      AttemptListener listener,
+      EngineClientListener listener,
       long timeoutNanos,
       boolean requestsLoadReport) {
     this.loop = loop;
--- a/lab/src/test/java/reachloom/gateway/EngineList.java
+++ b/lab/src/test/java/reachloom/gateway/EngineList.java
@@ -26,7 +26,7 @@
             loop,
             sockets,
             new LingeringClose(loop, sockets, 1, 1),
-            new AttemptListener() {
+            new EngineClientListener() {
               @Override
               public boolean mayStart(EngineAttempt attempt) {
                 return false;
