--- a/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
@@ -16,27 +16,27 @@
 import reachloom.scheduler.api.AttemptOutcome;
 
 /**
- * Brings attempts to their engines: assigns each to a connection, writes it at the end of the event
- * loop's turn, and follows it until it has ended or is withdrawn.
+ * Sends attempts to their engines: assigns each to a connection, writes it at the end of the event
+ * loop's iteration, and tracks it until it has ended or is withdrawn.
  *
- * <p>Confined to the event loop's thread. It owns the attempts of each connection; the results that
- * come in are collected by {@link ResultCollector}.
+ * <p>Confined to the event loop's thread. It owns the attempts of each connection; {@link
+ * ResultCollector} collects their results.
  */
 final class AttemptDispatcher {
   private static final Logger LOG = System.getLogger(EngineClient.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * Bytes that a connection has not taken yet: past that, attempts wait here, where they can still
-   * be cancelled before they are sent.
+   * Unsent bytes of a connection beyond which further attempts wait here, where they can still be
+   * cancelled before they are sent.
    */
   private static final int MAX_UNWRITTEN_BYTES = 8 * 1024;
 
   /**
-   * A request that was withdrawn while it was being written, and is not completely written by then,
-   * is kept from the engine by closing the connection.
+   * If a request that was withdrawn during its write is not completely written after this time, the
+   * connection is closed, so that the engine does not receive it.
    */
-  private static final long STUCK_WRITE_TIMEOUT_NANOS = 50 * MILLISECOND;
+  private static final long STUCK_WRITE_TIMEOUT_NANOS = 50 * NANOS_PER_MILLI;
 
   private final EventLoop loop;
   private final EngineConnectionPool pool;
@@ -44,14 +44,14 @@
   private final long unresponsiveAfterNanos;
   private final ResultCollector results;
 
-  /** Connections that have attempts to write, or whose attempts have to be judged again. */
+  /** Connections with attempts to write, or whose attempts may no longer be allowed to start. */
   private final Set<EngineConnection> toDispatch = new LinkedHashSet<>();
 
   /**
-   * A dispatcher without attempts.
+   * Creates a dispatcher without attempts.
    *
-   * @param unresponsiveAfterNanos a connection on which an attempt has heard nothing for so long is
-   *     avoided
+   * @param unresponsiveAfterNanos a connection on which nothing was received for this long after an
+   *     attempt is avoided
    */
   AttemptDispatcher(
       EventLoop loop,
@@ -67,11 +67,11 @@
 
   // ---- Sending ----
 
-  /** Brings an attempt to its engine; what becomes of it is told later, never in this call. */
+  /** Sends an attempt to its engine; its events are reported after this call returns. */
   void send(EngineAttempt attempt) {
     Optional<EngineConnection> acquired = pool.acquire(attempt.engine, attempt.request.attempts);
     if (acquired.isEmpty()) {
-      loop.later(() -> end(attempt, AttemptOutcome.UNREACHED));
+      loop.defer(() -> end(attempt, AttemptOutcome.UNREACHED));
       return;
     }
     EngineConnection connection = acquired.get();
@@ -82,9 +82,9 @@
   }
 
   /**
-   * Writes the attempts that wait, at the end of a turn of the event loop, when all that has come
-   * is known. Each is judged again just before its first byte is written: it may have waited for
-   * its connection to be established, or for one that takes nothing.
+   * Writes the waiting attempts, at the end of an event loop iteration, when all received events
+   * are handled. Whether each may still start is decided immediately before its first byte is
+   * written: it may have waited for its connection to be established, or for a blocked one.
    */
   void dispatch() {
     List<EngineConnection> connections = List.copyOf(toDispatch);
@@ -94,19 +94,22 @@
       rejected |= dispatch(connection);
     }
     if (rejected) {
-      loop.later(this::dispatch); // what the scheduler forwards instead
+      loop.defer(this::dispatch); // writes what the scheduler forwards instead
     }
   }
 
-  /** Writes what a connection takes; true where an attempt may not start any more. */
+  /**
+   * Writes as many attempts as a connection accepts; returns true if an attempt may not start any
+   * more.
+   */
   private boolean dispatch(EngineConnection connection) {
     boolean rejected = false;
     for (EngineAttempt attempt : connection.unsentAttempts()) {
       if (!listener.mayStart(attempt)) {
         connection.removeUnsent(attempt);
-        loop.later(() -> end(attempt, AttemptOutcome.NOT_SENT));
+        loop.defer(() -> end(attempt, AttemptOutcome.NOT_SENT));
         rejected = true;
-      } else if (takesMore(connection)) {
+      } else if (acceptsWrites(connection)) {
         connection.removeUnsent(attempt);
         write(attempt);
       }
@@ -117,15 +120,18 @@
     return rejected;
   }
 
-  private static boolean takesMore(EngineConnection connection) {
+  private static boolean acceptsWrites(EngineConnection connection) {
     return connection.isConnected()
         && connection.session().getScheduledWriteBytes() <= MAX_UNWRITTEN_BYTES;
   }
 
   private void write(EngineAttempt attempt) {
-    long budgetMs = Math.max(1, (attempt.deadlineNanos - loop.now()) / MILLISECOND);
+    long budgetMs = Math.max(1, (attempt.deadlineNanos - loop.now()) / NANOS_PER_MILLI);
     Bytes statement =
-        new Bytes(attempt.request.frame, attempt.request.from, attempt.request.length);
+        new Bytes(
+            attempt.request.frame,
+            attempt.request.statementOffset,
+            attempt.request.statementLength);
     attempt.writeStarted();
     attempt.connection.setLastWrite(
         Sockets.write(
@@ -143,8 +149,8 @@
   // ---- Withdrawing ----
 
   /**
-   * Withdraws an attempt that has not ended: the engine is told to cancel it, and what it still
-   * sends for it is ignored. Does nothing where the attempt has ended here.
+   * Withdraws an attempt that has not ended: sends a cancel command to the engine, whose further
+   * responses to the attempt are ignored. Does nothing if the attempt has ended here.
    */
   void withdraw(EngineAttempt attempt) {
     results.discard(attempt);
@@ -166,15 +172,18 @@
     pool.release(connection);
   }
 
-  /** Whether the engine was silent for long: a request withdrawn at once proves nothing. */
+  /**
+   * Returns whether the engine sent nothing for long after an attempt; an attempt withdrawn earlier
+   * than that is no evidence.
+   */
   private boolean wasUnanswered(EngineAttempt attempt, EngineConnection connection) {
-    return connection.lastReceivedNanos() < attempt.sentAtNanos
-        && loop.now() - attempt.sentAtNanos > unresponsiveAfterNanos;
+    return connection.lastReceivedNanos() < attempt.forwardedAtNanos
+        && loop.now() - attempt.forwardedAtNanos > unresponsiveAfterNanos;
   }
 
   /**
-   * Where an attempt that may not start any more is partly written, and its connection does not
-   * take the rest in time, the connection is closed.
+   * Closes the connection of an attempt that may not start any more, if the attempt is partly
+   * written and its rest is not written in time.
    */
   private void closeIfWriteIsStuck(EngineAttempt attempt) {
     if (attempt.progress() == AttemptProgress.PARTLY_WRITTEN) {
@@ -186,14 +195,18 @@
     EngineConnection connection = attempt.connection;
     if (!connection.isClosed() && !attempt.isRequestWritten()) {
       LOG.log(
-          Level.INFO, "engine {0} takes nothing; its connection is closed", connection.engine());
+          Level.INFO,
+          "engine {0}: a withdrawn request is still partly written after {1} ms; its connection is"
+              + " closed",
+          connection.engine(),
+          Long.toString(STUCK_WRITE_TIMEOUT_NANOS / NANOS_PER_MILLI));
       connection.markUnresponsive();
-      // How far each attempt came is judged once nothing more can leave.
+      // The progress of each attempt is evaluated once nothing more can be sent.
       connection.session().closeNow();
     }
   }
 
-  /** Changes the priority of an attempt that the engine is working on. */
+  /** Changes the priority of an attempt that its engine is running. */
   void setPriority(EngineAttempt attempt, int priority) {
     boolean isRunning =
         attempt.progress() == AttemptProgress.SENT
@@ -213,12 +226,15 @@
 
   // ---- Events of connections ----
 
-  /** A connection has been established. */
+  /** Schedules the attempts that waited for a connection which is now established. */
   void onConnected(EngineConnection connection) {
     toDispatch.add(connection);
   }
 
-  /** The endpoint list has changed: what waits may not be allowed any more. */
+  /**
+   * Handles a change of the endpoint list, after which waiting attempts may not be allowed any
+   * more.
+   */
   void onEndpointChanged(EngineConnection connection, boolean acceptsAttempts) {
     toDispatch.add(connection);
     if (!acceptsAttempts) {
@@ -226,12 +242,12 @@
     }
   }
 
-  /** A connection is closed: each attempt on it ends by how far it had come. */
+  /** Ends the attempts of a closed connection, each with an outcome by its progress. */
   void onClosed(EngineConnection connection, boolean lost) {
     toDispatch.remove(connection);
     for (EngineAttempt attempt : connection.removeAttempts()) {
       AttemptOutcome outcome = outcomeOfClose(attempt, connection, lost);
-      loop.later(() -> listener.onAttemptEnded(attempt, outcome));
+      loop.defer(() -> listener.onAttemptEnded(attempt, outcome));
     }
   }
 
@@ -239,7 +255,7 @@
       EngineAttempt attempt, EngineConnection connection, boolean lost) {
     AttemptProgress progress = attempt.progress();
     if (progress == AttemptProgress.PARTLY_WRITTEN && !lost) {
-      return AttemptOutcome.RESET; // the rest is still written, and it may run
+      return AttemptOutcome.RESET; // the rest is still written, so that it may run
     }
     if (progress == AttemptProgress.NOT_CONNECTED && connection.connectFailedLocally()) {
       return AttemptOutcome.NOT_SENT; // no evidence against the engine
@@ -247,7 +263,7 @@
     return progress.outcomeIfConnectionLost;
   }
 
-  /** Takes a response of an engine; one that belongs to no open attempt is ignored. */
+  /** Handles a response of an engine; ignores one that belongs to no open attempt. */
   void onResponse(EngineConnection connection, EngineResponse response) {
     connection.attempt(response.id()).ifPresent(attempt -> onResponse(attempt, response));
   }
@@ -260,13 +276,13 @@
       case PAGE -> results.onFurtherPage(attempt, response);
       case BUSY -> end(attempt, AttemptOutcome.FULL);
       case ERROR -> end(attempt, AttemptOutcome.ERROR);
-      // Over before it came: it never ran, and no engine is at fault.
+      // The request had ended before it arrived: it never ran, and the engine is not at fault.
       case NOT_RUN -> end(attempt, AttemptOutcome.NOT_SENT);
       case PROGRESS ->
           listener.onProgress(attempt, response.progressKind(), response.progressAmount());
       case UP, DOWN, UNKNOWN ->
           pool.closeOnProtocolError(
-              attempt.connection, response.status().wireName() + " to a request");
+              attempt.connection, response.status().wireName() + " in response to a request");
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
@@ -10,22 +10,22 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * Attempts of requests from the scheduler's decision to forward until their outcome is reported:
- * keeps their time-outs, writes the response of the one that is served, and reports each attempt's
- * end to the scheduler exactly once.
+ * Tracks attempts from the scheduler's decision to forward until their outcome is reported: keeps
+ * their timeouts, writes the response of the attempt that is served, and reports the end of each
+ * attempt to the scheduler exactly once.
  *
  * <p>Confined to the event loop's thread.
  */
 final class AttemptLifecycle {
   private static final Logger LOG = GatewayService.LOG;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * The end of an attempt that was cancelled is reported this much later. The engine learns of the
-   * cancellation on a connection of its own: a further attempt elsewhere, forwarded at once, could
-   * start before that, and two would run.
+   * Delay before the end of a cancelled attempt is reported. The cancellation reaches its engine on
+   * another connection than the next attempt uses: an attempt forwarded to another engine at once
+   * could start before the cancellation arrives, and both would run.
    */
-  private static final long CANCEL_LINGER = 5 * MILLISECOND;
+  private static final long CANCEL_REPORT_DELAY_NANOS = 5 * NANOS_PER_MILLI;
 
   private final EventLoop loop;
   private final EngineClient engines;
@@ -50,16 +50,16 @@
     this.maxAttempts = maxAttempts;
   }
 
-  /** Sets who is told of each attempt's outcome beside the scheduler. */
+  /** Sets a listener for the outcomes of attempts, beside the scheduler. */
   void setOutcomeListener(EngineOutcomeListener listener) {
     outcomeListener = listener;
   }
 
   /**
-   * Starts an attempt at an engine. One that may not start ends as {@link AttemptOutcome#NOT_SENT},
-   * never within this call.
+   * Starts an attempt at an engine. An attempt that may not start ends as {@link
+   * AttemptOutcome#NOT_SENT} after this call returns.
    *
-   * @param timeoutNanos how long it may take; 0 or less lasts until the request's deadline
+   * @param timeoutNanos how long the attempt may take; 0 or less for until the request's deadline
    */
   void start(ClientRequest request, String engine, long timeoutNanos) {
     long now = loop.now();
@@ -69,7 +69,7 @@
     request.attempts.add(attempt);
     request.attemptsInFlight++;
     if (request.closed || until <= now || attempt.number >= maxAttempts) {
-      loop.later(() -> finish(attempt, AttemptOutcome.NOT_SENT));
+      loop.defer(() -> finish(attempt, AttemptOutcome.NOT_SENT));
       return;
     }
     if (attempt.number > 0) {
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Whether an attempt may still start: asked in the instant before its first byte is written,
-   * since it may have waited for a connection.
+   * Returns whether an attempt may still start. Called immediately before its first byte is
+   * written, since it may have waited for a connection.
    */
   boolean mayStart(EngineAttempt attempt) {
     ClientRequest request = attempt.request;
@@ -93,15 +93,15 @@
         && scheduler.mayStart(now, request.id, attempt.number);
   }
 
-  /** Cancels an attempt, never within this call; one that does not exist is left alone. */
+  /** Cancels an attempt after this call returns; ignores one that does not exist. */
   void cancel(ClientRequest request, int number) {
     if (number < request.attempts.size()) {
       EngineAttempt attempt = request.attempts.get(number);
-      loop.later(() -> finish(attempt, AttemptOutcome.CANCELLED));
+      loop.defer(() -> finish(attempt, AttemptOutcome.CANCELLED));
     }
   }
 
-  /** Sets the priority of a request's attempts, of those in flight and of further ones. */
+  /** Sets the priority of a request's current and future attempts. */
   void setPriority(ClientRequest request, int priority) {
     if (request.priority != priority) {
       request.priority = priority;
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Ends an attempt. The scheduler is told at once, or after {@link #CANCEL_LINGER} where the
-   * engine may still be at work on it; an attempt that has ended is left alone.
+   * Ends an attempt; ignores one that has ended. The end is reported to the scheduler at once, or
+   * after {@link #CANCEL_REPORT_DELAY_NANOS} if the engine may still run the attempt.
    */
   void finish(EngineAttempt attempt, AttemptOutcome outcome) {
     if (attempt.ended) {
@@ -130,7 +130,7 @@
               attempt.request.sequence, attempt.pages.stream().map(Bytes::of).toList()));
     }
     if (engineMayRunOn && !attempt.request.closed) {
-      loop.deadlines().add(loop.now() + CANCEL_LINGER, () -> report(attempt, outcome));
+      loop.deadlines().add(loop.now() + CANCEL_REPORT_DELAY_NANOS, () -> report(attempt, outcome));
     } else {
       report(attempt, outcome);
     }
@@ -141,14 +141,14 @@
     request.attemptsInFlight--;
     long now = loop.now();
     boolean served = outcome == AttemptOutcome.SERVED;
-    RequestLog.ended(attempt, outcome, now - attempt.sentAtNanos);
+    RequestLog.ended(attempt, outcome, now - attempt.forwardedAtNanos);
     AttemptResult result =
         new AttemptResult(
             request.id,
             attempt.number,
             attempt.engine,
             outcome,
-            now - attempt.sentAtNanos,
+            now - attempt.forwardedAtNanos,
             request.closed,
             served ? attempt.costMs : 0,
             served ? attempt.memoryMb : 0,
--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -22,19 +22,18 @@
 import reachloom.scheduler.api.EngineState;
 
 /**
- * Follows the change log, from the last event that the gateway holds, for the endpoint list. A
- * connection that breaks, falls silent or leaves events out is made anew with backoff; the list
- * stays in use meanwhile. What an event means for the list is decided by {@link EndpointWatch}.
+ * Follows the change log from the last applied event, to keep the endpoint list current. If a
+ * connection breaks, falls silent or skips events, the client reconnects with backoff; the list
+ * stays in use meanwhile. {@link EndpointWatch} decides what an event means for the list.
  *
- * <p>Confined to the event loop's thread but for the handler of the sockets, which only posts to
- * it.
+ * <p>Confined to the event loop's thread, except for the socket handler, which only posts to it.
  */
 final class ChangeLogClient {
   private static final Logger LOG = System.getLogger(ChangeLogClient.class.getName());
   private static final AttributeKey CONNECTION =
       new AttributeKey(ChangeLogClient.class, "connection");
 
-  /** Is told of the endpoint list; on the event loop's thread. */
+  /** Receives changes of the endpoint list, on the event loop's thread. */
   interface Subscriber {
     /** The endpoint list has changed; never a heartbeat. */
     void onEvent(EndpointListEvent event);
@@ -49,28 +48,28 @@
   private final NioSocketConnector connector;
   private final EndpointWatch watch;
 
-  /** The engines of a complete list that comes in parts, by name, until the last part is there. */
+  /** The engines, by name, of a complete list that is received in parts, until its last part. */
   private final Map<String, EngineMember> partialList = new LinkedHashMap<>();
 
   private InetSocketAddress address;
 
-  /** Counts connections, so that one that was given up is no longer listened to. */
+  /** The number of the current connection, by which events of abandoned ones are recognized. */
   private long connectionNumber;
 
-  /** Null unless the connection is established. */
+  /** The session of the established connection, otherwise null. */
   private IoSession session;
 
   private ConnectFuture connectFuture;
   private Deadline silenceTimeout;
   private Deadline reconnectTimer;
 
-  /** What waits for the list to be up to date; null once it is. */
+  /** The action to run once the endpoint list is current; null if none is pending. */
   private Runnable onCaughtUp;
 
   private long catchUpDeadlineNanos;
   private Deadline catchUpTimer;
 
-  /** A client that holds the list of the configuration; it connects only when told to. */
+  /** Creates a client that starts from the configured endpoint list and is not connected. */
   ChangeLogClient(
       EventLoop loop,
       Sockets sockets,
@@ -96,9 +95,10 @@
   // ---- Configuration ----
 
   /**
-   * Takes over what a configuration read anew says: events after the last one held, and the address
-   * of the change log. The old address is left once what has been read from there is dealt with: it
-   * counts as known, and the new one, which goes on with the same numbers, may send it late.
+   * Applies a reloaded configuration: its endpoint list, if that is newer than the last applied
+   * event, and the address of the change log. The client leaves the old address once the events
+   * read from there are handled: they count as known, and the new change log, which continues their
+   * numbers, may send them late.
    */
   void reconfigure(GatewayConfig next) {
     if (watch.toldElsewhere(next.lastEventNumber())) {
@@ -111,7 +111,7 @@
     }
     LOG.log(
         Level.INFO,
-        "change log: {0} from now on instead of {1}, after event {2}",
+        "change log: the address changes to {0} from {1}, after event {2}",
         next.changeLog(),
         address,
         Long.toString(watch.last()));
@@ -128,9 +128,9 @@
   // ---- Start ----
 
   /**
-   * Runs an action once the change log has sent all that it held, or has had its time: a list that
-   * was handed over at the start may be old by then, and what the log has sent since counts as
-   * known.
+   * Runs an action once the change log has sent all its events, or its time for that has passed.
+   * The configured endpoint list may be outdated at the start, and events that the log has sent
+   * since count as known.
    */
   void whenCaughtUp(Runnable action) {
     onCaughtUp = action;
@@ -147,7 +147,7 @@
     }
   }
 
-  /** Waits for the log to be quiet for a while: it sends what it holds without a pause. */
+  /** Waits until the log is quiet for a while: it sends the events that it holds without pauses. */
   private void awaitQuiet() {
     loop.deadlines().cancel(catchUpTimer);
     long quietAtNanos = Math.min(catchUpDeadlineNanos, loop.now() + EndpointWatch.QUIET);
@@ -156,7 +156,7 @@
 
   // ---- Connection ----
 
-  /** Connects to the change log; from then on the client keeps itself connected. */
+  /** Connects to the change log; afterwards the client reconnects by itself. */
   void connect() {
     long number = ++connectionNumber;
     ConnectFuture future =
@@ -165,13 +165,13 @@
     future.addListener(
         f -> {
           if (!future.isConnected()) {
-            loop.post(0, () -> connectionFailed(number, "no connection"));
+            loop.post(0, () -> connectionFailed(number, "the connect failed"));
           }
         });
-    expectWithin(EndpointWatch.DIAL_TIMEOUT, "no connection in time");
+    expectWithin(EndpointWatch.DIAL_TIMEOUT, "the connect timed out");
   }
 
-  /** Counts the connection as failed unless something comes within that time. */
+  /** Treats the connection as failed unless an event is received within the timeout. */
   private void expectWithin(long timeoutNanos, String reason) {
     loop.deadlines().cancel(silenceTimeout);
     long number = connectionNumber;
@@ -185,7 +185,7 @@
     }
     LOG.log(
         Level.INFO,
-        "change log at {0}: {1}; the endpoint list of event {2} stays in use",
+        "change log at {0}: {1}; the endpoint list of event {2} stays in use until a reconnect",
         address,
         reason,
         Long.toString(watch.last()));
@@ -194,7 +194,7 @@
     subscriber.onUnavailable();
   }
 
-  /** Ends the connection, or the one that is being made, or the backoff before the next one. */
+  /** Closes the connection, aborts a connect in progress, or cancels the backoff before one. */
   private void disconnect() {
     connectionNumber++;
     loop.deadlines().cancel(silenceTimeout);
@@ -215,33 +215,35 @@
     watch.asked();
     partialList.clear();
     Sockets.write(newSession, ChangeLogDecoder.hello(watch.askAfter()));
-    expectWithin(EndpointWatch.MAX_SILENCE, "unresponsive");
+    expectWithin(EndpointWatch.MAX_SILENCE, "no event or heartbeat was received in time");
   }
 
   // ---- Events ----
 
   private void onEvent(EndpointListEvent event) {
     if (onCaughtUp != null) {
-      loop.later(() -> noteCatchingUp(event)); // once it is dealt with
+      loop.defer(() -> updateCatchUp(event)); // once the event is handled
     }
-    expectWithin(EndpointWatch.MAX_SILENCE, "unresponsive");
+    expectWithin(EndpointWatch.MAX_SILENCE, "no event or heartbeat was received in time");
     long lastBefore = watch.last();
     switch (watch.heard(event.number(), event.isComplete(), event.isHeartbeat())) {
       case TAKE -> subscriber.onEvent(event);
       case MISSED ->
-          connectionFailed(connectionNumber, "event " + event.number() + " after " + lastBefore);
+          connectionFailed(
+              connectionNumber,
+              "events are missing: received " + event.number() + " after " + lastBefore);
       case FOLD -> addToPartialList(event);
       case WHOLE -> {
         addToPartialList(event);
         completePartialList(event.number());
       }
       case SKIP -> {
-        // a heartbeat, or an event that is known
+        // a heartbeat, or an event that was applied before
       }
     }
   }
 
-  private void noteCatchingUp(EndpointListEvent event) {
+  private void updateCatchUp(EndpointListEvent event) {
     if (event.isHeartbeat()) {
       caughtUp();
     } else {
@@ -270,7 +272,7 @@
     partialList.clear();
   }
 
-  /** Called on the thread that serves the sockets. */
+  /** Posts the events of sockets to the event loop; called on the I/O thread. */
   private final class SocketHandler implements Listener<EndpointListEvent> {
     @Override
     public void opened(IoSession newSession) {
@@ -301,7 +303,7 @@
     @Override
     public void closed(IoSession closedSession) {
       long number = connectionNumber(closedSession);
-      loop.post(0, () -> connectionFailed(number, "closed"));
+      loop.post(0, () -> connectionFailed(number, "the connection was closed"));
     }
 
     private static long connectionNumber(IoSession session) {
--- a/gateway/src/main/java/reachloom/gateway/ClientConnections.java
+++ b/gateway/src/main/java/reachloom/gateway/ClientConnections.java
@@ -19,49 +19,50 @@
 import reachloom.gateway.wire.Sockets;
 
 /**
- * The connections of clients, from accept to close: admits them within a bound, evicts idle ones
- * for new ones, closes those that are silent, stall within a message or stay idle, and passes on
- * the calls that arrive.
+ * The client connections, from accept to close: admits them up to a limit, evicts idle ones in
+ * favor of new ones, closes connections that are silent, stall within a message or stay idle, and
+ * dispatches the calls that arrive.
  *
- * <p>The thread that serves the sockets only decodes and posts to the event loop. The table and all
- * methods of this class are confined to the event loop's thread.
+ * <p>The I/O thread only decodes and posts to the event loop. The table and all methods of this
+ * class are confined to the event loop's thread.
  */
 final class ClientConnections {
   /**
    * A call that has arrived.
    *
-   * @param client the connection that it came on
-   * @param receivedAtNanos when its last byte had been received, on the event loop's clock
+   * @param client the connection on which it arrived
+   * @param receivedAtNanos when its last byte was received, on the event loop's clock
    */
   record Arrival(ClientConnection client, long receivedAtNanos) {}
 
-  /** Carries out the calls that arrive; called on the event loop's thread. */
+  /** Executes the calls that arrive; called on the event loop's thread. */
   interface Handler extends ClientCall.Handler<Arrival> {
-    /** The connection of an open request is gone: nobody waits for its response any more. */
+    /** Called when the connection of an open request is gone, so that its response is not needed. */
     void onClientGone(ClientRequest request);
   }
 
   private static final Logger LOG = GatewayService.LOG;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final AttributeKey CLIENT = new AttributeKey(ClientConnections.class, "client");
 
   /**
-   * A client that sends nothing after connecting, or stalls within a message, is closed after this
-   * time: it holds a descriptor.
+   * A connection on which the client sends nothing, or stalls within a message, is closed after
+   * this time, since it holds a file descriptor.
    */
-  private static final long MAX_SILENCE = 2_000 * MILLISECOND;
+  private static final long MAX_SILENCE_NANOS = 2_000 * NANOS_PER_MILLI;
 
   /**
-   * A client without open requests is closed after this idle time. Clients close idle connections
-   * after 4 s by themselves; the settings override this for installations whose clients keep them.
+   * A connection without open requests is closed after this idle time. Clients close idle
+   * connections after 4 s by themselves; the settings override this for installations whose clients
+   * keep them.
    */
-  private static final long MAX_IDLE = 10_000 * MILLISECOND;
+  private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
   /**
-   * A client that means to send a request has sent its first one within this time, also where this
-   * process is short of processor time; until then it is evicted only if no other one can be.
+   * Clients send their first request within this time, also when this process is short of CPU time.
+   * Until then a new connection is evicted only if no other one can be.
    */
-  private static final long FIRST_REQUEST_TIMEOUT = 1_000 * MILLISECOND;
+  private static final long FIRST_REQUEST_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
   private final EventLoop loop;
   private final Sockets sockets;
@@ -69,18 +70,19 @@
   private final ClientConnectionTable table;
   private final int maxClients;
   private final Handler handler;
-  private long maxIdleNanos = MAX_IDLE;
+  private long idleTimeoutNanos = DEFAULT_IDLE_TIMEOUT_NANOS;
 
-  /** No client is admitted any more; some may have connected that the loop has not heard of. */
+  /**
+   * Whether admission has ended; connections accepted before that may still be posted to the loop.
+   */
   private boolean closed;
 
   /**
-   * Connections that are not listened for yet.
+   * Creates the component without listening yet.
    *
-   * @param table holds the connections; its capacity exceeds {@code maxClients} by those that are
-   *     about to be evicted
-   * @param maxClients connections that may stay, beyond which another one is evicted for each new
-   *     one
+   * @param table holds the connections; its capacity exceeds {@code maxClients} by the connections
+   *     that are about to be evicted
+   * @param maxClients the number of connections beyond which one is evicted for each new one
    */
   ClientConnections(
       EventLoop loop,
@@ -107,29 +109,30 @@
         address, new DecodingHandler<>("client", ClientCallDecoder::new, new SessionListener()));
   }
 
-  /** Sets how long a client may stay idle, in nanoseconds; the default where it is absent. */
+  /** Sets how long a connection may stay idle, in nanoseconds; empty for the default. */
   void setIdleTimeout(OptionalLong nanos) {
-    maxIdleNanos = nanos.orElse(MAX_IDLE);
+    idleTimeoutNanos = nanos.orElse(DEFAULT_IDLE_TIMEOUT_NANOS);
   }
 
   /**
-   * Closes the clients that never sent a message, stall within one, or are idle: no more at once
-   * than can be closed in order. The rest follows with the next sweep, or is evicted before.
+   * Closes the connections that never sent a message, stall within one, or are idle, up to the
+   * number that can be closed gracefully at once. The others are closed by the next sweep, or are
+   * evicted before.
    */
   void sweep() {
     long now = loop.now();
     Optional<ClientConnection> client = overdue(now);
     while (client.isPresent() && closing.hasCapacity()) {
-      disconnect(client.get(), "idle or silent for too long");
+      disconnect(client.get(), "idle, silent or within a message for too long");
       client = overdue(now);
     }
   }
 
   private Optional<ClientConnection> overdue(long now) {
-    return table.overdue(now - MAX_SILENCE, now - maxIdleNanos);
+    return table.overdue(now - MAX_SILENCE_NANOS, now - idleTimeoutNanos);
   }
 
-  /** Admits no more clients, and closes all connections once what is owed to them is written. */
+  /** Stops admitting clients, and closes each connection once its pending responses are written. */
   void close() {
     closed = true;
     closing.removeLimit();
@@ -138,9 +141,9 @@
   }
 
   /**
-   * Admits a client; false where the table is full and all in it have open requests. Beyond the
-   * number of clients another one is evicted, but not at once: what has been read from it by now
-   * counts first.
+   * Admits a client; returns false if the table is full and all connections in it have open
+   * requests. Beyond {@code maxClients} another connection is evicted, but only after the tasks
+   * posted so far: what has been read from that connection is handled first.
    */
   private boolean admit(ClientConnection client) {
     if (!table.add(client)) {
@@ -156,12 +159,12 @@
   private void evictOne() {
     if (table.size() > maxClients) {
       table
-          .evictable(loop.now() - FIRST_REQUEST_TIMEOUT)
+          .evictable(loop.now() - FIRST_REQUEST_TIMEOUT_NANOS)
           .ifPresent(client -> disconnect(client, "evicted for a new connection"));
     }
   }
 
-  /** Closes a connection in order; its open requests are given up. */
+  /** Closes a connection gracefully and abandons its open requests. */
   private void disconnect(ClientConnection client, String reason) {
     table.remove(client);
     logOpenRequests(client, reason);
@@ -173,25 +176,25 @@
     List.copyOf(client.openRequests.values()).forEach(handler::onClientGone);
   }
 
-  /** Logs a connection that ends with requests open on it: nobody receives their responses. */
+  /** Logs the end of a connection with open requests, whose responses can't be delivered. */
   private static void logOpenRequests(ClientConnection client, String reason) {
     if (!client.openRequests.isEmpty()) {
       LOG.log(
           Level.INFO,
-          "client {0} disconnected with {1} requests open: {2}",
+          "client {0}: connection closed with {1} open requests, which are abandoned: {2}",
           client.session.getRemoteAddress(),
           client.openRequests.size(),
           reason);
     }
   }
 
-  /** The client of a connection, unless it is closed or was never admitted. */
+  /** Returns the client of a session; empty if it is closed or was never admitted. */
   private Optional<ClientConnection> client(IoSession session) {
     Long handle = (Long) session.getAttribute(CLIENT);
     return handle == null ? Optional.empty() : table.find(handle);
   }
 
-  /** Posts what the sockets' thread reads to the event loop, in the order in which it is read. */
+  /** Posts the events of the I/O thread to the event loop, in order. */
   private final class SessionListener implements Listener<ClientCall> {
     @Override
     public void opened(IoSession session) {
@@ -201,7 +204,7 @@
     @Override
     public void received(IoSession session, ClientCall call, int bytes) {
       if (Sockets.hasEnded(session)) {
-        return; // the client is gone: nothing is owed to it, and nothing may begin
+        return; // the client is gone: it needs no response, and no request of it may start
       }
       long receivedAtNanos = loop.now();
       loop.post(bytes, () -> onReceived(session, call, receivedAtNanos));
@@ -224,7 +227,7 @@
   }
 
   private void onOpened(IoSession session) {
-    if (closed) { // its requests would be forwarded, with nobody left to respond to
+    if (closed) { // its requests would be forwarded without anyone to receive the response
       closing.end(session);
       return;
     }
@@ -250,7 +253,7 @@
   }
 
   private void onMalformed(IoSession session) {
-    client(session).ifPresent(client -> disconnect(client, "unreadable input"));
+    client(session).ifPresent(client -> disconnect(client, "the client sent undecodable input"));
   }
 
   private void onClosed(IoSession session) {
@@ -258,7 +261,7 @@
         .ifPresent(
             client -> {
               table.remove(client);
-              logOpenRequests(client, "connection ended");
+              logOpenRequests(client, "the connection was lost");
               abandonRequests(client);
             });
   }
--- a/gateway/src/main/java/reachloom/gateway/EngineClient.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineClient.java
@@ -9,17 +9,17 @@
 import reachloom.gateway.wire.Sockets;
 
 /**
- * The gateway's side towards its engines, as the gateway service uses it. It holds no state of its
- * own: {@link EngineConnectionPool} owns the connections, {@link AttemptDispatcher} the attempts on
- * them, and {@link HealthCheckClient} the health checks; what happens on a connection is passed on
- * to both. Confined to the event loop's thread.
+ * The client of the engines, used by the gateway service. It holds no state itself: {@link
+ * EngineConnectionPool} owns the connections, {@link AttemptDispatcher} the attempts on them, and
+ * {@link HealthCheckClient} the health checks; events of a connection are passed on to both.
+ * Confined to the event loop's thread.
  */
 final class EngineClient {
   /**
-   * What bounds the connections to engines, and what engines are asked for.
+   * The limits of the connections to engines, and what health checks request.
    *
-   * @param transport timeouts and bounds of a connection
-   * @param loadReports whether health checks ask for load reports
+   * @param transport timeouts and limits of a connection
+   * @param loadReports whether health checks request load reports
    * @param maxConnections the most connections to all engines together
    */
   record Options(Transport transport, boolean loadReports, int maxConnections) {}
@@ -29,10 +29,10 @@
   private final HealthCheckClient healthChecks;
 
   /**
-   * A client without engines.
+   * Creates a client without engines.
    *
-   * @param closing ends the connections that this side closes
-   * @param listener is told what becomes of attempts and health checks
+   * @param closing closes connections gracefully
+   * @param listener receives the events of attempts and health checks
    */
   EngineClient(
       EventLoop loop,
@@ -44,54 +44,54 @@
     pool = new EngineConnectionPool(loop, sockets, closing, options, new ConnectionEvents());
     dispatcher = new AttemptDispatcher(loop, pool, listener, timeoutNanos);
     healthChecks = new HealthCheckClient(loop, pool, listener, timeoutNanos, options.loadReports());
-    loop.atTurnEnd(dispatcher::dispatch);
+    loop.setIterationEndAction(dispatcher::dispatch);
   }
 
   /**
-   * Takes over a change of the endpoint list.
+   * Applies a change of the endpoint list.
    *
-   * @param complete whether engines that are not named here have been removed
+   * @param complete whether engines that are not among {@code members} have been removed
    */
   void update(boolean complete, List<EngineMember> members) {
     pool.update(complete, members);
   }
 
-  /** Brings an attempt to its engine; what becomes of it is told later, never in this call. */
+  /** Sends an attempt to its engine; its events are reported after this call returns. */
   void send(EngineAttempt attempt) {
     dispatcher.send(attempt);
   }
 
-  /** Withdraws an attempt that has not ended; the engine is told to cancel it. */
+  /** Withdraws an attempt that has not ended, and sends a cancel command to its engine. */
   void withdraw(EngineAttempt attempt) {
     dispatcher.withdraw(attempt);
   }
 
-  /** Changes the priority of an attempt that its engine is working on. */
+  /** Changes the priority of an attempt that its engine is running. */
   void setPriority(EngineAttempt attempt, int priority) {
     dispatcher.setPriority(attempt, priority);
   }
 
-  /** Checks the health of an engine; the answer is told later, never in this call. */
+  /** Checks the health of an engine; the listener receives the result after this call returns. */
   void checkHealth(String engine) {
     healthChecks.check(engine);
   }
 
-  /** Closes the connections on which a response has stopped half-way. */
+  /** Closes the connections on which a response has stalled before its end. */
   void closeStalledConnections() {
     pool.closeStalledConnections();
   }
 
-  /** How many engines are remembered. */
+  /** Returns the number of engines: the listed ones, and removed ones with open connections. */
   int engineCount() {
     return pool.engineCount();
   }
 
-  /** How many connections there are. */
+  /** Returns the number of connections. */
   int connectionCount() {
     return pool.connectionCount();
   }
 
-  /** How many attempts wait to be written to their connections. */
+  /** Returns the number of attempts that wait to be written to their connections. */
   int unsentAttempts() {
     return pool.unsentAttempts();
   }
--- a/gateway/src/main/java/reachloom/gateway/EngineClientListener.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineClientListener.java
@@ -6,25 +6,28 @@
 import reachloom.scheduler.api.LoadReport;
 import reachloom.scheduler.api.ProgressKind;
 
-/** Is told what becomes of attempts and health checks; called on the event loop's thread. */
+/**
+ * Receives the events of attempts and health checks from {@link EngineClient}; called on the event
+ * loop's thread.
+ */
 interface EngineClientListener {
   /**
-   * Whether an attempt may still begin. Asked in the instant before its first byte is written: it
-   * may have waited for a connection, or for one that was slow to take what was written before.
+   * Returns whether an attempt may still start. Called immediately before its first byte is
+   * written: it may have waited for the connection to be established, or for earlier writes.
    */
   boolean mayStart(EngineAttempt attempt);
 
   /** An attempt has ended. */
   void onAttemptEnded(EngineAttempt attempt, AttemptOutcome outcome);
 
-  /** The engine has reported on an attempt that is still running. */
+  /** The engine has reported the progress of a running attempt. */
   void onProgress(EngineAttempt attempt, ProgressKind kind, double amount);
 
   /**
    * A health check has ended.
    *
-   * @param answered whether the engine answered that it is up
-   * @param report the load report that came with the answer, if there was one
+   * @param answered whether the engine responded that it is up
+   * @param report the load report of the response, if it had one
    */
   void onHealthCheck(String engine, boolean answered, Optional<LoadReport> report);
 }
--- a/gateway/src/main/java/reachloom/gateway/EngineConnectionListener.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionListener.java
@@ -3,9 +3,9 @@
 import reachloom.gateway.state.EngineConnection;
 import reachloom.gateway.wire.EngineResponse;
 
-/** Is told what becomes of the connections of a pool; called on the event loop's thread. */
+/** Receives the events of a pool's connections; called on the event loop's thread. */
 interface EngineConnectionListener {
-  /** A connection has been established: what waited for it can be written. */
+  /** A connection has been established: commands that waited for it can be written. */
   void onConnected(EngineConnection connection);
 
   /**
@@ -15,14 +15,14 @@
    */
   void onEndpointChanged(EngineConnection connection, boolean acceptsAttempts);
 
-  /** The engine has sent a response. */
+  /** A response of the engine was received. */
   void onResponse(EngineConnection connection, EngineResponse response);
 
   /**
-   * A connection is closed: what is still open on it has to be ended.
+   * A connection is closed: the attempts and health checks open on it have to be ended.
    *
-   * @param lost whether the transport has ended by itself; otherwise what was handed to it is still
-   *     written
+   * @param lost whether the transport was lost; otherwise the gateway closes the connection, and
+   *     pending writes are still sent
    */
   void onClosed(EngineConnection connection, boolean lost);
 }
--- a/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
@@ -21,32 +21,32 @@
 import reachloom.scheduler.api.EngineState;
 
 /**
- * The connections to engines, by the names of the engines. The pool keeps them in step with the
- * endpoint list, hands them out to attempts and health checks, and closes those that are idle,
- * stalled or broken.
+ * The connections to engines, by engine name. The pool updates them with the endpoint list,
+ * assigns them to attempts and health checks, and closes connections that are idle, stalled or
+ * broken.
  *
- * <p>A connection belongs to one incarnation of an engine: one that has restarted gets connections
- * of its own. The number of connections is bounded, for each engine and in all. Confined to the
- * event loop's thread.
+ * <p>A connection belongs to one incarnation of an engine: after a restart, an engine gets new
+ * connections. The number of connections is limited per engine and in total. Confined to the event
+ * loop's thread.
  */
 final class EngineConnectionPool implements EngineConnector.Events {
   private static final Logger LOG = System.getLogger(EngineClient.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int MAX_CONNECTIONS_PER_ENGINE = 8;
 
   /**
    * Idle connections are closed after this share of the engine's own idle timeout, so that no
-   * request crosses the engine's close on its way.
+   * request is sent while the engine closes the connection.
    */
   private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
   /**
-   * A response that has stopped half-way for so long will not go on: an engine may pause, but
+   * A partial response without progress for this long counts as broken: engines may pause, but
    * hardly within a response.
    */
-  private static final long MAX_PARTIAL_RESPONSE_NANOS = 1_000 * MILLISECOND;
+  private static final long MAX_PARTIAL_RESPONSE_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** An engine that the endpoint list has named, and the connections to it. */
+  /** An engine of the endpoint list, current or removed, and the connections to it. */
   private static final class Engine {
     private final List<EngineConnection> connections = new ArrayList<>();
 
@@ -70,7 +70,7 @@
   private final EngineConnector connector;
   private final Map<String, Engine> engines = new LinkedHashMap<>();
 
-  /** A pool without engines, with at most so many connections as the options allow. */
+  /** Creates a pool without engines; the options limit its connections. */
   EngineConnectionPool(
       EventLoop loop,
       Sockets sockets,
@@ -89,9 +89,9 @@
   // ---- The endpoint list ----
 
   /**
-   * Takes over a change of the endpoint list.
+   * Applies a change of the endpoint list.
    *
-   * @param complete whether engines that are not named here have been removed
+   * @param complete whether engines that are not among {@code members} have been removed
    */
   void update(boolean complete, List<EngineMember> members) {
     if (complete) {
@@ -102,7 +102,7 @@
       engine.member = member.endpoint().state() == EngineState.REMOVED ? null : member;
       closeConnectionsBefore(engine, member.endpoint().incarnation());
     }
-    // Only those that are named, of thousands, can have changed.
+    // Only the engines of the change, not all of thousands, have to be visited.
     List<String> changed =
         complete
             ? List.copyOf(engines.keySet())
@@ -141,27 +141,27 @@
       List.copyOf(engine.connections).stream()
           .filter(EngineConnection::isUnused)
           .forEach(connection -> close(connection, false, "the engine was removed"));
-      forgetIfUnused(name, engine);
+      removeIfUnused(name, engine);
     }
   }
 
-  private void forgetIfUnused(String name, Engine engine) {
+  private void removeIfUnused(String name, Engine engine) {
     if (!engine.isListed() && engine.connections.isEmpty()) {
       engines.remove(name);
     }
   }
 
-  /** How many engines are remembered: those listed, and removed ones with open connections. */
+  /** Returns the number of engines: the listed ones, and removed ones with open connections. */
   int engineCount() {
     return engines.size();
   }
 
-  /** How many connections there are. */
+  /** Returns the number of connections. */
   int connectionCount() {
     return connections.size();
   }
 
-  /** How many attempts wait to be written to their connections. */
+  /** Returns the number of attempts that wait to be written to their connections. */
   int unsentAttempts() {
     return connections.all().stream().mapToInt(EngineConnection::unsentCount).sum();
   }
@@ -169,12 +169,12 @@
   // ---- Use ----
 
   /**
-   * A connection to an engine with capacity for one more attempt, established or still being made.
-   * It is none that an earlier attempt for the same request used: a late response to that one would
-   * be taken for a response to this one.
+   * Returns a connection to an engine with capacity for one more attempt, established or being
+   * established. Connections of earlier attempts for the same request are excluded: a late response
+   * to an earlier attempt would be taken for a response to this one.
    *
    * @param previousAttempts the attempts for the same request so far; empty for a health check
-   * @return empty where the engine is not listed, or no further connection is allowed
+   * @return empty if the engine is not listed, or no further connection is allowed
    */
   Optional<EngineConnection> acquire(String name, List<EngineAttempt> previousAttempts) {
     Engine engine = engines.get(name);
@@ -207,7 +207,7 @@
         && previousAttempts.stream().noneMatch(attempt -> attempt.connection == connection);
   }
 
-  /** Responsive ones first, then those that are established, then the least used. */
+  /** Prefers responsive connections, then established ones, then the one with fewest attempts. */
   private static boolean isPreferred(EngineConnection connection, EngineConnection other) {
     if (connection.isUnresponsive() != other.isUnresponsive()) {
       return !connection.isUnresponsive();
@@ -235,22 +235,22 @@
     return Optional.of(connection);
   }
 
-  /** Writes a command; does nothing on a connection that is not established or is closed. */
+  /** Writes a command; does nothing if the connection is not established or is closed. */
   void write(EngineConnection connection, ByteBuffer command) {
     if (connection.isConnected() && !connection.isClosed()) {
       connection.setLastWrite(Sockets.write(connection.session(), command));
     }
   }
 
-  /** Records that a connection is in use: it does not time out as idle. */
+  /** Marks a connection as in use, so that it is not closed as idle. */
   void markInUse(EngineConnection connection) {
     loop.deadlines().cancel(connection.idleTimeout());
     connection.setIdleTimeout(null);
   }
 
   /**
-   * Takes a connection back once something on it has ended. If nothing else is open on it, it is
-   * closed where its engine was removed, and otherwise after the idle timeout.
+   * Returns a connection to the pool after an attempt or health check on it has ended. If it is
+   * unused now, it is closed: at once if its engine was removed, otherwise after the idle timeout.
    */
   void release(EngineConnection connection) {
     if (connection.isClosed() || !connection.isUnused() || !connection.isConnected()) {
@@ -271,9 +271,9 @@
   // ---- Close ----
 
   /**
-   * Closes a connection whose engine has sent what the protocol does not allow there: nothing that
-   * follows on it can be trusted. All that is open on it ends now instead of at its timeout, which
-   * costs the other attempts there where the engine is only odd.
+   * Closes a connection on which the engine violated the protocol: no later response on it can be
+   * trusted. All attempts open on it end now instead of at their timeouts, also when the violation
+   * was harmless to the others.
    *
    * @param violation what the engine sent, for the log
    */
@@ -283,22 +283,22 @@
         "engine {0} sent {1}; its connection is closed",
         connection.engine(),
         violation);
-    close(connection, false, "it sent an invalid response");
+    close(connection, false, "the engine sent an invalid response");
   }
 
-  /** Closes the connections on which a response has stopped half-way. */
+  /** Closes the connections on which a response has stalled before its end. */
   void closeStalledConnections() {
     long latestNanos = loop.now() - MAX_PARTIAL_RESPONSE_NANOS;
     connections.all().stream()
         .filter(connection -> connection.partialResponseSinceNanos() < latestNanos)
-        .forEach(connection -> closeOnProtocolError(connection, "an answer that stopped"));
+        .forEach(connection -> closeOnProtocolError(connection, "a response that stalled before its end"));
   }
 
   /**
-   * Closes a connection, and has the listener end what is open on it.
+   * Closes a connection, and has the listener end the attempts and health checks open on it.
    *
-   * @param lost whether the transport has ended by itself; otherwise what was handed to it is still
-   *     written, so that nothing of it is proved never to have run
+   * @param lost whether the transport was lost; otherwise pending writes are still sent, so that a
+   *     partly written attempt may still run
    * @param reason for the log
    */
   private void close(EngineConnection connection, boolean lost, String reason) {
@@ -312,15 +312,15 @@
     Engine engine = engines.get(connection.engine());
     if (engine != null) {
       engine.connections.remove(connection);
-      forgetIfUnused(connection.engine(), engine);
+      removeIfUnused(connection.engine(), engine);
     }
     if (connection.isConnected()) {
-      closing.end(connection.session()); // cancels that were written go out first
+      closing.end(connection.session()); // sends pending cancel commands first
     }
     if (connection.attemptCount() > 0) {
       LOG.log(
           Level.INFO,
-          "engine {0}: a connection closes with {1} requests open: {2}",
+          "engine {0}: connection closed with {1} open attempts: {2}",
           connection.engine(),
           connection.attemptCount(),
           reason);
@@ -355,11 +355,11 @@
 
   @Override
   public void onUndecodableResponse(EngineConnection connection) {
-    close(connection, false, "it sent what can't be decoded");
+    close(connection, false, "the engine sent undecodable data");
   }
 
   @Override
   public void onDisconnected(EngineConnection connection) {
-    close(connection, true, "it was closed by the engine");
+    close(connection, true, "the connection was lost");
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/EngineConnector.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnector.java
@@ -17,39 +17,38 @@
 import reachloom.gateway.wire.Sockets;
 
 /**
- * Establishes connections to engines within the connect timeout, and brings what happens on their
- * sockets to the event loop's thread. A connect that fails on this machine, before anything has
- * left it, is tried again within that time.
+ * Establishes connections to engines within the connect timeout, and posts the events of their
+ * sockets to the event loop. A connect that fails locally, before any packet is sent, is retried
+ * within that timeout.
  *
- * <p>Confined to the event loop's thread but for the handler of the sockets, which only posts to
- * it.
+ * <p>Confined to the event loop's thread, except for the socket handler, which only posts to it.
  */
 final class EngineConnector {
   private static final Logger LOG = System.getLogger(EngineClient.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final AttributeKey HANDLE = new AttributeKey(EngineConnector.class, "handle");
 
-  /** Between tries to connect where it is this machine that fails. */
-  private static final long LOCAL_RETRY_INTERVAL_NANOS = 5 * MILLISECOND;
+  /** Delay before a connect that failed locally is retried. */
+  private static final long LOCAL_RETRY_INTERVAL_NANOS = 5 * NANOS_PER_MILLI;
 
-  /** Is told of connections; on the event loop's thread. */
+  /** Receives the events of connections, on the event loop's thread. */
   interface Events {
     /** The connection is established. */
     void onConnected(EngineConnection connection, IoSession session);
 
-    /** The connection could not be established; the reason is for the log. */
+    /** The connection could not be established; the reason is logged. */
     void onConnectFailed(EngineConnection connection, String reason);
 
-    /** A response has come. */
+    /** A complete response was received. */
     void onResponse(EngineConnection connection, EngineResponse response);
 
-    /** A response has begun that is not complete yet. */
+    /** The first part of an incomplete response was received. */
     void onPartialResponse(EngineConnection connection);
 
-    /** What came can't be decoded; nothing more is read from the connection. */
+    /** Undecodable input was received; nothing more is read from the connection. */
     void onUndecodableResponse(EngineConnection connection);
 
-    /** The transport has ended. */
+    /** The transport was closed. */
     void onDisconnected(EngineConnection connection);
   }
 
@@ -61,9 +60,9 @@
   private final NioSocketConnector connector;
 
   /**
-   * A connector for connections that stand in a table.
+   * Creates a connector for the connections of a table.
    *
-   * @param connections the table; a connection that has been removed from it is told of no more
+   * @param connections the table; events of connections that were removed from it are dropped
    */
   EngineConnector(
       EventLoop loop,
@@ -82,7 +81,7 @@
             connectTimeoutNanos);
   }
 
-  /** Begins to establish a connection; what becomes of it is told later, never in this call. */
+  /** Starts to connect; the result is reported to the events after this call returns. */
   void connect(EngineConnection connection, InetSocketAddress address) {
     connection.setConnectTimeout(
         loop.deadlines()
@@ -91,9 +90,14 @@
   }
 
   private void connectTimedOut(EngineConnection connection, InetSocketAddress address) {
-    LOG.log(Level.INFO, "engine {0} at {1}: no connection in time", connection.engine(), address);
+    LOG.log(
+        Level.INFO,
+        "engine {0} at {1}: connect timed out after {2} ms",
+        connection.engine(),
+        address,
+        Long.toString(connectTimeoutNanos / NANOS_PER_MILLI));
     Sockets.giveUp(connection.connectFuture());
-    events.onConnectFailed(connection, "no connection in time");
+    events.onConnectFailed(connection, "the connect timed out");
   }
 
   private void tryConnect(EngineConnection connection, InetSocketAddress address) {
@@ -107,15 +111,19 @@
     future.addListener(
         f -> {
           if (!future.isConnected()) {
-            loop.post(0, () -> tryFailed(connection, address, future));
+            loop.post(0, () -> connectFailed(connection, address, future));
           }
         });
   }
 
-  private void tryFailed(
+  private void connectFailed(
       EngineConnection connection, InetSocketAddress address, ConnectFuture future) {
     LOG.log(
-        Level.DEBUG, "engine {0} at {1}: {2}", connection.engine(), address, future.getException());
+        Level.DEBUG,
+        "engine {0} at {1}: connect failed: {2}",
+        connection.engine(),
+        address,
+        future.getException());
     boolean failedLocally = sockets.failedHere(future);
     connection.setConnectFailedLocally(failedLocally);
     if (failedLocally) {
@@ -126,7 +134,7 @@
     }
   }
 
-  /** Called on the thread that serves the sockets. */
+  /** Posts the events of sockets to the event loop; called on the I/O thread. */
   private final class SocketHandler implements Listener<EngineResponse> {
     @Override
     public void opened(IoSession session) {
@@ -154,7 +162,7 @@
       post(session, 0, events::onDisconnected);
     }
 
-    /** Runs an action on the event loop's thread, unless the connection has been closed by then. */
+    /** Runs an action on the event loop's thread, unless the connection is closed by then. */
     private void post(IoSession session, int bytes, Consumer<EngineConnection> action) {
       long handle = handle(session);
       loop.post(
--- a/gateway/src/main/java/reachloom/gateway/EngineOutcomeListener.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineOutcomeListener.java
@@ -5,8 +5,8 @@
 import reachloom.scheduler.api.AttemptOutcome;
 
 /**
- * Is told what a gateway learns of its engines, such as by gossip that passes it on; called on the
- * event loop's thread.
+ * Receives what a gateway observes of its engines, for example to spread it by gossip; called on
+ * the event loop's thread.
  */
 public interface EngineOutcomeListener {
   /**
@@ -19,7 +19,7 @@
   /**
    * An attempt has ended.
    *
-   * @param wanted false where its request had been answered, or its client had gone, before
+   * @param wanted false if its request had been answered, or its client had gone, before
    */
   void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted);
 }
--- a/gateway/src/main/java/reachloom/gateway/EventLoop.java
+++ b/gateway/src/main/java/reachloom/gateway/EventLoop.java
@@ -8,27 +8,28 @@
 import reachloom.time.MonotonicClock;
 
 /**
- * The single thread that owns all state. It runs the tasks that other threads post, in the order in
- * which they were posted, then the deadlines that are due: what came from the sockets goes before
- * deadlines that are judged by it.
+ * The single-threaded event loop that owns all state. It runs the tasks that other threads post, in
+ * the order in which they were posted, then the deadlines that are due: messages read from the
+ * sockets are handled before the deadlines that depend on them.
  *
  * <p>{@link #post}, {@link #postFirst}, {@link #now}, {@link #queuedBytes} and {@link #end} may be
- * called from any thread; everything else is for the thread that is in {@link #run}.
+ * called from any thread; everything else is confined to the thread that executes {@link #run}.
  */
 public final class EventLoop implements Runnable {
   private static final Logger LOG = System.getLogger(EventLoop.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A wake-up this late means that the process stalled: then the sockets are read first. */
-  private static final long STALL_THRESHOLD = 20 * MILLISECOND;
+  /** A wake-up later than this means that the process stalled; the sockets are then read first. */
+  private static final long STALL_THRESHOLD_NANOS = 20 * NANOS_PER_MILLI;
 
-  /** After a stall, the sockets count as read once no task has come for this long. */
-  private static final long SETTLE_TIME = 3 * MILLISECOND;
+  /** After a stall, the sockets count as read once no task has been posted for this long. */
+  private static final long SOCKET_QUIET_NANOS = 3 * NANOS_PER_MILLI;
 
-  private static final long MAX_SETTLE_TIME = 15 * MILLISECOND;
-  private static final long MAX_WAIT = 1_000 * MILLISECOND;
+  /** The longest wait after a stall for the sockets to be read. */
+  private static final long MAX_SOCKET_DRAIN_NANOS = 15 * NANOS_PER_MILLI;
+  private static final long MAX_WAIT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** Bytes of messages that wait to be handled; beyond that, reading from sockets waits. */
+  /** Bytes of unhandled messages at which reading from the sockets blocks. */
   private static final int MAX_QUEUED_BYTES = 4 << 20;
 
   private record Task(Runnable action, int bytes, boolean first) {}
@@ -38,39 +39,42 @@
   private final HandoffQueue<Task> queue = new HandoffQueue<>();
   private final Semaphore freeBytes = new Semaphore(MAX_QUEUED_BYTES);
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
-  private Runnable turnEnd = () -> {};
+  private Runnable iterationEndAction = () -> {};
   private volatile boolean ended;
 
   /**
-   * The present time in nanoseconds; it advances with real time, whatever becomes of the wall
-   * clock.
+   * Returns the current time in nanoseconds. It advances with real time, also when the wall clock
+   * is stepped.
    */
   public long now() {
     return clock.now();
   }
 
-  /** By how much the wall clock was stepped since the last call, in nanoseconds; 0 for not. */
+  /**
+   * Returns by how much the wall clock was stepped since the last call, in nanoseconds; 0 if it was
+   * not stepped.
+   */
   public long wallClockStep() {
     return clock.wallClockStep();
   }
 
-  /** All deadlines and timers. */
+  /** Returns the queue of all deadlines and timers. */
   public DeadlineQueue deadlines() {
     return deadlines;
   }
 
   /**
-   * Runs an action on the loop's thread. Waits while too many bytes are queued.
+   * Runs an action on the loop's thread. Blocks while too many bytes are queued.
    *
-   * @param bytes what the action keeps in memory until it has run
+   * @param bytes the memory that the action holds until it has run
    */
   public void post(int bytes, Runnable action) {
     post(bytes, action, false);
   }
 
   /**
-   * Runs an action as {@link #post} does; after a stall of the process it runs before all other
-   * actions, for what must be known before they decide anything.
+   * Runs an action as {@link #post} does, but before all other posted actions after a stall of the
+   * process: for information on which their decisions depend.
    */
   public void postFirst(int bytes, Runnable action) {
     post(bytes, action, true);
@@ -82,26 +86,26 @@
     queue.add(new Task(action, weight, first));
   }
 
-  /** Runs an action once the present one has returned, before the next task. */
-  public void later(Runnable action) {
+  /** Runs an action once the current one has returned, before the next task. */
+  public void defer(Runnable action) {
     deferred.add(action);
   }
 
   /**
-   * Sets the action at the end of each turn, once all that had come by its beginning is handled:
-   * what leaves the process leaves there, so that nothing is sent that a close, a cancellation or a
-   * list of engines forbids.
+   * Sets the action that runs at the end of each iteration, once all tasks queued at its start are
+   * handled. Attempts are sent there, so that none is sent that a close, a cancellation or an
+   * endpoint list received by then forbids.
    */
-  public void atTurnEnd(Runnable action) {
-    turnEnd = action;
+  public void setIterationEndAction(Runnable action) {
+    iterationEndAction = action;
   }
 
-  /** Bytes of messages that wait to be handled. */
+  /** Returns the bytes of messages that wait to be handled. */
   int queuedBytes() {
     return MAX_QUEUED_BYTES - freeBytes.availablePermits();
   }
 
-  /** Ends the loop after the present turn. */
+  /** Ends the loop after the current iteration. */
   public void end() {
     ended = true;
   }
@@ -110,48 +114,51 @@
   public void run() {
     while (!ended) {
       try {
-        turn();
+        runIteration();
       } catch (InterruptedException e) {
-        LOG.log(Level.WARNING, "the loop was interrupted");
+        LOG.log(Level.WARNING, "the event loop was interrupted and stops");
         return;
       }
     }
   }
 
-  private void turn() throws InterruptedException {
-    long wakeUpAt = Math.min(deadlines.next(), now() + MAX_WAIT);
+  private void runIteration() throws InterruptedException {
+    long wakeUpAt = Math.min(deadlines.next(), now() + MAX_WAIT_NANOS);
     Task task = queue.poll(Math.max(0, wakeUpAt - now()));
-    if (now() - wakeUpAt > STALL_THRESHOLD) {
-      runAllReadDuringStall(task);
+    if (now() - wakeUpAt > STALL_THRESHOLD_NANOS) {
+      runTasksReadAfterStall(task);
       task = null;
     }
-    // No more than what is here now, so that a flood of messages can't keep deadlines waiting.
-    for (int left = queue.size(); task != null; task = left-- > 0 ? queue.poll() : null) {
+    // Only the tasks queued now, so that a flood of messages can't delay deadlines.
+    for (int remaining = queue.size();
+        task != null;
+        task = remaining-- > 0 ? queue.poll() : null) {
       run(task);
     }
     long now = now();
     for (Runnable due = deadlines.poll(now); due != null; due = deadlines.poll(now)) {
       run(due);
     }
-    run(turnEnd);
+    run(iterationEndAction);
   }
 
   /**
-   * What waits on the sockets after a stall has arrived in time, and counts before deadlines are
-   * judged. No task runs before the sockets have been read, and those that were posted first run
-   * first: no query is sent by a list of engines that has long been replaced.
+   * Runs the tasks read from the sockets after a stall, before any deadline: what was waiting on the
+   * sockets had arrived in time. No ordinary task runs before the sockets have been read, and tasks
+   * from {@link #postFirst} run ahead of the others, so that no query is sent by an endpoint list
+   * that has long been replaced.
    */
-  private void runAllReadDuringStall(Task firstTask) throws InterruptedException {
-    long until = now() + MAX_SETTLE_TIME;
+  private void runTasksReadAfterStall(Task firstTask) throws InterruptedException {
+    long until = now() + MAX_SOCKET_DRAIN_NANOS;
     ArrayDeque<Task> others = new ArrayDeque<>();
-    Task task = firstTask != null ? firstTask : queue.poll(SETTLE_TIME);
+    Task task = firstTask != null ? firstTask : queue.poll(SOCKET_QUIET_NANOS);
     while (task != null) {
       if (task.first()) {
         run(task);
       } else {
         others.add(task);
       }
-      task = now() < until ? queue.poll(SETTLE_TIME) : null;
+      task = now() < until ? queue.poll(SOCKET_QUIET_NANOS) : null;
     }
     for (Task other = others.poll(); other != null; other = others.poll()) {
       run(other);
@@ -167,8 +174,8 @@
     for (Runnable next = action; next != null; next = deferred.poll()) {
       try {
         next.run();
-      } catch (RuntimeException e) { // one event must not take the others down with it
-        LOG.log(Level.ERROR, "an event could not be dealt with", e);
+      } catch (RuntimeException e) { // a failed event must not prevent the next ones
+        LOG.log(Level.ERROR, "handling an event failed; the event loop continues", e);
       }
     }
   }
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -23,25 +23,25 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * One gateway on sockets: tells a scheduler what happens, in order, and carries out its actions. It
- * translates, keeps time and enforces bounds; the scheduler decides. It connects the parts that do
- * the work: {@link ClientConnections} accepts and closes clients, {@link RequestHandler} carries
- * out their calls, {@link RequestRegistry} holds open requests, {@link AttemptLifecycle} follows
- * attempts, {@link ResponseWriter} writes responses, {@link EngineClient} connects to engines and
- * {@link ChangeLogClient} follows the list of engines.
+ * One gateway on sockets: reports events to a scheduler, in order, and carries out its actions. It
+ * translates, keeps time and enforces limits; the scheduler decides. It connects the components:
+ * {@link ClientConnections} accepts and closes clients, {@link RequestHandler} executes their
+ * calls, {@link RequestRegistry} holds open requests, {@link AttemptLifecycle} tracks attempts,
+ * {@link ResponseWriter} writes responses, {@link EngineClient} connects to engines and {@link
+ * ChangeLogClient} follows the endpoint list.
  *
- * <p>Confined to the thread of its {@link EventLoop} from {@link #start()} on; only the sockets'
- * thread runs beside it, and hands everything it reads to the loop.
+ * <p>Confined to the thread of its {@link EventLoop} once {@link #start()} is called. Only the I/O
+ * thread of the sockets runs beside it, and posts everything it reads to the loop.
  */
 public final class GatewayService
     implements SchedulerActions, EngineClientListener, ChangeLogClient.Subscriber {
   /**
-   * The parts of the front log under one name: operators filter on it, and the logger bounds the
-   * lines of a name in a second.
+   * The components of the gateway log under one name: operators filter on it, and the logger limits
+   * the lines of each name per second.
    */
   static final Logger LOG = System.getLogger(GatewayService.class.getName());
 
-  /** Told of engines and outcomes where nobody else is. */
+  /** Ignores endpoints and outcomes; used until a listener is set. */
   static final EngineOutcomeListener NO_LISTENER =
       new EngineOutcomeListener() {
         @Override
@@ -51,16 +51,19 @@
         public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {}
       };
 
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Overdue clients and stalled responses of engines are looked for this often. */
-  private static final long SWEEP_INTERVAL = 200 * MILLISECOND;
+  /** Interval of the search for overdue clients and stalled responses of engines. */
+  private static final long SWEEP_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
 
-  /** Clients and engines each get one in so many of the sockets that the configuration allows. */
-  private static final int SOCKET_PARTS = 3;
+  /** Clients and engines each get this fraction (1/n) of the configured sockets. */
+  private static final int SOCKET_SHARE_DIVISOR = 3;
 
-  /** Connections just accepted or closing, beside the clients admitted: one for so many. */
-  private static final int ARRIVING_PART = 8;
+  /**
+   * Connections just accepted or closing may exist beside the admitted clients, as this fraction
+   * (1/n) of their number.
+   */
+  private static final int TRANSIENT_CONNECTION_DIVISOR = 8;
 
   private final GatewayConfig config;
   private final EventLoop loop;
@@ -77,21 +80,21 @@
   private EngineOutcomeListener listener = NO_LISTENER;
 
   /**
-   * A gateway that has not started.
+   * Creates a gateway that has not started.
    *
-   * @param scheduler makes the scheduler that decides, given the actions it may take
+   * @param scheduler creates the scheduler, given the actions that it may take
    */
   public GatewayService(
       GatewayConfig config, EventLoop loop, Function<SchedulerActions, SchedulerEvents> scheduler) {
     this.config = config;
     this.loop = loop;
     this.scheduler = new GuardedScheduler(scheduler.apply(this));
-    int maxClients = config.maxSockets() / SOCKET_PARTS;
-    int maxArriving = maxClients / ARRIVING_PART;
-    sockets = new Sockets(maxClients + maxArriving);
-    closing = new LingeringClose(loop, sockets, config.transport().dialTimeoutNanos(), maxArriving);
-    engines = engineClient(config.maxSockets() / SOCKET_PARTS);
-    clientTable = new ClientConnectionTable(maxClients + maxArriving);
+    int maxClients = config.maxSockets() / SOCKET_SHARE_DIVISOR;
+    int maxTransient = maxClients / TRANSIENT_CONNECTION_DIVISOR;
+    sockets = new Sockets(maxClients + maxTransient);
+    closing = new LingeringClose(loop, sockets, config.transport().dialTimeoutNanos(), maxTransient);
+    engines = engineClient(config.maxSockets() / SOCKET_SHARE_DIVISOR);
+    clientTable = new ClientConnectionTable(maxClients + maxTransient);
     requests = new RequestRegistry(loop, clientTable, config.transport().maxOpenRequests());
     ResponseWriter responses = new ResponseWriter(loop, clientTable, requests);
     int maxAttempts = config.settings().limits().maxAttempts();
@@ -115,15 +118,15 @@
   // ---- Start and shutdown ----
 
   /**
-   * Starts as {@link #start()}, and runs {@code then} once the list of engines is up to date, as
-   * far as the change log tells in its time.
+   * Starts as {@link #start()} does, and runs {@code then} once the change log has sent the current
+   * endpoint list, or its time for that has passed.
    */
   public void start(Runnable then) {
     start();
     changeLog.whenCaughtUp(then);
   }
 
-  /** Starts the scheduler with the engines that the configuration names; follows the change log. */
+  /** Starts the scheduler with the engines of the configuration, and follows the change log. */
   public void start() {
     engines.update(true, config.knownEngines());
     scheduler.onStart(loop.now(), config.seed(), config.settings());
@@ -133,7 +136,7 @@
     sweep();
   }
 
-  /** Sets who is told of engines and outcomes beside the scheduler; before the start. */
+  /** Sets a listener for endpoints and outcomes beside the scheduler; to be called before start. */
   public void setEngineOutcomeListener(EngineOutcomeListener listener) {
     this.listener = listener;
     attempts.setOutcomeListener(listener);
@@ -148,58 +151,58 @@
     clients.listen(config.listen());
   }
 
-  /** Takes over from a new configuration what may change without a restart. */
+  /** Applies the parts of a new configuration that may change without a restart. */
   public void reload(GatewayConfig next) {
     changeLog.reconfigure(next);
   }
 
   /**
-   * Sets how long clients may stay connected without open requests, in nanoseconds; the default
-   * where it is absent.
+   * Sets how long clients may stay connected without open requests, in nanoseconds; empty for the
+   * default.
    */
   public void setClientIdleTimeout(OptionalLong nanos) {
     clients.setIdleTimeout(nanos);
   }
 
-  /** Sets what a client's {@code check} reports from now on. */
+  /** Sets whether {@code check} calls of clients report the gateway as ready. */
   public void setReady(boolean ready) {
     handler.setReady(ready);
   }
 
-  /** Bounds the deadlines of all requests that arrive from now on, on the event loop's clock. */
+  /** Limits the deadlines of all requests that arrive later, on the event loop's clock. */
   public void setLatestDeadline(long deadlineNanos) {
     handler.setLatestDeadline(deadlineNanos);
   }
 
-  /** How many requests are open. */
+  /** Returns the number of open requests. */
   public int openRequests() {
     return requests.open().size();
   }
 
-  /** Responds to all open requests, as far as that is allowed without the scheduler's decisions. */
+  /** Responds to all open requests without waiting for the scheduler's decisions. */
   public void expireOpenRequests() {
     handler.expireAll("gateway shutdown");
   }
 
-  /** Admits no more clients, and closes all connections once what is owed to them is written. */
+  /** Stops admitting clients, and closes each connection once its pending responses are written. */
   public void close() {
     clients.close();
   }
 
   /**
-   * Ends all connections and threads at once, as the end of the process would; for many gateways in
-   * one process. From any thread.
+   * Ends all connections and threads at once, as the exit of the process would; for many gateways
+   * in one process. May be called from any thread.
    */
   public void terminate() {
     sockets.abandon();
   }
 
-  /** How many connections are closing. */
+  /** Returns the number of connections that are closing. */
   public int closingConnections() {
     return closing.pending();
   }
 
-  /** The number of entries of each table, by name. */
+  /** Returns the number of entries of each table, by name. */
   Map<String, Integer> tableSizes() {
     return Map.of(
         "requests",
@@ -214,7 +217,7 @@
         engines.engineCount(),
         "connections",
         engines.connectionCount(),
-        "unhanded",
+        "unsentAttempts",
         engines.unsentAttempts(),
         "deadlines",
         loop.deadlines().size());
@@ -225,7 +228,7 @@
     clients.sweep();
     engines.closeStalledConnections();
     logWallClockStep();
-    loop.deadlines().add(now + SWEEP_INTERVAL, this::sweep);
+    loop.deadlines().add(now + SWEEP_INTERVAL_NANOS, this::sweep);
   }
 
   private void logWallClockStep() {
@@ -233,12 +236,12 @@
     if (stepNanos != 0) {
       LOG.log(
           Level.WARNING,
-          "the wall clock was stepped by {0} ms; all spans of time run on as they were",
-          Long.toString(stepNanos / MILLISECOND));
+          "the wall clock was stepped by {0} ms; timeouts and deadlines are not affected",
+          Long.toString(stepNanos / NANOS_PER_MILLI));
     }
   }
 
-  // ---- What happens to engines ----
+  // ---- Events of engines ----
 
   @Override
   public void onEvent(EndpointListEvent change) {
@@ -259,9 +262,9 @@
   }
 
   /**
-   * What peers report of an engine, weighted.
+   * Receives the weighted reports of peers about an engine.
    *
-   * @param level from 0, nothing against it, to 1
+   * @param level from 0, no complaint, to 1
    */
   public void onPeerReport(String engine, double level) {
     scheduler.onPeerReport(loop.now(), engine, level);
@@ -297,10 +300,14 @@
         .find(query)
         .ifPresentOrElse(
             request -> attempts.start(request, engine, timeout),
-            () -> LOG.log(Level.ERROR, "the scheduler forwards {0}, which is not open", query));
+            () ->
+                LOG.log(
+                    Level.ERROR,
+                    "the scheduler forwarded request {0}, which is not open; ignored",
+                    query));
   }
 
-  /** {@inheritDoc} The grant is left out: engines of this protocol take none. */
+  /** {@inheritDoc} The grant is ignored: the engine protocol has no field for it. */
   @Override
   public void setResources(String query, double grantMb, int priority) {
     requests.find(query).ifPresent(request -> attempts.setPriority(request, priority));
@@ -332,7 +339,7 @@
   }
 
   /**
-   * {@inheritDoc} Nothing to do: the change log is always followed, and its breaks are reported.
+   * {@inheritDoc} Does nothing: the change log is always followed, and its outages are reported.
    */
   @Override
   public void watchEndpoints() {}
--- a/gateway/src/main/java/reachloom/gateway/GuardedScheduler.java
+++ b/gateway/src/main/java/reachloom/gateway/GuardedScheduler.java
@@ -12,8 +12,8 @@
 import reachloom.scheduler.api.SchedulerSettings;
 
 /**
- * Passes events on to a scheduler and contains its exceptions: one that it throws is logged and
- * costs what the event was about, not the process. For the event loop's thread.
+ * Passes events on to a scheduler and catches its exceptions: an exception is logged and affects
+ * only the subject of the event, not the process. Confined to the event loop's thread.
  */
 final class GuardedScheduler implements SchedulerEvents {
   private static final Logger LOG = GatewayService.LOG;
@@ -50,7 +50,8 @@
   }
 
   /**
-   * {@inheritDoc} False where the scheduler fails: an attempt that is not approved never starts.
+   * {@inheritDoc} Returns false if the scheduler fails: an attempt that is not approved never
+   * starts.
    */
   @Override
   public boolean mayStart(long now, String query, int attempt) {
@@ -101,6 +102,6 @@
   }
 
   private static void logFailure(RuntimeException e) {
-    LOG.log(Level.ERROR, "the scheduler failed on an event", e);
+    LOG.log(Level.ERROR, "the scheduler threw an exception while handling an event", e);
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
+++ b/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
@@ -5,32 +5,32 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * An unbounded queue from any number of producers to one consumer, in order. The consumer never
- * depends on how far a producer has come. The timed waits of {@code java.util.concurrent}'s
- * conditions do: past their time they spin until the thread that has marked the waiting one has
- * queued it, too. Where that thread is suspended in between and only one of the two may run at
- * once, they spin for good.
+ * An unbounded FIFO queue from any number of producers to one consumer. The consumer's progress
+ * never depends on that of a producer. It does in the timed waits of {@code java.util.concurrent}'s
+ * condition objects: after their timeout they spin until the signalling thread, which has marked
+ * the waiting one, has also enqueued it. If that thread is suspended in between and only one of the
+ * two can run at a time, they spin forever.
  *
- * <p>{@link #add} and {@link #size} are for any thread, {@link #poll()} and {@link #poll(long)} for
- * the consumer alone.
+ * <p>{@link #add} and {@link #size} may be called from any thread, {@link #poll()} and {@link
+ * #poll(long)} from the consumer only.
  *
- * @param <T> the elements
+ * @param <T> the type of the elements
  */
 final class HandoffQueue<T> {
-  /** How the consumer waits and is woken. */
-  interface Waiting {
-    /** Waits for that many nanoseconds at most; may return early, also for no reason. */
+  /** How the consumer waits and is woken up. */
+  interface WaitStrategy {
+    /** Waits for at most the given nanoseconds; may return early, also spuriously. */
     void park(long nanos);
 
-    /** Ends the wait of that thread, or its next one. */
+    /** Ends the current or the next wait of a thread. */
     void unpark(Thread thread);
 
-    /** Waits for a short time, whatever happens. */
+    /** Waits for a short fixed time, which no wake-up ends. */
     void sleep() throws InterruptedException;
   }
 
-  /** Parks and wakes by {@link LockSupport}. */
-  private static final class ThreadWaiting implements Waiting {
+  /** Parks and unparks by {@link LockSupport}. */
+  private static final class ParkingWaitStrategy implements WaitStrategy {
     private static final long SLEEP_MS = 1;
 
     @Override
@@ -50,44 +50,45 @@
   }
 
   /**
-   * A wait that ends with nothing to take may have been ended for an element taken since; more of
-   * them in a row are a sign that parking fails.
+   * Consecutive waits without an element after which the consumer sleeps instead of parking. A
+   * single one may have been ended for an element that was already taken; several in a row mean
+   * that parking returns at once.
    */
   private static final int MAX_EMPTY_WAITS = 3;
 
   private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
   private final AtomicInteger size = new AtomicInteger();
-  private final Waiting waiting;
+  private final WaitStrategy waitStrategy;
 
-  /** The consumer while it waits; else null. */
+  /** The consumer while it waits, otherwise null. */
   private volatile Thread consumer;
 
-  /** An empty queue. */
+  /** Creates an empty queue whose consumer parks. */
   HandoffQueue() {
-    this(new ThreadWaiting());
+    this(new ParkingWaitStrategy());
   }
 
-  /** An empty queue whose consumer waits in that way. */
-  HandoffQueue(Waiting waiting) {
-    this.waiting = waiting;
+  /** Creates an empty queue with the given wait strategy. */
+  HandoffQueue(WaitStrategy waitStrategy) {
+    this.waitStrategy = waitStrategy;
   }
 
-  /** Adds an element; never waits. */
+  /** Adds an element; never blocks. */
   void add(T element) {
     size.incrementAndGet();
     queue.add(element);
     Thread waitingConsumer = consumer;
     if (waitingConsumer != null) {
-      waiting.unpark(waitingConsumer);
+      waitStrategy.unpark(waitingConsumer);
     }
   }
 
-  /** The number of elements, some of which may still be on their way in. */
+  /** Returns the number of elements, including those that a producer is about to add. */
   int size() {
     return size.get();
   }
 
-  /** Takes the oldest element; null where there is none. */
+  /** Removes and returns the oldest element; null if the queue is empty. */
   T poll() {
     T element = queue.poll();
     if (element != null) {
@@ -96,7 +97,7 @@
     return element;
   }
 
-  /** Takes the oldest element, waiting up to that many nanoseconds; null where none comes. */
+  /** Removes the oldest element, waiting up to the given nanoseconds; null if none is added. */
   T poll(long nanos) throws InterruptedException {
     T element = poll();
     if (element != null || nanos <= 0) {
@@ -119,9 +120,9 @@
         return element;
       }
       if (emptyWaits < MAX_EMPTY_WAITS) {
-        waiting.park(left);
+        waitStrategy.park(left);
       } else {
-        waiting.sleep(); // a wait of another kind, which lets any other thread run
+        waitStrategy.sleep(); // unlike a park that returns at once, this lets other threads run
       }
       if (Thread.interrupted()) {
         throw new InterruptedException();
--- a/gateway/src/main/java/reachloom/gateway/HealthCheckClient.java
+++ b/gateway/src/main/java/reachloom/gateway/HealthCheckClient.java
@@ -9,14 +9,14 @@
 import reachloom.scheduler.api.LoadReport;
 
 /**
- * Checks the health of engines when the scheduler asks for it: one command, which an engine answers
- * with whether it is up and, where engines report their load, with a load report. An engine that
- * can't be reached or does not answer in time counts as one that has not answered.
+ * Checks the health of engines on the scheduler's request: sends one command, to which an engine
+ * responds with whether it is up and, if engines report their load, with a load report. An engine
+ * that can't be reached or does not respond in time counts as not responding.
  *
  * <p>Confined to the event loop's thread. It owns the health checks of each connection.
  */
 final class HealthCheckClient {
-  /** Sets the ids of health checks apart from those of requests, which are hexadecimal. */
+  /** Distinguishes the ids of health checks from those of requests, which are hexadecimal. */
   private static final String TAG_PREFIX = "p";
 
   private final EventLoop loop;
@@ -26,7 +26,7 @@
   private final boolean requestsLoadReport;
   private long checkCount;
 
-  /** A client that asks for load reports where engines give them. */
+  /** Creates a client; {@code requestsLoadReport} if engines send load reports. */
   HealthCheckClient(
       EventLoop loop,
       EngineConnectionPool pool,
@@ -40,11 +40,11 @@
     this.requestsLoadReport = requestsLoadReport;
   }
 
-  /** Checks the health of an engine; the answer is told later, never in this call. */
+  /** Checks the health of an engine; the listener receives the result after this call returns. */
   void check(String engine) {
     Optional<EngineConnection> acquired = pool.acquire(engine, List.of());
     if (acquired.isEmpty()) {
-      loop.later(() -> listener.onHealthCheck(engine, false, Optional.empty()));
+      loop.defer(() -> listener.onHealthCheck(engine, false, Optional.empty()));
       return;
     }
     EngineConnection connection = acquired.get();
@@ -61,12 +61,12 @@
     pool.write(connection, EngineCommandWriter.checkHealth(tag, requestsLoadReport));
   }
 
-  /** A connection has been established: the checks that waited for it are written. */
+  /** Writes the health checks that waited for a connection which is now established. */
   void onConnected(EngineConnection connection) {
     connection.healthCheckTags().forEach(tag -> write(connection, tag));
   }
 
-  /** Takes a response of an engine; false where it does not belong to a health check. */
+  /** Handles a response of an engine; returns false if it does not belong to a health check. */
   boolean onResponse(EngineConnection connection, EngineResponse response) {
     if (!connection.hasHealthCheck(response.id())) {
       return false;
@@ -76,7 +76,7 @@
       case DOWN -> end(connection, response.id(), false, response.loadReport());
       default ->
           pool.closeOnProtocolError(
-              connection, response.status().wireName() + " to a health check");
+              connection, response.status().wireName() + " in response to a health check");
     }
     return true;
   }
@@ -91,11 +91,11 @@
     }
   }
 
-  /** A connection is closed: the checks on it have not been answered. */
+  /** Reports the open health checks of a closed connection as not answered. */
   void onClosed(EngineConnection connection) {
     for (String tag : connection.healthCheckTags()) {
       connection.removeHealthCheck(tag).ifPresent(loop.deadlines()::cancel);
-      loop.later(() -> listener.onHealthCheck(connection.engine(), false, Optional.empty()));
+      loop.defer(() -> listener.onHealthCheck(connection.engine(), false, Optional.empty()));
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/LingeringClose.java
+++ b/gateway/src/main/java/reachloom/gateway/LingeringClose.java
@@ -8,10 +8,10 @@
 import reachloom.gateway.wire.Sockets;
 
 /**
- * Closes connections to clients, engines and the change log in order: nothing more is read as work,
- * what is owed is written, the output is shut down, what still arrives is read and discarded, and
- * once the other side has closed, or after a time-out, the connection is closed. A close with
- * unread input would reset the connection, and destroy what the other side has not read yet.
+ * Closes connections to clients, engines and the change log gracefully: stops handling input,
+ * writes pending output, shuts the output down, reads and discards further input, and closes the
+ * connection once the peer has closed it, or after a timeout. A close with unread input would reset
+ * the connection, and destroy data that the peer has not read yet.
  *
  * <p>Confined to the event loop's thread.
  */
@@ -21,14 +21,14 @@
   private final long timeoutNanos;
   private int maxConnections;
 
-  /** The connections that the other side has still to close, oldest first, with their time-outs. */
+  /** The connections that the peer has not closed yet, oldest first, with their timeouts. */
   private final Map<IoSession, Deadline> closing = new LinkedHashMap<>();
 
   /**
-   * Nothing is closing yet.
+   * Creates the component without closing connections.
    *
-   * @param timeoutNanos how long the other side may take to close
-   * @param maxConnections connections that may be closing at once; at least 1 is allowed
+   * @param timeoutNanos how long the peer may take to close
+   * @param maxConnections the most connections that may be closing at once; at least 1 is allowed
    */
   LingeringClose(EventLoop loop, Sockets sockets, long timeoutNanos, int maxConnections) {
     this.loop = loop;
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Starts to close a connection, to which nothing may be written any more. The oldest one that is
-   * closing is cut where there are too many.
+   * Starts to close a connection; nothing may be written to it afterwards. If too many are closing,
+   * the oldest one is closed at once.
    */
   void end(IoSession session) {
     if (session.isClosing() || closing.containsKey(session)) {
@@ -62,17 +62,19 @@
     }
   }
 
-  /** Lifts the bound: nothing new needs the descriptors, so that none has to be cut for another. */
+  /**
+   * Removes the limit on closing connections: no new connection needs their descriptors any more.
+   */
   void removeLimit() {
     maxConnections = Integer.MAX_VALUE;
   }
 
-  /** Whether one more can be closed without another one being cut for it. */
+  /** Returns whether one more connection can be closed without closing another one at once. */
   boolean hasCapacity() {
     return closing.size() < maxConnections;
   }
 
-  /** The number of connections that are closing. */
+  /** Returns the number of connections that are closing. */
   int pending() {
     return closing.size();
   }
--- a/gateway/src/main/java/reachloom/gateway/RequestFields.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestFields.java
@@ -9,13 +9,13 @@
 import reachloom.scheduler.api.Idempotency;
 
 /**
- * What a client tells of a request beside its statement, validated. The names of the fields are the
- * protocol's: {@code txn}, {@code verb}, {@code team}, {@code limit} and {@code unique}.
+ * The validated fields of a request beside its statement. The protocol's names of the fields are
+ * {@code txn}, {@code verb}, {@code team}, {@code limit} and {@code unique}.
  *
  * @param id the request's id, 16 hexadecimal digits
  * @param queryClass the index of its class in the settings
  * @param tenant the index of its tenant in the settings
- * @param limitMs milliseconds that the client waits for the response
+ * @param limitMs how long the client waits for the response, in milliseconds
  * @param key the client's idempotency key, or null
  */
 record RequestFields(String id, int queryClass, int tenant, long limitMs, String key) {
@@ -23,7 +23,7 @@
   private static final Pattern ID = Pattern.compile("[0-9a-f]{16}");
   private static final Pattern KEY = Pattern.compile("[0-9A-Za-z_-]{1,64}");
 
-  /** Reads the fields of a call; empty where they can't be used. */
+  /** Reads the fields of a call; returns empty if any is missing or invalid. */
   static Optional<RequestFields> read(Map<String, String> fields, GatewayConfig config) {
     List<String> tenants = config.names().tenants();
     RequestFields read =
--- a/gateway/src/main/java/reachloom/gateway/RequestHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestHandler.java
@@ -17,16 +17,16 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * Carries out the calls of clients: validates and admits requests, hands them to the scheduler, and
- * closes each with exactly one response or with the end of its client. Decides nothing about
- * admitted requests, with one exception: a request that the scheduler has not decided in time gets
- * a response from here ({@link #expire}).
+ * Executes the calls of clients: validates and admits requests, passes them to the scheduler, and
+ * closes each with exactly one response or when its client is gone. Decides nothing about admitted
+ * requests, with one exception: a request that the scheduler has not decided in time gets a
+ * response from here ({@link #expire}).
  *
  * <p>Confined to the event loop's thread.
  */
 final class RequestHandler implements ClientConnections.Handler {
   private static final Logger LOG = GatewayService.LOG;
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final GatewayConfig config;
   private final EventLoop loop;
@@ -36,7 +36,7 @@
   private final SchedulerEvents scheduler;
   private boolean ready;
 
-  /** No request may be open beyond this time; the largest value until the gateway shuts down. */
+  /** The time by which every request must be closed; unlimited until the gateway shuts down. */
   private long latestDeadlineNanos = Long.MAX_VALUE;
 
   RequestHandler(
@@ -54,12 +54,12 @@
     this.scheduler = scheduler;
   }
 
-  /** Sets what a {@code check} call reports from now on. */
+  /** Sets whether {@code check} calls report the gateway as ready. */
   void setReady(boolean ready) {
     this.ready = ready;
   }
 
-  /** Bounds the deadlines of all requests that arrive from now on, on the event loop's clock. */
+  /** Limits the deadlines of all requests that arrive later, on the event loop's clock. */
   void setLatestDeadline(long deadlineNanos) {
     latestDeadlineNanos = deadlineNanos;
   }
@@ -94,7 +94,8 @@
     if (fields.isEmpty()) {
       LOG.log(
           Level.WARNING,
-          "a request with fields that can''t be used, or an id that is open: {0}",
+          "request {0} failed: a field is missing or invalid, or its id or sequence number is in"
+              + " use by an open request",
           call.fields().get("txn"));
       responses.write(client, ThriftWriter.failed(call.seq()));
       return;
@@ -103,7 +104,8 @@
     if (!requests.admit(client, request)) {
       LOG.log(
           Level.WARNING,
-          "no capacity for a request: {0} open, {1} on its connection, {2} bytes of statements",
+          "request rejected for lack of capacity: {0} requests held, {1} open on its connection,"
+              + " {2} bytes of statements",
           requests.size(),
           client.openRequests.size(),
           requests.statementBytes());
@@ -118,7 +120,7 @@
   }
 
   private ClientRequest request(Arrival arrival, ClientCall.Execute call, RequestFields fields) {
-    long deadline = arrival.receivedAtNanos() + fields.limitMs() * MILLISECOND;
+    long deadline = arrival.receivedAtNanos() + fields.limitMs() * NANOS_PER_MILLI;
     return new ClientRequest(
         new ClientRequest.Header(
             fields.id(), config.names().classes().get(fields.queryClass()), fields.key()),
@@ -156,8 +158,8 @@
   // ---- Responses other than results ----
 
   /**
-   * Rejects a request as the scheduler decided: a retry is harmless. One that is closed or not
-   * known is left alone.
+   * Rejects a request by the scheduler's decision, so that the client may retry safely. Ignores a
+   * request that is closed or unknown.
    */
   void reject(String id) {
     findOpen(id)
@@ -168,7 +170,7 @@
             });
   }
 
-  /** Fails a request as the scheduler decided; one that is closed or not known is left alone. */
+  /** Fails a request by the scheduler's decision; ignores one that is closed or unknown. */
   void fail(String id) {
     findOpen(id)
         .ifPresent(
@@ -198,14 +200,15 @@
   }
 
   /**
-   * Responds to a request that the scheduler has not decided: rejected where nothing was ever
-   * forwarded, else failed, which promises nothing.
+   * Responds to a request that the scheduler has not decided: rejects it if it was never forwarded,
+   * and otherwise fails it, since it may have run.
    */
   private void expire(ClientRequest request, String reason) {
     if (request.closed) {
       return;
     }
-    LOG.log(Level.INFO, "request {0} ends unserved: {1}", request.id, reason);
+    LOG.log(
+        Level.INFO, "request {0} expired without a scheduler decision: {1}", request.id, reason);
     if (request.attempts.isEmpty()) {
       respondRejected(request);
     } else {
@@ -213,7 +216,7 @@
     }
     scheduler.onClientGone(loop.now(), request.id);
     for (EngineAttempt attempt : List.copyOf(request.attempts)) {
-      attempts.finish(attempt, AttemptOutcome.CANCELLED); // those that the scheduler left running
+      attempts.finish(attempt, AttemptOutcome.CANCELLED); // if the scheduler left it running
     }
     requests.removeIfDone(request);
   }
--- a/gateway/src/main/java/reachloom/gateway/RequestLog.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestLog.java
@@ -7,31 +7,31 @@
 import reachloom.scheduler.api.AttemptOutcome;
 
 /**
- * Log lines that follow a request by its id: attempts that were not served, retries and how long
- * after the first attempt each was forwarded, and responses other than results. Each kind has a
- * logger of its own, which bounds its lines in a second and counts those left out.
+ * Log lines that trace a request by its id: attempts that were not served, retries with their delay
+ * after the first attempt, and responses other than results. Each kind has its own logger, which
+ * limits its lines per second and counts the dropped ones.
  */
 final class RequestLog {
   private static final Logger ATTEMPTS = System.getLogger("reachloom.gateway.Attempts");
   private static final Logger RETRIES = System.getLogger("reachloom.gateway.Retries");
   private static final Logger ANSWERS = System.getLogger("reachloom.gateway.Answers");
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private RequestLog() {}
 
-  /** An attempt that is not the first one is forwarded at that time. */
+  /** Logs that an attempt other than the first is forwarded at the given time. */
   static void retried(ClientRequest request, EngineAttempt attempt, long nowNanos) {
     RETRIES.log(
         Level.INFO,
-        "request {0} ({1}): attempt {2} at {3}, {4} ms after the first",
+        "request {0} ({1}): attempt {2} forwarded to {3}, {4} ms after the first",
         request.id,
         request.queryClass,
         Integer.toString(attempt.number + 1),
         attempt.engine,
-        milliseconds(nowNanos - request.attempts.get(0).sentAtNanos));
+        milliseconds(nowNanos - request.attempts.get(0).forwardedAtNanos));
   }
 
-  /** An attempt has ended after so many nanoseconds; one that was served needs no line. */
+  /** Logs the end of an attempt that was not served, with its duration. */
   static void ended(EngineAttempt attempt, AttemptOutcome outcome, long spentNanos) {
     if (outcome != AttemptOutcome.SERVED) {
       ATTEMPTS.log(
@@ -46,12 +46,12 @@
     }
   }
 
-  /** A request is rejected. */
+  /** Logs that a request is rejected. */
   static void rejected(ClientRequest request, long nowNanos) {
     unserved(request, "rejected", nowNanos);
   }
 
-  /** A request has failed. */
+  /** Logs that a request has failed. */
   static void failed(ClientRequest request, long nowNanos) {
     unserved(request, "failed", nowNanos);
   }
@@ -59,7 +59,7 @@
   private static void unserved(ClientRequest request, String response, long nowNanos) {
     ANSWERS.log(
         Level.INFO,
-        "request {0} ({1}) is {2} after {3} ms and {4} attempts, {5} ms before its deadline",
+        "request {0} ({1}) {2} after {3} ms and {4} attempts, {5} ms before its deadline",
         request.id,
         request.queryClass,
         response,
@@ -69,6 +69,6 @@
   }
 
   private static String milliseconds(long nanoseconds) {
-    return Long.toString(nanoseconds / MILLISECOND);
+    return Long.toString(nanoseconds / NANOS_PER_MILLI);
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/RequestRegistry.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestRegistry.java
@@ -10,16 +10,16 @@
 import reachloom.gateway.state.GenerationalSlots;
 
 /**
- * The requests that were admitted, until they are closed and none of their attempts is in flight.
- * Bounds their number, their number on each connection, and the bytes of their statements.
+ * The admitted requests, until they are closed and none of their attempts is in flight. Limits
+ * their number, their number per connection, and the bytes of their statements.
  *
  * <p>Confined to the event loop's thread.
  */
 final class RequestRegistry {
-  /** Requests open on one connection, as the protocol allows. */
+  /** The most open requests per connection, by the protocol. */
   private static final int MAX_OPEN_PER_CONNECTION = 32;
 
-  /** Bytes of statements in memory; beyond that, requests are rejected unseen. */
+  /** Bytes of statements in memory beyond which requests are rejected without the scheduler. */
   private static final long MAX_STATEMENT_BYTES = 8L << 20;
 
   private final EventLoop loop;
@@ -28,19 +28,19 @@
   private final Map<String, ClientRequest> byId = new HashMap<>();
   private long statementBytes;
 
-  /** An empty registry for at most that many requests. */
+  /** Creates an empty registry for at most {@code maxRequests} requests. */
   RequestRegistry(EventLoop loop, ClientConnectionTable clients, int maxRequests) {
     this.loop = loop;
     this.clients = clients;
     slots = new GenerationalSlots<>(maxRequests);
   }
 
-  /** The request of that id, also one that is closed while an attempt of it is in flight. */
+  /** Returns the request of an id, also one that is closed while an attempt of it is in flight. */
   Optional<ClientRequest> find(String id) {
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** Admits a request of a client; false where a bound is reached, and nothing has changed. */
+  /** Admits a request of a client; returns false, without any change, if a limit is reached. */
   boolean admit(ClientConnection client, ClientRequest request) {
     if (client.openRequests.size() >= MAX_OPEN_PER_CONNECTION
         || statementBytes + request.frame.length > MAX_STATEMENT_BYTES) {
@@ -57,7 +57,7 @@
     return true;
   }
 
-  /** Closes a request: its client is owed nothing more. */
+  /** Closes a request: no further response is sent to its client. */
   void close(ClientRequest request) {
     request.closed = true;
     loop.deadlines().cancel(request.backstop);
@@ -70,7 +70,7 @@
             });
   }
 
-  /** Removes a request that is closed and has no attempt in flight; leaves others alone. */
+  /** Removes a request if it is closed and has no attempt in flight. */
   void removeIfDone(ClientRequest request) {
     if (request.closed && request.attemptsInFlight == 0 && slots.get(request.handle) == request) {
       slots.remove(request.handle);
@@ -79,22 +79,22 @@
     }
   }
 
-  /** The requests that are not closed. */
+  /** Returns the requests that are not closed. */
   List<ClientRequest> open() {
     return slots.all().stream().filter(request -> !request.closed).toList();
   }
 
-  /** How many requests are known, open or closed. */
+  /** Returns the number of requests, open or closed. */
   int size() {
     return slots.size();
   }
 
-  /** How many ids are known. */
+  /** Returns the number of request ids. */
   int ids() {
     return byId.size();
   }
 
-  /** Bytes of statements in memory. */
+  /** Returns the bytes of statements in memory. */
   long statementBytes() {
     return statementBytes;
   }
--- a/gateway/src/main/java/reachloom/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/reachloom/gateway/ResponseWriter.java
@@ -11,16 +11,16 @@
 import reachloom.gateway.wire.Sockets;
 
 /**
- * Writes responses to clients, and bounds the bytes that clients have not taken yet: once all of
- * them together exceed the bound, a client that holds more than its part of it is disconnected.
+ * Writes responses to clients, and limits the bytes that clients have not received yet: when the
+ * total exceeds the limit, a client that holds more than its share of it is disconnected.
  *
- * <p>For the event loop's thread; only the count of unsent bytes is shared with the sockets'
+ * <p>Confined to the event loop's thread; only the count of unsent bytes is shared with the I/O
  * thread, which decreases it as writes complete.
  */
 final class ResponseWriter {
   private static final Logger LOG = GatewayService.LOG;
 
-  /** Bytes of responses that clients have not taken yet, of all connections together. */
+  /** The most bytes of unsent responses of all connections together. */
   private static final long MAX_UNSENT_BYTES = 8L << 20;
 
   private final EventLoop loop;
@@ -34,22 +34,23 @@
     this.requests = requests;
   }
 
-  /** Closes a request and writes its response, unless the connection it came on is gone. */
+  /** Closes a request and writes its response, unless its connection is gone. */
   void respond(ClientRequest request, ByteBuffer frame) {
     Optional<ClientConnection> client = clients.find(request.connection);
     requests.close(request);
     client.ifPresent(open -> write(open, frame));
   }
 
-  /** Writes a whole frame to a client. */
+  /** Writes a complete frame to a client. */
   void write(ClientConnection client, ByteBuffer frame) {
     clients.touch(client, loop.now());
     int bytes = frame.remaining();
-    if (unsentBytes.get() + bytes > MAX_UNSENT_BYTES && holdsMoreThanItsPart(client)) {
+    if (unsentBytes.get() + bytes > MAX_UNSENT_BYTES && holdsMoreThanItsShare(client)) {
       LOG.log(
           Level.WARNING,
-          "client {0} does not take its answers; its connection is closed",
-          client.session.getRemoteAddress());
+          "client {0} does not read its responses: {1} bytes are unsent; its connection is closed",
+          client.session.getRemoteAddress(),
+          Long.toString(client.session.getScheduledWriteBytes()));
       client.session.closeNow();
       return;
     }
@@ -57,7 +58,7 @@
     Sockets.write(client.session, frame).addListener(written -> unsentBytes.addAndGet(-bytes));
   }
 
-  private boolean holdsMoreThanItsPart(ClientConnection client) {
+  private boolean holdsMoreThanItsShare(ClientConnection client) {
     return client.session.getScheduledWriteBytes() > MAX_UNSENT_BYTES / clients.size();
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/ResultCollector.java
+++ b/gateway/src/main/java/reachloom/gateway/ResultCollector.java
@@ -11,15 +11,15 @@
 import reachloom.scheduler.api.AttemptOutcome;
 
 /**
- * Collects the pages of results, asking for one after the other, until a result is complete. What
- * is buffered is bounded for each result and in all. Confined to the event loop's thread.
+ * Collects the pages of results, fetching one after the other, until a result is complete. Limits
+ * the buffered bytes per result and in total. Confined to the event loop's thread.
  */
 final class ResultCollector {
   private static final Logger LOG = System.getLogger(EngineClient.class.getName());
   private static final int MAX_RESULT_BYTES = 48_000;
   private static final int MAX_PAGES = 1024;
 
-  /** Bytes of results that are not complete yet, of all attempts together. */
+  /** The most buffered bytes of incomplete results of all attempts together. */
   private static final long MAX_BUFFERED_BYTES = 8L << 20;
 
   private final EngineConnectionPool pool;
@@ -27,16 +27,16 @@
   private long bufferedBytes;
 
   /**
-   * A collector without results.
+   * Creates a collector without results.
    *
-   * @param onEnd ends an attempt whose result is complete or has to be dropped
+   * @param onEnd ends an attempt whose result is complete or is dropped
    */
   ResultCollector(EngineConnectionPool pool, BiConsumer<EngineAttempt, AttemptOutcome> onEnd) {
     this.pool = pool;
     this.onEnd = onEnd;
   }
 
-  /** Takes the first page of a result, which tells how many there are; a duplicate is ignored. */
+  /** Adds the first page of a result, which holds the page count; ignores a duplicate. */
   void onFirstPage(EngineAttempt attempt, EngineResponse response) {
     if (!attempt.pages.isEmpty()) {
       return;
@@ -51,7 +51,7 @@
     addPage(attempt, response.body());
   }
 
-  /** Takes a further page of a result; a duplicate is ignored. */
+  /** Adds a further page of a result; ignores a duplicate. */
   void onFurtherPage(EngineAttempt attempt, EngineResponse response) {
     OptionalLong number = response.pageNumber();
     int expected = attempt.pages.size();
@@ -73,7 +73,11 @@
     if (attempt.resultBytes > MAX_RESULT_BYTES || !Rows.whole(page)) {
       pool.closeOnProtocolError(
           attempt.connection,
-          "a page with incomplete rows, or " + attempt.resultBytes + " bytes of a result");
+          "a page with incomplete rows, or a result of more than "
+              + MAX_RESULT_BYTES
+              + " bytes ("
+              + attempt.resultBytes
+              + " bytes so far)");
     } else if (bufferedBytes > MAX_BUFFERED_BYTES) {
       dropResult(attempt);
     } else if (attempt.pages.size() < attempt.pageCount) {
@@ -88,7 +92,8 @@
   private void dropResult(EngineAttempt attempt) {
     LOG.log(
         Level.WARNING,
-        "{0} bytes of incomplete results are buffered: one of {1} is dropped",
+        "{0} bytes of incomplete results are buffered, more than the limit; a result of engine {1}"
+            + " is dropped and its attempt fails",
         bufferedBytes,
         attempt.engine);
     pool.write(attempt.connection, EngineCommandWriter.releaseResult(attempt.request.id));
@@ -102,7 +107,7 @@
     onEnd.accept(attempt, AttemptOutcome.SERVED);
   }
 
-  /** No longer counts the pages of an attempt that has ended. */
+  /** Subtracts the pages of an attempt that has ended from the buffered bytes. */
   void discard(EngineAttempt attempt) {
     bufferedBytes -= attempt.resultBytes;
     attempt.resultBytes = 0;
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/ConfigurationReloader.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/ConfigurationReloader.java
@@ -13,13 +13,11 @@
 import reachloom.config.MergePatch;
 
 /**
- * The configuration that a gateway runs under: its own file, with the newest revision that was
- * issued to the whole installation merged over it. What can't be used leaves the one before in
- * force.
+ * The configuration in force at a gateway: its own file, with the newest revision of the
+ * installation merged over it. An invalid configuration leaves the previous one in force.
  *
- * <p>Thread-safe: files are read on the calling thread, never on the event loop's. All changes are
- * made one after another under this object's lock, so that never an older revision follows a newer
- * one.
+ * <p>Thread-safe: files are read on the calling thread, which is never the event loop's. This
+ * object's lock serializes all changes, so that an older revision never replaces a newer one.
  */
 final class ConfigurationReloader {
   private static final Logger LOG = System.getLogger(ConfigurationReloader.class.getName());
@@ -31,16 +29,16 @@
   private LocalSettings local;
   private long revisionNumber;
 
-  /** Merges the revision in force over a file. */
+  /** Merges the revision in force over the content of a file. */
   private UnaryOperator<JsonNode> revision = UnaryOperator.identity();
 
   /**
-   * Reads the settings of the installation; the configuration of the start is in force.
+   * Reads the settings of the installation; the configuration {@code atStart} is in force.
    *
    * @param settingsFile null for the file that the environment names, if any
-   * @param consumer receives each configuration, with the settings, that is in force from now on;
-   *     called under the lock
-   * @throws ConfigException if the settings can't be used
+   * @param consumer receives each new configuration with the settings once they are in force;
+   *     called while the lock is held
+   * @throws ConfigException if the settings are invalid
    */
   ConfigurationReloader(
       GatewayConfig atStart,
@@ -55,12 +53,12 @@
     local = LocalSettings.read(settingsFile, environment);
   }
 
-  /** The settings of the installation, as read last. */
+  /** Returns the settings of the installation that are in force. */
   synchronized LocalSettings local() {
     return local;
   }
 
-  /** Reads the gateway's own files again; the revision in force stays merged over them. */
+  /** Reloads the gateway's own files; the revision in force stays merged over them. */
   synchronized void reload() {
     try {
       GatewayConfig next = GatewayConfig.fromEnvironment(environment, revision);
@@ -72,24 +70,24 @@
           "the configuration is read again: changelog {0}, known up to event {1}",
           next.changeLog(),
           Long.toString(next.lastEventNumber()));
-      List<String> taken = local.changesAppliedAtOnce(nextLocal);
-      if (!taken.isEmpty()) {
+      List<String> applied = local.changesAppliedAtOnce(nextLocal);
+      if (!applied.isEmpty()) {
         LOG.log(
             Level.INFO,
-            "the settings are read again: {0} in force from now on",
-            String.join(", ", taken));
+            "the settings are read again: changes of {0} are in force",
+            String.join(", ", applied));
       }
       local = nextLocal;
       consumer.accept(next, nextLocal);
-    } catch (ConfigException | RuntimeException e) { // a file in any state must not end the gateway
+    } catch (ConfigException | RuntimeException e) { // no file content may stop the gateway
       LOG.log(Level.WARNING, "the configuration stays as it is: {0}", e.getMessage());
     }
   }
 
   /**
-   * Puts a revision in force. One that can't be used leaves the one before in force.
+   * Puts a revision in force. An invalid revision leaves the previous one in force.
    *
-   * @param number has to exceed that of the revision in force
+   * @param number has to exceed the number of the revision in force
    * @param document a JSON merge patch
    * @return an empty string, or why the revision can't be put in force
    */
@@ -111,7 +109,7 @@
           Long.toString(next.lastEventNumber()));
       consumer.accept(next, local);
       return "";
-    } catch (ConfigException | RuntimeException e) { // whatever is in it must not end the gateway
+    } catch (ConfigException | RuntimeException e) { // no document may stop the gateway
       LOG.log(
           Level.WARNING,
           "revision {0} is refused, {1} stays in force: {2}",
@@ -124,7 +122,7 @@
 
   private static void logAwaitingRestart(List<String> keys) {
     for (String key : keys) {
-      LOG.log(Level.WARNING, "{0}: has changed, which takes effect at the next start only", key);
+      LOG.log(Level.WARNING, "{0}: has changed, which takes effect only after a restart", key);
     }
   }
 }
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
@@ -27,41 +27,43 @@
 /**
  * Runs one gateway as a process: start, readiness, SIGHUP, SIGTERM and graceful shutdown.
  *
- * <p>{@link #run} turns the calling thread into the event loop's, which owns all state of this
- * class but the latches and the exit status. Signals, the warm-up and the shutdown hook have
- * threads of their own and post to the loop.
+ * <p>{@link #run} executes the event loop on the calling thread, which owns all state of this class
+ * except the latches and the exit status. Signals, the warm-up and the shutdown hook run on their
+ * own threads and post to the loop.
  */
 public final class GatewayServer {
   private static final Logger LOG = System.getLogger(GatewayServer.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
-  private static final int BAD_CONFIGURATION = 2;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final int EXIT_BAD_CONFIGURATION = 2;
 
-  /** New connections and requests are admitted for this long after SIGTERM. */
-  private static final long MIN_DRAIN_TIME = 700 * MILLISECOND;
+  /** New connections and requests are admitted for at least this long after SIGTERM. */
+  private static final long MIN_DRAIN_TIME_NANOS = 700 * NANOS_PER_MILLI;
 
   /**
-   * All requests have a response by the longest deadline, or this time if shorter, and {@link
-   * #RESPONSE_MARGIN} after SIGTERM: SIGKILL comes no sooner than that deadline and 0.7 s after it.
+   * The longest deadline considered at shutdown. All requests get a response within the longest
+   * deadline of a class, limited by this, plus {@link #RESPONSE_MARGIN_NANOS} after SIGTERM: SIGKILL
+   * follows no sooner than that deadline plus 0.7 s.
    */
-  private static final long MAX_DEADLINE = 3_000 * MILLISECOND;
+  private static final long MAX_DEADLINE_NANOS = 3_000 * NANOS_PER_MILLI;
 
-  private static final long RESPONSE_MARGIN = 400 * MILLISECOND;
+  private static final long RESPONSE_MARGIN_NANOS = 400 * NANOS_PER_MILLI;
 
-  /** How often a shutdown looks whether its next step may follow. */
-  private static final long SHUTDOWN_POLL_INTERVAL = 10 * MILLISECOND;
+  /** Interval at which a shutdown checks whether its next step may follow. */
+  private static final long SHUTDOWN_POLL_INTERVAL_NANOS = 10 * NANOS_PER_MILLI;
 
   /**
-   * Connections stay open for this long after the last response: a client that sends at once on one
-   * already closed draws a reset, which destroys the responses that it has not read yet. It makes
-   * restarts longer.
+   * Connections stay open for this long after the last response: if a client sends at once on a
+   * closed connection, the connection is reset, which destroys responses that the client has not
+   * read yet. The delay prolongs restarts.
    */
-  private static final long CLOSE_DELAY = 120 * MILLISECOND;
+  private static final long CLOSE_DELAY_NANOS = 120 * NANOS_PER_MILLI;
 
-  /** Clients may take this long to close their connections once the gateway has shut its output. */
-  private static final long MAX_CLOSE_TIME = 100 * MILLISECOND;
+  /** Clients may take this long to close their connections after the gateway shuts its output. */
+  private static final long MAX_CLOSE_TIME_NANOS = 100 * NANOS_PER_MILLI;
 
   /**
-   * Between polls of the configuration file where no signal tells of a new one; 4 s are allowed.
+   * Interval between polls of the configuration file if SIGHUP is ignored; a new configuration has
+   * to be in force within 4 s.
    */
   private static final long FILE_POLL_INTERVAL_MS = 1_000;
 
@@ -77,7 +79,7 @@
   private final long startedAtNanos = loop.now();
   private GatewayService gateway;
 
-  /** Null where gossip is off; then none of its classes is loaded. */
+  /** Null if gossip is disabled; none of its classes is loaded then. */
   private GossipNode gossip;
 
   private boolean ready;
@@ -85,16 +87,16 @@
   private boolean stopWhenReady;
   private volatile int exitStatus;
 
-  /** When a request was last seen open during the shutdown. */
+  /** When the shutdown last observed an open request. */
   private long lastOpenAtNanos;
 
   /**
-   * A server that has not started.
+   * Creates a server that has not started.
    *
-   * @param environment names the configuration file that SIGHUP reads again
+   * @param environment names the configuration file that SIGHUP reloads
    * @param settingsFile the settings of the installation; if absent, those that the environment
    *     names, else the defaults
-   * @throws ConfigException if the settings can't be used
+   * @throws ConfigException if the settings are invalid
    */
   public GatewayServer(
       GatewayConfig config, Map<String, String> environment, Optional<String> settingsFile)
@@ -111,7 +113,7 @@
     gateway.setClientIdleTimeout(configuration.local().clientIdleTimeoutNanos());
     GossipSettings gossipSettings = configuration.local().gossip().orElse(null);
     if (gossipSettings != null && !startGossip(gossipSettings)) {
-      return BAD_CONFIGURATION;
+      return EXIT_BAD_CONFIGURATION;
     }
     reloadOnSignal();
     Runtime.getRuntime().addShutdownHook(new Thread(this::onTerminate, "stop"));
@@ -128,8 +130,8 @@
   }
 
   /**
-   * Starts, and stops again once ready: for a virtual machine that archives the classes which that
-   * loads. Returns the exit status.
+   * Starts the gateway, and stops it once ready: for a virtual machine that archives the loaded
+   * classes. Returns the exit status.
    */
   public int warmUp() throws InterruptedException {
     stopWhenReady = true;
@@ -138,7 +140,7 @@
 
   // ---- Start ----
 
-  /** Starts gossip with other instances; false where the settings can't be used. */
+  /** Starts gossip with other instances; returns false if the settings are invalid. */
   private boolean startGossip(GossipSettings settings) {
     try {
       gossip =
@@ -153,7 +155,7 @@
       loop.post(0, gossip::start);
       return true;
     } catch (ConfigException | IOException e) {
-      LOG.log(Level.ERROR, "gossip at {0}: {1}", settings.listen(), e.getMessage());
+      LOG.log(Level.ERROR, "gossip at {0} failed to start: {1}", settings.listen(), e.getMessage());
       return false;
     }
   }
@@ -170,7 +172,7 @@
     thread.start();
   }
 
-  /** Admits clients: only once the change log has told what it holds. */
+  /** Admits clients; called only once the change log has sent its events. */
   private void listen() {
     if (stopping) {
       return;
@@ -206,19 +208,19 @@
   // ---- New configurations ----
 
   /**
-   * Reads the configuration again on SIGHUP; without a handler the virtual machine would end. Each
-   * signal is handled on a thread of its own.
+   * Reloads the configuration on SIGHUP; without a handler the virtual machine would exit. Each
+   * signal is handled on its own thread.
    */
   private void reloadOnSignal() {
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> configuration.reload());
-    if (before == SignalHandler.SIG_IGN) {
+    SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> configuration.reload());
+    if (previous == SignalHandler.SIG_IGN) {
       pollConfigurationFile();
     }
   }
 
   /**
-   * Where whoever started this process had SIGHUP ignored, as nohup does, the virtual machine
-   * leaves that so, and nothing would tell of a new configuration: its file is polled instead.
+   * Polls the configuration file if this process was started with SIGHUP ignored, as by nohup: the
+   * virtual machine keeps the signal ignored, so that it can't announce a new configuration.
    */
   private void pollConfigurationFile() {
     String file = environment.get("LB_CONFIG");
@@ -227,8 +229,9 @@
     }
     LOG.log(
         Level.WARNING,
-        "SIGHUP is ignored in this process: {0} is looked at each second instead",
-        file);
+        "SIGHUP is ignored in this process: {0} is polled every {1} ms instead",
+        file,
+        Long.toString(FILE_POLL_INTERVAL_MS));
     Thread thread = new Thread(() -> reloadOnChange(Path.of(file)), "configuration");
     thread.setDaemon(true);
     thread.start();
@@ -239,9 +242,9 @@
     try {
       while (stopped.getCount() > 0) {
         Thread.sleep(FILE_POLL_INTERVAL_MS);
-        String present = fingerprint(file);
-        if (!present.equals(last)) {
-          last = present;
+        String current = fingerprint(file);
+        if (!current.equals(last)) {
+          last = current;
           configuration.reload();
         }
       }
@@ -250,7 +253,7 @@
     }
   }
 
-  /** What tells a file that was replaced or written from the one before. */
+  /** Returns attributes that change when a file is replaced or written. */
   private static String fingerprint(Path file) {
     try {
       BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
@@ -260,7 +263,7 @@
     }
   }
 
-  /** Applies a configuration and settings that are in force from now on; from any thread. */
+  /** Applies a new configuration and settings; may be called from any thread. */
   private void apply(GatewayConfig next, LocalSettings nextLocal) {
     loop.post(
         0,
@@ -276,7 +279,8 @@
   // ---- Shutdown ----
 
   /**
-   * On SIGTERM: the process goes on until the loop has ended, then exits as one that stopped well.
+   * Shuts down on SIGTERM: the process continues until the event loop has ended, and then exits
+   * with the server's exit status.
    */
   private void onTerminate() {
     loop.post(0, this::shutDown);
@@ -289,7 +293,7 @@
     }
   }
 
-  /** Is no longer ready, and goes on admitting and serving for a while. */
+  /** Stops being ready, and continues to admit and serve requests for a while. */
   private void shutDown() {
     if (stopping) {
       return;
@@ -298,15 +302,16 @@
     long now = loop.now();
     long longestDeadline =
         config.settings().classes().stream().mapToLong(QueryClass::deadlineNanos).max().orElse(0);
-    long respondBy = now + Math.min(longestDeadline, MAX_DEADLINE) + RESPONSE_MARGIN;
-    LOG.log(Level.INFO, "{0} stops with {1} requests open", config.name(), gateway.openRequests());
+    long respondBy = now + Math.min(longestDeadline, MAX_DEADLINE_NANOS) + RESPONSE_MARGIN_NANOS;
+    LOG.log(
+        Level.INFO, "{0} shuts down with {1} open requests", config.name(), gateway.openRequests());
     gateway.setReady(false);
     if (gossip != null) {
       gossip.stop();
     }
     gateway.setLatestDeadline(respondBy);
     loop.deadlines().add(respondBy, gateway::expireOpenRequests);
-    loop.deadlines().add(now + MIN_DRAIN_TIME, this::closeOnceDrained);
+    loop.deadlines().add(now + MIN_DRAIN_TIME_NANOS, this::closeOnceDrained);
   }
 
   private void closeOnceDrained() {
@@ -314,17 +319,17 @@
     if (gateway.openRequests() > 0) {
       lastOpenAtNanos = now;
     }
-    if (now < lastOpenAtNanos + CLOSE_DELAY) {
-      loop.deadlines().add(now + SHUTDOWN_POLL_INTERVAL, this::closeOnceDrained);
+    if (now < lastOpenAtNanos + CLOSE_DELAY_NANOS) {
+      loop.deadlines().add(now + SHUTDOWN_POLL_INTERVAL_NANOS, this::closeOnceDrained);
       return;
     }
     gateway.close();
-    endOnceClosed(now + MAX_CLOSE_TIME);
+    endOnceClosed(now + MAX_CLOSE_TIME_NANOS);
   }
 
   private void endOnceClosed(long latestNanos) {
     if (gateway.closingConnections() > 0 && loop.now() < latestNanos) {
-      loop.deadlines().add(loop.now() + SHUTDOWN_POLL_INTERVAL, () -> endOnceClosed(latestNanos));
+      loop.deadlines().add(loop.now() + SHUTDOWN_POLL_INTERVAL_NANOS, () -> endOnceClosed(latestNanos));
       return;
     }
     LOG.log(Level.INFO, "{0} has stopped", config.name());
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
@@ -7,31 +7,32 @@
 import reachloom.time.WallClock;
 
 /**
- * Writes log lines to standard error, one each, at once. The platform's own logging resets itself
- * as soon as the process is told to stop, when the lines of the stop are still to come.
+ * Writes each log record to standard error as one line, unbuffered. The platform's own logging
+ * resets itself on SIGTERM, before the shutdown is logged.
  */
 public final class LineLogger extends System.LoggerFinder {
   private static final PrintStream ERR = System.err;
-  private static final long SPAN_NANOS = 1_000_000_000; // nanoseconds
+  private static final long WINDOW_NANOS = 1_000_000_000;
 
   /**
-   * Lines of one logger in a span: a flood of faults must neither flood the log nor cost its CPU.
+   * The most lines per logger and window, so that a flood of errors does not flood the log or cost
+   * CPU time for it.
    */
-  private static final int MAX_LINES = 10;
+  private static final int MAX_LINES_PER_WINDOW = 10;
 
   @Override
   public System.Logger getLogger(String name, Module module) {
-    return new Lines(name);
+    return new RateLimitedLogger(name);
   }
 
-  /** The lines of one logger; thread-safe. */
-  private static final class Lines implements System.Logger {
+  /** A logger that drops lines beyond its limit per window; thread-safe. */
+  private static final class RateLimitedLogger implements System.Logger {
     private final String name;
     private final String shortName;
-    private long spanFrom = System.nanoTime();
-    private int lines;
+    private long windowStartNanos = System.nanoTime();
+    private int linesInWindow;
 
-    Lines(String name) {
+    RateLimitedLogger(String name) {
       this.name = name;
       shortName = name.substring(name.lastIndexOf('.') + 1);
     }
@@ -48,14 +49,14 @@
 
     @Override
     public void log(Level level, ResourceBundle bundle, String message, Throwable thrown) {
-      if (isLoggable(level) && room()) {
+      if (isLoggable(level) && tryAcquireLine()) {
         write(level, message, thrown);
       }
     }
 
     @Override
     public void log(Level level, ResourceBundle bundle, String format, Object... values) {
-      if (!isLoggable(level) || !room()) {
+      if (!isLoggable(level) || !tryAcquireLine()) {
         return;
       }
       write(
@@ -64,17 +65,21 @@
           null);
     }
 
-    private synchronized boolean room() {
+    /** Counts a line; returns false if it exceeds the limit of the window. */
+    private synchronized boolean tryAcquireLine() {
       long now = System.nanoTime();
-      if (now - spanFrom >= SPAN_NANOS) {
-        int left = lines - MAX_LINES;
-        spanFrom = now;
-        lines = 0;
-        if (left > 0) {
-          write(Level.WARNING, left + " more lines were left out", null);
+      if (now - windowStartNanos >= WINDOW_NANOS) {
+        int dropped = linesInWindow - MAX_LINES_PER_WINDOW;
+        windowStartNanos = now;
+        linesInWindow = 0;
+        if (dropped > 0) {
+          write(
+              Level.WARNING,
+              dropped + " log lines were dropped: more than " + MAX_LINES_PER_WINDOW + " in 1 s",
+              null);
         }
       }
-      return ++lines <= MAX_LINES;
+      return ++linesInWindow <= MAX_LINES_PER_WINDOW;
     }
 
     private void write(Level level, String message, Throwable thrown) {
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -39,31 +39,34 @@
 import reachloom.scheduler.api.SchedulerEvents;
 
 /**
- * Warms the virtual machine up, which compiles code while it first runs: plays made-up queries
- * through a scheduler of its own and through the codecs, then sends {@code check} calls to the
- * gateway's own address. Without it, the first clients would pay for the compilation.
+ * Warms up the virtual machine, which compiles code when it first runs: simulates synthetic queries
+ * with a separate scheduler and the codecs, then sends {@code check} calls to the gateway's own
+ * address. Without it, the first requests of clients would wait for the compilation.
  *
- * <p>Runs on a thread of its own and shares nothing with the gateway that starts beside it.
+ * <p>Runs on its own thread and shares no state with the gateway that starts beside it.
  */
 final class WarmUp implements SchedulerActions {
   private static final Logger LOG = System.getLogger(WarmUp.class.getName());
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** On the machine's clock: a restart waits for it. */
-  private static final long MAX_TIME = 800 * MILLISECOND;
+  /** The longest duration of the warm-up, in real time: a restart waits for it. */
+  private static final long MAX_DURATION_NANOS = 800 * NANOS_PER_MILLI;
 
-  /** Queries are played for this time, and pause for that, also where one thread runs at once. */
-  private static final long TURN_TIME = 10 * MILLISECOND;
+  /**
+   * Real time after which the simulation pauses for {@link #PAUSE_NANOS}, so that other threads run
+   * even on a single CPU.
+   */
+  private static final long MAX_BURST_NANOS = 10 * NANOS_PER_MILLI;
 
-  private static final long PAUSE_TIME = MILLISECOND / 10;
+  private static final long PAUSE_NANOS = NANOS_PER_MILLI / 10;
 
-  /** Between queries, in simulated time. */
-  private static final long QUERY_INTERVAL = MILLISECOND / 4;
+  /** Simulated time between queries. */
+  private static final long QUERY_INTERVAL_NANOS = NANOS_PER_MILLI / 4;
 
   private static final int MAX_ATTEMPTS_IN_FLIGHT = 64;
 
-  /** One attempt in so many reports its progress. */
-  private static final int PROGRESS_EACH = 8;
+  /** One attempt in this many reports its progress. */
+  private static final int ATTEMPTS_PER_PROGRESS_REPORT = 8;
 
   private static final int MAX_CHECKS = 4_000;
   private static final int CHECKS_PER_CONNECTION = 16;
@@ -78,7 +81,7 @@
       "select a.id, a.state /* sales_1.x */ from sales_17.orders a "
           + "join staging.parts p on p.id = a.id where a.name = 'it''s from sales_2.y' -- sales_3.z";
 
-  private record ForwardedAttempt(String query, int attempt, String engine, long sentAtNanos) {}
+  private record ForwardedAttempt(String query, int attempt, String engine, long forwardedAtNanos) {}
 
   private final GatewayConfig config;
   private final SchedulerEvents scheduler;
@@ -93,9 +96,9 @@
   private int served;
 
   /**
-   * A warm-up for that configuration.
+   * Creates a warm-up for a configuration.
    *
-   * @param scheduler makes the scheduler that it plays to
+   * @param scheduler creates the scheduler of the simulated queries
    */
   WarmUp(GatewayConfig config, Function<SchedulerActions, SchedulerEvents> scheduler) {
     this.config = config;
@@ -103,62 +106,66 @@
   }
 
   /**
-   * Plays until the time is up.
+   * Runs the warm-up until its time is up.
    *
    * @param listening opens once the gateway admits clients
    */
   void run(CountDownLatch listening) {
     long start = System.nanoTime();
     try {
-      play(() -> System.nanoTime() - start < MAX_TIME * 2 / 3);
-    } catch (RuntimeException e) { // no client depends on it
-      LOG.log(Level.WARNING, "the warm-up ended early", e);
+      simulateQueries(() -> System.nanoTime() - start < MAX_DURATION_NANOS * 2 / 3);
+    } catch (RuntimeException e) { // no client depends on the warm-up
+      LOG.log(Level.WARNING, "the warm-up queries failed; the gateway continues", e);
     }
     int checks = 0;
     try {
-      if (listening.await(MAX_TIME, TimeUnit.NANOSECONDS)) {
-        checks = check(config.listen(), start);
+      if (listening.await(MAX_DURATION_NANOS, TimeUnit.NANOSECONDS)) {
+        checks = sendChecks(config.listen(), start);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "the gateway does not answer at its own address: {0}", e.getMessage());
+      LOG.log(
+          Level.WARNING,
+          "the warm-up got no response from the gateway at {0}: {1}",
+          config.listen(),
+          e.getMessage());
     }
     LOG.log(
         Level.INFO,
         "warmed up with {0} queries and {1} checks in {2} ms",
         served,
         checks,
-        (System.nanoTime() - start) / MILLISECOND);
+        (System.nanoTime() - start) / NANOS_PER_MILLI);
   }
 
-  // ---- Queries to a scheduler ----
+  // ---- Simulated queries ----
 
-  /** Plays one query after the other while the condition holds; returns how many were served. */
-  int play(BooleanSupplier goOn) {
-    now = MILLISECOND;
+  /** Simulates queries while the supplier returns true; returns how many were served. */
+  int simulateQueries(BooleanSupplier shouldContinue) {
+    now = NANOS_PER_MILLI;
     scheduler.onStart(now, config.seed(), config.settings());
     scheduler.onEndpoints(
         now, true, config.knownEngines().stream().map(EngineMember::endpoint).toList());
-    long turn = System.nanoTime();
-    for (int i = 0; goOn.getAsBoolean(); i++) {
-      if (System.nanoTime() - turn > TURN_TIME) { // clients may be there already
-        LockSupport.parkNanos(PAUSE_TIME);
-        turn = System.nanoTime();
+    long burstStart = System.nanoTime();
+    for (int i = 0; shouldContinue.getAsBoolean(); i++) {
+      if (System.nanoTime() - burstStart > MAX_BURST_NANOS) { // clients may have connected already
+        LockSupport.parkNanos(PAUSE_NANOS);
+        burstStart = System.nanoTime();
       }
-      now += QUERY_INTERVAL;
+      now += QUERY_INTERVAL_NANOS;
       for (Runnable due = timers.poll(now); due != null; due = timers.poll(now)) {
         due.run();
       }
-      arrive(i);
+      submitQuery(i);
       while (inFlight.size() > MAX_ATTEMPTS_IN_FLIGHT) {
-        end(inFlight.poll(), i);
+        completeAttempt(inFlight.poll(), i);
       }
     }
     return served;
   }
 
-  private void arrive(int number) {
+  private void submitQuery(int number) {
     String id = String.format("%016x", number);
     int queryClass = number % config.names().classes().size();
     Map<String, String> fields =
@@ -173,28 +180,29 @@
             "t",
             "unique",
             id + id);
-    if (ThriftReader.read(execute(number, fields)) instanceof ClientCall.Execute call) {
+    if (ThriftReader.read(executeMessage(number, fields)) instanceof ClientCall.Execute call) {
       attempts.put(id, 0);
-      // All the time of its class: one that can't end in its time is rejected at once.
-      long timeLeft = config.settings().classes().get(queryClass).deadlineNanos();
+      // The whole time of the class: a query that can't end in its time is rejected at once.
+      long remainingNanos = config.settings().classes().get(queryClass).deadlineNanos();
       int group = TableGroup.of(call.statement());
-      scheduler.onQuery(now, new Query(id, queryClass, 0, null, timeLeft, 0, 0, group, false));
+      scheduler.onQuery(
+          now, new Query(id, queryClass, 0, null, remainingNanos, 0, 0, group, false));
     }
   }
 
-  private void end(ForwardedAttempt attempt, int number) {
-    if (number % PROGRESS_EACH == 0) {
+  private void completeAttempt(ForwardedAttempt attempt, int number) {
+    if (number % ATTEMPTS_PER_PROGRESS_REPORT == 0) {
       scheduler.onProgress(
           now,
           new ProgressReport(
               attempt.query(), attempt.attempt(), attempt.engine(), ProgressKind.PROGRESS, 0.5));
     }
-    byte[] answer = answer(attempt.query());
-    decoder.feed(answer, 0, answer.length, page -> served(attempt, number, page));
+    byte[] response = engineResponse(attempt.query());
+    decoder.feed(response, 0, response.length, page -> served(attempt, number, page));
   }
 
-  /** An engine's answer to a query: its head and one page. */
-  private static byte[] answer(String query) {
+  /** Returns an engine's response to a query: its head and one page. */
+  private static byte[] engineResponse(String query) {
     byte[] head =
         (query + " OK fetches=1,effort=40,high=64 " + PAGE.length + "\r\n")
             .getBytes(StandardCharsets.ISO_8859_1);
@@ -216,33 +224,33 @@
             attempt.attempt(),
             attempt.engine(),
             AttemptOutcome.SERVED,
-            now - attempt.sentAtNanos(),
+            now - attempt.forwardedAtNanos(),
             true,
             40,
             64,
             null));
   }
 
-  // ---- Calls as clients write them ----
+  // ---- Calls of clients ----
 
-  /** A message that executes the statement, without the length of its frame. */
-  private static byte[] execute(int seq, Map<String, String> fields) {
-    ByteBuffer out = head(ByteBuffer.allocate(MAX_CALL_BYTES), "execute", seq);
+  /** Returns a message that executes the statement, without the length of its frame. */
+  private static byte[] executeMessage(int seq, Map<String, String> fields) {
+    ByteBuffer out = messageHeader(ByteBuffer.allocate(MAX_CALL_BYTES), "execute", seq);
     out.put((byte) 13).putShort((short) 1).put((byte) 11).put((byte) 11).putInt(fields.size());
     fields.forEach((name, value) -> text(text(out, name), value));
     text(out.put((byte) 11).putShort((short) 2), STATEMENT).put((byte) 0).flip();
     return bytes(out);
   }
 
-  /** A whole frame that asks whether the gateway is ready. */
-  private static byte[] check() {
-    ByteBuffer out = head(ByteBuffer.allocate(MAX_CALL_BYTES).putInt(0), "check", 1);
+  /** Returns a complete frame of a {@code check} call. */
+  private static byte[] checkFrame() {
+    ByteBuffer out = messageHeader(ByteBuffer.allocate(MAX_CALL_BYTES).putInt(0), "check", 1);
     out.put((byte) 2).putShort((short) 1).put((byte) 1).put((byte) 0).flip();
     out.putInt(0, out.remaining() - Integer.BYTES);
     return bytes(out);
   }
 
-  private static ByteBuffer head(ByteBuffer out, String method, int seq) {
+  private static ByteBuffer messageHeader(ByteBuffer out, String method, int seq) {
     return text(out.putInt(0x80010001), method).putInt(seq);
   }
 
@@ -257,13 +265,13 @@
     return bytes;
   }
 
-  // ---- Checks of the gateway itself ----
+  // ---- Check calls to the gateway itself ----
 
-  private static int check(InetSocketAddress address, long start) throws IOException {
-    byte[] call = check();
+  private static int sendChecks(InetSocketAddress address, long start) throws IOException {
+    byte[] call = checkFrame();
     int done = 0;
-    while (done < MAX_CHECKS && System.nanoTime() - start < MAX_TIME) {
-      try (Socket socket = new Socket()) { // a new one each time: clients come and go, too
+    while (done < MAX_CHECKS && System.nanoTime() - start < MAX_DURATION_NANOS) {
+      try (Socket socket = new Socket()) { // warms up accept and close as well
         socket.connect(address, CHECK_TIMEOUT_MS);
         socket.setSoTimeout(CHECK_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
@@ -317,7 +325,7 @@
   @Override
   public void checkHealth(String engine) {
     LoadReport report = new LoadReport(0.5, 0, 0.5, 0.5);
-    timers.add(now + MILLISECOND, () -> scheduler.onHealthCheck(now, engine, true, report));
+    timers.add(now + NANOS_PER_MILLI, () -> scheduler.onHealthCheck(now, engine, true, report));
   }
 
   @Override
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/package-info.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** Start, readiness, SIGTERM and stop. */
+/** The lifecycle of the gateway process: start, warm-up, readiness, reload and shutdown. */
 package reachloom.gateway.lifecycle;
--- a/gateway/src/main/java/reachloom/gateway/package-info.java
+++ b/gateway/src/main/java/reachloom/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The front on sockets: one thread owns all that is kept, hosts one decision module and tells it
- * events.
+ * The gateway on sockets: one event loop thread owns all state, hosts one scheduler and reports
+ * events to it.
  */
 package reachloom.gateway;
--- a/gateway/src/main/java/reachloom/gateway/state/AttemptProgress.java
+++ b/gateway/src/main/java/reachloom/gateway/state/AttemptProgress.java
@@ -2,24 +2,24 @@
 
 import reachloom.scheduler.api.AttemptOutcome;
 
-/** How far an attempt has come; what a failure at that point proves follows from it. */
+/** The progress of an attempt, which determines its outcome if it fails at that point. */
 public enum AttemptProgress {
-  /** No connection carries it yet. */
+  /** Not handed to an established connection yet. */
   NOT_CONNECTED(AttemptOutcome.UNREACHED, AttemptOutcome.UNREACHED),
   /**
-   * Handed to a connection, but not completely written. Where the connection has been closed, it
-   * can't have run; where it times out, the rest of it is still written, and it may run.
+   * Handed to a connection, but not completely written. If the connection is lost, the attempt
+   * can't have run; if the attempt times out, its rest is still written, and it may run.
    */
   PARTLY_WRITTEN(AttemptOutcome.UNREACHED, AttemptOutcome.TIMEOUT),
   /** Completely written. */
   SENT(AttemptOutcome.RESET, AttemptOutcome.TIMEOUT),
-  /** The engine has served it, and the pages of the result are on their way. */
+  /** The engine has run the request, and the pages of the result are being received. */
   RECEIVING_RESULT(AttemptOutcome.RESET, AttemptOutcome.TIMEOUT);
 
-  /** How the attempt ends when its connection is lost at this point. */
+  /** The outcome of the attempt if its connection is lost at this point. */
   public final AttemptOutcome outcomeIfConnectionLost;
 
-  /** How the attempt ends when it times out at this point. */
+  /** The outcome of the attempt if it times out at this point. */
   public final AttemptOutcome outcomeIfTimedOut;
 
   AttemptProgress(AttemptOutcome outcomeIfConnectionLost, AttemptOutcome outcomeIfTimedOut) {
--- a/gateway/src/main/java/reachloom/gateway/state/ClientConnection.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientConnection.java
@@ -4,23 +4,23 @@
 import java.util.Map;
 import org.apache.mina.core.session.IoSession;
 
-/** A client's connection. Confined to the event loop's thread; its session is not. */
+/** A client connection. Confined to the event loop's thread, except for its session. */
 public final class ClientConnection {
   public final IoSession session;
 
-  /** Its handle in {@link ClientConnectionTable}. */
+  /** The handle of this connection in {@link ClientConnectionTable}. */
   public long handle;
 
-  /** When it connected, or was last active; see {@link ClientConnectionTable#touch}. */
+  /** When the client connected or was last active; see {@link ClientConnectionTable#touch}. */
   public long lastActiveAtNanos;
 
-  /** When a message began that was not received whole at once. */
+  /** When the first part of an incomplete message was received. */
   public long messageBegunAtNanos;
 
   /** The open requests by their sequence numbers. */
   public final Map<Integer, ClientRequest> openRequests = new HashMap<>();
 
-  /** A connection just accepted. */
+  /** Creates a connection that was just accepted. */
   public ClientConnection(IoSession session, long nowNanos) {
     this.session = session;
     lastActiveAtNanos = nowNanos;
--- a/gateway/src/main/java/reachloom/gateway/state/ClientConnectionTable.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientConnectionTable.java
@@ -7,36 +7,36 @@
 import java.util.Set;
 
 /**
- * The connections of clients in a bounded table, and in order of time those that may be closed: the
- * silent, the idle, and those that have begun a message. No operation visits all connections, so
- * that a flood of them is admitted and evicted at a constant cost each.
+ * A bounded table of client connections, with those that may be closed ordered by time: the silent
+ * ones, the idle ones, and those within a message. No operation for admission, eviction or timeouts
+ * visits all connections, so that a flood of them is admitted and evicted at constant cost each.
  *
  * <p>Confined to the event loop's thread. All times are nanoseconds on its clock.
  */
 public final class ClientConnectionTable {
   private final GenerationalSlots<ClientConnection> slots;
 
-  /** Those that have not sent a whole message yet, in the order in which they connected. */
+  /** Connections without a complete message so far, in the order in which they were accepted. */
   private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
-  /** Those that have, without open requests, in the order in which they were last active. */
+  /** Other connections without open requests, in the order in which they were last active. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Those within a message, in the order in which it began. */
+  /** Connections with an incomplete message, in the order in which it began. */
   private final Set<ClientConnection> withinMessage = new LinkedHashSet<>();
 
-  /** An empty table of at most that many connections. */
+  /** Creates an empty table of at most {@code maxConnections} connections. */
   public ClientConnectionTable(int maxConnections) {
     slots = new GenerationalSlots<>(maxConnections);
   }
 
-  /** Adds a new connection and sets its handle; false where the table is full. */
+  /** Adds a new connection and sets its handle; returns false if the table is full. */
   public boolean add(ClientConnection client) {
     client.handle = slots.add(client);
     return client.handle != GenerationalSlots.NONE && silent.add(client);
   }
 
-  /** The connection of a handle, unless it has been removed. */
+  /** Returns the connection of a handle; empty once it is removed. */
   public Optional<ClientConnection> find(long handle) {
     return Optional.ofNullable(slots.get(handle));
   }
@@ -49,21 +49,21 @@
     withinMessage.remove(client);
   }
 
-  /** Notes that a message has begun on a connection that was not received whole at once. */
+  /** Records that the first part of an incomplete message was received on a connection. */
   public void messageBegun(ClientConnection client, long nowNanos) {
     client.messageBegunAtNanos = nowNanos;
     withinMessage.remove(client);
     withinMessage.add(client);
   }
 
-  /** Notes that a whole message was received at that time. */
+  /** Records that a complete message was received on a connection at the given time. */
   public void messageReceived(ClientConnection client, long receivedAtNanos) {
     withinMessage.remove(client);
     silent.remove(client);
     touch(client, receivedAtNanos);
   }
 
-  /** Notes activity: bytes read or written, or a request opened or closed. */
+  /** Records activity: bytes read or written, or a request opened or closed. */
   public void touch(ClientConnection client, long nowNanos) {
     client.lastActiveAtNanos = nowNanos;
     idle.remove(client);
@@ -74,9 +74,10 @@
   }
 
   /**
-   * The connection to evict for a new one, if any may be: one silent since before that time, else
-   * the one idle for longest. Last come the silent that have connected since then, whose first
-   * request may be on its way: one that arrives at a closed connection is lost to its client.
+   * Returns the connection to evict for a new one, if any may be: one that is silent since before
+   * the given time, else the one that is idle for longest, else the oldest silent one. Newer silent
+   * connections come last, since their first request may be in transit: a request that arrives at a
+   * closed connection is lost to its client.
    */
   public Optional<ClientConnection> evictable(long silentBeforeNanos) {
     Optional<ClientConnection> first = first(silent);
@@ -85,8 +86,8 @@
   }
 
   /**
-   * A connection that has been silent, or within a message, since before the first time, or idle
-   * since before the second.
+   * Returns a connection that has been silent, or within a message, since before the first time, or
+   * idle since before the second.
    */
   public Optional<ClientConnection> overdue(long silentBeforeNanos, long idleBeforeNanos) {
     return first(silent)
@@ -103,12 +104,12 @@
     return iterator.hasNext() ? Optional.of(iterator.next()) : Optional.empty();
   }
 
-  /** The number of connections. */
+  /** Returns the number of connections. */
   public int size() {
     return slots.size();
   }
 
-  /** All connections, as a list that later changes leave alone. */
+  /** Returns a copy of all connections. */
   public List<ClientConnection> all() {
     return slots.all();
   }
--- a/gateway/src/main/java/reachloom/gateway/state/ClientRequest.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientRequest.java
@@ -5,15 +5,15 @@
 import reachloom.gateway.state.DeadlineQueue.Deadline;
 
 /**
- * A request that was admitted, until it is closed and none of its attempts is in flight. Confined
- * to the event loop's thread. Times are nanoseconds on its clock.
+ * An admitted request, until it is closed and none of its attempts is in flight. Confined to the
+ * event loop's thread. Times are nanoseconds on the event loop's clock.
  */
 public final class ClientRequest {
   /**
-   * What a request is known by.
+   * The identification of a request.
    *
-   * @param id its id, 16 hexadecimal digits
-   * @param queryClass the name of its class
+   * @param id the request's id, 16 hexadecimal digits
+   * @param queryClass the name of the request's class
    * @param key the client's idempotency key, or null
    */
   public record Header(String id, String queryClass, String key) {}
@@ -21,17 +21,17 @@
   /**
    * The bytes of a statement.
    *
-   * @param frame the frame that brought it
-   * @param from where it begins there
-   * @param length its length in bytes
+   * @param frame the frame that holds the statement
+   * @param offset the statement's offset in the frame
+   * @param length the statement's length in bytes
    */
-  public record Statement(byte[] frame, int from, int length) {}
+  public record Statement(byte[] frame, int offset, int length) {}
 
   /**
-   * Where a request came from.
+   * The origin of a request.
    *
-   * @param connection the handle of its connection
-   * @param sequence its sequence number there
+   * @param connection the handle of the request's connection
+   * @param sequence the request's sequence number on that connection
    */
   public record Origin(long connection, int sequence) {}
 
@@ -39,46 +39,49 @@
   public final String queryClass;
   public final String key;
 
-  /** The frame that holds the statement, which begins at {@link #from}. */
+  /** The frame that holds the statement at {@link #statementOffset}. */
   public final byte[] frame;
 
-  public final int from;
-  public final int length;
+  public final int statementOffset;
+  public final int statementLength;
 
-  /** The handle of the connection that it came on, and its sequence number there. */
+  /** The handle of the request's connection. */
   public final long connection;
 
+  /** The sequence number of the request on its connection. */
   public final int sequence;
 
-  /** When its last byte was received, and when the client stops waiting. */
+  /** When the last byte of the request was received. */
   public final long receivedAtNanos;
 
+  /** When the client stops waiting, or earlier if the gateway shuts down. */
   public final long deadlineNanos;
+
   public final List<EngineAttempt> attempts = new ArrayList<>(1);
 
-  /** Its handle in the registry's slots. */
+  /** The handle of this request in the registry's slots. */
   public long handle;
 
-  /** Attempts whose end has not been reported yet. */
+  /** The number of attempts whose end has not been reported yet. */
   public int attemptsInFlight;
 
   public int priority = 1;
 
-  /** The client is owed nothing more: it got its response, or is gone. */
+  /** Whether the client needs no response any more: it was sent, or the client is gone. */
   public boolean closed;
 
-  /** Responds to the request should nothing else have done so in time. */
+  /** The deadline at which the gateway itself responds if the request is still open. */
   public Deadline backstop;
 
-  /** A request as it was received. */
+  /** Creates a request as it was received. */
   public ClientRequest(
       Header header, Statement statement, Origin origin, long receivedAtNanos, long deadlineNanos) {
     id = header.id();
     queryClass = header.queryClass();
     key = header.key();
     frame = statement.frame();
-    from = statement.from();
-    length = statement.length();
+    statementOffset = statement.offset();
+    statementLength = statement.length();
     connection = origin.connection();
     sequence = origin.sequence();
     this.receivedAtNanos = receivedAtNanos;
--- a/gateway/src/main/java/reachloom/gateway/state/DeadlineQueue.java
+++ b/gateway/src/main/java/reachloom/gateway/state/DeadlineQueue.java
@@ -3,9 +3,8 @@
 import java.util.TreeSet;
 
 /**
- * All deadlines and timers of a gateway in one order: by time, and in the order in which they were
- * added where times agree. Confined to the event loop's thread. All times are nanoseconds on its
- * clock.
+ * The deadlines and timers of a gateway, ordered by time and, for equal times, by insertion.
+ * Confined to the event loop's thread. All times are nanoseconds on the event loop's clock.
  */
 public final class DeadlineQueue {
   private final TreeSet<Deadline> order = new TreeSet<>();
@@ -30,32 +29,32 @@
     }
   }
 
-  /** Adds an action that is due at that time; the result cancels it. */
+  /** Adds an action that is due at the given time; {@link #cancel} removes it by the result. */
   public Deadline add(long atNanos, Runnable action) {
     Deadline deadline = new Deadline(atNanos, count++, action);
     order.add(deadline);
     return deadline;
   }
 
-  /** Removes a deadline; null, or one that has passed, is left alone. */
+  /** Removes a deadline; ignores null and deadlines that have been removed. */
   public void cancel(Deadline deadline) {
     if (deadline != null) {
       order.remove(deadline);
     }
   }
 
-  /** When the first deadline is due; {@link Long#MAX_VALUE} where there is none. */
+  /** Returns when the first deadline is due; {@link Long#MAX_VALUE} if there is none. */
   public long next() {
     return order.isEmpty() ? Long.MAX_VALUE : order.first().atNanos;
   }
 
-  /** Removes the first deadline if it is due, and returns its action; else null. */
+  /** Removes the first deadline if it is due and returns its action; otherwise returns null. */
   public Runnable poll(long nowNanos) {
     boolean due = !order.isEmpty() && order.first().atNanos <= nowNanos;
     return due ? order.pollFirst().action : null;
   }
 
-  /** The number of deadlines. */
+  /** Returns the number of deadlines. */
   public int size() {
     return order.size();
   }
--- a/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
@@ -11,84 +11,84 @@
  * outcome. Confined to the event loop's thread.
  */
 public final class EngineAttempt {
-  /** The request that it is an attempt for. */
+  /** The request of this attempt. */
   public final ClientRequest request;
 
-  /** Its place among the attempts for the request, from 0. */
+  /** The number of this attempt among those for the request, from 0. */
   public final int number;
 
   /** The name of the engine. */
   public final String engine;
 
-  /** When it was forwarded, in the event loop's nanoseconds. */
-  public final long sentAtNanos;
+  /** When the scheduler forwarded the attempt, in nanoseconds on the event loop's clock. */
+  public final long forwardedAtNanos;
 
-  /** When it times out, in the event loop's nanoseconds. */
+  /** When the attempt times out, in nanoseconds on the event loop's clock. */
   public final long deadlineNanos;
 
-  /** The connection that carries it; null until one is found. */
+  /** The connection of the attempt; null until one is assigned. */
   public EngineConnection connection;
 
-  /** Whether it has ended; nothing more is to be done for it then. */
+  /** Whether the attempt has ended. */
   public boolean ended;
 
-  /** The timer that ends it at its deadline; null where it never began. */
+  /** The timer that ends the attempt at its deadline; null if it was never started. */
   public Deadline timeout;
 
-  /** The pages of the result that have come, in their order. */
+  /** The received pages of the result, in order. */
   public final List<byte[]> pages = new ArrayList<>(1);
 
-  /** How many pages the result has, as the first one told; 0 before it. */
+  /** The number of pages of the result, as stated by the first one; 0 before it is received. */
   public int pageCount;
 
-  /** Bytes of the pages that have come. */
+  /** The bytes of the received pages. */
   public int resultBytes;
 
-  /** The work that the engine did for it, in milliseconds, as the result told. */
+  /** The engine's cost of the attempt in milliseconds, as stated by the result. */
   public long costMs;
 
-  /** The memory that it took at the engine, in MB, as the result told. */
+  /** The memory that the attempt took at the engine, in MB, as stated by the result. */
   public double memoryMb;
 
-  /** The latest load report that came with an answer to it; null without one. */
+  /** The latest load report received with a response to the attempt; null without one. */
   public LoadReport loadReport;
 
   private AttemptProgress progress = AttemptProgress.NOT_CONNECTED;
   private WriteFuture requestWrite;
 
   /**
-   * An attempt that starts now.
+   * Creates an attempt that starts now.
    *
-   * @param sentAtNanos the present time, in the event loop's nanoseconds
-   * @param deadlineNanos when it times out, on the same clock
+   * @param forwardedAtNanos the current time, in nanoseconds on the event loop's clock
+   * @param deadlineNanos when the attempt times out, on the same clock
    */
   public EngineAttempt(
-      ClientRequest request, int number, String engine, long sentAtNanos, long deadlineNanos) {
+      ClientRequest request, int number, String engine, long forwardedAtNanos, long deadlineNanos) {
     this.request = request;
     this.number = number;
     this.engine = engine;
-    this.sentAtNanos = sentAtNanos;
+    this.forwardedAtNanos = forwardedAtNanos;
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** Records that its request is about to be handed to the connection. */
+  /** Records that the request is about to be written to the connection. */
   public void writeStarted() {
     progress = AttemptProgress.PARTLY_WRITTEN;
   }
 
-  /** Records the write of its request, which tells when it is complete. */
+  /** Records the future that completes when the request is written. */
   public void setRequestWrite(WriteFuture write) {
     requestWrite = write;
   }
 
-  /** Records that the engine has answered: only what has come completely is answered. */
+  /** Records that the engine has responded, which implies that it received the whole request. */
   public void answered() {
     if (progress == AttemptProgress.PARTLY_WRITTEN) {
       progress = AttemptProgress.SENT;
     }
   }
 
-  /** Records that the first page of the result has come. */
+  /** Records that the first page of the result was received. */
   public void resultStarted(int pageCount, long costMs, double memoryMb) {
     progress = AttemptProgress.RECEIVING_RESULT;
     this.pageCount = pageCount;
@@ -96,17 +96,17 @@
     this.memoryMb = memoryMb;
   }
 
-  /** Whether its request is completely written. */
+  /** Returns whether the request is completely written. */
   public boolean isRequestWritten() {
     return requestWrite.isWritten();
   }
 
-  /** Whether its request has been handed to a connection. */
+  /** Returns whether the request has been handed to an established connection. */
   public boolean isConnected() {
     return progress != AttemptProgress.NOT_CONNECTED;
   }
 
-  /** How far it has come, as the connection knows by now. */
+  /** Returns the progress of the attempt, updated from the state of its write. */
   public AttemptProgress progress() {
     if (progress == AttemptProgress.PARTLY_WRITTEN
         && requestWrite != null
--- a/gateway/src/main/java/reachloom/gateway/state/EngineConnection.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineConnection.java
@@ -13,8 +13,8 @@
 import reachloom.gateway.state.DeadlineQueue.Deadline;
 
 /**
- * One connection to the process of an engine, with the attempts and health checks that are open on
- * it. It leads to one incarnation of the engine and never changes to another.
+ * One connection to the process of an engine, with its open attempts and health checks. It belongs
+ * to one incarnation of the engine throughout.
  *
  * <p>Confined to the event loop's thread. The connection pool owns the state of the transport, the
  * attempt dispatcher owns the attempts, and the health check client owns the health checks.
@@ -44,54 +44,54 @@
   private final Map<String, Deadline> healthChecks = new LinkedHashMap<>();
 
   /**
-   * A connection that is still to be established.
+   * Creates a connection that is not established yet.
    *
    * @param engine the engine's name
-   * @param incarnation when the engine's process started, as the endpoint list reports it
+   * @param incarnation when the engine's process started, as reported by the endpoint list
    */
   public EngineConnection(String engine, long incarnation) {
     this.engine = engine;
     this.incarnation = incarnation;
   }
 
-  /** The name of the engine. */
+  /** Returns the name of the engine. */
   public String engine() {
     return engine;
   }
 
-  /** When the engine's process started, as the endpoint list reported it. */
+  /** Returns when the engine's process started, as reported by the endpoint list. */
   public long incarnation() {
     return incarnation;
   }
 
   // ---- Transport ----
 
-  /** The handle under which the pool's table holds this connection. */
+  /** Returns the handle of this connection in the pool's table. */
   public long handle() {
     return handle;
   }
 
-  /** Sets the handle under which the pool's table holds this connection. */
+  /** Sets the handle of this connection in the pool's table. */
   public void setHandle(long handle) {
     this.handle = handle;
   }
 
-  /** Records the try to connect that is under way. */
+  /** Records the connect that is in progress. */
   public void setConnectFuture(ConnectFuture future) {
     connectFuture = future;
   }
 
-  /** The latest try to connect. */
+  /** Returns the future of the latest connect. */
   public ConnectFuture connectFuture() {
     return connectFuture;
   }
 
-  /** Records whether the latest try to connect failed on this machine, before anything left it. */
+  /** Records whether the latest connect failed locally, before any packet was sent. */
   public void setConnectFailedLocally(boolean failedLocally) {
     connectFailedLocally = failedLocally;
   }
 
-  /** Whether the latest try to connect failed on this machine: no evidence against the engine. */
+  /** Returns whether the latest connect failed locally, which is no evidence against the engine. */
   public boolean connectFailedLocally() {
     return connectFailedLocally;
   }
@@ -101,7 +101,7 @@
     connectTimeout = deadline;
   }
 
-  /** The deadline by which the connection has to be established; null before the first try. */
+  /** Returns the deadline by which the connection has to be established; null if not set. */
   public Deadline connectTimeout() {
     return connectTimeout;
   }
@@ -109,42 +109,42 @@
   /**
    * Records that the connection is established.
    *
-   * @param nowNanos the event loop's time, in nanoseconds
+   * @param nowNanos the current time on the event loop's clock
    */
   public void connected(IoSession session, long nowNanos) {
     this.session = session;
     lastReceivedNanos = nowNanos;
   }
 
-  /** Whether the connection has been established; it may have been closed since. */
+  /** Returns whether the connection has been established; it may have been closed since. */
   public boolean isConnected() {
     return session != null;
   }
 
-  /** The session of the transport; only where {@link #isConnected()}. */
+  /** Returns the session of the transport; null unless {@link #isConnected()}. */
   public IoSession session() {
     return session;
   }
 
-  /** Whether the transport has begun to close the connection. */
+  /** Returns whether the transport has started to close the connection. */
   public boolean isClosing() {
     return session != null && session.isClosing();
   }
 
-  /** Records that the connection is closed: it takes no attempts and no health checks any more. */
+  /** Records that the connection is closed and accepts no further attempts or health checks. */
   public void markClosed() {
     closed = true;
   }
 
-  /** Whether the gateway counts the connection as closed. */
+  /** Returns whether the gateway considers the connection closed. */
   public boolean isClosed() {
     return closed;
   }
 
   /**
-   * Records that a complete response has come.
+   * Records that a complete response was received.
    *
-   * @param nowNanos the event loop's time, in nanoseconds
+   * @param nowNanos the current time on the event loop's clock
    */
   public void responseReceived(long nowNanos) {
     lastReceivedNanos = nowNanos;
@@ -153,33 +153,39 @@
   }
 
   /**
-   * Records that a response has begun that is not complete yet.
+   * Records that the first part of an incomplete response was received.
    *
-   * @param nowNanos the event loop's time, in nanoseconds
+   * @param nowNanos the current time on the event loop's clock
    */
   public void partialResponseReceived(long nowNanos) {
     partialResponseSinceNanos = nowNanos;
   }
 
   /**
-   * When the response began that is not complete yet, in the event loop's nanoseconds; {@link
+   * Returns when the incomplete response began, in nanoseconds on the event loop's clock; {@link
    * Long#MAX_VALUE} without one.
    */
   public long partialResponseSinceNanos() {
     return partialResponseSinceNanos;
   }
 
-  /** When the connection was established or last brought a response, in the loop's nanoseconds. */
+  /**
+   * Returns when the connection was established or the last response was received on it, in
+   * nanoseconds on the event loop's clock.
+   */
   public long lastReceivedNanos() {
     return lastReceivedNanos;
   }
 
-  /** Records that attempts timed out here while nothing came. */
+  /** Records that an attempt got no response on this connection for long. */
   public void markUnresponsive() {
     unresponsive = true;
   }
 
-  /** Whether attempts timed out here while nothing came: not used for new ones without need. */
+  /**
+   * Returns whether an attempt got no response on this connection for long; new attempts use it
+   * only if no other connection is available.
+   */
   public boolean isUnresponsive() {
     return unresponsive;
   }
@@ -189,41 +195,41 @@
     idleTimeout = deadline;
   }
 
-  /** The deadline at which the connection is closed as idle; null while it is in use. */
+  /** Returns the deadline at which the connection is closed as idle; null while it is in use. */
   public Deadline idleTimeout() {
     return idleTimeout;
   }
 
-  /** Records the latest write. */
+  /** Records the future of the latest write. */
   public void setLastWrite(WriteFuture write) {
     lastWrite = write;
   }
 
-  /** The latest write; null before the first one. */
+  /** Returns the future of the latest write; null before the first one. */
   public WriteFuture lastWrite() {
     return lastWrite;
   }
 
   // ---- Attempts ----
 
-  /** Adds an attempt, which waits to be written. */
+  /** Adds an attempt that waits to be written. */
   public void addAttempt(EngineAttempt attempt) {
     attempts.put(attempt.request.id, attempt);
     unsentAttempts.add(attempt);
   }
 
-  /** The attempt for the request of that id, if one is open here. */
+  /** Returns the open attempt for the request of the given id. */
   public Optional<EngineAttempt> attempt(String requestId) {
     return Optional.ofNullable(attempts.get(requestId));
   }
 
-  /** Removes an attempt; false where it was not open here. */
+  /** Removes an attempt; returns false if it was not open on this connection. */
   public boolean removeAttempt(EngineAttempt attempt) {
     unsentAttempts.remove(attempt);
     return attempts.remove(attempt.request.id, attempt);
   }
 
-  /** Removes all attempts, and gives those that were open, oldest first. */
+  /** Removes and returns all open attempts, oldest first. */
   public List<EngineAttempt> removeAttempts() {
     List<EngineAttempt> removed = openAttempts();
     attempts.clear();
@@ -231,12 +237,12 @@
     return removed;
   }
 
-  /** The open attempts, oldest first, as a copy. */
+  /** Returns a copy of the open attempts, oldest first. */
   public List<EngineAttempt> openAttempts() {
     return List.copyOf(attempts.values());
   }
 
-  /** How many attempts are open. */
+  /** Returns the number of open attempts. */
   public int attemptCount() {
     return attempts.size();
   }
@@ -246,39 +252,39 @@
     unsentAttempts.remove(attempt);
   }
 
-  /** The attempts that wait to be written, oldest first, as a copy. */
+  /** Returns a copy of the attempts that wait to be written, oldest first. */
   public List<EngineAttempt> unsentAttempts() {
     return List.copyOf(unsentAttempts);
   }
 
-  /** How many attempts wait to be written. */
+  /** Returns the number of attempts that wait to be written. */
   public int unsentCount() {
     return unsentAttempts.size();
   }
 
   // ---- Health checks ----
 
-  /** Adds a health check with the deadline of its answer. */
+  /** Adds a health check with the deadline of its response. */
   public void addHealthCheck(String tag, Deadline deadline) {
     healthChecks.put(tag, deadline);
   }
 
-  /** Whether a health check of that tag is open here. */
+  /** Returns whether the health check of a tag is open on this connection. */
   public boolean hasHealthCheck(String tag) {
     return healthChecks.containsKey(tag);
   }
 
-  /** Removes a health check, and gives its deadline. */
+  /** Removes a health check and returns its deadline. */
   public Optional<Deadline> removeHealthCheck(String tag) {
     return Optional.ofNullable(healthChecks.remove(tag));
   }
 
-  /** The tags of the open health checks, oldest first, as a copy. */
+  /** Returns a copy of the tags of the open health checks, oldest first. */
   public List<String> healthCheckTags() {
     return new ArrayList<>(healthChecks.keySet());
   }
 
-  /** Whether neither an attempt nor a health check is open here. */
+  /** Returns whether neither an attempt nor a health check is open on this connection. */
   public boolean isUnused() {
     return attempts.isEmpty() && healthChecks.isEmpty();
   }
--- a/gateway/src/main/java/reachloom/gateway/state/GenerationalSlots.java
+++ b/gateway/src/main/java/reachloom/gateway/state/GenerationalSlots.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * A bounded table of numbered slots. A handle names a slot and its generation, so that one kept
- * beyond the removal of its value finds nothing, also once the slot is used again. Confined to the
- * event loop's thread.
+ * A bounded table of numbered slots. A handle identifies a slot and its generation, so that a stale
+ * handle finds nothing after the removal of its value, also once the slot is reused. Confined to
+ * the event loop's thread.
  *
- * @param <T> the values
+ * @param <T> the type of the values
  */
 public final class GenerationalSlots<T> {
-  /** The handle of nothing. */
+  /** The handle that identifies no slot. */
   public static final long NONE = -1;
 
   private static final int INITIAL_SIZE = 64;
@@ -24,7 +24,7 @@
   private int freeCount;
   private int used;
 
-  /** An empty table of at most that many slots. */
+  /** Creates an empty table of at most {@code maxSlots} slots. */
   public GenerationalSlots(int maxSlots) {
     this.maxSlots = maxSlots;
     int size = Math.min(INITIAL_SIZE, maxSlots);
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Puts a value into a free slot and returns its handle; {@link #NONE} where the table is full.
+   * Puts a value into a free slot and returns its handle; {@link #NONE} if the table is full.
    */
   public long add(T value) {
     int slot;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** The value of a handle; null once it is removed. */
+  /** Returns the value of a handle; null once it is removed. */
   @SuppressWarnings("unchecked")
   public T get(long handle) {
     int slot = (int) handle;
@@ -68,7 +68,7 @@
     return current ? (T) values[slot] : null;
   }
 
-  /** Frees a slot; a handle that no longer names anything is left alone. */
+  /** Frees the slot of a handle; ignores a stale handle. */
   public void remove(long handle) {
     if (get(handle) == null) {
       return;
@@ -79,12 +79,12 @@
     free[freeCount++] = slot;
   }
 
-  /** The number of values. */
+  /** Returns the number of values. */
   public int size() {
     return used - freeCount;
   }
 
-  /** All values in the order of their slots, as a list that later changes leave alone. */
+  /** Returns a copy of all values, in the order of their slots. */
   @SuppressWarnings("unchecked")
   public List<T> all() {
     List<T> all = new ArrayList<>(size());
--- a/gateway/src/main/java/reachloom/gateway/state/package-info.java
+++ b/gateway/src/main/java/reachloom/gateway/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is kept: numbered slots with generations, and one ordered structure for deadlines and
- * timers.
+ * The state of the gateway: requests, attempts, connections, tables with generational slots, and
+ * one queue of deadlines and timers.
  */
 package reachloom.gateway.state;
--- a/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
@@ -157,7 +157,7 @@
     Connection connection = null;
     String first = null;
     for (int quiet = 0; quiet < 40 && fillers.size() < 120; ) {
-      if (held("unhanded") > 0) {
+      if (held("unsentAttempts") > 0) {
         // The system tells late that it has room again; a further word makes it take what it can.
         String query = first;
         int priority = 2 + quiet++ % 2;
@@ -174,7 +174,7 @@
       act(() -> actions.forward(q.id(), ENGINE, 0));
       connection = connection == null ? engine.accept() : connection;
     }
-    assertEquals(1, held("unhanded"));
+    assertEquals(1, held("unsentAttempts"));
     return connection;
   }
 
--- a/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
@@ -167,7 +167,7 @@
     try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
       Query q = taken(c, "select 1", "verb", "once");
       gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
-      await(() -> gateway.held("unhanded") == 0);
+      await(() -> gateway.held("unsentAttempts") == 0);
       gateway.allHasBeenDealtWith(); // so that it is written
       kill.of(engine);
       assertEquals(
--- a/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
+++ b/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
@@ -20,7 +20,7 @@
   private static final long MILLISECOND = 1_000_000;
 
   /** A thread that adds is stopped at its worst moment: the thing is in, the wake-up isn't out. */
-  private static final class Stopped implements HandoffQueue.Waiting {
+  private static final class Stopped implements HandoffQueue.WaitStrategy {
     final CountDownLatch reached = new CountDownLatch(1);
     final CountDownLatch goOn = new CountDownLatch(1);
     final AtomicInteger parks = new AtomicInteger();
--- a/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
@@ -146,7 +146,7 @@
 
   /** Nothing is kept of any client or request. */
   void assertNothingKept() throws InterruptedException {
-    for (String table : List.of("requests", "ids", "clients", "statements", "unhanded")) {
+    for (String table : List.of("requests", "ids", "clients", "statements", "unsentAttempts")) {
       await(() -> held(table) == 0);
       assertEquals(0, held(table), table);
     }
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
@@ -31,7 +31,7 @@
                 text.replace("\"goalTime\":500000000", "\"goalTime\":" + aim));
         WarmUp warmUp = new WarmUp(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
         int[] left = {QUERIES};
-        int served = warmUp.play(() -> left[0]-- > 0);
+        int served = warmUp.simulateQueries(() -> left[0]-- > 0);
         assertTrue(served > QUERIES / 2, served + " of " + QUERIES + " served with aims of " + aim);
       }
     }
