--- a/gateway/src/test/java/reachloom/gateway/WatchSocketsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ChangeLogClientTest.java
@@ -27,20 +27,21 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * The watch over the change log on real connections: silent, with events left out, late, and away.
+ * The client of the change log on real connections, when the log is silent, skips events, goes back
+ * or can't be reached.
  */
 @Timeout(60)
-class WatchSocketsTest {
-  static final int NOTHING = 0;
-  static final int WHOLE = 1;
+class ChangeLogClientTest {
+  static final int HEARTBEAT = 0;
+  static final int COMPLETE = 1;
   static final int CHANGES = 2;
   static final int UP = 0;
   static final int DRAINING = 1;
-  static final int GONE = 2;
+  static final int REMOVED = 2;
 
   @TempDir Path folder;
 
-  private final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
 
   static byte[] frame(long number, int kind, Integer... engines) throws IOException {
     ByteBuffer frame =
@@ -54,7 +55,7 @@
           Math.abs(id),
           InetAddress.getLoopbackAddress().getAddress(),
           1,
-          id < 0 ? GONE : UP);
+          id < 0 ? REMOVED : UP);
     }
     return frame.array();
   }
@@ -73,8 +74,8 @@
   }
 
   private List<String> names() throws InterruptedException {
-    Object event = told.poll(10, TimeUnit.SECONDS);
-    assertTrue(event instanceof List<?>, "told " + event);
+    Object event = events.poll(10, TimeUnit.SECONDS);
+    assertTrue(event instanceof List<?>, "received " + event);
     return ((List<?>) event)
         .stream().map(e -> ((EngineEndpoint) e).name().substring(9)).sorted().toList();
   }
@@ -85,88 +86,88 @@
         GatewayConfig.fromFile(Files.writeString(folder.resolve("config.json"), text), Map.of());
     EventLoop loop = new EventLoop();
     GatewayService gateway =
-        new GatewayService(config, loop, a -> new GatewayServiceTest.Recorder(told));
+        new GatewayService(config, loop, a -> new GatewayServiceTest.RecordingScheduler(events));
     loop.post(0, gateway::start);
     FakeEngine.daemon(loop);
-    assertTrue(told.poll(10, TimeUnit.SECONDS) instanceof SchedulerSettings);
+    assertTrue(events.poll(10, TimeUnit.SECONDS) instanceof SchedulerSettings);
     assertEquals(List.of(), names());
     return loop;
   }
 
   @Test
-  void aWatchThatFallsSilentIsDialledAgainAndNoLongerListenedTo() throws Exception {
+  void reconnectsAfterSilenceAndIgnoresOldConnection() throws Exception {
     try (PausedPeer log = new PausedPeer()) {
       EventLoop loop = start(log);
       Connection first = log.accept();
-      assertEquals(1, first.number());
-      first.say(frame(2, CHANGES, 1));
+      assertEquals(1, first.readEventNumber());
+      first.write(frame(2, CHANGES, 1));
       assertEquals(List.of("1"), names());
       long silentFrom = System.nanoTime();
-      Connection second = log.accept(); // though nothing broke
-      assertEquals(2, second.number(), "from the last event held");
+      Connection second = log.accept(); // though the connection did not break
+      assertEquals(2, second.readEventNumber(), "from the last applied event");
       assertTrue(System.nanoTime() - silentFrom < 5_000_000_000L);
       try {
-        first.say(frame(3, CHANGES, 9)); // it speaks again, too late
+        first.write(frame(3, CHANGES, 9)); // too late: the gateway has reconnected
       } catch (IOException e) {
-        // it is gone
+        // the connection is closed
       }
-      second.say(frame(3, CHANGES, 2));
+      second.write(frame(3, CHANGES, 2));
       assertEquals(List.of("2"), names());
       loop.post(0, loop::end);
     }
   }
 
   @Test
-  void eventsThatAreLeftOutLeadToTheWholeListAndNothingIsTakenBeforeItIsThere() throws Exception {
+  void requestsCompleteListAfterMissingEvents() throws Exception {
     try (PausedPeer log = new PausedPeer()) {
       EventLoop loop = start(log);
       Connection first = log.accept();
-      assertEquals(1, first.number());
-      first.say(frame(4, CHANGES, 4));
+      assertEquals(1, first.readEventNumber());
+      first.write(frame(4, CHANGES, 4));
       Connection second = log.accept();
-      assertEquals(0, second.number(), "all of them");
-      second.say(frame(1, WHOLE, 1));
-      second.say(frame(2, CHANGES, 2));
-      second.say(frame(3, CHANGES, -1));
-      second.say(frame(3, NOTHING));
-      assertNull(told.poll(300, TimeUnit.MILLISECONDS), "an older list is never in force");
-      second.say(frame(4, CHANGES, 4));
+      assertEquals(0, second.readEventNumber(), "the complete list");
+      second.write(frame(1, COMPLETE, 1));
+      second.write(frame(2, CHANGES, 2));
+      second.write(frame(3, CHANGES, -1));
+      second.write(frame(3, HEARTBEAT));
+      assertNull(events.poll(300, TimeUnit.MILLISECONDS), "an older list is never applied");
+      second.write(frame(4, CHANGES, 4));
       assertEquals(List.of("2", "4"), names());
-      second.say(frame(2, CHANGES, 7)); // a log that goes back
-      second.say(frame(5, CHANGES, 5));
+      second.write(frame(2, CHANGES, 7)); // an event that was sent before
+      second.write(frame(5, CHANGES, 5));
       assertEquals(List.of("5"), names());
       loop.post(0, loop::end);
     }
   }
 
   @Test
-  void restartedGatewaysAreReadyInTimeThoughTheChangeLogIsAway() throws Exception {
-    List<GatewayProcess> fleet = new ArrayList<>();
+  void gatewaysStartInTimeWithoutChangeLog() throws Exception {
+    List<GatewayProcess> gateways = new ArrayList<>();
     try (PausedPeer log = new PausedPeer()) {
-      log.holdDials();
+      log.blockConnects();
       long start = System.nanoTime();
       for (int i = 0; i < 5; i++) {
         Path own = Files.createDirectory(folder.resolve("g" + i));
         String text = GatewayProcess.config(GatewayProcess.freeAddress(), log.address());
-        fleet.add(new GatewayProcess(own, text));
+        gateways.add(new GatewayProcess(own, text));
       }
-      for (GatewayProcess g : fleet) {
+      for (GatewayProcess g : gateways) {
         g.ready().close();
       }
       assertTrue(System.nanoTime() - start < 10_000_000_000L);
     } finally {
-      for (GatewayProcess g : fleet) {
+      for (GatewayProcess g : gateways) {
         g.close();
       }
     }
   }
 
   @Test
-  void idleClientsMayTakeTheDescriptorsWhileTheChangeLogIsAway() throws Exception {
+  void reconnectsToChangeLogWhenClientsHoldAllDescriptors() throws Exception {
     List<ThriftClient> idle = new ArrayList<>();
     try (PausedPeer log = new PausedPeer();
         FakeEngine engine = new FakeEngine()) {
-      log.holdDials();
+      log.blockConnects();
       String text =
           GatewayProcess.config(GatewayProcess.freeAddress(), log.address())
               .replace("\"sockets\":1024", "\"sockets\":256");
@@ -174,17 +175,17 @@
       try (GatewayProcess gateway = new GatewayProcess(folder, text, limited, List.of())) {
         gateway.ready().close();
         for (int i = 0; i < 300; i++) { // more than there are descriptors
-          ThriftClient c = new ThriftClient(gateway.listen);
-          idle.add(c);
-          assertTrue(c.check(), "each gets in, in the place of one that rests");
+          ThriftClient client = new ThriftClient(gateway.listen);
+          idle.add(client);
+          assertTrue(client.check(), "each client is admitted in place of an idle one");
         }
-        log.releaseDials();
-        Connection found = null;
-        for (int i = 0; found == null; i++) {
-          Connection c = log.accept(); // some are dials that were given up meanwhile
+        log.unblockConnects();
+        Connection subscribed = null;
+        for (int i = 0; subscribed == null; i++) {
+          Connection accepted = log.accept(); // some of the connects were abandoned meanwhile
           try {
-            assertEquals(1, c.number());
-            found = c;
+            assertEquals(1, accepted.readEventNumber());
+            subscribed = accepted;
           } catch (IOException e) {
             assertTrue(i < 100);
           }
@@ -193,19 +194,19 @@
             ByteBuffer.allocate(4 + 9 + 27).putInt(9 + 27).putLong(2).put((byte) CHANGES);
         record(
             event, 1, engine.address().getAddress().getAddress(), engine.address().getPort(), UP);
-        found.say(event.array());
-        try (ThriftClient c = new ThriftClient(gateway.listen)) {
+        subscribed.write(event.array());
+        try (ThriftClient client = new ThriftClient(gateway.listen)) {
           String kind = "";
           for (int i = 0; i < 100 && !kind.equals("ANSWER"); i++) {
-            kind = c.run("select 1").kind();
+            kind = client.run("select 1").kind();
             Thread.sleep(20);
           }
-          assertEquals("ANSWER", kind, "the engine that the log told of is reached");
+          assertEquals("ANSWER", kind, "the engine that the log sent is reached");
         }
       }
     } finally {
-      for (ThriftClient c : idle) {
-        c.close();
+      for (ThriftClient client : idle) {
+        client.close();
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reachloom.gateway.OrderingHarness.ENGINE;
-import static reachloom.gateway.OrderingHarness.OTHER;
+import static reachloom.gateway.OrderingHarness.OTHER_ENGINE;
 import static reachloom.gateway.OrderingHarness.await;
 
 import java.io.ByteArrayOutputStream;
@@ -39,20 +39,22 @@
 import reachloom.standin.ThriftMessages.Reply;
 
 /**
- * Clients that send much and go, in pieces of one byte or all in one, or slowly, and none at all
- * for a while, on real connections. See docs/design/endings.md.
+ * Guards against attempts that start after their client has disconnected, lost or duplicated
+ * responses, and clients that delay others. Clients send many requests and disconnect, send
+ * messages byte by byte or all at once, read or write slowly, or stay idle. See
+ * docs/design/endings.md.
  */
 @Timeout(60)
 class ClientConnectionOrderingTest {
-  private static final long MILLISECOND = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int MAX_OPEN = 32;
 
-  /** Within so long after a client's going an attempt may still begin, by the rules. */
-  private static final long LATEST = 100 * MILLISECOND;
+  /** An attempt may still start this long after its client has disconnected. */
+  private static final long MAX_START_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
   private static final int MAX_ROUNDS = 20;
-  private static final String HELD = "once";
-  private static final String LONG = "select '" + "x".repeat(1_000) + "'";
+  private static final String HELD_CLASS = "once";
+  private static final String LONG_STATEMENT = "select '" + "x".repeat(1_000) + "'";
 
   @TempDir Path folder;
 
@@ -63,7 +65,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    engine = new RecordingEngine(HELD);
+    engine = new RecordingEngine(HELD_CLASS);
     other = new FakeEngine();
     changeLog = new FakeChangeLog(1);
     gateway =
@@ -97,20 +99,21 @@
             seq, Map.of("verb", verb, "txn", id, "limit", "20000", "team", "one"), statement));
   }
 
-  // ---- Many messages, and gone ----
+  // ---- Many messages, then disconnect ----
 
   /**
-   * Sends a flood of held requests that ends at once; gives when it had gone, by the Unix clock.
+   * Sends many requests that the engine never answers, and disconnects at once; returns when it had
+   * disconnected, on the event loop's clock.
    */
   private long flood(int number, boolean reset, int requests) throws IOException {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 1; i <= requests; i++) {
-      all.write(execute(i, String.format("%08x%08x", number, i), HELD, LONG));
+      all.write(execute(i, String.format("%08x%08x", number, i), HELD_CLASS, LONG_STATEMENT));
     }
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      c.raw(all.toByteArray());
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      client.raw(all.toByteArray());
       if (reset) {
-        c.reset();
+        client.reset();
       }
     }
     return gateway.loop.now();
@@ -118,157 +121,159 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void ofAFloodThatSendsMuchAndGoesNothingBeginsOnceItHasGone(boolean reset) throws Exception {
-    gateway.sendTo = q -> q.queryClass() == 0 ? OTHER : ENGINE;
+  void startsNoAttemptForDisconnectedClients(boolean reset) throws Exception {
+    gateway.forwardTo = query -> query.queryClass() == 0 ? OTHER_ENGINE : ENGINE;
     AtomicBoolean over = new AtomicBoolean();
-    CompletableFuture<Integer> meanwhile = new CompletableFuture<>();
+    CompletableFuture<Integer> servedMeanwhile = new CompletableFuture<>();
     FakeEngine.daemon(
         () -> {
-          try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
+          try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
             int served = 0;
             for (; !over.get() || served == 0; served++) {
-              assertEquals(FakeEngine.ROW, c.run("select 1", "limit", "20000").body());
+              assertEquals(FakeEngine.ROW, client.run("select 1", "limit", "20000").body());
             }
-            meanwhile.complete(served);
+            servedMeanwhile.complete(served);
           } catch (IOException | AssertionError e) {
-            meanwhile.completeExceptionally(e);
+            servedMeanwhile.completeExceptionally(e);
           }
         });
     long best = Long.MAX_VALUE;
     int floods = 0;
-    // A busy machine may come late to all of it; a gateway that begins what has gone does so each
-    // time.
-    for (int round = 0; round < MAX_ROUNDS && best > LATEST; round++) {
-      List<Long> goneAt = new ArrayList<>();
-      int first = floods;
+    // On a busy machine one round may be late; a gateway with the fault fails in every round.
+    for (int round = 0; round < MAX_ROUNDS && best > MAX_START_DELAY_NANOS; round++) {
+      List<Long> goneAtNanos = new ArrayList<>();
+      int firstFlood = floods;
       for (int i = 0; i < 8; i++) {
-        goneAt.add(flood(floods++, reset, 2 * MAX_OPEN)); // half of it is refused
+        goneAtNanos.add(flood(floods++, reset, 2 * MAX_OPEN)); // half of it is rejected
       }
-      gateway.allHasBeenDealtWith(); // another client's words, sent after the last one had gone
-      await(() -> gateway.held("clients") == 1); // and all that goings are read behind
-      assertTrue(gateway.held("requests") <= 1, "of the floods nothing is left that could begin");
+      gateway.awaitHandled(); // messages of another client, sent after the last disconnect
+      await(() -> gateway.tableSize("clients") == 1); // all disconnects are handled
+      assertTrue(gateway.tableSize("requests") <= 1, "no request of the gone clients is open");
       long latest = 0;
-      for (Map.Entry<String, Long> begun : gateway.begun.entrySet()) {
-        int number = Integer.parseUnsignedInt(begun.getKey().substring(0, 8), 16);
-        if (number >= first && number < floods) {
-          latest = Math.max(latest, begun.getValue() - goneAt.get(number - first));
+      for (Map.Entry<String, Long> started : gateway.startedAtNanos.entrySet()) {
+        int number = Integer.parseUnsignedInt(started.getKey().substring(0, 8), 16);
+        if (number >= firstFlood && number < floods) {
+          latest = Math.max(latest, started.getValue() - goneAtNanos.get(number - firstFlood));
         }
       }
       best = Math.min(best, latest);
     }
-    assertTrue(best <= LATEST, "an attempt began " + best + " ns after its client had gone");
+    assertTrue(
+        best <= MAX_START_DELAY_NANOS,
+        "an attempt started " + best + " ns after its client had disconnected");
     assertEquals(
-        Set.of(), gateway.begunTooLate, "nothing begins once the going has been dealt with");
+        Set.of(),
+        gateway.startedAfterClientGone,
+        "no attempt starts once the disconnect has been handled");
     over.set(true);
-    assertTrue(meanwhile.get() > 0);
-    gateway.assertNothingKept();
-    // The engine has read of each request that it has to run it, and then that it is given up.
+    assertTrue(servedMeanwhile.get() > 0);
+    gateway.assertTablesEmpty();
+    // The engine receives a cancel command for each request that it received.
     await(() -> engine.count("ASK") == engine.count("QUIT"));
-    await(() -> gateway.held("deadlines") < 30);
-    assertTrue(gateway.held("connections") <= 16);
+    await(() -> gateway.tableSize("deadlines") < 30);
+    assertTrue(gateway.tableSize("connections") <= 16);
   }
 
   @Test
-  void aFloodThatHasGoneBeforeItIsReadIsNotTaken() throws Exception {
-    gateway.sendTo = q -> ENGINE;
-    CountDownLatch go = gateway.hold();
+  void ignoresRequestsOfClientsGoneBeforeRead() throws Exception {
+    gateway.forwardTo = query -> ENGINE;
+    CountDownLatch resume = gateway.pauseLoop();
     CompletableFuture<Void> filled = new CompletableFuture<>();
     FakeEngine.daemon(
         () -> {
           try (ThriftClient filler = new ThriftClient(gateway.config.listen())) {
-            byte[] words = bytes(ThriftMessages.interrupt(1, 1)); // of nothing: owed no answer
-            byte[] many = new byte[words.length * 10_000];
-            for (int at = 0; at < many.length; at += words.length) {
-              System.arraycopy(words, 0, many, at, words.length);
+            byte[] interrupt = bytes(ThriftMessages.interrupt(1, 1)); // of no request: gets no response
+            byte[] batch = new byte[interrupt.length * 10_000];
+            for (int at = 0; at < batch.length; at += interrupt.length) {
+              System.arraycopy(interrupt, 0, batch, at, interrupt.length);
             }
-            for (int sent = 0;
-                sent < 6 << 20;
-                sent += many.length) { // more than may wait for the loop
-              filler.raw(many);
+            // More bytes than may be queued for the loop.
+            for (int sent = 0; sent < 6 << 20; sent += batch.length) {
+              filler.raw(batch);
             }
             filled.complete(null);
           } catch (IOException e) {
             filled.completeExceptionally(e);
           }
         });
-    gateway.awaitFull();
+    gateway.awaitLoopFull();
     for (int i = 0; i < 8; i++) {
-      flood(i, false, MAX_OPEN / 2); // no more than the system takes at once
+      flood(i, false, MAX_OPEN / 2); // no more than the socket buffers hold
     }
-    go.countDown();
+    resume.countDown();
     filled.get();
-    gateway.allHasBeenDealtWith();
-    gateway.assertNothingKept();
-    assertNull(gateway.told.stream().filter(Query.class::isInstance).findFirst().orElse(null));
+    gateway.awaitHandled();
+    gateway.assertTablesEmpty();
+    assertNull(gateway.events.stream().filter(Query.class::isInstance).findFirst().orElse(null));
   }
 
-  // ---- In pieces, all at once, slowly ----
+  // ---- Byte by byte, all at once, slowly ----
 
   /**
-   * What a client says: a query, one that is given up again, whether the gateway is ready, and no
-   * method.
+   * Returns the messages of a client: a query, a query that is interrupted, a check, an unknown
+   * method and a query of an unknown class.
    */
-  private static List<byte[]> words(long ids) {
+  private static List<byte[]> sampleMessages(long ids) {
     return List.of(
         execute(1, String.format("%016x", ids), "quick", "select 1 /* pages */ from sales_1.a"),
-        execute(2, String.format("%016x", ids + 1), HELD, "select 2"),
+        execute(2, String.format("%016x", ids + 1), HELD_CLASS, "select 2"),
         bytes(ThriftMessages.interrupt(3, 2)),
         bytes(ThriftMessages.check(4)),
         bytes(ThriftMessages.unknown(5)),
         execute(6, String.format("%016x", ids + 2), "strange", "select 3"));
   }
 
-  private static Map<Integer, Reply> replies(ThriftClient c, int count) throws IOException {
+  private static Map<Integer, Reply> replies(ThriftClient client, int count) throws IOException {
     Map<Integer, Reply> replies = new TreeMap<>();
     for (int i = 0; i < count; i++) {
-      Reply reply = c.reply();
-      assertNull(replies.put(reply.seq(), reply), "one answer to each");
+      Reply reply = client.reply();
+      assertNull(replies.put(reply.seq(), reply), "one response to each");
     }
     return replies;
   }
 
   @Test
-  void messagesInPiecesOfOneByteAreAnsweredAsWholeOnes() throws Exception {
-    gateway.sendTo = q -> q.queryClass() == 0 ? OTHER : ENGINE;
-    Map<Integer, Reply> whole;
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      for (byte[] message : words(0x100)) {
-        c.raw(message);
+  void decodesMessagesReceivedByteByByte() throws Exception {
+    gateway.forwardTo = query -> query.queryClass() == 0 ? OTHER_ENGINE : ENGINE;
+    Map<Integer, Reply> expected;
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      for (byte[] message : sampleMessages(0x100)) {
+        client.raw(message);
       }
-      whole = replies(c, 4);
+      expected = replies(client, 4);
     }
-    assertEquals(Set.of(1, 4, 5, 6), whole.keySet(), "what was given up is owed nothing");
-    assertEquals(FakeEngine.ROW.repeat(6), whole.get(1).body());
-    try (ThriftClient c = new ThriftClient(gateway.config.listen());
+    assertEquals(Set.of(1, 4, 5, 6), expected.keySet(), "an interrupted request gets no response");
+    assertEquals(FakeEngine.ROW.repeat(6), expected.get(1).body());
+    try (ThriftClient client = new ThriftClient(gateway.config.listen());
         ThriftClient fence = new ThriftClient(gateway.config.listen())) {
-      for (byte[] message : words(0x200)) {
+      for (byte[] message : sampleMessages(0x200)) {
         for (int i = 0; i < message.length; i++) {
-          c.raw(new byte[] {message[i]});
+          client.raw(new byte[] {message[i]});
           if (i <= Integer.BYTES || i % 16 == 0 || i == message.length - 2) {
-            fence.check(); // so that it is read alone, as in allHasBeenDealtWith
+            fence.check(); // so that the bytes are read separately, as in awaitHandled
             fence.check();
           }
         }
       }
-      assertEquals(whole, replies(c, 4));
+      assertEquals(expected, replies(client, 4));
     }
   }
 
   @Test
-  void fortyMessagesInOnePieceAreAnsweredEachOnce() throws Exception {
-    gateway.sendTo = q -> OTHER;
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
+  void respondsOnceToEachOfFortyPipelinedMessages() throws Exception {
+    gateway.forwardTo = query -> OTHER_ENGINE;
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
       ByteArrayOutputStream piece = new ByteArrayOutputStream();
       for (int i = 1; i <= 40; i++) {
         piece.write(execute(i, String.format("%016x", i), "quick", "select 1"));
       }
-      c.raw(piece.toByteArray());
-      Map<Integer, Reply> replies = replies(c, 40);
+      client.raw(piece.toByteArray());
+      Map<Integer, Reply> replies = replies(client, 40);
       long served = replies.values().stream().filter(r -> r.body().equals(FakeEngine.ROW)).count();
-      long refused = replies.values().stream().filter(r -> r.kind().equals("BUSY")).count();
+      long rejected = replies.values().stream().filter(r -> r.kind().equals("BUSY")).count();
       assertTrue(served >= MAX_OPEN, served + " served");
       assertEquals(
-          40, served + refused, "those that there was no room for are refused, and nothing else");
+          40, served + rejected, "requests beyond the limit are rejected, and nothing else");
       piece.reset();
       for (int i = 41; i <= 80; i++) {
         piece.write(
@@ -276,8 +281,8 @@
                 ? bytes(ThriftMessages.check(i))
                 : execute(i, String.format("%016x", i), "quick", "select 1"));
       }
-      c.raw(piece.toByteArray());
-      replies = replies(c, 40);
+      client.raw(piece.toByteArray());
+      replies = replies(client, 40);
       assertEquals(8, replies.values().stream().filter(r -> r.body().isEmpty()).count());
       assertEquals(
           32, replies.values().stream().filter(r -> r.body().equals(FakeEngine.ROW)).count());
@@ -285,53 +290,53 @@
   }
 
   @Test
-  void aClientThatWritesSlowlyIsAnsweredAndTakesNobodysTime() throws Exception {
-    gateway.sendTo = q -> OTHER;
+  void slowWriterDoesNotDelayOtherClients() throws Exception {
+    gateway.forwardTo = query -> OTHER_ENGINE;
     boolean answered = false;
     for (int attempt = 0; attempt < 10 && !answered; attempt++) {
       long start = System.nanoTime();
       try (ThriftClient slow = new ThriftClient(gateway.config.listen());
-          ThriftClient c = new ThriftClient(gateway.config.listen())) {
+          ThriftClient client = new ThriftClient(gateway.config.listen())) {
         byte[] message = execute(1, String.format("%016x", attempt), "quick", "select 1");
         for (int i = 0; i < message.length; i++) {
           slow.raw(new byte[] {message[i]});
-          if (i % 20 == 0) { // while it is in the middle of its words, others ask and are answered
-            assertEquals("ANSWER", c.run("select 1", "limit", "20000").kind());
+          if (i % 20 == 0) { // other clients are served while the message is incomplete
+            assertEquals("ANSWER", client.run("select 1", "limit", "20000").kind());
           }
         }
         assertEquals(FakeEngine.ROW, slow.reply().body());
         answered = true;
       } catch (IOException e) {
-        // One that takes 2 s for its words is closed: then this machine was too busy to tell.
-        assertTrue(System.nanoTime() - start > 1_500 * MILLISECOND, "ended: " + e);
+        // A client that takes 2 s for a message is closed: then this machine was too busy to judge.
+        assertTrue(System.nanoTime() - start > 1_500 * NANOS_PER_MILLI, "ended: " + e);
       }
     }
     assertTrue(answered);
   }
 
   @Test
-  void aClientThatReadsSlowlyGetsAllOfItsAnswersAndTakesNobodysTime() throws Exception {
-    gateway.sendTo = q -> q.queryClass() == 0 ? ENGINE : OTHER;
+  void slowReaderGetsAllResponsesWithoutDelayingOthers() throws Exception {
+    gateway.forwardTo = query -> query.queryClass() == 0 ? ENGINE : OTHER_ENGINE;
     String result = RecordingEngine.PAGE.repeat(RecordingEngine.PAGES);
     try (Socket slow = new Socket();
-        ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      slow.setReceiveBufferSize(4 * 1024); // so that little is on its way unread
+        ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      slow.setReceiveBufferSize(4 * 1024); // so that few unread bytes are buffered
       slow.connect(gateway.config.listen());
       slow.setSoTimeout(15_000);
-      int asked = 4 * MAX_OPEN; // more bytes of answers than the system holds for a connection
-      for (int i = 1; i <= asked; i++) {
+      int requests = 4 * MAX_OPEN; // more response bytes than the socket buffers hold
+      for (int i = 1; i <= requests; i++) {
         slow.getOutputStream().write(execute(i, String.format("%016x", i), "quick", "select 1"));
         if (i % MAX_OPEN == 0) {
           int served = i;
-          await(() -> engine.count("FREE") == served); // and none is read
+          await(() -> engine.count("FREE") == served); // and no response is read
         }
       }
       for (int i = 0; i < 100; i++) {
-        assertEquals(FakeEngine.ROW, c.run("select 1", "verb", HELD, "limit", "20000").body());
+        assertEquals(FakeEngine.ROW, client.run("select 1", "verb", HELD_CLASS, "limit", "20000").body());
       }
       Set<Integer> answered = new HashSet<>();
       DataInputStream in = new DataInputStream(slow.getInputStream());
-      for (int i = 1; i <= asked; i++) {
+      for (int i = 1; i <= requests; i++) {
         byte[] frame = new byte[in.readInt()];
         for (int at = 0; at < frame.length; at += 997) {
           in.readFully(frame, at, Math.min(997, frame.length - at));
@@ -339,22 +344,23 @@
         Reply reply = ThriftMessages.reply(frame);
         assertEquals(result, reply.body());
         answered.add(reply.seq());
-        assertEquals(FakeEngine.ROW, c.run("select 1", "verb", HELD, "limit", "20000").body());
+        assertEquals(FakeEngine.ROW, client.run("select 1", "verb", HELD_CLASS, "limit", "20000").body());
       }
-      assertEquals(asked, answered.size());
+      assertEquals(requests, answered.size());
     }
-    gateway.assertNothingKept();
+    gateway.assertTablesEmpty();
   }
 
-  // ---- Nothing at all for a while ----
+  // ---- Idle periods ----
 
   /**
-   * A gateway as it is run, with connections that rest for 0.4 s at most, so that 3 s are as a
-   * minute is. Its classes have so much time that a busy machine gives no reason to refuse.
+   * Runs a gateway process that closes engine connections after 0.4 s of idle time, so that 3 s
+   * correspond to a minute in production. Its classes have such long deadlines that a busy machine
+   * causes no rejections.
    */
   @Test
-  void aGatewayThatHadNothingToDoServesABurstAtOnce() throws Exception {
-    try (FakeEngine late = new FakeEngine();
+  void servesBurstAfterIdlePeriod() throws Exception {
+    try (FakeEngine replacement = new FakeEngine();
         FakeChangeLog log = new FakeChangeLog(1)) {
       log.speaksEach(100);
       String text =
@@ -363,38 +369,41 @@
               .replace("\"dialTimeout\":250000000", "\"dialTimeout\":9000000000")
               .replace("\"giveUp\":3000000000", "\"giveUp\":20000000000")
               .replace("\"quotaPerS\":1000", "\"quotaPerS\":100000");
-      serveAfterIdling(text, log, late);
+      assertServesAfterIdlePeriod(text, log, replacement);
     }
   }
 
-  private void serveAfterIdling(String text, FakeChangeLog log, FakeEngine late) throws Exception {
+  private void assertServesAfterIdlePeriod(String text, FakeChangeLog log, FakeEngine replacement) throws Exception {
     Path own = Files.createDirectory(folder.resolve("idle"));
     try (GatewayProcess process = new GatewayProcess(own, text);
-        ThriftClient resting = process.ready()) {
+        ThriftClient idleClient = process.ready()) {
       for (byte b : bytes(ThriftMessages.check(1))) {
-        resting.raw(new byte[] {b});
+        idleClient.raw(new byte[] {b});
       }
-      assertTrue(resting.reply().good());
-      burst(process);
+      assertTrue(idleClient.reply().good());
+      runBurst(process);
       int hellos = log.hellos.size();
-      long until =
-          System.nanoTime() + 3_000 * MILLISECOND; // longer than a silent watch counts as alive
-      await(
-          () -> System.nanoTime() > until && other.open() == 0); // none is left that could be stale
+      // Longer than a silent change log connection counts as alive.
+      long until = System.nanoTime() + 3_000 * NANOS_PER_MILLI;
+      // No connection is left that could be stale.
+      await(() -> System.nanoTime() > until && other.open() == 0);
       int before = other.connections();
-      burst(process);
-      assertTrue(other.connections() > before, "by connections of its own");
+      runBurst(process);
+      assertTrue(other.connections() > before, "over new connections");
       assertEquals(
-          "ANSWER", resting.run("select 1", "limit", "20000").kind(), "one that has only rested");
-      assertEquals(hellos, log.hellos.size(), "the watch was kept, since the log went on speaking");
-      log.add(2, late, 0);
+          "ANSWER",
+          idleClient.run("select 1", "limit", "20000").kind(),
+          "a client that was idle is served");
+      assertEquals(
+          hellos, log.hellos.size(), "the change log connection is kept, since the log sent events");
+      log.add(2, replacement, 0);
       log.add(1, other, 2);
-      try (ThriftClient c = process.ready()) {
+      try (ThriftClient client = process.ready()) {
         await(
             () -> {
               try {
-                return c.run("select 1", "limit", "20000").kind().equals("ANSWER")
-                    && late.count("ASK") > 0;
+                return client.run("select 1", "limit", "20000").kind().equals("ANSWER")
+                    && replacement.count("ASK") > 0;
               } catch (IOException e) {
                 return false;
               }
@@ -403,25 +412,25 @@
     }
   }
 
-  private static void burst(GatewayProcess process) throws Exception {
+  private static void runBurst(GatewayProcess process) throws Exception {
     List<ThriftClient> clients = new ArrayList<>();
     try {
       for (int i = 0; i < 8; i++) {
-        ThriftClient c = new ThriftClient(process.listen);
-        clients.add(c);
+        ThriftClient client = new ThriftClient(process.listen);
+        clients.add(client);
         for (int k = 0; k < MAX_OPEN; k++) {
-          c.execute("select 1", "limit", "20000");
+          client.execute("select 1", "limit", "20000");
         }
       }
-      for (ThriftClient c : clients) {
+      for (ThriftClient client : clients) {
         for (int k = 0; k < MAX_OPEN; k++) {
-          assertEquals("ANSWER", c.reply().kind(), "no early refusal");
+          assertEquals("ANSWER", client.reply().kind(), "no early rejection");
         }
-        assertTrue(c.check());
+        assertTrue(client.check());
       }
     } finally {
-      for (ThriftClient c : clients) {
-        c.close();
+      for (ThriftClient client : clients) {
+        client.close();
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
@@ -27,36 +27,36 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * What is owed when something ends, on real connections, with the bad order made to happen: a dial
- * that is up only after the client has left, a connection that takes nothing, a cancel that has
- * come before the request is dealt with, bytes that come to a connection that is being closed. See
- * docs/design/endings.md.
+ * Guards against requests sent after their end and lost responses, by forcing a critical order of
+ * events on real connections: a connect that succeeds after the client has gone, a blocked
+ * connection, a cancellation received before its request is handled, input on a connection that is
+ * being closed. See docs/design/endings.md.
  */
 @Timeout(60)
 class ConnectionCloseTest extends GatewayHarness {
   private static final String ENGINE = "s-00000001";
-  private static final String OTHER = "s-00000002";
+  private static final String OTHER_ENGINE = "s-00000002";
 
-  /** Statements so long that a few of them fill a connection which takes nothing. */
-  private static final String LONG = "select '" + "x".repeat(60_000) + "'";
+  /** A statement so long that a few of them fill the buffers of a blocked connection. */
+  private static final String LONG_STATEMENT = "select '" + "x".repeat(60_000) + "'";
 
   private PausedPeer engine;
   private FakeEngine other;
   private FakeChangeLog changeLog;
 
-  /** How a client goes. */
-  enum Leaving {
+  /** How a client abandons its request. */
+  enum Departure {
     CLOSE,
     RESET,
     HALF_CLOSE,
     INTERRUPT;
 
-    void go(ThriftClient c, int seq) throws IOException {
+    void apply(ThriftClient client, int seq) throws IOException {
       switch (this) {
-        case CLOSE -> c.close();
-        case RESET -> c.reset();
-        case HALF_CLOSE -> c.halfClose();
-        default -> c.interrupt(seq);
+        case CLOSE -> client.close();
+        case RESET -> client.reset();
+        case HALF_CLOSE -> client.halfClose();
+        default -> client.interrupt(seq);
       }
     }
   }
@@ -73,9 +73,9 @@
                 engine.address(),
                 other.address())
             .replace("\"dialTimeout\":250000000", "\"dialTimeout\":9000000000");
-    serve(text, a -> scripted());
-    next(SchedulerSettings.class);
-    next(List.class);
+    startGateway(text, a -> scriptedScheduler());
+    nextEvent(SchedulerSettings.class);
+    nextEvent(List.class);
   }
 
   @AfterEach
@@ -86,116 +86,118 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Leaving.class)
-  void aQueryWhoseClientLeavesWhileItsDialHangsIsNeverSent(Leaving how) throws Exception {
-    engine.holdDials();
-    ThriftClient c = new ThriftClient(config.listen());
-    int seq = c.execute("select 1");
-    Query q = next(Query.class);
-    act(() -> actions.forward(q.id(), ENGINE, 0));
-    how.go(c, seq);
-    assertEquals("leave " + q.id(), next(String.class));
-    act(() -> actions.checkHealth(ENGINE));
-    engine.releaseDials();
-    // The probe waited for the same connection: what was to be sent before it comes before it.
-    assertEquals(List.of("INFO p0"), engine.accept().linesUpTo("INFO"));
-    c.close();
+  @EnumSource(Departure.class)
+  void doesNotSendQueryOfClientGoneDuringConnect(Departure departure) throws Exception {
+    engine.blockConnects();
+    ThriftClient client = new ThriftClient(config.listen());
+    int seq = client.execute("select 1");
+    Query query = nextEvent(Query.class);
+    runOnLoop(() -> actions.forward(query.id(), ENGINE, 0));
+    departure.apply(client, seq);
+    assertEquals("clientGone " + query.id(), nextEvent(String.class));
+    runOnLoop(() -> actions.checkHealth(ENGINE));
+    engine.unblockConnects();
+    // The health check waited for the same connection: a query would be sent before it.
+    assertEquals(List.of("INFO p0"), engine.accept().readLinesUntil("INFO"));
+    client.close();
   }
 
   @Test
-  void aQueryWhoseEngineLeavesWhileItsDialHangsGoesBackAsOneThatNeverRan() throws Exception {
-    engine.holdDials();
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      c.execute("select 1", "verb", "once");
-      Query q = next(Query.class);
-      act(() -> actions.forward(q.id(), ENGINE, 0));
-      await(() -> held("connections") == 1);
-      allowed = false;
+  void listChangeDuringConnectEndsAttemptAsNotSent() throws Exception {
+    engine.blockConnects();
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      client.execute("select 1", "verb", "once");
+      Query query = nextEvent(Query.class);
+      runOnLoop(() -> actions.forward(query.id(), ENGINE, 0));
+      await(() -> tableSize("connections") == 1);
+      startAllowed = false;
       changeLog.add(1, other, 1);
-      assertEquals(EngineEndpoint.class, next(List.class).get(0).getClass());
-      AttemptResult end = next(AttemptResult.class);
+      assertEquals(EngineEndpoint.class, nextEvent(List.class).get(0).getClass());
+      AttemptResult end = nextEvent(AttemptResult.class);
       assertEquals(
           AttemptOutcome.NOT_SENT,
           end.outcome(),
-          "told when the list tells, not when the dial comes up");
-      allowed = true;
-      act(() -> actions.forward(q.id(), OTHER, 0));
-      assertEquals(FakeEngine.ROW, c.reply().body());
-      engine.releaseDials();
-      act(() -> actions.checkHealth(ENGINE));
-      assertEquals(List.of("INFO p0"), engine.accept().linesUpTo("INFO"));
+          "reported when the list changes, not when the connect succeeds");
+      startAllowed = true;
+      runOnLoop(() -> actions.forward(query.id(), OTHER_ENGINE, 0));
+      assertEquals(FakeEngine.ROW, client.reply().body());
+      engine.unblockConnects();
+      runOnLoop(() -> actions.checkHealth(ENGINE));
+      assertEquals(List.of("INFO p0"), engine.accept().readLinesUntil("INFO"));
     }
   }
 
   @ParameterizedTest
-  @EnumSource(Leaving.class)
-  void aQueryThatIsGivenUpBeforeItIsDealtWithIsNeverSent(Leaving how) throws Exception {
-    // The module asks for an attempt as soon as it hears of the query, as it does in service.
-    sendAtOnceTo = ENGINE;
-    ThriftClient c = new ThriftClient(config.listen());
-    act(() -> actions.checkHealth(ENGINE));
-    Connection connection = engine.accept(); // it is up: nothing waits for a dial
-    assertEquals(List.of("INFO p0"), connection.linesUpTo("INFO"));
-    CountDownLatch go = hold();
-    int seq = c.execute("select 1");
-    allHasBeenRead();
-    how.go(c, seq);
-    allHasBeenRead();
-    go.countDown();
-    next(Query.class);
-    assertTrue(next(String.class).startsWith("leave "));
-    act(() -> actions.checkHealth(ENGINE));
-    assertEquals(List.of("INFO p1"), connection.linesUpTo("INFO"), "what has come counts first");
-    c.close();
+  @EnumSource(Departure.class)
+  void doesNotSendQueryCancelledBeforeHandling(Departure departure) throws Exception {
+    // The scheduler forwards the query as soon as it arrives, as in production.
+    forwardImmediatelyTo = ENGINE;
+    ThriftClient client = new ThriftClient(config.listen());
+    runOnLoop(() -> actions.checkHealth(ENGINE));
+    Connection connection = engine.accept(); // established: no attempt waits for a connect
+    assertEquals(List.of("INFO p0"), connection.readLinesUntil("INFO"));
+    CountDownLatch resume = pauseLoop();
+    int seq = client.execute("select 1");
+    awaitSocketsRead();
+    departure.apply(client, seq);
+    awaitSocketsRead();
+    resume.countDown();
+    nextEvent(Query.class);
+    assertTrue(nextEvent(String.class).startsWith("clientGone "));
+    runOnLoop(() -> actions.checkHealth(ENGINE));
+    assertEquals(List.of("INFO p1"), connection.readLinesUntil("INFO"), "received events are handled first");
+    client.close();
   }
 
   /**
-   * Sends until the connection takes nothing: one request is on it in part, and one waits behind
-   * it.
+   * Sends requests until the connection is blocked: one request is partly written, and one waits
+   * behind it.
    */
-  private Connection stuck(List<ThriftClient> fillers) throws Exception {
+  private Connection blockConnection(List<ThriftClient> fillers) throws Exception {
     Connection connection = null;
     String first = null;
-    for (int quiet = 0; quiet < 40 && fillers.size() < 120; ) {
-      if (held("unsentAttempts") > 0) {
-        // The system tells late that it has room again; a further word makes it take what it can.
+    for (int retries = 0; retries < 40 && fillers.size() < 120; ) {
+      if (tableSize("unsentAttempts") > 0) {
+        // The operating system reports free buffer space late; a further command makes it accept
+        // what it can.
         String query = first;
-        int priority = 2 + quiet++ % 2;
-        act(() -> actions.setResources(query, 0, priority));
+        int priority = 2 + retries++ % 2;
+        runOnLoop(() -> actions.setResources(query, 0, priority));
         Thread.sleep(5);
         continue;
       }
-      quiet = 0;
+      retries = 0;
       ThriftClient filler = new ThriftClient(config.listen());
       fillers.add(filler);
-      filler.execute(LONG, "limit", "60000");
-      Query q = next(Query.class);
-      first = first == null ? q.id() : first;
-      act(() -> actions.forward(q.id(), ENGINE, 0));
+      filler.execute(LONG_STATEMENT, "limit", "60000");
+      Query query = nextEvent(Query.class);
+      first = first == null ? query.id() : first;
+      runOnLoop(() -> actions.forward(query.id(), ENGINE, 0));
       connection = connection == null ? engine.accept() : connection;
     }
-    assertEquals(1, held("unsentAttempts"));
+    assertEquals(1, tableSize("unsentAttempts"));
     return connection;
   }
 
   @Test
-  void whatWaitsBehindAConnectionThatTakesNothingCanStillBeEnded() throws Exception {
+  void cancelsAttemptWaitingBehindBlockedConnection() throws Exception {
     List<ThriftClient> fillers = new ArrayList<>();
     try {
-      Connection connection = stuck(fillers);
-      ThriftClient c =
-          new ThriftClient(config.listen()); // only now: one that is silent for 2 s is ended
-      fillers.add(c);
-      int seq = c.execute("select 'the one'");
-      Query q = next(Query.class);
-      act(() -> actions.forward(q.id(), ENGINE, 0));
-      c.interrupt(seq);
-      assertEquals("leave " + q.id(), next(String.class));
-      act(() -> actions.checkHealth(ENGINE));
-      List<String> lines = connection.linesUpTo("INFO");
-      assertTrue(lines.size() > 2, "the connection goes on: " + lines.size());
+      Connection connection = blockConnection(fillers);
+      // Connects only now, since a client that is silent for 2 s is closed.
+      ThriftClient client = new ThriftClient(config.listen());
+      fillers.add(client);
+      int seq = client.execute("select 'the one'");
+      Query query = nextEvent(Query.class);
+      runOnLoop(() -> actions.forward(query.id(), ENGINE, 0));
+      client.interrupt(seq);
+      assertEquals("clientGone " + query.id(), nextEvent(String.class));
+      runOnLoop(() -> actions.checkHealth(ENGINE));
+      List<String> lines = connection.readLinesUntil("INFO");
+      assertTrue(lines.size() > 2, "the connection stays open: " + lines.size());
       assertTrue(
-          lines.stream().noneMatch(l -> l.contains(q.id())), "neither it nor that it is given up");
+          lines.stream().noneMatch(l -> l.contains(query.id())),
+          "neither the request nor its cancellation is sent");
     } finally {
       for (ThriftClient f : fillers) {
         f.close();
@@ -204,26 +206,26 @@
   }
 
   @Test
-  void aRequestGivenUpWhileItIsHalfWrittenDoesNotArriveLater() throws Exception {
+  void withdrawnPartlyWrittenRequestDoesNotArrive() throws Exception {
     List<ThriftClient> fillers = new ArrayList<>();
     try {
-      Connection connection = stuck(fillers);
-      int whole = fillers.size();
+      Connection connection = blockConnection(fillers);
+      int total = fillers.size();
       for (ThriftClient f : fillers) {
         f.close();
       }
-      await(
-          () -> held("connections") == 0); // it was ended, since it could not be kept from leaving
+      // The gateway has closed the connection, since the rest of the request could not be withdrawn.
+      await(() -> tableSize("connections") == 0);
       int requests = 0;
       String line;
       try {
-        while ((line = connection.request()) != null) {
+        while ((line = connection.readRequest()) != null) {
           requests += line.startsWith("ASK") ? 1 : 0;
         }
       } catch (IOException e) {
-        // a reset: nothing more comes, whole or not
+        // a reset: nothing more is received
       }
-      assertTrue(requests < whole, requests + " of " + whole + " came whole");
+      assertTrue(requests < total, requests + " of " + total + " were received completely");
     } finally {
       for (ThriftClient f : fillers) {
         f.close();
@@ -232,44 +234,45 @@
   }
 
   @Test
-  void whatIsOwedIsWrittenBeforeAConnectionOnWhichNonsenseFollowsEnds() throws Exception {
+  void writesPendingResponseBeforeClosingOnUndecodableInput() throws Exception {
     for (int i = 0; i < 3; i++) {
-      try (ThriftClient c = new ThriftClient(config.listen())) {
-        CountDownLatch go = hold();
-        c.checkAndNonsense(2_000);
-        allHasBeenRead();
-        go.countDown();
-        for (int mb = 0; mb < 16; mb++) { // more than the system holds unread: a reset would end it
-          c.raw(new byte[1 << 20]);
+      try (ThriftClient client = new ThriftClient(config.listen())) {
+        CountDownLatch resume = pauseLoop();
+        client.checkAndNonsense(2_000);
+        awaitSocketsRead();
+        resume.countDown();
+        // More than the socket buffers hold: a reset would make a write fail.
+        for (int mb = 0; mb < 16; mb++) {
+          client.raw(new byte[1 << 20]);
         }
-        assertFalse(c.reply().good(), "the answer to what could be read");
-        assertTrue(c.ended(), "and then the end, no reset");
+        assertFalse(client.reply().good(), "the response to the valid message");
+        assertTrue(client.ended(), "then closed without a reset");
       }
     }
   }
 
   @Test
-  void anEngineReadsThatARequestIsGivenUpThoughItsOwnWordsAreOnTheirWay() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      c.execute("select 1");
-      Query q = next(Query.class);
-      act(() -> actions.forward(q.id(), ENGINE, 0));
+  void cancelReachesEngineThatSentUndecodableData() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      client.execute("select 1");
+      Query query = nextEvent(Query.class);
+      runOnLoop(() -> actions.forward(query.id(), ENGINE, 0));
       Connection connection = engine.accept();
-      assertTrue(connection.request().startsWith("ASK"));
-      CountDownLatch go = hold();
+      assertTrue(connection.readRequest().startsWith("ASK"));
+      CountDownLatch resume = pauseLoop();
       FakeEngine.daemon(
           () -> {
             try {
-              connection.say("nonsense\r\n" + "x".repeat(500_000));
+              connection.write("nonsense\r\n" + "x".repeat(500_000));
             } catch (IOException e) {
-              // as far as it is read
+              // the gateway closes the connection before all is read
             }
           });
-      act(() -> actions.cancelAttempt(q.id(), 0));
-      go.countDown();
-      assertEquals("QUIT " + q.id(), connection.line());
-      assertNull(connection.line(), "and then the end, no reset");
-      assertEquals(AttemptOutcome.CANCELLED, next(AttemptResult.class).outcome());
+      runOnLoop(() -> actions.cancelAttempt(query.id(), 0));
+      resume.countDown();
+      assertEquals("QUIT " + query.id(), connection.readLine());
+      assertNull(connection.readLine(), "then closed without a reset");
+      assertEquals(AttemptOutcome.CANCELLED, nextEvent(AttemptResult.class).outcome());
     }
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
@@ -26,71 +26,71 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * A list of engines that changes just as it may not be heard of, with the module that decides in
- * service: a configuration that moves the log while an engine begins to drain, and a watch that
- * falls silent.
+ * Guards against requests to a draining engine, with the production scheduler, when the change of
+ * the endpoint list is easily missed: the configuration changes the address of the change log while
+ * the engine starts to drain, or the change log falls silent within a list.
  */
 @Timeout(60)
 class EndpointListOrderingTest extends GatewayHarness {
-  private FakeEngine drains;
-  private FakeEngine stays;
+  private FakeEngine draining;
+  private FakeEngine staying;
   private PausedPeer log;
-  private Connection watch;
+  private Connection logConnection;
   private ThriftClient client;
 
   @BeforeEach
   void start() throws Exception {
-    drains = new FakeEngine();
-    stays = new FakeEngine();
+    draining = new FakeEngine();
+    staying = new FakeEngine();
     log = new PausedPeer();
-    observer =
+    outcomeListener =
         new EngineOutcomeListener() {
           @Override
-          public void onEndpoints(boolean whole, List<EngineMember> members) {
-            told.add(members);
+          public void onEndpoints(boolean complete, List<EngineMember> members) {
+            events.add(members);
           }
 
           @Override
-          public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean judged) {
-            // not looked at
+          public void onAttemptEnded(String engine, AttemptOutcome outcome, boolean wanted) {
+            // not used
           }
         };
-    serve(text(GatewayProcess.freeAddress(), log), QueryScheduler::new);
-    assertEquals(2, next(List.class).size());
-    watch = log.accept();
-    assertEquals(1, watch.number());
+    startGateway(text(GatewayProcess.freeAddress(), log), QueryScheduler::new);
+    assertEquals(2, nextEvent(List.class).size());
+    logConnection = log.accept();
+    assertEquals(1, logConnection.readEventNumber());
     client = new ThriftClient(config.listen());
     await(
         () ->
-            alive()
-                && ask()
-                && drains.count("ASK") > 0
-                && stays.count("ASK") > 0); // both are in use
+            sendsHeartbeat()
+                && runsQuery()
+                && draining.count("ASK") > 0
+                && staying.count("ASK") > 0); // both are in use
   }
 
   @AfterEach
   void end() throws IOException {
     client.close();
-    drains.close();
-    stays.close();
+    draining.close();
+    staying.close();
     log.close();
   }
 
   private String text(InetSocketAddress listen, PausedPeer changeLog) {
-    return GatewayProcess.config(listen, changeLog.address(), drains.address(), stays.address());
+    return GatewayProcess.config(listen, changeLog.address(), draining.address(), staying.address());
   }
 
-  /** The log says that nothing is new: its watch is alive. */
-  private boolean alive() {
+  /** Sends a heartbeat of the change log; returns false if the connection is broken. */
+  private boolean sendsHeartbeat() {
     try {
-      watch.say(WatchSocketsTest.frame(1, WatchSocketsTest.NOTHING));
+      logConnection.write(ChangeLogClientTest.frame(1, ChangeLogClientTest.HEARTBEAT));
       return true;
     } catch (IOException e) {
       return false;
     }
   }
 
-  private boolean ask() {
+  private boolean runsQuery() {
     try {
       return client.run("select 1").kind().equals("ANSWER");
     } catch (IOException e) {
@@ -98,109 +98,108 @@
     }
   }
 
-  /** A frame that tells of both engines, one of which has that state. */
-  private byte[] list(long number, int kind, int state) {
+  /** Returns a frame with both engines, in which the draining one has the given state. */
+  private byte[] listFrame(long number, int kind, int state) {
     ByteBuffer frame =
         ByteBuffer.allocate(4 + 9 + 2 * 27).putInt(9 + 2 * 27).putLong(number).put((byte) kind);
-    byte[] here = drains.address().getAddress().getAddress();
-    WatchSocketsTest.record(frame, 1, here, drains.address().getPort(), state);
-    WatchSocketsTest.record(frame, 2, here, stays.address().getPort(), WatchSocketsTest.UP);
+    byte[] here = draining.address().getAddress().getAddress();
+    ChangeLogClientTest.record(frame, 1, here, draining.address().getPort(), state);
+    ChangeLogClientTest.record(frame, 2, here, staying.address().getPort(), ChangeLogClientTest.UP);
     return frame.array();
   }
 
-  /** The same while the loop is held; returns once it is read. */
-  private void drainsAndIsRead(Connection told) throws Exception {
+  /** While the loop is paused: sends that the engine drains, and waits until that is read. */
+  private void sendDrainAndAwaitRead(Connection connection) throws Exception {
     int before = loop.queuedBytes();
-    told.say(list(2, WatchSocketsTest.CHANGES, WatchSocketsTest.DRAINING));
+    connection.write(listFrame(2, ChangeLogClientTest.CHANGES, ChangeLogClientTest.DRAINING));
     await(() -> loop.queuedBytes() > before);
   }
 
-  private void assertNothingNewWhereItDrains(long before) {
+  private void assertDrainingEngineUnused(long before) {
     for (int i = 0; i < 20; i++) {
-      assertTrue(ask());
+      assertTrue(runsQuery());
     }
-    assertEquals(before, drains.count("ASK"));
+    assertEquals(before, draining.count("ASK"));
   }
 
   /**
-   * What the loop comes to first, or that the log told of in the configuration is the one that
-   * tells.
+   * Which event the loop handles first, or that the change log of the new configuration sends the
+   * drain.
    */
-  enum First {
-    DRAIN,
+  enum FirstEvent {
+    DRAIN_EVENT,
     CONFIGURATION,
-    CONFIGURATION_THEN_THE_NEW_LOG
+    CONFIGURATION_THEN_NEW_LOG
   }
 
   @ParameterizedTest
-  @EnumSource(First.class)
-  void nothingNewGoesToAnEngineThatDrainsAsTheLogIsMovedWhicheverIsFirst(First first)
+  @EnumSource(FirstEvent.class)
+  void drainingEngineGetsNoRequestsWhileLogAddressChanges(FirstEvent first)
       throws Exception {
-    try (PausedPeer moved = new PausedPeer()) {
-      GatewayConfig next = config(text(config.listen(), moved));
-      CountDownLatch go = hold();
+    try (PausedPeer newLog = new PausedPeer()) {
+      GatewayConfig next = config(text(config.listen(), newLog));
+      CountDownLatch resume = pauseLoop();
       for (int i = 0; i < 20; i++) {
-        client.execute("select 1"); // decided in the same turn, before all of it
+        client.execute("select 1"); // decided in the same iteration, before those events
       }
-      allHasBeenRead();
-      long before = drains.count("ASK");
-      if (first == First.DRAIN) {
-        drainsAndIsRead(watch);
+      awaitSocketsRead();
+      long before = draining.count("ASK");
+      if (first == FirstEvent.DRAIN_EVENT) {
+        sendDrainAndAwaitRead(logConnection);
       }
-      act(() -> gateway.reload(next));
-      if (first == First.CONFIGURATION) {
-        drainsAndIsRead(watch);
+      runOnLoop(() -> gateway.reload(next));
+      if (first == FirstEvent.CONFIGURATION) {
+        sendDrainAndAwaitRead(logConnection);
       }
-      go.countDown();
-      if (first == First.CONFIGURATION_THEN_THE_NEW_LOG) {
+      resume.countDown();
+      if (first == FirstEvent.CONFIGURATION_THEN_NEW_LOG) {
         for (int i = 0; i < 20; i++) {
           assertEquals("ANSWER", client.reply().kind());
         }
-        Connection later = moved.accept();
-        assertEquals(1, later.number());
-        later.say(list(2, WatchSocketsTest.CHANGES, WatchSocketsTest.DRAINING));
+        Connection newConnection = newLog.accept();
+        assertEquals(1, newConnection.readEventNumber());
+        newConnection.write(listFrame(2, ChangeLogClientTest.CHANGES, ChangeLogClientTest.DRAINING));
         assertEquals(
-            EngineState.DRAINING, ((EngineMember) next(List.class).get(0)).endpoint().state());
-        before = drains.count("ASK");
-        assertNothingNewWhereItDrains(before);
+            EngineState.DRAINING, ((EngineMember) nextEvent(List.class).get(0)).endpoint().state());
+        before = draining.count("ASK");
+        assertDrainingEngineUnused(before);
       } else {
         for (int i = 0; i < 20; i++) {
           assertEquals("ANSWER", client.reply().kind());
         }
-        assertNothingNewWhereItDrains(before); // though the new log has told nothing
-        assertEquals(2, moved.accept().number(), "from the last event held");
+        assertDrainingEngineUnused(before); // though the new log has sent nothing
+        assertEquals(2, newLog.accept().readEventNumber(), "from the last applied event");
       }
     }
   }
 
   @Test
-  void aWatchThatFallsSilentWithinAListIsDialledAgainInTimeAndAListCountsOnceItIsWhole()
+  void reconnectsAfterSilenceWithinListAndAppliesOnlyCompleteList()
       throws Exception {
-    for (int i = 0;
-        i < 14;
-        i++) { // it speaks for long, as a log does that says something each second
-      assertTrue(alive());
+    // The log sends heartbeats for long, as one that sends something each second.
+    for (int i = 0; i < 14; i++) {
+      assertTrue(sendsHeartbeat());
     }
     long silentFrom = System.nanoTime();
-    byte[] list = list(2, WatchSocketsTest.WHOLE, WatchSocketsTest.DRAINING);
-    CountDownLatch go = hold();
-    for (int i = 0; i < list.length - 1; i++) {
-      watch.say(new byte[] {list[i]});
+    byte[] frame = listFrame(2, ChangeLogClientTest.COMPLETE, ChangeLogClientTest.DRAINING);
+    CountDownLatch resume = pauseLoop();
+    for (int i = 0; i < frame.length - 1; i++) {
+      logConnection.write(new byte[] {frame[i]});
     }
-    allHasBeenRead();
-    go.countDown();
-    act(() -> told.add("all that is read is dealt with"));
-    next(String.class); // and not a list, of which the last byte is missing
+    awaitSocketsRead();
+    resume.countDown();
+    runOnLoop(() -> events.add("everything read has been handled"));
+    nextEvent(String.class); // and not a list, whose last byte is missing
     Connection again = log.accept();
     long took = System.nanoTime() - silentFrom;
     assertTrue(
         took < 2 * EndpointWatch.MAX_SILENCE,
-        "dialled again after " + took + " ns, though bytes had come");
-    assertEquals(1, again.number(), "from the last event held");
-    for (byte b : list) {
-      again.say(new byte[] {b});
+        "reconnected after " + took + " ns, though bytes had been received");
+    assertEquals(1, again.readEventNumber(), "from the last applied event");
+    for (byte b : frame) {
+      again.write(new byte[] {b});
     }
-    assertEquals(EngineState.DRAINING, ((EngineMember) next(List.class).get(0)).endpoint().state());
-    assertNothingNewWhereItDrains(drains.count("ASK"));
+    assertEquals(EngineState.DRAINING, ((EngineMember) nextEvent(List.class).get(0)).endpoint().state());
+    assertDrainingEngineUnused(draining.count("ASK"));
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/EngineConnectTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EngineConnectTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import reachloom.gateway.wire.Sockets;
 
-/** Dials that come up late, in the very moment in which they are given up. */
+/** Guards against a connect that succeeds just as it is abandoned and then blocks later ones. */
 class EngineConnectTest {
-  private static final long LONG = TimeUnit.SECONDS.toNanos(10);
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   @Test
-  void aDialGivenUpWhileItComesUpLeavesTheNextOnesAlone() throws Exception {
+  void abandonedConnectDoesNotBlockLaterConnects() throws Exception {
     CountDownLatch begun = new CountDownLatch(1);
-    CountDownLatch goOn = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     Sockets sockets = new Sockets(4);
-    try (PausedPeer any = new PausedPeer();
+    try (PausedPeer first = new PausedPeer();
         PausedPeer late = new PausedPeer();
         PausedPeer next = new PausedPeer()) {
       sockets
@@ -29,44 +29,44 @@
                 @Override
                 public void sessionOpened(IoSession session) throws InterruptedException {
                   begun.countDown();
-                  goOn.await(); // the thread that makes sessions is busy
+                  resume.await(); // the thread that creates sessions is busy
                 }
               },
-              LONG)
-          .connect(any.address());
+              TIMEOUT_NANOS)
+          .connect(first.address());
       assertTrue(begun.await(10, TimeUnit.SECONDS));
 
-      NioSocketConnector connector = sockets.connector(new IoHandlerAdapter(), LONG);
-      late.holdDials();
-      ConnectFuture first = connector.connect(late.address());
-      late.releaseDials();
+      NioSocketConnector connector = sockets.connector(new IoHandlerAdapter(), TIMEOUT_NANOS);
+      late.blockConnects();
+      ConnectFuture abandoned = connector.connect(late.address());
+      late.unblockConnects();
       late.accept();
-      awaitNoDials(); // it is up, and its session is still to be made
-      Sockets.giveUp(first);
-      goOn.countDown();
+      awaitNoConnects(); // it has succeeded, and its session is not created yet
+      Sockets.giveUp(abandoned);
+      resume.countDown();
 
-      next.holdDials();
+      next.blockConnects();
       ConnectFuture second = connector.connect(next.address());
-      next.releaseDials();
+      next.unblockConnects();
       assertTrue(
-          second.await(8, TimeUnit.SECONDS) && second.isConnected(), "the next dial comes up");
+          second.await(8, TimeUnit.SECONDS) && second.isConnected(), "the next connect succeeds");
       assertTrue(
-          first.await(8, TimeUnit.SECONDS)
-              && (first.isCanceled()
-                  || first.getSession().getCloseFuture().await(8, TimeUnit.SECONDS)),
-          "the one given up is closed");
+          abandoned.await(8, TimeUnit.SECONDS)
+              && (abandoned.isCanceled()
+                  || abandoned.getSession().getCloseFuture().await(8, TimeUnit.SECONDS)),
+          "the abandoned connection is closed");
       second.getSession().closeNow();
     } finally {
-      goOn.countDown();
+      resume.countDown();
     }
   }
 
-  /** The library's threads that wait for dials end once there are none. */
-  private static void awaitNoDials() throws InterruptedException {
-    long until = System.nanoTime() + LONG;
+  /** Waits until no connect is pending: the library's threads for connects end then. */
+  private static void awaitNoConnects() throws InterruptedException {
+    long until = System.nanoTime() + TIMEOUT_NANOS;
     while (Thread.getAllStackTraces().keySet().stream()
         .anyMatch(t -> t.getName().startsWith(NioSocketConnector.class.getSimpleName()))) {
-      assertTrue(System.nanoTime() < until, "a dial is still on its way");
+      assertTrue(System.nanoTime() < until, "a connect is still pending");
       Thread.sleep(20);
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reachloom.gateway.OrderingHarness.ENGINE;
-import static reachloom.gateway.OrderingHarness.OTHER;
+import static reachloom.gateway.OrderingHarness.OTHER_ENGINE;
 import static reachloom.gateway.OrderingHarness.await;
 
 import java.io.DataInputStream;
@@ -36,13 +36,13 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * Engines and change logs that end in a bad moment, on real connections: right behind an accept,
- * without a byte, and within a line, by their own close and by the gateway's. See
- * docs/design/endings.md.
+ * Guards against wrong outcomes and mixed-up responses when engines and change logs end a
+ * connection directly after the accept, without sending a byte, or within a line, and when the
+ * gateway closes a connection within a line. See docs/design/endings.md.
  */
 @Timeout(60)
 class EngineConnectionOrderingTest {
-  private static final int CHANGES = 2;
+  private static final int CHANGES_EVENT = 2;
 
   @TempDir Path folder;
 
@@ -51,16 +51,17 @@
   private PausedPeer changeLog;
   private OrderingHarness gateway;
 
-  /** How a peer ends that has read nothing. */
+  /** How a peer that has read nothing ends. */
   enum Kill {
-    /** Its process has taken the connection, and the system ends it in order. */
+    /** Its process has accepted the connection, which is closed gracefully. */
     CLOSE,
-    /** The same, by a reset. */
+    /** Its process has accepted the connection, which is reset. */
     RESET,
     /**
-     * Only the system has taken the connection: the process that listened ends, and it is reset.
+     * Only the operating system has accepted the connection, which is reset when the listening
+     * socket is closed.
      */
-    NEVER_TAKEN;
+    NEVER_ACCEPTED;
 
     void of(PausedPeer peer) throws IOException {
       if (this == RESET) {
@@ -93,27 +94,28 @@
   }
 
   /**
-   * A gateway that knows both engines and has asked the change log; gives the connection to the
-   * latter.
+   * Starts a gateway that knows both engines and has connected to the change log; returns the
+   * connection of the change log.
    */
-  private Connection started() throws Exception {
+  private Connection startGatewayAndLog() throws Exception {
     gateway = new OrderingHarness(folder, config(engine.address(), other.address()));
-    return asked(changeLog.accept());
+    return expectSubscription(changeLog.accept());
   }
 
-  private static Connection asked(Connection log) throws IOException {
-    assertEquals(1, log.number());
+  private static Connection expectSubscription(Connection log) throws IOException {
+    assertEquals(1, log.readEventNumber());
     return log;
   }
 
   /**
-   * An event that tells of one engine that is up, at that address and since that Unix millisecond.
+   * Returns an event with one engine that is up, at the given address and since the given Unix time
+   * in milliseconds.
    */
   private static byte[] up(int id, InetSocketAddress address, long since) {
     return ByteBuffer.allocate(4 + 9 + 27)
         .putInt(9 + 27)
         .putLong(2)
-        .put((byte) CHANGES)
+        .put((byte) CHANGES_EVENT)
         .putInt(id)
         .put(address.getAddress().getAddress())
         .putShort((short) address.getPort())
@@ -123,13 +125,13 @@
         .array();
   }
 
-  private Query taken(ThriftClient c, String statement, String... changes) throws Exception {
-    c.execute(statement, changes);
-    return gateway.next(Query.class);
+  private Query submitQuery(ThriftClient client, String statement, String... changes) throws Exception {
+    client.execute(statement, changes);
+    return gateway.nextEvent(Query.class);
   }
 
   private AttemptResult nextEnd() throws InterruptedException {
-    return gateway.next(AttemptResult.class);
+    return gateway.nextEvent(AttemptResult.class);
   }
 
   private static String answer(String id, String body) {
@@ -140,204 +142,202 @@
 
   @ParameterizedTest
   @EnumSource(Kill.class)
-  void anAttemptWhoseEngineIsKilledBehindItsAcceptNeverRanWhereNothingWasWritten(Kill kill)
+  void unwrittenAttemptIsUnreachedWhenEngineDiesAfterAccept(Kill kill)
       throws Exception {
-    started();
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      Query q = taken(c, "select 1", "verb", "once");
-      // The dial comes up and breaks before the loop hears of either.
-      CountDownLatch go = gateway.holdAfter(() -> gateway.actions.forward(q.id(), ENGINE, 0));
+    startGatewayAndLog();
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      Query query = submitQuery(client, "select 1", "verb", "once");
+      // The connection is established and lost before the loop handles either event.
+      CountDownLatch resume = gateway.pauseLoopAfter(() -> gateway.actions.forward(query.id(), ENGINE, 0));
       gateway.awaitQueued(1);
       kill.of(engine);
       gateway.awaitQueued(2);
-      go.countDown();
+      resume.countDown();
       assertEquals(AttemptOutcome.UNREACHED, nextEnd().outcome());
-      gateway.act(() -> gateway.actions.forward(q.id(), OTHER, 0));
+      gateway.runOnLoop(() -> gateway.actions.forward(query.id(), OTHER_ENGINE, 0));
       assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
-      assertEquals(FakeEngine.ROW, c.reply().body());
-      gateway.nothingMore(AttemptResult.class);
+      assertEquals(FakeEngine.ROW, client.reply().body());
+      gateway.assertNoFurther(AttemptResult.class);
     }
   }
 
   @ParameterizedTest
   @EnumSource(Kill.class)
-  void anAttemptThatWasWrittenToAnEngineKilledBehindItsAcceptMayHaveRun(Kill kill)
+  void writtenAttemptIsResetWhenEngineDiesAfterAccept(Kill kill)
       throws Exception {
-    started();
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      Query q = taken(c, "select 1", "verb", "once");
-      gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
-      await(() -> gateway.held("unsentAttempts") == 0);
-      gateway.allHasBeenDealtWith(); // so that it is written
+    startGatewayAndLog();
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      Query query = submitQuery(client, "select 1", "verb", "once");
+      gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0));
+      await(() -> gateway.tableSize("unsentAttempts") == 0);
+      gateway.awaitHandled(); // so that it is written
       kill.of(engine);
       assertEquals(
-          AttemptOutcome.RESET, nextEnd().outcome(), "the gateway can't tell that nobody read it");
-      gateway.act(() -> gateway.actions.fail(q.id()));
-      assertEquals("FAILED", c.reply().kind());
-      gateway.nothingMore(AttemptResult.class);
-      await(() -> gateway.held("connections") == 0);
+          AttemptOutcome.RESET,
+          nextEnd().outcome(),
+          "the gateway can't know that the request was not read");
+      gateway.runOnLoop(() -> gateway.actions.fail(query.id()));
+      assertEquals("FAILED", client.reply().kind());
+      gateway.assertNoFurther(AttemptResult.class);
+      await(() -> gateway.tableSize("connections") == 0);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"once,FAILED,0", "quick,ANSWER,1", "keyed,ANSWER,1"})
-  void whatWasWrittenToAnEngineThatIsKilledUnreadEndsByTheRuleOfItsClass(
+  void retriesUnreadRequestOfKilledEngineByClassRule(
       String verb, String kind, int asks) throws Exception {
     gateway = new OrderingHarness(folder, config(engine.address()), QueryScheduler::new);
-    Connection log = asked(changeLog.accept());
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      c.execute("select 1", "verb", verb, "unique", "k1", "limit", "20000");
+    Connection log = expectSubscription(changeLog.accept());
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      client.execute("select 1", "verb", verb, "unique", "k1", "limit", "20000");
       Connection connection = engine.accept();
-      await(() -> connection.unread() > 0);
-      log.say(up(2, other.address(), 0));
-      gateway.allHasBeenDealtWith();
+      await(() -> connection.availableBytes() > 0);
+      log.write(up(2, other.address(), 0));
+      gateway.awaitHandled();
       connection.socket.setSoLinger(true, 0);
       connection.socket.close();
-      assertEquals(kind, c.reply().kind());
+      assertEquals(kind, client.reply().kind());
       assertEquals(asks, other.count("ASK"));
     }
   }
 
   @Test
-  void aChangeLogThatIsKilledBehindItsAcceptsIsDialledAgainEachTime() throws Exception {
+  void reconnectsToChangeLogKilledAfterAccept() throws Exception {
     gateway = new OrderingHarness(folder, config(engine.address(), other.address()));
     InetSocketAddress address = changeLog.address();
     long start = System.nanoTime();
     for (int i = 0; i < 3; i++) {
       killUnread(changeLog.accept().socket, i % 2 == 0);
     }
-    changeLog.close(); // and now also what only the system has accepted
+    changeLog.close(); // also resets connections that only the operating system has accepted
     for (int i = 0; i < 2; i++) {
       try (ServerSocket again = new ServerSocket()) {
         again.bind(address, 1);
         again.setSoTimeout(10_000);
-        try (Socket taken = again.accept()) {
+        try (Socket accepted = again.accept()) {
           if (i == 0) {
-            killUnread(taken, true);
+            killUnread(accepted, true);
           } else {
             assertEquals(
-                1, new DataInputStream(taken.getInputStream()).readLong(), "after the same event");
-            taken.getOutputStream().write(up(3, other.address(), 0));
-            assertEquals("s-00000003", ((EngineEndpoint) gateway.next(List.class).get(0)).name());
+                1, new DataInputStream(accepted.getInputStream()).readLong(), "after the same event");
+            accepted.getOutputStream().write(up(3, other.address(), 0));
+            assertEquals("s-00000003", ((EngineEndpoint) gateway.nextEvent(List.class).get(0)).name());
           }
         }
       }
     }
-    // By silence alone each of the four would have taken 2.5 s.
+    // By the silence timeout alone each of the four reconnects would have taken 2.5 s.
     assertTrue(System.nanoTime() - start < 9_000_000_000L);
   }
 
   /**
-   * Ends a connection on which the other side is up and has spoken, with nothing read and nothing
-   * said.
+   * Ends a connection on which the gateway has sent data, without reading or sending anything.
    */
-  private static void killUnread(Socket taken, boolean reset) throws Exception {
-    Connection connection = new Connection(taken);
-    await(() -> connection.unread() > 0);
-    taken.setSoLinger(reset, 0);
-    taken.close();
+  private static void killUnread(Socket socket, boolean reset) throws Exception {
+    Connection connection = new Connection(socket);
+    await(() -> connection.availableBytes() > 0);
+    socket.setSoLinger(reset, 0);
+    socket.close();
   }
 
-  // ---- Half a line ----
+  // ---- Partial responses ----
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void halfALineOfAnEngineThatEndsCostsItsAttemptOnceAndGoesNowhereElse(boolean reset)
+  void partialResponseOfEndedConnectionEndsOnlyItsAttempt(boolean reset)
       throws Exception {
-    started();
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      String whole = answer("0123456789abcdef", "a\tb\tc\n");
+    startGatewayAndLog();
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      String complete = answer("0123456789abcdef", "a\tb\tc\n");
       for (int cut :
-          new int[] {1, 16, 19, 40, whole.indexOf('\n'), whole.length() - 5, whole.length() - 1}) {
-        Query q = taken(c, "select 1", "verb", "once");
-        gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
+          new int[] {1, 16, 19, 40, complete.indexOf('\n'), complete.length() - 5, complete.length() - 1}) {
+        Query query = submitQuery(client, "select 1", "verb", "once");
+        gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0));
         Connection first = engine.accept();
-        assertTrue(first.request().startsWith("ASK " + q.id()));
-        first.say(answer(q.id(), "a\tb\tc\n").substring(0, cut));
+        assertTrue(first.readRequest().startsWith("ASK " + query.id()));
+        first.write(answer(query.id(), "a\tb\tc\n").substring(0, cut));
         first.socket.setSoLinger(reset, 0);
         first.socket.close();
         AttemptResult end = nextEnd();
         assertEquals(AttemptOutcome.RESET, end.outcome());
         assertEquals(0, end.attempt());
-        gateway.act(() -> gateway.actions.cancelAttempt(q.id(), 0)); // too late: it has ended
-        gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0)); // under the same id
+        gateway.runOnLoop(() -> gateway.actions.cancelAttempt(query.id(), 0)); // no effect: it has ended
+        gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0)); // under the same id
         Connection second = engine.accept();
-        assertTrue(second.request().startsWith("ASK " + q.id()));
-        second.say(answer(q.id(), "x\ty\tz\n"));
+        assertTrue(second.readRequest().startsWith("ASK " + query.id()));
+        second.write(answer(query.id(), "x\ty\tz\n"));
         end = nextEnd();
         assertEquals(AttemptOutcome.SERVED, end.outcome());
         assertEquals(1, end.attempt());
-        assertEquals("x\ty\tz\n", c.reply().body());
-        gateway.nothingMore(AttemptResult.class);
+        assertEquals("x\ty\tz\n", client.reply().body());
+        gateway.assertNoFurther(AttemptResult.class);
         second.socket.close();
-        await(() -> gateway.held("connections") == 0);
+        await(() -> gateway.tableSize("connections") == 0);
       }
     }
   }
 
   @Test
-  void halfALineThatLiesThereAsTheGatewayEndsAConnectionIsNotMadeWhole() throws Exception {
-    Connection log = started();
-    gateway.sendAgainTo = ENGINE;
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      Query q = taken(c, "select 1", "verb", "once");
-      gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
+  void partialResponseIsNotCompletedAfterGatewayClose() throws Exception {
+    Connection log = startGatewayAndLog();
+    gateway.retryAt = ENGINE;
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      Query query = submitQuery(client, "select 1", "verb", "once");
+      gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0));
       Connection first = engine.accept();
-      assertTrue(first.request().startsWith("ASK " + q.id()));
-      String whole = answer(q.id(), "a\tb\tc\n");
-      first.say(whole.substring(0, 30));
-      gateway.allHasBeenDealtWith();
-      CountDownLatch go = gateway.hold();
-      log.say(
-          up(
-              1,
-              engine.address(),
-              System.currentTimeMillis())); // another process, at the same address
-      gateway.allHasBeenRead();
-      go.countDown();
-      assertNull(first.line(), "ended in order");
-      Connection second = engine.accept(); // the same id, and the place that the first one had
-      assertTrue(second.request().startsWith("ASK " + q.id()));
-      first.say(whole.substring(30)); // the rest comes to a connection that is being closed
-      gateway.allHasBeenDealtWith();
-      second.say(answer(q.id(), "x\ty\tz\n"));
-      assertEquals("x\ty\tz\n", c.reply().body());
-      assertEquals(EngineEndpoint.class, gateway.next(List.class).get(0).getClass());
+      assertTrue(first.readRequest().startsWith("ASK " + query.id()));
+      String complete = answer(query.id(), "a\tb\tc\n");
+      first.write(complete.substring(0, 30));
+      gateway.awaitHandled();
+      CountDownLatch resume = gateway.pauseLoop();
+      // Another process at the same address.
+      log.write(up(1, engine.address(), System.currentTimeMillis()));
+      gateway.awaitSocketsRead();
+      resume.countDown();
+      assertNull(first.readLine(), "closed gracefully");
+      Connection second = engine.accept(); // the same id, in the reused slot of the first one
+      assertTrue(second.readRequest().startsWith("ASK " + query.id()));
+      first.write(complete.substring(30)); // the rest arrives on a closing connection
+      gateway.awaitHandled();
+      second.write(answer(query.id(), "x\ty\tz\n"));
+      assertEquals("x\ty\tz\n", client.reply().body());
+      assertEquals(EngineEndpoint.class, gateway.nextEvent(List.class).get(0).getClass());
       AttemptResult end = nextEnd();
       assertEquals(AttemptOutcome.RESET, end.outcome());
       assertEquals(0, end.attempt());
       end = nextEnd();
       assertEquals(AttemptOutcome.SERVED, end.outcome());
       assertEquals(1, end.attempt());
-      gateway.nothingMore(AttemptResult.class);
+      gateway.assertNoFurther(AttemptResult.class);
     }
   }
 
   @Test
-  void halfALineOnARestingConnectionDoesNotReachWhatIsSentAfterTheGatewaysClose() throws Exception {
+  void partialResponseOnIdleConnectionDoesNotAffectNextRequest() throws Exception {
     gateway =
         new OrderingHarness(
             folder,
             config(engine.address(), other.address())
                 .replace("\"keepalive\":30000000000", "\"keepalive\":500000000"));
-    try (ThriftClient c = new ThriftClient(gateway.config.listen())) {
-      Query q = taken(c, "select 1");
-      gateway.act(() -> gateway.actions.forward(q.id(), ENGINE, 0));
+    try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
+      Query query = submitQuery(client, "select 1");
+      gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0));
       Connection first = engine.accept();
-      assertTrue(first.request().startsWith("ASK " + q.id()));
-      first.say(answer(q.id(), "a\tb\tc\n") + "00000000000000ff NO");
+      assertTrue(first.readRequest().startsWith("ASK " + query.id()));
+      first.write(answer(query.id(), "a\tb\tc\n") + "00000000000000ff NO");
       assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
-      assertEquals("a\tb\tc\n", c.reply().body());
-      assertNull(first.line(), "it rests until the gateway ends it, in order");
-      first.say("TE - 0\r\n\r\n");
-      Query next = taken(c, "select 2", "verb", "once");
-      gateway.act(() -> gateway.actions.forward(next.id(), ENGINE, 0));
+      assertEquals("a\tb\tc\n", client.reply().body());
+      assertNull(first.readLine(), "idle until the gateway closes it gracefully");
+      first.write("TE - 0\r\n\r\n");
+      Query next = submitQuery(client, "select 2", "verb", "once");
+      gateway.runOnLoop(() -> gateway.actions.forward(next.id(), ENGINE, 0));
       Connection second = engine.accept();
-      assertTrue(second.request().startsWith("ASK " + next.id()));
-      second.say(answer(next.id(), "x\ty\tz\n"));
+      assertTrue(second.readRequest().startsWith("ASK " + next.id()));
+      second.write(answer(next.id(), "x\ty\tz\n"));
       assertEquals(AttemptOutcome.SERVED, nextEnd().outcome());
-      assertEquals("x\ty\tz\n", c.reply().body());
-      gateway.nothingMore(AttemptResult.class);
+      assertEquals("x\ty\tz\n", client.reply().body());
+      gateway.assertNoFurther(AttemptResult.class);
     }
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/EventLoopTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EventLoopTest.java
@@ -7,36 +7,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** The order of tasks and deadlines, with and without a stall of the process. */
 @Timeout(30)
 class EventLoopTest {
-  private static final long MILLISECOND = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   @Test
-  void afterAStandstillTheListComesBeforeWhatIsDecidedByItAndBothBeforeDeadlines() {
+  void afterStallRunsFirstTasksThenOthersThenDeadlines() {
     EventLoop loop = new EventLoop();
     List<String> order = new ArrayList<>();
-    loop.deadlines().add(loop.now() + 30 * MILLISECOND, () -> order.add("deadline"));
+    loop.deadlines().add(loop.now() + 30 * NANOS_PER_MILLI, () -> order.add("deadline"));
     loop.deadlines()
         .add(
-            loop.now() + MILLISECOND,
+            loop.now() + NANOS_PER_MILLI,
             () -> {
-              // The process stands still, and finds afterwards what has come meanwhile, as it was
-              // read.
-              long until = loop.now() + 60 * MILLISECOND;
+              // Simulates a stall, after which messages that arrived meanwhile are read.
+              long until = loop.now() + 60 * NANOS_PER_MILLI;
               while (loop.now() < until) {
                 Thread.onSpinWait();
               }
               loop.post(0, () -> order.add("request"));
               loop.post(0, () -> order.add("answer"));
               loop.postFirst(0, () -> order.add("list"));
-              loop.deadlines().add(loop.now() + 40 * MILLISECOND, loop::end);
+              loop.deadlines().add(loop.now() + 40 * NANOS_PER_MILLI, loop::end);
             });
     loop.run();
     assertEquals(List.of("list", "request", "answer", "deadline"), order);
   }
 
   @Test
-  void withoutAStandstillEachGoesInItsTurn() {
+  void runsTasksInPostOrderWithoutStall() {
     EventLoop loop = new EventLoop();
     List<String> order = new ArrayList<>();
     loop.post(0, () -> order.add("request"));
--- a/gateway/src/test/java/reachloom/gateway/FaultyCallsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/FaultyCallsTest.java
@@ -22,7 +22,7 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * The program as a process whose own system calls fail: no request and no connection is lost by it.
+ * Guards against lost requests and connections when system calls of the gateway process fail.
  */
 @Timeout(90)
 class FaultyCallsTest {
@@ -31,7 +31,7 @@
   @TempDir Path folder;
 
   private FakeChangeLog changeLog;
-  private FakeEngine one;
+  private FakeEngine engine;
   private FakeEngine other;
   private FaultyCalls calls;
   private GatewayProcess gateway;
@@ -39,10 +39,10 @@
   @BeforeEach
   void start() throws Exception {
     changeLog = new FakeChangeLog(1);
-    one = new FakeEngine();
+    engine = new FakeEngine();
     other = new FakeEngine();
     calls = new FaultyCalls(folder, 7);
-    String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, one, other);
+    String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine, other);
     gateway = new GatewayProcess(folder, text, calls.environment());
     gateway.ready().close();
   }
@@ -51,13 +51,13 @@
   void end() throws IOException, InterruptedException {
     gateway.close();
     changeLog.close();
-    one.close();
+    engine.close();
     other.close();
   }
 
   @ParameterizedTest
   @CsvSource({"80,0,0,0,0", "0,0,0,80,0", "0,0,0,0,80", "40,40,40,40,40"})
-  void eachRequestHasItsResultThoughCallsFail(
+  void servesAllRequestsWhileSystemCallsFail(
       int accept, int socket, int connect, int read, int write) throws Exception {
     calls.fail(new Shares(accept, socket, connect, read, write));
     for (int i = 0; i < REQUESTS; i++) {
@@ -66,35 +66,35 @@
         assertEquals("ANSWER", client.run("select 1", "limit", "10000").kind());
       }
     }
-    assertTrue(Files.readString(gateway.log).contains("system call"), "failures are told");
+    assertTrue(Files.readString(gateway.log).contains("system call"), "failures are logged");
   }
 
   @Test
-  void dialsThatFailOnThisMachineAreMadeAgainAndTellNothingOfTheEngine() throws Exception {
+  void retriesLocalConnectFailuresWithoutBlamingEngine() throws Exception {
     calls.fail(new Shares(0, 300, 300, 0, 0));
     try (ThriftClient client = new ThriftClient(gateway.listen)) {
       for (int i = 0; i < REQUESTS / 4; i++) {
-        one.cut();
+        engine.cut();
         other.cut();
-        // By the second answer the gateway has dealt with both ends. A request assigned to a
-        // connection
-        // in the moment of its end would rightly end as UNREACHED, whatever calls fail.
+        // After two check calls the gateway has handled the close of both connections. A request
+        // assigned to a connection just as it is closed would rightly end as UNREACHED, regardless
+        // of failing system calls.
         assertTrue(client.check());
         assertTrue(client.check());
         assertEquals("ANSWER", client.run("select 1", "limit", "10000").kind());
       }
     }
     String log = Files.readString(gateway.log);
-    assertTrue(log.contains("system call"), "failures are told");
+    assertTrue(log.contains("system call"), "failures are logged");
     assertEquals(-1, log.indexOf("ended as UNREACHED"), "no evidence against an engine");
   }
 
   @Test
-  void aListenerThatCannotAcceptForAWhileNeitherSpinsNorStops() throws Exception {
-    Thread.sleep(2_000); // what a start leaves to compile is done
+  void failingAcceptNeitherSpinsNorStopsListener() throws Exception {
+    Thread.sleep(2_000); // until the virtual machine has compiled what a start needs
     calls.fail(new Shares(1_000, 0, 0, 0, 0));
     Duration before = gateway.processorTime();
-    try (ThriftClient waiting = new ThriftClient(gateway.listen)) { // in the system's queue
+    try (ThriftClient waiting = new ThriftClient(gateway.listen)) { // in the accept queue
       Thread.sleep(2_000);
       Duration spent = gateway.processorTime().minus(before);
       assertTrue(spent.toMillis() < 1_000, "spent " + spent);
--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -22,32 +22,33 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * A gateway in this process, on real connections, with a scheduler that the test hands in; and what
- * brings about one order of events: its loop can be held while bytes are sent, and is released once
+ * A gateway in this process, on real connections, with a scheduler that the test supplies. A test
+ * forces an order of events by pausing the event loop while bytes are sent, and resuming it once
  * they are read.
  */
 abstract class GatewayHarness {
   @TempDir Path folder;
 
-  /** What the module was told, where that is one that notes it. */
-  final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
+  /** The events that the scheduler received, if it is a recording one. */
+  final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
 
   final EventLoop loop = new EventLoop();
   GatewayConfig config;
   SchedulerActions actions;
   GatewayService gateway;
 
-  /** Hears of engines beside the module, or null. */
-  EngineOutcomeListener observer;
+  /** Receives endpoints and outcomes beside the scheduler, or null. */
+  EngineOutcomeListener outcomeListener;
 
-  /** What the scripted module says of attempts that are about to begin. */
-  volatile boolean allowed = true;
+  /** Whether the scripted scheduler lets attempts start. */
+  volatile boolean startAllowed = true;
 
-  /** The engine to which it sends what arrives, or null. */
-  volatile String sendAtOnceTo;
+  /** The engine to which the scripted scheduler forwards each query on arrival, or null. */
+  volatile String forwardImmediatelyTo;
 
   /** Starts the gateway: it listens, and follows its change log. */
-  void serve(String text, Function<SchedulerActions, SchedulerEvents> module) throws Exception {
+  void startGateway(String text, Function<SchedulerActions, SchedulerEvents> scheduler)
+      throws Exception {
     config = config(text);
     gateway =
         new GatewayService(
@@ -55,29 +56,29 @@
             loop,
             a -> {
               actions = a;
-              return module.apply(a);
+              return scheduler.apply(a);
             });
-    if (observer != null) {
-      gateway.setEngineOutcomeListener(observer);
+    if (outcomeListener != null) {
+      gateway.setEngineOutcomeListener(outcomeListener);
     }
     gateway.listen();
     loop.post(0, gateway::start);
     FakeEngine.daemon(loop);
   }
 
-  /** A module that notes what it is told and does little by itself: as the two fields say. */
-  SchedulerEvents scripted() {
-    return new GatewayServiceTest.Recorder(told) {
+  /** Returns a scheduler that records events, and acts only as the two fields above say. */
+  SchedulerEvents scriptedScheduler() {
+    return new GatewayServiceTest.RecordingScheduler(events) {
       @Override
       public boolean mayStart(long now, String query, int attempt) {
-        return allowed;
+        return startAllowed;
       }
 
       @Override
       public void onQuery(long now, Query query) {
         super.onQuery(now, query);
-        if (sendAtOnceTo != null) {
-          actions.forward(query.id(), sendAtOnceTo, 0);
+        if (forwardImmediatelyTo != null) {
+          actions.forward(query.id(), forwardImmediatelyTo, 0);
         }
       }
 
@@ -94,7 +95,7 @@
   }
 
   @AfterEach
-  void endLoop() {
+  void stopLoop() {
     loop.post(
         0,
         () -> {
@@ -103,20 +104,21 @@
         });
   }
 
-  <T> T next(Class<T> type) throws InterruptedException {
-    Object event = told.poll(20, TimeUnit.SECONDS);
-    assertTrue(type.isInstance(event), "told " + event + " for " + type.getSimpleName());
+  <T> T nextEvent(Class<T> type) throws InterruptedException {
+    Object event = events.poll(20, TimeUnit.SECONDS);
+    assertTrue(
+        type.isInstance(event), "received " + event + " instead of a " + type.getSimpleName());
     return type.cast(event);
   }
 
-  void act(Runnable action) {
+  void runOnLoop(Runnable action) {
     loop.post(0, action);
   }
 
-  int held(String table) {
-    CompletableFuture<Integer> held = new CompletableFuture<>();
-    loop.post(0, () -> held.complete(gateway.tableSizes().get(table)));
-    return held.join();
+  int tableSize(String table) {
+    CompletableFuture<Integer> size = new CompletableFuture<>();
+    loop.post(0, () -> size.complete(gateway.tableSizes().get(table)));
+    return size.join();
   }
 
   static void await(BooleanSupplier wanted) throws InterruptedException {
@@ -126,36 +128,36 @@
     assertTrue(wanted.getAsBoolean());
   }
 
-  /** Holds the loop until the latch opens; returns once it is held. */
-  CountDownLatch hold() throws InterruptedException {
-    return holdAfter(() -> {});
+  /** Pauses the loop until the returned latch opens; returns once the loop is paused. */
+  CountDownLatch pauseLoop() throws InterruptedException {
+    return pauseLoopAfter(() -> {});
   }
 
-  /** Does something on the loop and holds it within the same turn, as a busy one is held. */
-  CountDownLatch holdAfter(Runnable action) throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
+  /** Runs an action on the loop and pauses the loop within the same iteration, as if it were busy. */
+  CountDownLatch pauseLoopAfter(Runnable action) throws InterruptedException {
+    CountDownLatch paused = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     loop.post(
         0,
         () -> {
           action.run();
-          held.countDown();
+          paused.countDown();
           try {
-            go.await(20, TimeUnit.SECONDS);
+            resume.await(20, TimeUnit.SECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    assertTrue(held.await(10, TimeUnit.SECONDS));
-    return go;
+    assertTrue(paused.await(10, TimeUnit.SECONDS));
+    return resume;
   }
 
   /**
-   * While the loop is held: what was sent before has been read by the thread of the sockets. It
-   * goes round all connections: once a second message has been read, the round in which the first
-   * one was is over.
+   * While the loop is paused: waits until the I/O thread has read everything that was sent before.
+   * It reads the connections in rounds: once a second message has been read, the round of the first
+   * one is complete.
    */
-  void allHasBeenRead() throws Exception {
+  void awaitSocketsRead() throws Exception {
     for (int i = 0; i < 2; i++) {
       try (ThriftClient fence = new ThriftClient(config.listen())) {
         int before = loop.queuedBytes();
--- a/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
@@ -30,163 +30,164 @@
 import reachloom.standin.ThriftMessages;
 
 /**
- * What the front on sockets tells the module: the same as the simulator's front, in the same units.
+ * The events that the gateway on sockets reports to the scheduler: the same as the simulator adapter
+ * reports, in the same units.
  */
 class GatewayServiceTest extends GatewayHarness {
-  /** The table group of queries that the module fails on. */
-  private static final int BROKEN = 666;
+  /** The table group of queries on which the scheduler throws an exception. */
+  private static final int FAILING_TABLE_GROUP = 666;
 
-  private FakeEngine node;
+  private FakeEngine engine;
   private FakeChangeLog changeLog;
 
-  /** A module that notes what it is told, and does nothing by itself. */
-  static class Recorder implements SchedulerEvents {
-    private final java.util.Collection<Object> told;
+  /** A scheduler that records events and takes no action by itself. */
+  static class RecordingScheduler implements SchedulerEvents {
+    private final java.util.Collection<Object> events;
 
-    Recorder(java.util.Collection<Object> told) {
-      this.told = told;
+    RecordingScheduler(java.util.Collection<Object> events) {
+      this.events = events;
     }
 
     @Override
     public void onStart(long now, long seed, SchedulerSettings settings) {
-      told.add(settings);
+      events.add(settings);
     }
 
     @Override
     public void onEndpoints(long now, boolean complete, List<EngineEndpoint> entries) {
-      told.add(entries);
+      events.add(entries);
     }
 
     @Override
     public void onEndpointsUnavailable(long now) {
-      told.add("unavailable");
+      events.add("unavailable");
     }
 
     @Override
     public void onQuery(long now, Query query) {
-      told.add(query);
-      if (query.tableGroup() == BROKEN) {
+      events.add(query);
+      if (query.tableGroup() == FAILING_TABLE_GROUP) {
         throw new IllegalStateException("as scripted");
       }
     }
 
     @Override
     public void onStreaming(long now, String query, int attempt) {
-      told.add("streaming");
+      events.add("streaming");
     }
 
     @Override
     public void onProgress(long now, ProgressReport note) {
-      told.add(note);
+      events.add(note);
     }
 
     @Override
     public void onAttemptEnded(long now, AttemptResult end) {
-      told.add(end);
+      events.add(end);
     }
 
     @Override
     public void onClientGone(long now, String query) {
-      told.add("leave " + query);
+      events.add("clientGone " + query);
     }
 
     @Override
     public void onTimer(long now, long token) {
-      told.add("wake " + token);
+      events.add("timer " + token);
     }
 
     @Override
     public void onPeerReport(long now, String engine, double level) {
-      told.add("hearsay " + engine + " " + level);
+      events.add("peerReport " + engine + " " + level);
     }
 
     @Override
     public void onHealthCheck(long now, String engine, boolean answered, LoadReport report) {
-      told.add(report == null ? List.of(engine, answered) : List.of(engine, answered, report));
+      events.add(report == null ? List.of(engine, answered) : List.of(engine, answered, report));
     }
   }
 
   @BeforeEach
   void start() throws Exception {
-    node = new FakeEngine();
+    engine = new FakeEngine();
     changeLog = new FakeChangeLog(1);
-    serve(
-        GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node),
-        a -> new Recorder(told));
-    next(SchedulerSettings.class);
-    next(List.class);
+    startGateway(
+        GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine),
+        a -> new RecordingScheduler(events));
+    nextEvent(SchedulerSettings.class);
+    nextEvent(List.class);
   }
 
   @Test
-  void aModuleThatFailsOnAnEventCostsThatQueryOnly() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      int broken = c.execute("select 1 from sales_666.a", "limit", "600");
-      Query first = next(Query.class);
-      int other = c.execute("select 1 from sales_1.a");
-      Query second = next(Query.class);
+  void schedulerExceptionAffectsOnlyItsQuery() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      int broken = client.execute("select 1 from sales_666.a", "limit", "600");
+      Query first = nextEvent(Query.class);
+      int other = client.execute("select 1 from sales_1.a");
+      Query second = nextEvent(Query.class);
       loop.post(0, () -> actions.reject(second.id(), 0));
-      ThriftMessages.Reply reply = c.reply();
+      ThriftMessages.Reply reply = client.reply();
       assertEquals(other, reply.seq());
       assertEquals("BUSY", reply.kind());
-      reply = c.reply();
+      reply = client.reply();
       assertEquals(broken, reply.seq());
-      assertEquals("BUSY", reply.kind(), "nothing was sent for it");
-      assertEquals("leave " + first.id(), next(String.class));
+      assertEquals("BUSY", reply.kind(), "the query was never forwarded");
+      assertEquals("clientGone " + first.id(), nextEvent(String.class));
     }
   }
 
   @AfterEach
   void end() throws IOException {
-    node.close();
+    engine.close();
     changeLog.close();
   }
 
-  private Query taken(ThriftClient c, String statement, String... changes) throws Exception {
-    c.execute(statement, changes);
-    return next(Query.class);
+  private Query taken(ThriftClient client, String statement, String... changes) throws Exception {
+    client.execute(statement, changes);
+    return nextEvent(Query.class);
   }
 
   private void awaitAsk() throws InterruptedException {
-    while (node.count("ASK") == 0) {
+    while (engine.count("ASK") == 0) {
       Thread.sleep(1);
     }
   }
 
   @Test
-  void bothFrontsTellTheSameStory() throws Exception {
+  void socketsAndSimulatorReportSameEvents() throws Exception {
     List<Object> sockets = new ArrayList<>();
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      Query q = taken(c, "select 1 /* note */ from sales_3.a", "txn", "00000000000000ab");
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      Query query = taken(client, "select 1 /* note */ from sales_3.a", "txn", "00000000000000ab");
       sockets.add(
           new Query(
-              q.id(),
-              q.queryClass(),
-              q.tenant(),
-              q.key(),
+              query.id(),
+              query.queryClass(),
+              query.tenant(),
+              query.key(),
               0,
-              q.estimatedCostNanos(),
-              q.estimatedMemoryMb(),
-              q.tableGroup(),
-              q.clientRetry()));
+              query.estimatedCostNanos(),
+              query.estimatedMemoryMb(),
+              query.tableGroup(),
+              query.clientRetry()));
       assertTrue(
-          q.remainingNanos() > 1_000_000_000 && q.remainingNanos() <= 1_500_000_000,
+          query.remainingNanos() > 1_000_000_000 && query.remainingNanos() <= 1_500_000_000,
           "in nanoseconds");
-      act(() -> actions.forward(q.id(), "s-00000001", 0));
-      sockets.add(next(ProgressReport.class));
-      AttemptResult e = next(AttemptResult.class);
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
+      sockets.add(nextEvent(ProgressReport.class));
+      AttemptResult ended = nextEvent(AttemptResult.class);
       sockets.add(
           new AttemptResult(
-              e.queryId(),
-              e.attempt(),
-              e.engine(),
-              e.outcome(),
+              ended.queryId(),
+              ended.attempt(),
+              ended.engine(),
+              ended.outcome(),
               0,
-              e.queryFinished(),
-              e.costMs(),
-              e.memoryMb(),
-              e.loadReport()));
-      act(() -> actions.checkHealth("s-00000001"));
-      sockets.add(next(List.class));
+              ended.queryFinished(),
+              ended.costMs(),
+              ended.memoryMb(),
+              ended.loadReport()));
+      runOnLoop(() -> actions.checkHealth("s-00000001"));
+      sockets.add(nextEvent(List.class));
     }
     String batch =
         """
@@ -202,7 +203,7 @@
             + "\n";
     List<Object> simulator = new ArrayList<>();
     SimulatorAdapterProbe.serve(
-        a -> new Recorder(simulator),
+        a -> new RecordingScheduler(simulator),
         new ByteArrayInputStream(batch.getBytes(StandardCharsets.UTF_8)),
         new ByteArrayOutputStream(),
         new PrintStream(System.err));
@@ -210,92 +211,92 @@
   }
 
   @Test
-  void aGivenUpAttemptIsToldOnceItsQuitHasHadTimeToArrive() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      Query q = taken(c, "select 1 /* hang */");
-      act(() -> actions.forward(q.id(), "s-00000001", 0));
+  void reportsCancelledAttemptAfterDelay() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      Query query = taken(client, "select 1 /* hang */");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       awaitAsk();
       long[] at = new long[1];
-      act(
+      runOnLoop(
           () -> {
             at[0] = System.nanoTime();
-            actions.cancelAttempt(q.id(), 0);
+            actions.cancelAttempt(query.id(), 0);
           });
-      AttemptResult end = next(AttemptResult.class);
-      // Without the pause a further attempt could come to another engine before the QUIT comes to
-      // this one.
+      AttemptResult end = nextEvent(AttemptResult.class);
+      // Without the delay a further attempt could reach another engine before the QUIT reaches this
+      // one.
       assertTrue(System.nanoTime() - at[0] >= 5_000_000);
       assertEquals(AttemptOutcome.CANCELLED, end.outcome());
-      act(() -> actions.reject(q.id(), 0));
-      assertEquals("BUSY", c.reply().kind());
+      runOnLoop(() -> actions.reject(query.id(), 0));
+      assertEquals("BUSY", client.reply().kind());
     }
   }
 
   @Test
-  void oneEndIsToldForEachSendWhateverBecomesOfIt() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      Query q = taken(c, "select 1 /* hang */");
-      act(() -> actions.forward(q.id(), "s-00000099", 0));
+  void reportsExactlyOneOutcomePerAttempt() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      Query query = taken(client, "select 1 /* hang */");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000099", 0));
       assertEquals(
           AttemptOutcome.UNREACHED,
-          next(AttemptResult.class).outcome(),
-          "an engine that is not known");
-      act(() -> actions.forward(q.id(), "s-00000001", 30_000_000));
-      AttemptResult late = next(AttemptResult.class);
+          nextEvent(AttemptResult.class).outcome(),
+          "an unknown engine");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 30_000_000));
+      AttemptResult late = nextEvent(AttemptResult.class);
       assertEquals(AttemptOutcome.TIMEOUT, late.outcome());
       assertEquals(1, late.attempt());
-      act(
+      runOnLoop(
           () -> {
-            actions.fail(q.id());
-            actions.forward(q.id(), "s-00000001", 0);
+            actions.fail(query.id());
+            actions.forward(query.id(), "s-00000001", 0);
           });
-      assertEquals("FAILED", c.reply().kind());
-      Query second = taken(c, "select 1 /* err */");
+      assertEquals("FAILED", client.reply().kind());
+      Query second = taken(client, "select 1 /* err */");
       for (int i = 0; i < config.settings().limits().maxAttempts(); i++) {
-        act(() -> actions.forward(second.id(), "s-00000001", 0));
-        assertEquals(AttemptOutcome.ERROR, next(AttemptResult.class).outcome());
+        runOnLoop(() -> actions.forward(second.id(), "s-00000001", 0));
+        assertEquals(AttemptOutcome.ERROR, nextEvent(AttemptResult.class).outcome());
       }
-      act(() -> actions.forward(second.id(), "s-00000001", 0));
+      runOnLoop(() -> actions.forward(second.id(), "s-00000001", 0));
       assertEquals(
-          AttemptOutcome.NOT_SENT, next(AttemptResult.class).outcome(), "beyond the most attempts");
+          AttemptOutcome.NOT_SENT, nextEvent(AttemptResult.class).outcome(), "beyond the limit of attempts");
     }
   }
 
   @Test
-  void anIdThatComesBackOnAnEngineUsesAnotherConnection() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      Query q = taken(c, "select 1 /* slow first */");
-      act(() -> actions.forward(q.id(), "s-00000001", 20_000_000));
-      assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
-      act(() -> actions.forward(q.id(), "s-00000001", 0));
-      assertEquals(AttemptOutcome.SERVED, next(AttemptResult.class).outcome());
-      // The first connection's late answer is another one, and must not be taken for this one's.
-      assertEquals("second\t\t\n", c.reply().body());
-      assertEquals(2, node.connections());
+  void retryAtSameEngineUsesAnotherConnection() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      Query query = taken(client, "select 1 /* slow first */");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 20_000_000));
+      assertEquals(AttemptOutcome.TIMEOUT, nextEvent(AttemptResult.class).outcome());
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
+      assertEquals(AttemptOutcome.SERVED, nextEvent(AttemptResult.class).outcome());
+      // The late response on the first connection must not be taken for the one to this attempt.
+      assertEquals("second\t\t\n", client.reply().body());
+      assertEquals(2, engine.connections());
     }
   }
 
   @Test
-  void timersComeInTheOrderAskedAndNeverWithinTheCall() throws Exception {
-    act(
+  void timersFireInOrderAndNeverWithinTheCall() throws Exception {
+    runOnLoop(
         () -> {
           actions.setTimer(0, 1);
           actions.setTimer(0, 2);
-          told.add("asked");
+          events.add("set");
         });
     assertEquals(
-        List.of("asked", "wake 1", "wake 2"),
-        List.of(next(String.class), next(String.class), next(String.class)));
+        List.of("set", "timer 1", "timer 2"),
+        List.of(nextEvent(String.class), nextEvent(String.class), nextEvent(String.class)));
   }
 
   @Test
-  void notesAreToldByTheirKind() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      Query q = taken(c, "select 1 /* allnotes */");
-      act(() -> actions.forward(q.id(), "s-00000001", 0));
+  void reportsProgressByKind() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      Query query = taken(client, "select 1 /* allnotes */");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       List<ProgressKind> kinds = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
-        kinds.add(next(ProgressReport.class).kind());
+        kinds.add(nextEvent(ProgressReport.class).kind());
       }
       assertEquals(
           List.of(
@@ -309,38 +310,38 @@
   }
 
   @Test
-  void anEngineThatStartedAnewGetsConnectionsOfItsOwn() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      Query q = taken(c, "select 1 /* hang */");
-      act(() -> actions.forward(q.id(), "s-00000001", 0));
+  void restartedEngineGetsNewConnections() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      Query query = taken(client, "select 1 /* hang */");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       awaitAsk();
-      changeLog.add(1, node, 0, System.currentTimeMillis());
-      next(List.class);
+      changeLog.add(1, engine, 0, System.currentTimeMillis());
+      nextEvent(List.class);
       assertEquals(
           AttemptOutcome.RESET,
-          next(AttemptResult.class).outcome(),
-          "it may have run on the old process");
-      act(() -> actions.forward(q.id(), "s-00000001", 20_000_000));
-      assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
-      assertEquals(2, node.connections());
+          nextEvent(AttemptResult.class).outcome(),
+          "the attempt may have run on the old process");
+      runOnLoop(() -> actions.forward(query.id(), "s-00000001", 20_000_000));
+      assertEquals(AttemptOutcome.TIMEOUT, nextEvent(AttemptResult.class).outcome());
+      assertEquals(2, engine.connections());
     }
   }
 
   @Test
-  void timeOutsAimAheadOfTheClientsDeadline() throws Exception {
-    try (ThriftClient c = new ThriftClient(config.listen())) {
-      // A wake-up that is late by tens of milliseconds must still leave the answer in time.
+  void attemptsTimeOutBeforeClientDeadline() throws Exception {
+    try (ThriftClient client = new ThriftClient(config.listen())) {
+      // The response has to be in time even if a wake-up is late by tens of milliseconds.
       for (String[] limit : new String[][] {{"1500", "1420"}, {"300", "270"}}) {
-        node.commands.clear();
-        Query q = taken(c, "select 1 /* hang */", "limit", limit[0]);
-        act(() -> actions.forward(q.id(), "s-00000001", 0));
-        assertEquals(AttemptOutcome.TIMEOUT, next(AttemptResult.class).outcome());
+        engine.commands.clear();
+        Query query = taken(client, "select 1 /* hang */", "limit", limit[0]);
+        runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
+        assertEquals(AttemptOutcome.TIMEOUT, nextEvent(AttemptResult.class).outcome());
         String ask =
-            node.commands.stream().filter(l -> l.startsWith("ASK")).findFirst().orElseThrow();
+            engine.commands.stream().filter(l -> l.startsWith("ASK")).findFirst().orElseThrow();
         long budget = Long.parseLong(ask.replaceAll(".*budget=(\\d+).*", "$1"));
         assertTrue(budget <= Long.parseLong(limit[1]), "budget " + budget);
-        act(() -> actions.fail(q.id()));
-        assertEquals("FAILED", c.reply().kind());
+        runOnLoop(() -> actions.fail(query.id()));
+        assertEquals("FAILED", client.reply().kind());
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
+++ b/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
@@ -15,35 +15,39 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Order, waits and wake-ups of the queue, also with a producer that is suspended. */
 @Timeout(30)
 class HandoffQueueTest {
-  private static final long MILLISECOND = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A thread that adds is stopped at its worst moment: the thing is in, the wake-up isn't out. */
-  private static final class Stopped implements HandoffQueue.WaitStrategy {
-    final CountDownLatch reached = new CountDownLatch(1);
-    final CountDownLatch goOn = new CountDownLatch(1);
-    final AtomicInteger parks = new AtomicInteger();
-    final AtomicInteger sleeps = new AtomicInteger();
-    final boolean waits;
+  /**
+   * Suspends a producer at the critical point, after it has added its element and before it wakes
+   * the consumer up.
+   */
+  private static final class SuspendingWaitStrategy implements HandoffQueue.WaitStrategy {
+    final CountDownLatch suspended = new CountDownLatch(1);
+    final CountDownLatch resume = new CountDownLatch(1);
+    final AtomicInteger parkCount = new AtomicInteger();
+    final AtomicInteger sleepCount = new AtomicInteger();
+    final boolean parks;
 
-    Stopped(boolean waits) {
-      this.waits = waits;
+    SuspendingWaitStrategy(boolean parks) {
+      this.parks = parks;
     }
 
     @Override
     public void park(long nanos) {
-      parks.incrementAndGet();
-      if (waits) {
+      parkCount.incrementAndGet();
+      if (parks) {
         java.util.concurrent.locks.LockSupport.parkNanos(nanos);
       }
     }
 
     @Override
     public void unpark(Thread thread) {
-      reached.countDown();
+      suspended.countDown();
       try {
-        goOn.await();
+        resume.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -51,95 +55,96 @@
 
     @Override
     public void sleep() throws InterruptedException {
-      sleeps.incrementAndGet();
+      sleepCount.incrementAndGet();
       Thread.sleep(1);
     }
   }
 
   @Test
-  void whatIsInIsTakenInOrderAndEmptyTakesItsTime() throws InterruptedException {
-    HandoffQueue<Integer> h = new HandoffQueue<>();
+  void pollsInOrderAndWaitsWhenEmpty() throws InterruptedException {
+    HandoffQueue<Integer> queue = new HandoffQueue<>();
     for (int i = 0; i < 3; i++) {
-      h.add(i);
+      queue.add(i);
     }
-    assertEquals(3, h.size());
-    assertEquals(List.of(0, 1, 2), List.of(h.poll(), h.poll(MILLISECOND), h.poll(0)));
+    assertEquals(3, queue.size());
+    assertEquals(List.of(0, 1, 2), List.of(queue.poll(), queue.poll(NANOS_PER_MILLI), queue.poll(0)));
     long before = System.nanoTime();
-    assertNull(h.poll(20 * MILLISECOND));
-    assertTrue(System.nanoTime() - before >= 20 * MILLISECOND);
-    assertNull(h.poll(-1));
-    assertEquals(0, h.size());
+    assertNull(queue.poll(20 * NANOS_PER_MILLI));
+    assertTrue(System.nanoTime() - before >= 20 * NANOS_PER_MILLI);
+    assertNull(queue.poll(-1));
+    assertEquals(0, queue.size());
   }
 
   @Test
-  void aWaitEndsWhenSomethingComes() throws InterruptedException {
-    HandoffQueue<Integer> h = new HandoffQueue<>();
-    Thread adds = new Thread(() -> h.add(7));
-    adds.start();
-    assertEquals(7, h.poll(20_000 * MILLISECOND));
-    adds.join();
+  void addEndsWait() throws InterruptedException {
+    HandoffQueue<Integer> queue = new HandoffQueue<>();
+    Thread producer = new Thread(() -> queue.add(7));
+    producer.start();
+    assertEquals(7, queue.poll(20_000 * NANOS_PER_MILLI));
+    producer.join();
   }
 
   @Test
-  void aThreadStoppedWithinAddingHoldsUpNobody() throws InterruptedException {
-    Stopped stopped = new Stopped(true);
-    HandoffQueue<Integer> h = new HandoffQueue<>(stopped);
-    Thread adds =
+  void suspendedProducerDoesNotBlockConsumer() throws InterruptedException {
+    SuspendingWaitStrategy strategy = new SuspendingWaitStrategy(true);
+    HandoffQueue<Integer> queue = new HandoffQueue<>(strategy);
+    Thread producer =
         new Thread(
             () -> {
-              while (stopped.parks.get() == 0) {
-                Thread.onSpinWait(); // until the other one waits
+              while (strategy.parkCount.get() == 0) {
+                Thread.onSpinWait(); // until the consumer waits
               }
-              h.add(7);
+              queue.add(7);
             });
-    adds.start();
-    assertEquals(7, h.poll(200 * MILLISECOND), "taken when the wait is over, at the latest");
-    assertTrue(stopped.reached.await(10, TimeUnit.SECONDS));
-    assertNull(h.poll(100 * MILLISECOND), "and the next wait is a wait");
-    assertEquals(2, stopped.parks.get(), "one for each wait");
-    stopped.goOn.countDown();
-    adds.join();
+    producer.start();
+    assertEquals(7, queue.poll(200 * NANOS_PER_MILLI), "received when the wait is over, at the latest");
+    assertTrue(strategy.suspended.await(10, TimeUnit.SECONDS));
+    assertNull(queue.poll(100 * NANOS_PER_MILLI), "the next poll waits without an element");
+    assertEquals(2, strategy.parkCount.get(), "one park per wait");
+    strategy.resume.countDown();
+    producer.join();
   }
 
   @Test
-  void waitsThatReturnForNothingEndInSleepInsteadOfSpinning() throws InterruptedException {
-    Stopped never = new Stopped(false);
-    HandoffQueue<Integer> h = new HandoffQueue<>(never);
-    assertNull(h.poll(30 * MILLISECOND));
+  void sleepsAfterSpuriousWakeupsInsteadOfSpinning() throws InterruptedException {
+    SuspendingWaitStrategy spurious = new SuspendingWaitStrategy(false);
+    HandoffQueue<Integer> queue = new HandoffQueue<>(spurious);
+    assertNull(queue.poll(30 * NANOS_PER_MILLI));
     assertTrue(
-        never.parks.get() <= 3 && never.sleeps.get() <= 31, never.parks + " and " + never.sleeps);
+        spurious.parkCount.get() <= 3 && spurious.sleepCount.get() <= 31,
+        spurious.parkCount + " parks and " + spurious.sleepCount + " sleeps");
   }
 
   @Test
-  void manyThreadsLoseNothing() throws InterruptedException {
-    HandoffQueue<int[]> h = new HandoffQueue<>();
+  void concurrentProducersLoseNoElements() throws InterruptedException {
+    HandoffQueue<int[]> queue = new HandoffQueue<>();
     int threads = 6;
-    int each = 20_000;
-    for (int t = 0; t < threads; t++) {
-      int mine = t;
+    int elementsPerThread = 20_000;
+    for (int thread = 0; thread < threads; thread++) {
+      int producer = thread;
       new Thread(
               () -> {
-                for (int i = 0; i < each; i++) {
-                  h.add(new int[] {mine, i});
+                for (int i = 0; i < elementsPerThread; i++) {
+                  queue.add(new int[] {producer, i});
                 }
               })
           .start();
     }
     int[] next = new int[threads];
-    for (int i = 0; i < threads * each; i++) {
-      int[] got = h.poll(10_000 * MILLISECOND);
-      assertEquals(next[got[0]]++, got[1], "each thread's in its order");
+    for (int i = 0; i < threads * elementsPerThread; i++) {
+      int[] element = queue.poll(10_000 * NANOS_PER_MILLI);
+      assertEquals(next[element[0]]++, element[1], "elements of each producer in order");
     }
-    assertNull(h.poll());
-    assertEquals(0, h.size());
+    assertNull(queue.poll());
+    assertEquals(0, queue.size());
   }
 
   /**
-   * The queues and conditions of the library that wait with a limit are not used where the loop
-   * waits.
+   * The gateway uses none of the library's timed waits on condition objects, which can spin forever
+   * behind a suspended thread; see {@link HandoffQueue}.
    */
   @Test
-  void noTimedWaitOfTheLibrarysConditionsIsLeft() throws IOException {
+  void gatewayUsesNoTimedConditionWaits() throws IOException {
     try (Stream<Path> files = Files.walk(Path.of("src/main/java/reachloom/gateway"))) {
       for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
         assertTrue(
--- a/gateway/src/test/java/reachloom/gateway/IdleTimeoutTest.java
+++ b/gateway/src/test/java/reachloom/gateway/IdleTimeoutTest.java
@@ -16,17 +16,18 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * How long clients may rest, in the program as a process: as before without a setting, else as it
- * says.
+ * The idle timeout of clients in a gateway process: the default without a setting, otherwise the
+ * configured one.
  */
 @Timeout(120)
 class IdleTimeoutTest {
-  private static final long SECOND = 1_000_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-  /** The bound without a setting, and what sweeps and a busy machine may add before it is told. */
-  private static final long USUAL = 10 * SECOND;
+  /** The idle timeout without a setting. */
+  private static final long DEFAULT_TIMEOUT_NANOS = 10 * NANOS_PER_SECOND;
 
-  private static final long LOOKS = SECOND;
+  /** What sweeps and a busy machine may add before the close is observed. */
+  private static final long TOLERANCE_NANOS = NANOS_PER_SECOND;
 
   @TempDir Path folder;
 
@@ -38,68 +39,68 @@
     return Files.move(next, folder.resolve("settings.xml"), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  private static void rest(long from, long time) throws InterruptedException {
-    Thread.sleep(Math.max(0, (from + time - System.nanoTime()) / 1_000_000));
+  private static void sleepUntil(long from, long nanos) throws InterruptedException {
+    Thread.sleep(Math.max(0, (from + nanos - System.nanoTime()) / 1_000_000));
   }
 
-  /** Side by side, since each has to rest for as long as the usual bound. */
+  /** Tests both gateways in parallel, since each client has to be idle for the default timeout. */
   @Test
-  void aClientRestsBeyondTheUsualBoundOnlyWhereTheSettingsLetItAndIsEndedInOrder()
+  void appliesDefaultAndConfiguredIdleTimeouts()
       throws Exception {
     Path file = settings("<clients idleTimeoutMs=\"600000\"/>");
     Path empty =
         Files.writeString(
             Files.createDirectory(folder.resolve("usual")).resolve("settings.xml"),
             "<reachloom xmlns=\"urn:reachloom:settings:1\"/>");
-    try (FakeEngine node = new FakeEngine();
+    try (FakeEngine engine = new FakeEngine();
         FakeChangeLog changeLog = new FakeChangeLog(1);
         GatewayProcess gateway =
             new GatewayProcess(
                 folder,
-                GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node),
+                GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine),
                 List.of("--settings", file.toString()));
-        GatewayProcess usual =
+        GatewayProcess defaultGateway =
             new GatewayProcess(
                 empty.getParent(),
-                GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node),
+                GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine),
                 List.of("--settings", empty.toString()))) {
       gateway.ready().close();
-      usual.ready().close();
-      try (ThriftClient rests = new ThriftClient(gateway.listen);
-          ThriftClient restsToo = new ThriftClient(usual.listen)) {
-        assertTrue(rests.check());
+      defaultGateway.ready().close();
+      try (ThriftClient client = new ThriftClient(gateway.listen);
+          ThriftClient clientOfDefault = new ThriftClient(defaultGateway.listen)) {
+        assertTrue(client.check());
         long from = System.nanoTime();
-        assertEquals(FakeEngine.ROW, restsToo.run("select 1").body());
-        assertTrue(restsToo.ended(), "ended in order: a reset would be an exception");
-        long rested = System.nanoTime() - from;
-        assertTrue(rested >= USUAL - LOOKS / 2 && rested < USUAL + 4 * LOOKS, rested + " ns");
-        rest(from, USUAL + LOOKS);
-        assertEquals(FakeEngine.ROW, rests.run("select 1").body(), "its connection is still there");
+        assertEquals(FakeEngine.ROW, clientOfDefault.run("select 1").body());
+        assertTrue(clientOfDefault.ended(), "closed gracefully: a reset would throw an exception");
+        long idleNanos = System.nanoTime() - from;
+        assertTrue(idleNanos >= DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS / 2 && idleNanos < DEFAULT_TIMEOUT_NANOS + 4 * TOLERANCE_NANOS, idleNanos + " ns");
+        sleepUntil(from, DEFAULT_TIMEOUT_NANOS + TOLERANCE_NANOS);
+        assertEquals(FakeEngine.ROW, client.run("select 1").body(), "the connection is still open");
         settings("<clients idleTimeoutMs=\"1000\"/>");
         from = System.nanoTime();
         gateway.hangUp();
-        assertTrue(rests.ended(), "in order, too");
-        assertTrue(System.nanoTime() - from >= SECOND / 2, "not before its time");
+        assertTrue(client.ended(), "closed gracefully");
+        assertTrue(System.nanoTime() - from >= NANOS_PER_SECOND / 2, "not before the timeout");
       }
       try (ThriftClient next = new ThriftClient(gateway.listen)) {
         assertEquals(FakeEngine.ROW, next.run("select 1").body());
         long from = System.nanoTime();
         assertTrue(next.ended());
-        long rested = System.nanoTime() - from;
-        assertTrue(rested >= SECOND * 9 / 10 && rested < USUAL - LOOKS, rested + " ns");
+        long idleNanos = System.nanoTime() - from;
+        assertTrue(idleNanos >= NANOS_PER_SECOND * 9 / 10 && idleNanos < DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS, idleNanos + " ns");
       }
     }
   }
 
   @Test
-  void aBadSettingReadAnewLeavesTheOldOneInForce() throws Exception {
+  void invalidReloadKeepsPreviousIdleTimeout() throws Exception {
     Path file = settings("<clients idleTimeoutMs=\"2000\"/>");
-    try (FakeEngine node = new FakeEngine();
+    try (FakeEngine engine = new FakeEngine();
         FakeChangeLog changeLog = new FakeChangeLog(1);
         GatewayProcess gateway =
             new GatewayProcess(
                 folder,
-                GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node),
+                GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine),
                 List.of("--settings", file.toString()))) {
       gateway.ready().close();
       settings("<clients idleTimeoutMs=\"never\"/>");
@@ -109,12 +110,12 @@
       }
       String log = Files.readString(gateway.log);
       assertTrue(log.contains("settings.xml:1: ") && log.contains("idleTimeoutMs"), log);
-      try (ThriftClient rests = new ThriftClient(gateway.listen)) {
-        assertTrue(rests.check());
+      try (ThriftClient client = new ThriftClient(gateway.listen)) {
+        assertTrue(client.check());
         long from = System.nanoTime();
-        assertTrue(rests.ended());
-        long rested = System.nanoTime() - from;
-        assertTrue(rested >= SECOND * 3 / 2 && rested < USUAL - LOOKS, rested + " ns");
+        assertTrue(client.ended());
+        long idleNanos = System.nanoTime() - from;
+        assertTrue(idleNanos >= NANOS_PER_SECOND * 3 / 2 && idleNanos < DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS, idleNanos + " ns");
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
@@ -23,52 +23,50 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * A gateway on its loop, for tests that bring about an order of events: its module is the one
- * handed in, or one that notes what it is told and sends where the test says.
+ * A gateway on its event loop, for tests that force an order of events. Its scheduler is supplied
+ * by the test, or records events and forwards queries where the test says.
  */
 final class OrderingHarness extends GatewayHarness implements AutoCloseable {
   static final String ENGINE = "s-00000001";
-  static final String OTHER = "s-00000002";
+  static final String OTHER_ENGINE = "s-00000002";
 
-  /** Where the noting module sends each query as it arrives; null for nowhere. */
-  volatile Function<Query, String> sendTo = q -> null;
+  /** The engine to which the scheduler forwards a query on arrival; null for none. */
+  volatile Function<Query, String> forwardTo = q -> null;
 
-  /** Where it sends a query again as its attempt ends, within that event; null for nowhere. */
-  volatile String sendAgainTo;
+  /** The engine to which the scheduler retries a query as its first attempt ends; null for none. */
+  volatile String retryAt;
 
-  /**
-   * When each attempt began, by its query's id, and those that began after their client's going was
-   * told.
-   */
-  final Map<String, Long> begun = new ConcurrentHashMap<>();
+  /** When each attempt started, by the id of its query. */
+  final Map<String, Long> startedAtNanos = new ConcurrentHashMap<>();
 
-  final Set<String> begunTooLate = ConcurrentHashMap.newKeySet();
+  /** The queries of attempts that started after the scheduler learned that their client is gone. */
+  final Set<String> startedAfterClientGone = ConcurrentHashMap.newKeySet();
 
-  /** A gateway with the noting module. */
+  /** Creates a gateway with a recording scheduler. */
   OrderingHarness(Path folder, String text) throws Exception {
     this(folder, text, null);
-    assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof SchedulerSettings);
-    assertTrue(told.poll(20, TimeUnit.SECONDS) instanceof List);
+    assertTrue(events.poll(20, TimeUnit.SECONDS) instanceof SchedulerSettings);
+    assertTrue(events.poll(20, TimeUnit.SECONDS) instanceof List);
   }
 
-  /** A gateway with a module of its own. */
-  OrderingHarness(Path folder, String text, Function<SchedulerActions, SchedulerEvents> module)
+  /** Creates a gateway with the given scheduler; null for a recording one. */
+  OrderingHarness(Path folder, String text, Function<SchedulerActions, SchedulerEvents> scheduler)
       throws Exception {
     this.folder = folder;
-    serve(text, module == null ? actions -> new Noting() : module);
+    startGateway(text, scheduler == null ? actions -> new ForwardingScheduler() : scheduler);
   }
 
-  private final class Noting extends GatewayServiceTest.Recorder {
-    private final Set<String> left = new HashSet<>();
+  private final class ForwardingScheduler extends GatewayServiceTest.RecordingScheduler {
+    private final Set<String> goneQueries = new HashSet<>();
 
-    Noting() {
-      super(told);
+    ForwardingScheduler() {
+      super(events);
     }
 
     @Override
     public void onQuery(long now, Query query) {
       super.onQuery(now, query);
-      String engine = sendTo.apply(query);
+      String engine = forwardTo.apply(query);
       if (engine != null) {
         actions.forward(query.id(), engine, 0);
       }
@@ -76,9 +74,9 @@
 
     @Override
     public boolean mayStart(long now, String query, int attempt) {
-      begun.put(query, now);
-      if (left.contains(query)) {
-        begunTooLate.add(query);
+      startedAtNanos.put(query, now);
+      if (goneQueries.contains(query)) {
+        startedAfterClientGone.add(query);
       }
       return true;
     }
@@ -86,49 +84,49 @@
     @Override
     public void onClientGone(long now, String query) {
       super.onClientGone(now, query);
-      left.add(query);
+      goneQueries.add(query);
       actions.cancelAttempt(query, 0);
     }
 
     @Override
     public void onAttemptEnded(long now, AttemptResult end) {
       super.onAttemptEnded(now, end);
-      if (sendAgainTo != null && !end.queryFinished() && end.attempt() == 0) {
-        actions.forward(end.queryId(), sendAgainTo, 0);
+      if (retryAt != null && !end.queryFinished() && end.attempt() == 0) {
+        actions.forward(end.queryId(), retryAt, 0);
       }
     }
   }
 
-  private Object ofLoop(String name) throws ReflectiveOperationException {
+  private Object loopField(String name) throws ReflectiveOperationException {
     Field field = EventLoop.class.getDeclaredField(name);
     field.setAccessible(true);
     return field.get(loop);
   }
 
   /**
-   * While the loop is held: waits until the thread of the sockets waits for it, with no room for
-   * more.
+   * While the loop is paused: waits until the I/O thread is blocked because too many bytes are
+   * queued.
    */
-  void awaitFull() throws Exception {
-    Semaphore room = (Semaphore) ofLoop("freeBytes");
-    await(room::hasQueuedThreads);
+  void awaitLoopFull() throws Exception {
+    Semaphore freeBytes = (Semaphore) loopField("freeBytes");
+    await(freeBytes::hasQueuedThreads);
   }
 
   /**
-   * While the loop is held: waits until that much waits for it, as an opening or an end of a
-   * connection.
+   * While the loop is paused: waits until exactly the given number of tasks is queued, such as the
+   * opening or the end of a connection.
    */
   void awaitQueued(int wanted) throws Exception {
-    HandoffQueue<?> queue = (HandoffQueue<?>) ofLoop("queue");
+    HandoffQueue<?> queue = (HandoffQueue<?>) loopField("queue");
     await(() -> queue.size() >= wanted);
     assertEquals(wanted, queue.size());
   }
 
   /**
-   * While the loop runs: what was sent to the gateway before has been read and dealt with, and what
-   * it had handed to connections before is written as far as they take it.
+   * While the loop runs: waits until everything sent to the gateway before has been read and
+   * handled, and everything it had written to connections is sent as far as they accept it.
    */
-  void allHasBeenDealtWith() throws IOException {
+  void awaitHandled() throws IOException {
     for (int i = 0; i < 2; i++) {
       try (ThriftClient fence = new ThriftClient(config.listen())) {
         fence.check();
@@ -137,23 +135,24 @@
   }
 
   /**
-   * Nothing of that kind is told beside what was taken, though all that came has been dealt with.
+   * Asserts that the scheduler has received no further event of a type, after everything sent to
+   * the gateway has been handled.
    */
-  void nothingMore(Class<?> type) throws IOException {
-    allHasBeenDealtWith();
-    assertNull(told.stream().filter(type::isInstance).findFirst().orElse(null));
+  void assertNoFurther(Class<?> type) throws IOException {
+    awaitHandled();
+    assertNull(events.stream().filter(type::isInstance).findFirst().orElse(null));
   }
 
-  /** Nothing is kept of any client or request. */
-  void assertNothingKept() throws InterruptedException {
+  /** Asserts that the tables of clients and requests are empty. */
+  void assertTablesEmpty() throws InterruptedException {
     for (String table : List.of("requests", "ids", "clients", "statements", "unsentAttempts")) {
-      await(() -> held(table) == 0);
-      assertEquals(0, held(table), table);
+      await(() -> tableSize(table) == 0);
+      assertEquals(0, tableSize(table), table);
     }
   }
 
   @Override
   public void close() {
-    endLoop();
+    stopLoop();
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/PausedPeer.java
+++ b/gateway/src/test/java/reachloom/gateway/PausedPeer.java
@@ -13,17 +13,17 @@
 import java.util.List;
 
 /**
- * An engine or a change log that does nothing by itself: a test decides when a dial comes up, when
- * bytes are read, and what is said. Dials are held by a full queue of the system's, and so are late
- * as late dials are.
+ * An engine or a change log that does nothing by itself: a test decides when a connect succeeds,
+ * when bytes are read, and what is sent. Connects are blocked by a full accept queue of the
+ * operating system, so that they are late as on a real network.
  */
 final class PausedPeer implements AutoCloseable {
-  private static final int SMALL = 64 * 1024;
+  private static final int RECEIVE_BUFFER_BYTES = 64 * 1024;
   private final ServerSocket server;
   private final List<Socket> fillers = new ArrayList<>();
   private final List<Socket> accepted = new ArrayList<>();
 
-  /** A connection as this side sees it. */
+  /** This side of a connection. */
   static final class Connection {
     final Socket socket;
     private final InputStream in;
@@ -34,8 +34,8 @@
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** The next line without its end, or null at the end of the stream. */
-    String line() throws IOException {
+    /** Reads a line without its terminator; returns null at the end of the stream. */
+    String readLine() throws IOException {
       StringBuilder text = new StringBuilder();
       for (int b = in.read(); b >= 0; b = in.read()) {
         if (b == '\n') {
@@ -46,19 +46,19 @@
       return null;
     }
 
-    /** The next request's line, its statement read and dropped. */
-    String request() throws IOException {
-      String line = line();
+    /** Reads the line of a request, and discards its statement. */
+    String readRequest() throws IOException {
+      String line = readLine();
       if (line != null && line.startsWith("ASK")) {
         in.readNBytes(Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1)) + 2);
       }
       return line;
     }
 
-    /** All lines up to one that starts so, statements left out. */
-    List<String> linesUpTo(String start) throws IOException {
+    /** Reads all lines up to one with the given start; discards statements. */
+    List<String> readLinesUntil(String start) throws IOException {
       List<String> lines = new ArrayList<>();
-      for (String line = request(); line != null; line = request()) {
+      for (String line = readRequest(); line != null; line = readRequest()) {
         lines.add(line);
         if (line.startsWith(start)) {
           return lines;
@@ -68,8 +68,8 @@
       return lines;
     }
 
-    /** Bytes that are here and have not been read. */
-    int unread() {
+    /** Returns the number of received bytes that have not been read. */
+    int availableBytes() {
       try {
         return in.available();
       } catch (IOException e) {
@@ -77,22 +77,23 @@
       }
     }
 
-    long number() throws IOException {
+    /** Reads the event number of a change log subscription. */
+    long readEventNumber() throws IOException {
       return new DataInputStream(in).readLong();
     }
 
-    void say(String text) throws IOException {
-      say(text.getBytes(StandardCharsets.ISO_8859_1));
+    void write(String text) throws IOException {
+      write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    void say(byte[] bytes) throws IOException {
+    void write(byte[] bytes) throws IOException {
       socket.getOutputStream().write(bytes);
     }
   }
 
   PausedPeer() throws IOException {
     server = new ServerSocket();
-    server.setReceiveBufferSize(SMALL); // so that little is on its way unread
+    server.setReceiveBufferSize(RECEIVE_BUFFER_BYTES); // so that few unread bytes are buffered
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
     server.setSoTimeout(10_000);
   }
@@ -101,39 +102,39 @@
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** From now on dials hang. */
-  void holdDials() throws IOException {
+  /** Blocks all further connects. */
+  void blockConnects() throws IOException {
     for (int i = 0; i < 2; i++) {
-      Socket s = new Socket();
-      s.connect(address(), 1_000);
-      fillers.add(s);
+      Socket socket = new Socket();
+      socket.connect(address(), 1_000);
+      fillers.add(socket);
     }
   }
 
   /**
-   * Lets the dials go on that hang: they come up at the next of the system's own tries, in some
+   * Unblocks the blocked connects: they succeed at the operating system's next retry, within some
    * seconds.
    */
-  void releaseDials() throws IOException {
+  void unblockConnects() throws IOException {
     for (Socket ignored : fillers) {
       accepted.add(server.accept());
     }
   }
 
   Connection accept() throws IOException {
-    Socket s = server.accept();
-    accepted.add(s);
-    return new Connection(s);
+    Socket socket = server.accept();
+    accepted.add(socket);
+    return new Connection(socket);
   }
 
   @Override
   public void close() throws IOException {
     server.close();
-    for (Socket s : fillers) {
-      s.close();
+    for (Socket socket : fillers) {
+      socket.close();
     }
-    for (Socket s : accepted) {
-      s.close();
+    for (Socket socket : accepted) {
+      socket.close();
     }
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/RecordingEngine.java
+++ b/gateway/src/test/java/reachloom/gateway/RecordingEngine.java
@@ -13,8 +13,8 @@
 import reachloom.time.MonotonicClock;
 
 /**
- * An engine that notes each line with the time at which it was read, and serves what it is not to
- * hold.
+ * An engine that records each line with the time at which it was read, never responds to one query
+ * class, and serves all others.
  */
 final class RecordingEngine implements AutoCloseable {
   static final int PAGES = 8;
@@ -29,7 +29,7 @@
   private final String heldClass;
   private final MonotonicClock clock = new MonotonicClock();
 
-  /** An engine that never answers that class, and all others with {@link #PAGES} pages. */
+  /** Creates an engine that never responds to a class, and to others with {@link #PAGES} pages. */
   RecordingEngine(String heldClass) throws IOException {
     this.heldClass = heldClass;
     FakeEngine.daemon(this::accept);
@@ -46,21 +46,21 @@
   private void accept() {
     try {
       while (true) {
-        Socket s = server.accept();
-        sockets.add(s);
-        FakeEngine.daemon(() -> serve(s));
+        Socket socket = server.accept();
+        sockets.add(socket);
+        FakeEngine.daemon(() -> serve(socket));
       }
     } catch (IOException e) {
       // closed
     }
   }
 
-  private void serve(Socket s) {
-    try (s) {
-      PausedPeer.Connection connection = new PausedPeer.Connection(s);
-      s.setSoTimeout(0);
-      s.setTcpNoDelay(true);
-      for (String line = connection.request(); line != null; line = connection.request()) {
+  private void serve(Socket socket) {
+    try (socket) {
+      PausedPeer.Connection connection = new PausedPeer.Connection(socket);
+      socket.setSoTimeout(0);
+      socket.setTcpNoDelay(true);
+      for (String line = connection.readRequest(); line != null; line = connection.readRequest()) {
         lines.add(new Line(clock.now(), line));
         String[] words = line.split(" ");
         if (words[0].equals("ASK") && !words[2].contains("queue=" + heldClass)) {
@@ -75,14 +75,14 @@
   }
 
   private static void page(PausedPeer.Connection connection, String head) throws IOException {
-    connection.say(head + " " + PAGE.length() + "\r\n" + PAGE + "\r\n");
+    connection.write(head + " " + PAGE.length() + "\r\n" + PAGE + "\r\n");
   }
 
   @Override
   public void close() throws IOException {
     server.close();
-    for (Socket s : sockets) {
-      s.close();
+    for (Socket socket : sockets) {
+      socket.close();
     }
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/ServeTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ServeTest.java
@@ -27,21 +27,21 @@
 import reachloom.standin.ThriftClient;
 import reachloom.standin.ThriftMessages;
 
-/** Starts the program and speaks to it over sockets, as its clients, engines and operators do. */
+/** Tests the gateway process over sockets, with its clients, engines, change log and operators. */
 class ServeTest {
   @TempDir Path folder;
 
-  private FakeEngine node;
+  private FakeEngine engine;
   private FakeEngine other;
   private FakeChangeLog changeLog;
   private GatewayProcess gateway;
 
   @BeforeEach
   void start() throws IOException, InterruptedException {
-    node = new FakeEngine();
+    engine = new FakeEngine();
     other = new FakeEngine();
     changeLog = new FakeChangeLog(1);
-    gateway = new GatewayProcess(folder, changeLog, GatewayProcess.freeAddress(), node);
+    gateway = new GatewayProcess(folder, changeLog, GatewayProcess.freeAddress(), engine);
     gateway.ready().close();
   }
 
@@ -49,7 +49,7 @@
   void end() throws IOException, InterruptedException {
     gateway.close();
     changeLog.close();
-    node.close();
+    engine.close();
     other.close();
   }
 
@@ -61,69 +61,69 @@
   }
 
   @Test
-  void queriesAreServedRefusedOrFailedAndEachOnItsOwn() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertEquals(FakeEngine.ROW, c.run("select 1 from sales_1.a").body());
+  void servesRejectsOrFailsEachQuery() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      assertEquals(FakeEngine.ROW, client.run("select 1 from sales_1.a").body());
       String three = FakeEngine.ROW.repeat(6);
-      assertEquals(three, c.run("select 1 /* pages */ from sales_1.a").body(), "pages in order");
-      await(() -> node.count("FREE") == 1);
+      assertEquals(three, client.run("select 1 /* pages */ from sales_1.a").body(), "pages in order");
+      await(() -> engine.count("FREE") == 1);
       String ask = "ASK [0-9a-f]{16} queue=quick,budget=\\d+ \\d+";
-      assertTrue(node.commands.stream().anyMatch(l -> l.matches(ask)));
-      // It may have run, so a refusal would promise too much.
-      assertEquals("FAILED", c.run("select 1 /* err */", "verb", "once").kind());
-      assertEquals("FAILED", c.run("select 1 /* badpage */", "verb", "once").kind());
-      assertEquals("BUSY", c.run("select 1 /* busy */", "verb", "once").kind());
+      assertTrue(engine.commands.stream().anyMatch(l -> l.matches(ask)));
+      // The query may have run, so that the response must not be BUSY, which allows a retry.
+      assertEquals("FAILED", client.run("select 1 /* err */", "verb", "once").kind());
+      assertEquals("FAILED", client.run("select 1 /* badpage */", "verb", "once").kind());
+      assertEquals("BUSY", client.run("select 1 /* busy */", "verb", "once").kind());
     }
   }
 
   @Test
-  void answersComeInAnyOrderAndEachOnce() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      int late = c.execute("select 1 /* late */");
+  void respondsOnceToEachRequestInAnyOrder() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      int late = client.execute("select 1 /* late */");
       List<Integer> numbers = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        numbers.add(c.execute("select 1"));
+        numbers.add(client.execute("select 1"));
       }
-      List<Integer> answered = new ArrayList<>();
+      List<Integer> responses = new ArrayList<>();
       for (int i = 0; i < 21; i++) {
-        answered.add(c.reply().seq());
+        responses.add(client.reply().seq());
       }
-      assertEquals(late, answered.get(20));
-      assertEquals(new HashSet<>(numbers), new HashSet<>(answered.subList(0, 20)));
+      assertEquals(late, responses.get(20));
+      assertEquals(new HashSet<>(numbers), new HashSet<>(responses.subList(0, 20)));
     }
   }
 
   @Test
-  void aRequestWhoseTimeIsUpIsAnsweredBeforeTheClientLeaves() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
+  void respondsToHangingRequestByItsDeadline() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
       long start = System.nanoTime();
-      String kind = c.run("select 1 /* hang */", "limit", "700").kind();
+      String kind = client.run("select 1 /* hang */", "limit", "700").kind();
       long ms = (System.nanoTime() - start) / 1_000_000;
       assertTrue(Set.of("BUSY", "FAILED").contains(kind));
       assertTrue(ms < 3_000, "after " + ms + " ms");
-      await(() -> node.count("QUIT") >= 1);
+      await(() -> engine.count("QUIT") >= 1);
     }
   }
 
   @Test
-  void anInterruptedOrLeftRequestIsOwedNothingAndGivenUp() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      int seq = c.execute("select 1 /* hang */");
-      await(() -> node.count("ASK") == 1);
-      c.interrupt(seq);
-      await(() -> node.count("QUIT") == 1);
-      assertTrue(c.check(), "the connection goes on, and nothing came before this answer");
+  void cancelsRequestOnInterruptOrDisconnect() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      int seq = client.execute("select 1 /* hang */");
+      await(() -> engine.count("ASK") == 1);
+      client.interrupt(seq);
+      await(() -> engine.count("QUIT") == 1);
+      assertTrue(client.check(), "the connection stays open, and no response precedes this one");
     }
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      c.execute("select 1 /* hang */");
-      await(() -> node.count("ASK") == 2);
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      client.execute("select 1 /* hang */");
+      await(() -> engine.count("ASK") == 2);
     }
-    await(() -> node.count("QUIT") == 2);
+    await(() -> engine.count("QUIT") == 2);
   }
 
   @Test
-  void requestsThatCannotBeUsedNeverReachAnEngine() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
+  void rejectsInvalidRequestsWithoutForwarding() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
       String[][] bad = {
         {"verb", "strange"},
         {"verb", null},
@@ -141,22 +141,22 @@
         {"unique", "a\r\nQUIT x"}
       };
       for (String[] change : bad) {
-        assertTrue(Set.of("BUSY", "FAILED").contains(c.run("select 1", change).kind()), change[0]);
+        assertTrue(Set.of("BUSY", "FAILED").contains(client.run("select 1", change).kind()), change[0]);
       }
       assertEquals(
-          "FAILED", c.run("select 1", "verb", "keyed").kind(), "a keyed class without its key");
-      c.unknown();
-      assertEquals("EXCEPTION", c.reply().kind());
-      assertEquals(0, node.count("ASK"));
-      c.execute("select 1 /* late */", "txn", "00000000000000aa");
-      c.execute("select 1", "txn", "00000000000000aa");
-      assertEquals(Set.of("ANSWER", "FAILED"), Set.of(c.reply().kind(), c.reply().kind()));
-      assertEquals(1, node.count("ASK"));
+          "FAILED", client.run("select 1", "verb", "keyed").kind(), "a class that requires a key, without one");
+      client.unknown();
+      assertEquals("EXCEPTION", client.reply().kind());
+      assertEquals(0, engine.count("ASK"));
+      client.execute("select 1 /* late */", "txn", "00000000000000aa");
+      client.execute("select 1", "txn", "00000000000000aa");
+      assertEquals(Set.of("ANSWER", "FAILED"), Set.of(client.reply().kind(), client.reply().kind()));
+      assertEquals(1, engine.count("ASK"));
     }
   }
 
   @Test
-  void bytesThatAreNoMessageEndTheirConnectionAndNoOther() throws Exception {
+  void closesOnlyConnectionWithUndecodableInput() throws Exception {
     try (ThriftClient good = new ThriftClient(gateway.listen)) {
       byte[][] streams = {
         {-1, -1, -1, -1}, {0, 0, 0, 0}, {0, 0, 0, 4, 1, 2, 3, 4}, "GET / HTTP/1.1\r\n".getBytes()
@@ -172,49 +172,49 @@
   }
 
   @Test
-  void anEngineThatDiesOrBabblesCostsNoSecondRunWhereThatIsNotAllowed() throws Exception {
+  void doesNotRetryNonIdempotentQueryAfterEngineFailure() throws Exception {
     changeLog.add(2, other, 0);
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertEquals("FAILED", c.run("select 1 /* die */", "verb", "once").kind());
-      assertEquals(1, node.count("ASK") + other.count("ASK"));
-      assertEquals("FAILED", c.run("select 1 /* garbage */", "verb", "once").kind());
-      assertEquals(2, node.count("ASK") + other.count("ASK"));
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      assertEquals("FAILED", client.run("select 1 /* die */", "verb", "once").kind());
+      assertEquals(1, engine.count("ASK") + other.count("ASK"));
+      assertEquals("FAILED", client.run("select 1 /* garbage */", "verb", "once").kind());
+      assertEquals(2, engine.count("ASK") + other.count("ASK"));
     }
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertTrue(c.check());
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      assertTrue(client.check());
     }
   }
 
   @Test
-  void aSpoiltAnswerEndsAllThatIsOpenOnItsConnection() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      for (String spoilt : List.of("noise", "stops")) {
-        int hanging = c.execute("select 1 /* hang */", "verb", "once", "limit", "10000");
+  void malformedResponseEndsAllAttemptsOnItsConnection() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      for (String malformation : List.of("noise", "stops")) {
+        int hanging = client.execute("select 1 /* hang */", "verb", "once", "limit", "10000");
         long start = System.nanoTime();
-        int bad = c.execute("select 1 /* " + spoilt + " */", "verb", "once", "limit", "10000");
-        List<ThriftMessages.Reply> replies = List.of(c.reply(), c.reply());
+        int bad = client.execute("select 1 /* " + malformation + " */", "verb", "once", "limit", "10000");
+        List<ThriftMessages.Reply> replies = List.of(client.reply(), client.reply());
         long ms = (System.nanoTime() - start) / 1_000_000;
         assertEquals(Set.of(hanging, bad), Set.of(replies.get(0).seq(), replies.get(1).seq()));
-        replies.forEach(r -> assertEquals("FAILED", r.kind(), spoilt));
-        assertTrue(ms < 2_500, spoilt + " after " + ms + " ms");
+        replies.forEach(r -> assertEquals("FAILED", r.kind(), malformation));
+        assertTrue(ms < 2_500, malformation + " after " + ms + " ms");
       }
     }
   }
 
   @Test
-  void whatIsMerelyExtraIsSkipped() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
+  void ignoresDuplicateAndUnknownResponses() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
       for (int i = 0; i < 5; i++) {
         assertEquals(
-            FakeEngine.ROW.repeat(6), c.run("select 1 /* copies */", "verb", "once").body());
+            FakeEngine.ROW.repeat(6), client.run("select 1 /* copies */", "verb", "once").body());
       }
-      assertEquals(5, node.count("ASK"));
-      assertEquals(1, node.connections());
+      assertEquals(5, engine.count("ASK"));
+      assertEquals(1, engine.connections());
     }
   }
 
   @Test
-  void clientsThatStaySilentOrStopHalfWayAreClosed() throws Exception {
+  void closesSilentOrStalledClients() throws Exception {
     byte[][] starts = {{}, {0, 0}, {0, 0, 1, 0, (byte) 0x80, 1}};
     for (byte[] start : starts) {
       try (ThriftClient bad = new ThriftClient(gateway.listen)) {
@@ -224,17 +224,17 @@
         assertTrue(System.nanoTime() - from < 3_000_000_000L);
       }
     }
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertTrue(c.check());
-      c.raw(new byte[] {0, 0, 1});
-      assertThrows(IOException.class, c::reply, "also one that has spoken before");
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      assertTrue(client.check());
+      client.raw(new byte[] {0, 0, 1});
+      assertThrows(IOException.class, client::reply, "also a client that has sent a message before");
     }
   }
 
   @Test
-  void clientsThatOnlyHoldOnTakeNobodysPlace() throws Exception {
+  void evictsIdleClientsForNewOnes() throws Exception {
     String small =
-        GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node)
+        GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine)
             .replace("\"sockets\":1024", "\"sockets\":48");
     List<ThriftClient> holders = new ArrayList<>();
     try (GatewayProcess narrow =
@@ -244,20 +244,22 @@
       for (int i = 0; i < 40; i++) {
         ThriftClient holder = new ThriftClient(narrow.listen);
         holders.add(holder);
-        if (i % 2 == 0 || i > 20) { // the others stay silent
+        if (i % 2 == 0 || i > 20) { // the other clients stay silent
           assertTrue(holder.check());
         }
       }
-      assertEquals(late, first.reply().seq(), "one with a request open keeps its place");
-      try (ThriftClient slow =
-          new ThriftClient(narrow.listen)) { // its first words are still on their way
+      assertEquals(late, first.reply().seq(), "a client with an open request is not evicted");
+      // Its first request is still in transit.
+      try (ThriftClient slow = new ThriftClient(narrow.listen)) {
         for (int i = 0; i < 8; i++) {
           ThriftClient holder = new ThriftClient(narrow.listen);
           holders.add(holder);
           assertTrue(holder.check());
         }
         assertEquals(
-            "ANSWER", slow.run("select 1").kind(), "others, which have spoken, give way before it");
+            "ANSWER",
+            slow.run("select 1").kind(),
+            "clients that have sent a message are evicted before it");
       }
     } finally {
       for (ThriftClient holder : holders) {
@@ -267,26 +269,26 @@
   }
 
   @Test
-  void theChangeLogIsFollowedAndFoundAgainFromTheLastEvent() throws Exception {
+  void resumesChangeLogFromLastEvent() throws Exception {
     await(() -> changeLog.hellos.contains(1L));
     changeLog.add(2, other, 0);
-    changeLog.add(1, node, 2);
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
+    changeLog.add(1, engine, 2);
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
       await(
           () -> {
             try {
-              return c.run("select 1").kind().equals("ANSWER") && other.count("ASK") > 0;
+              return client.run("select 1").kind().equals("ANSWER") && other.count("ASK") > 0;
             } catch (IOException e) {
               return false;
             }
           });
       changeLog.cut();
       await(() -> changeLog.hellos.contains(3L));
-      long before = node.count("ASK");
+      long before = engine.count("ASK");
       for (int i = 0; i < 10; i++) {
-        assertEquals("ANSWER", c.run("select 1").kind());
+        assertEquals("ANSWER", client.run("select 1").kind());
       }
-      assertEquals(before, node.count("ASK"), "nothing goes to an engine that is gone");
+      assertEquals(before, engine.count("ASK"), "no request is sent to a removed engine");
     }
   }
 
@@ -307,36 +309,36 @@
   }
 
   @Test
-  void hangingUpMovesTheChangeLogAndDisturbsNoRequest() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen);
+  void sighupChangesChangeLogWithoutDisturbingRequests() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen);
         FakeChangeLog moved = new FakeChangeLog(1)) {
       await(() -> changeLog.hellos.contains(1L));
-      int late = c.execute("select 1 /* late */");
-      gateway.configure(GatewayProcess.config(gateway.listen, moved, node));
+      int late = client.execute("select 1 /* late */");
+      gateway.configure(GatewayProcess.config(gateway.listen, moved, engine));
       gateway.hangUp();
       gateway.hangUp(); // the same file again
-      assertEquals(late, c.reply().seq());
+      assertEquals(late, client.reply().seq());
       await(() -> moved.hellos.contains(1L));
-      assertEquals(1, moved.hellos.size(), "one connection, also where the same is told again");
+      assertEquals(1, moved.hellos.size(), "one connection, although the same configuration is loaded twice");
       moved.add(2, other, 0);
-      moved.add(1, node, 2);
-      changeLog.add(2, other, 2); // told by nobody that is still listened to
+      moved.add(1, engine, 2);
+      changeLog.add(2, other, 2); // sent by the old log, which is no longer followed
       await(
           () -> {
             try {
-              return c.run("select 1").kind().equals("ANSWER") && other.count("ASK") > 0;
+              return client.run("select 1").kind().equals("ANSWER") && other.count("ASK") > 0;
             } catch (IOException e) {
               return false;
             }
           });
-      long before = node.count("ASK");
-      assertEquals("ANSWER", c.run("select 1").kind());
-      assertEquals(before, node.count("ASK"), "the new log has told that the engine is gone");
+      long before = engine.count("ASK");
+      assertEquals("ANSWER", client.run("select 1").kind());
+      assertEquals(before, engine.count("ASK"), "the new log has removed the engine");
     }
   }
 
   @Test
-  void aConfigurationThatCannotBeUsedChangesNothing() throws Exception {
+  void invalidConfigurationLeavesPreviousInForce() throws Exception {
     String good = Files.readString(folder.resolve("config.json"));
     await(() -> changeLog.hellos.contains(1L));
     String[][] files = {
@@ -350,8 +352,8 @@
       gateway.hangUp();
       awaitLine(file[1]);
     }
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertEquals("ANSWER", c.run("select 1").kind());
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      assertEquals("ANSWER", client.run("select 1").kind());
     }
     assertEquals(1, changeLog.hellos.size(), "the old address is still followed");
     gateway.terminate();
@@ -360,89 +362,89 @@
   }
 
   @Test
-  void nothingGoesToAnEngineThatDrainedWhileTheGatewayStarted() throws Exception {
-    changeLog.add(1, node, 1);
+  void doesNotUseEngineDrainedDuringStart() throws Exception {
+    changeLog.add(1, engine, 1);
     changeLog.add(2, other, 0);
     InetSocketAddress address = GatewayProcess.freeAddress();
     Path own = Files.createDirectory(folder.resolve("late"));
-    long before = node.count("ASK");
+    long before = engine.count("ASK");
     try (GatewayProcess late =
-        new GatewayProcess(own, GatewayProcess.config(address, changeLog, node))) {
+        new GatewayProcess(own, GatewayProcess.config(address, changeLog, engine))) {
       ThriftMessages.Reply reply = null;
       for (long end = System.nanoTime() + 20_000_000_000L;
           reply == null && System.nanoTime() < end; ) {
-        try (ThriftClient early =
-            new ThriftClient(address)) { // does not wait until check says good
+        // Does not wait until the gateway reports itself as ready.
+        try (ThriftClient early = new ThriftClient(address)) {
           reply = early.run("select 1");
         } catch (IOException e) {
           Thread.sleep(2);
         }
       }
       assertEquals("ANSWER", reply.kind());
-      assertEquals(before, node.count("ASK"));
+      assertEquals(before, engine.count("ASK"));
       assertEquals(1, other.count("ASK"));
       assertTrue(late.alive());
     }
   }
 
   @Test
-  void aNewConfigurationIsFoundAlsoWhereSighupIsIgnored() throws Exception {
-    String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, node);
-    Path own = Files.createDirectory(folder.resolve("deaf"));
+  void pollsConfigurationWhenSighupIsIgnored() throws Exception {
+    String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog, engine);
+    Path own = Files.createDirectory(folder.resolve("sighup-ignored"));
     List<String> ignoring = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     try (FakeChangeLog moved = new FakeChangeLog(1);
-        GatewayProcess deaf = new GatewayProcess(own, text, ignoring, List.of())) {
-      deaf.ready().close();
-      deaf.configure(
+        GatewayProcess process = new GatewayProcess(own, text, ignoring, List.of())) {
+      process.ready().close();
+      process.configure(
           text.replace(
               ":" + changeLog.address().getPort() + "\"", ":" + moved.address().getPort() + "\""));
-      deaf.hangUp();
+      process.hangUp();
       await(() -> moved.hellos.contains(1L));
-      assertTrue(deaf.alive());
+      assertTrue(process.alive());
     }
   }
 
   @Test
-  void stoppingGoesOnServingThenEndsWell() throws Exception {
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      int late = c.execute("select 1 /* late */");
-      int hanging = c.execute("select 1 /* hang */", "limit", "60000");
-      await(() -> node.count("ASK") == 2);
+  void servesDuringShutdownThenExitsCleanly() throws Exception {
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      int late = client.execute("select 1 /* late */");
+      int hanging = client.execute("select 1 /* hang */", "limit", "60000");
+      await(() -> engine.count("ASK") == 2);
       gateway.terminate();
       Thread.sleep(150);
       try (ThriftClient second = new ThriftClient(gateway.listen)) {
-        assertFalse(second.check(), "no new clients are wanted");
+        assertFalse(second.check(), "no longer ready");
         assertEquals("ANSWER", second.run("select 1").kind());
       }
-      ThriftMessages.Reply first = c.reply();
+      ThriftMessages.Reply first = client.reply();
       assertEquals(late, first.seq());
       assertEquals("ANSWER", first.kind());
-      assertEquals(hanging, c.reply().seq());
+      assertEquals(hanging, client.reply().seq());
       long answered = System.nanoTime();
       Thread.sleep(40);
-      if (System.nanoTime() - answered < 80_000_000) { // else this machine was too busy to tell
-        String again = c.run("select 1").kind();
+      if (System.nanoTime() - answered < 80_000_000) { // otherwise this machine was too busy to judge
+        String again = client.run("select 1").kind();
         assertTrue(
             Set.of("BUSY", "FAILED").contains(again),
-            "who asks again is heard, and draws no reset");
+            "a further request gets a response, and no reset");
       }
     }
     assertEquals(0, gateway.exit());
-    assertTrue(Files.readString(gateway.log).contains("has stopped"), "the last line is not lost");
+    assertTrue(Files.readString(gateway.log).contains("has stopped"), "the last log line is written");
   }
 
   @Test
-  void aKilledGatewayStartsAgainUnderItsAddress() throws Exception {
+  void restartsOnSameAddressAfterKill() throws Exception {
     gateway.kill();
-    gateway = new GatewayProcess(folder, changeLog, gateway.listen, node);
+    gateway = new GatewayProcess(folder, changeLog, gateway.listen, engine);
     gateway.ready().close();
-    try (ThriftClient c = new ThriftClient(gateway.listen)) {
-      assertEquals("ANSWER", c.run("select 1").kind());
+    try (ThriftClient client = new ThriftClient(gateway.listen)) {
+      assertEquals("ANSWER", client.run("select 1").kind());
     }
   }
 
   @Test
-  void anAddressThatIsTakenEndsTheStartWithOneLine() throws Exception {
+  void failsToStartWhenAddressIsInUse() throws Exception {
     Path log = folder.resolve("second");
     Process second = GatewayProcess.start(folder.resolve("config.json"), log, "serve");
     assertEnds(second, 1);
@@ -453,7 +455,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"warm-up", "rehearse"})
-  void warmingUpStartsAndEndsByItselfAlsoUnderItsFormerName(String command) throws Exception {
+  void warmUpCommandAndDeprecatedAliasExitByThemselves(String command) throws Exception {
     Path log = folder.resolve("warm-up.log");
     Process process = GatewayProcess.start(folder.resolve("none.json"), log, command);
     assertEnds(process, 0);
@@ -465,7 +467,7 @@
   }
 
   @Test
-  void aBadConfigurationEndsTheStartNamingTheKey() throws Exception {
+  void failsToStartNamingInvalidKey() throws Exception {
     Path config = folder.resolve("bad.json");
     String good = Files.readString(folder.resolve("config.json"));
     Files.writeString(config, good.replace("\"seed\":", "\"sead\":"));
--- a/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
@@ -29,9 +29,9 @@
 import reachloom.standin.ThriftMessages;
 
 /**
- * Requests that meet the end of a connection which this side wants: at the shutdown, and where a
- * client that rests is ended. They get their answers, or they are not sent on and their connections
- * end in order.
+ * Guards against lost responses and connection resets when the gateway closes client connections,
+ * at shutdown, on eviction and on idle timeout, while a request is in transit. The request gets a
+ * response, or it is not forwarded and its connection is closed gracefully.
  */
 @Timeout(60)
 class ShutdownOrderingTest extends GatewayHarness {
@@ -42,10 +42,10 @@
   private PausedPeer engine;
   private FakeChangeLog changeLog;
 
-  /** The gateway's one connection to its engine; it tells what was sent on, and in which order. */
-  private Connection sentOn;
+  /** The gateway's only connection to its engine, on which the test reads what is forwarded. */
+  private Connection engineConnection;
 
-  private int probes;
+  private int healthChecks;
 
   @BeforeEach
   void start() throws Exception {
@@ -55,13 +55,13 @@
         GatewayProcess.config(GatewayProcess.freeAddress(), changeLog.address(), engine.address())
             .replace("\"dialTimeout\":250000000", "\"dialTimeout\":9000000000")
             .replace("\"sockets\":1024", "\"sockets\":96");
-    serve(text, a -> scripted());
-    next(SchedulerSettings.class);
-    next(List.class);
-    sendAtOnceTo = ENGINE; // as the module does in service
-    act(() -> actions.checkHealth(ENGINE));
-    sentOn = engine.accept();
-    nothingSentOn();
+    startGateway(text, a -> scriptedScheduler());
+    nextEvent(SchedulerSettings.class);
+    nextEvent(List.class);
+    forwardImmediatelyTo = ENGINE; // as the production scheduler does
+    runOnLoop(() -> actions.checkHealth(ENGINE));
+    engineConnection = engine.accept();
+    assertNothingForwarded();
   }
 
   @AfterEach
@@ -71,127 +71,126 @@
   }
 
   /**
-   * Twice round by way of the engine: all that was sent before has been read, and none of it was
-   * sent on.
+   * Runs two health checks, after which everything sent before has been read, and asserts that
+   * nothing but the health checks was sent to the engine.
    */
-  private void nothingSentOn() throws Exception {
+  private void assertNothingForwarded() throws Exception {
     for (int i = 0; i < 2; i++) {
-      if (probes > 0) {
-        act(() -> actions.checkHealth(ENGINE));
+      if (healthChecks > 0) {
+        runOnLoop(() -> actions.checkHealth(ENGINE));
       }
-      String tag = "p" + probes++;
-      assertEquals(List.of("INFO " + tag), sentOn.linesUpTo("INFO"));
-      sentOn.say(tag + " UP - 0\r\n\r\n");
-      assertEquals(List.of(ENGINE, true), next(List.class));
+      String tag = "p" + healthChecks++;
+      assertEquals(List.of("INFO " + tag), engineConnection.readLinesUntil("INFO"));
+      engineConnection.write(tag + " UP - 0\r\n\r\n");
+      assertEquals(List.of(ENGINE, true), nextEvent(List.class));
     }
   }
 
   /**
-   * Once what was sent before has been read: a reset would tell at the next word, if not by the
-   * first.
+   * Asserts that a connection on which a message was sent after its end has not been reset: after a
+   * reset the next write fails.
    */
-  private static void assertNoReset(ThriftClient c) {
-    assertDoesNotThrow(() -> c.execute("select 'after the end'"));
+  private static void assertNoReset(ThriftClient client) {
+    assertDoesNotThrow(() -> client.execute("select 'after the end'"));
   }
 
-  private void answer(Query q) throws Exception {
-    assertTrue(sentOn.request().startsWith("ASK " + q.id()));
-    sentOn.say(q.id() + SERVED);
+  private void answerQuery(Query query) throws Exception {
+    assertTrue(engineConnection.readRequest().startsWith("ASK " + query.id()));
+    engineConnection.write(query.id() + SERVED);
   }
 
-  /** Where the request lies when the loop comes to the shutdown. */
-  enum Lying {
-    READ,
-    READ_BEHIND_ITS_CONNECTION,
-    READ_IN_HALF
+  /** Which part of the request has been read, and on which connection, before the shutdown. */
+  enum RequestPosition {
+    ON_OPEN_CONNECTION,
+    ON_NEW_CONNECTION,
+    HALF_READ
   }
 
   @ParameterizedTest
-  @EnumSource(Lying.class)
-  void aRequestThatLiesBehindTheShutdownIsNotSentOnAndItsConnectionEndsInOrder(Lying where)
+  @EnumSource(RequestPosition.class)
+  void requestBehindShutdownIsNeitherForwardedNorReset(RequestPosition position)
       throws Exception {
-    ThriftClient c = new ThriftClient(config.listen());
-    assertFalse(c.check());
-    if (where == Lying.READ_IN_HALF) {
-      c.begin("select 1");
+    ThriftClient client = new ThriftClient(config.listen());
+    assertFalse(client.check());
+    if (position == RequestPosition.HALF_READ) {
+      client.begin("select 1");
     }
-    CountDownLatch go = hold();
-    if (where == Lying.READ_IN_HALF) {
-      allHasBeenRead();
+    CountDownLatch resume = pauseLoop();
+    if (position == RequestPosition.HALF_READ) {
+      awaitSocketsRead();
     }
-    act(gateway::close);
-    if (where == Lying.READ_BEHIND_ITS_CONNECTION) {
-      c.close();
-      c = new ThriftClient(config.listen());
+    runOnLoop(gateway::close);
+    if (position == RequestPosition.ON_NEW_CONNECTION) {
+      client.close();
+      client = new ThriftClient(config.listen());
     }
-    if (where == Lying.READ_IN_HALF) {
-      c.finish();
+    if (position == RequestPosition.HALF_READ) {
+      client.finish();
     } else {
-      c.execute("select 1");
+      client.execute("select 1");
     }
-    allHasBeenRead();
-    go.countDown();
-    assertTrue(c.ended(), "no answer, and no reset");
-    nothingSentOn();
-    c.close();
-    await(() -> held("clients") == 0 && held("requests") == 0);
+    awaitSocketsRead();
+    resume.countDown();
+    assertTrue(client.ended(), "no response, and no reset");
+    assertNothingForwarded();
+    client.close();
+    await(() -> tableSize("clients") == 0 && tableSize("requests") == 0);
   }
 
   @Test
-  void whatComesWhileTheCloseIsOnItsWayIsReadAndDroppedWithoutAReset() throws Exception {
+  void inputDuringCloseIsDiscardedWithoutReset() throws Exception {
     List<ThriftClient> all = new ArrayList<>();
     try {
-      for (int i = 0;
-          i < 12;
-          i++) { // more than may be on their way to their end while others need room
+      // More connections than may be closing while new ones need descriptors.
+      for (int i = 0; i < 12; i++) {
         all.add(new ThriftClient(config.listen()));
         assertFalse(all.get(i).check());
       }
       all.get(0).execute("select 1");
-      answer(next(Query.class));
+      answerQuery(nextEvent(Query.class));
       assertEquals("ANSWER", all.get(0).reply().kind());
-      next(AttemptResult.class);
+      nextEvent(AttemptResult.class);
       ThriftClient half = all.remove(1);
       half.begin("select 2");
-      nothingSentOn(); // the half is read
-      act(gateway::close);
+      assertNothingForwarded(); // the first half has been read
+      runOnLoop(gateway::close);
       assertTrue(half.ended());
       half.finish();
-      for (ThriftClient c : all) {
-        assertTrue(c.ended());
-        c.execute("select 3");
+      for (ThriftClient client : all) {
+        assertTrue(client.ended());
+        client.execute("select 3");
       }
       all.add(half);
-      nothingSentOn();
+      assertNothingForwarded();
       all.forEach(ShutdownOrderingTest::assertNoReset);
     } finally {
-      for (ThriftClient c : all) {
-        c.close();
+      for (ThriftClient client : all) {
+        client.close();
       }
     }
-    await(() -> pending() == 0);
+    await(() -> closingConnections() == 0);
   }
 
   @Test
-  void whatIsOnItsWayWhenSigtermComesIsAnswered() throws Exception {
+  void requestsInTransitAtSigtermGetResponses() throws Exception {
     Path own = Files.createDirectory(folder.resolve("process"));
-    try (FakeEngine node = new FakeEngine();
+    try (FakeEngine fakeEngine = new FakeEngine();
         GatewayProcess process =
-            new GatewayProcess(own, changeLog, GatewayProcess.freeAddress(), node);
+            new GatewayProcess(own, changeLog, GatewayProcess.freeAddress(), fakeEngine);
         ThriftClient open = process.ready();
         ThriftClient half = new ThriftClient(process.listen)) {
       assertTrue(half.check());
       half.begin("select 1");
       process.standStill();
-      int hanging =
-          open.execute("select 1 /* hang */", "limit", "1300"); // longer than new ones come
+      // A deadline beyond the end of admission.
+      int hanging = open.execute("select 1 /* hang */", "limit", "1300");
       int plain = open.execute("select 1");
       try (ThriftClient late = new ThriftClient(process.listen)) {
         late.execute("select 1");
         process.terminate();
         process.goOn();
         assertEquals("ANSWER", late.reply().kind());
-        await(() -> stopping(process));
+        await(() -> isShuttingDown(process));
         half.finish();
         assertEquals("ANSWER", half.reply().kind());
         ThriftMessages.Reply first = open.reply();
@@ -206,109 +205,110 @@
     }
   }
 
-  private static boolean stopping(GatewayProcess process) {
-    try (ThriftClient c = new ThriftClient(process.listen)) {
-      return !c.check();
+  private static boolean isShuttingDown(GatewayProcess process) {
+    try (ThriftClient client = new ThriftClient(process.listen)) {
+      return !client.check();
     } catch (IOException e) {
       return false;
     }
   }
 
   @Test
-  void aRequestReadBeforeItsConnectionHasToGiveWayIsTakenAndOneThatComesLaterIsNotReadNorReset()
+  void requestReadBeforeEvictionIsServedLaterOneDiscarded()
       throws Exception {
-    List<ThriftClient> resting = new ArrayList<>();
+    List<ThriftClient> idleClients = new ArrayList<>();
     try {
-      for (int i = 0; i < 32; i++) { // all that there is room for
-        resting.add(new ThriftClient(config.listen()));
-        assertFalse(resting.get(i).check());
+      for (int i = 0; i < 32; i++) { // the most clients admitted
+        idleClients.add(new ThriftClient(config.listen()));
+        assertFalse(idleClients.get(i).check());
       }
-      ThriftClient asks = resting.get(0); // the one idle for longest
-      ThriftClient givesWay = resting.get(1);
-      CountDownLatch go = hold();
+      ThriftClient requester = idleClients.get(0); // idle for longest
+      ThriftClient evicted = idleClients.get(1);
+      CountDownLatch resume = pauseLoop();
       try (ThriftClient newcomer = new ThriftClient(config.listen())) {
-        allHasBeenRead();
-        asks.execute("select 1");
-        allHasBeenRead();
-        go.countDown();
-        answer(next(Query.class));
-        assertEquals("ANSWER", asks.reply().kind());
-        next(AttemptResult.class);
-        assertTrue(givesWay.ended(), "no reset");
-        givesWay.execute("select 2");
-        nothingSentOn();
-        assertNoReset(givesWay);
-        assertFalse(newcomer.check(), "it is in");
-        assertTrue(held("clients") <= 32);
+        awaitSocketsRead();
+        requester.execute("select 1");
+        awaitSocketsRead();
+        resume.countDown();
+        answerQuery(nextEvent(Query.class));
+        assertEquals("ANSWER", requester.reply().kind());
+        nextEvent(AttemptResult.class);
+        assertTrue(evicted.ended(), "no reset");
+        evicted.execute("select 2");
+        assertNothingForwarded();
+        assertNoReset(evicted);
+        assertFalse(newcomer.check(), "the new client is admitted");
+        assertTrue(tableSize("clients") <= 32);
       }
     } finally {
-      for (ThriftClient c : resting) {
-        c.close();
+      for (ThriftClient client : idleClients) {
+        client.close();
       }
     }
   }
 
   @Test
-  void clientsThatRestUntilTheyAreEndedGetNoResetAndWhatCrossesThatIsAnsweredOrNotSentOn()
+  void idleTimeoutNeverResetsClientsWithRequestsInTransit()
       throws Exception {
-    List<ThriftClient> resting = new ArrayList<>();
+    List<ThriftClient> idleClients = new ArrayList<>();
     try {
       for (int i = 0; i < 8; i++) {
-        resting.add(new ThriftClient(config.listen()));
-        assertFalse(resting.get(i).check());
+        idleClients.add(new ThriftClient(config.listen()));
+        assertFalse(idleClients.get(i).check());
       }
-      assertTrue(resting.get(0).ended(), "after ten seconds");
-      for (ThriftClient c : resting) {
-        c.execute("select 1", "limit", "8000");
+      assertTrue(idleClients.get(0).ended(), "after ten seconds");
+      for (ThriftClient client : idleClients) {
+        client.execute("select 1", "limit", "8000");
       }
-      int taken = 0;
+      int accepted = 0;
       int served = 0;
-      for (int i = 0; i < 2; i++) { // twice round by way of the engine: all has been read
-        act(() -> actions.checkHealth(ENGINE));
-        String line = sentOn.request();
-        for (; line.startsWith("ASK"); line = sentOn.request()) {
+      for (int i = 0; i < 2; i++) { // after two health checks everything has been read
+        runOnLoop(() -> actions.checkHealth(ENGINE));
+        String line = engineConnection.readRequest();
+        for (; line.startsWith("ASK"); line = engineConnection.readRequest()) {
           served++;
-          sentOn.say(line.split(" ")[1] + SERVED);
+          engineConnection.write(line.split(" ")[1] + SERVED);
         }
-        sentOn.say(line.split(" ")[1] + " UP - 0\r\n\r\n");
-        for (Object event = next(Object.class);
+        engineConnection.write(line.split(" ")[1] + " UP - 0\r\n\r\n");
+        for (Object event = nextEvent(Object.class);
             !(event instanceof List<?>);
-            event = next(Object.class)) {
-          taken += event instanceof Query ? 1 : 0;
+            event = nextEvent(Object.class)) {
+          accepted += event instanceof Query ? 1 : 0;
         }
       }
-      for (; served < taken; served++) { // a probe may overtake what leaves at the end of a turn
-        sentOn.say(sentOn.request().split(" ")[1] + SERVED);
+      // A health check may overtake an attempt, which is sent at the end of the loop's iteration.
+      for (; served < accepted; served++) {
+        engineConnection.write(engineConnection.readRequest().split(" ")[1] + SERVED);
       }
       int answered = 0;
-      for (ThriftClient c : resting) {
-        if (c.ended()) {
-          assertNoReset(c);
+      for (ThriftClient client : idleClients) {
+        if (client.ended()) {
+          assertNoReset(client);
         } else {
           answered++;
         }
       }
-      assertEquals(taken, answered);
+      assertEquals(accepted, answered);
     } finally {
-      for (ThriftClient c : resting) {
-        c.close();
+      for (ThriftClient client : idleClients) {
+        client.close();
       }
     }
   }
 
-  private int pending() {
-    int[] pending = new int[1];
-    CountDownLatch asked = new CountDownLatch(1);
-    act(
+  private int closingConnections() {
+    int[] count = new int[1];
+    CountDownLatch counted = new CountDownLatch(1);
+    runOnLoop(
         () -> {
-          pending[0] = gateway.closingConnections();
-          asked.countDown();
+          count[0] = gateway.closingConnections();
+          counted.countDown();
         });
     try {
-      asked.await();
+      counted.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return pending[0];
+    return count[0];
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/SteppedClockTest.java
+++ b/gateway/src/test/java/reachloom/gateway/SteppedClockTest.java
@@ -23,8 +23,8 @@
 import reachloom.standin.ThriftMessages.Reply;
 
 /**
- * The program as a process whose wall clock is stepped while it serves: windows, deadlines and
- * timers are spans of real time.
+ * Guards against windows, deadlines and timers that depend on the wall clock, by stepping the wall
+ * clock of a gateway process while it serves: they are spans of real time.
  */
 @Timeout(60)
 class SteppedClockTest {
@@ -52,7 +52,8 @@
   }
 
   /**
-   * A gateway with that engine, a window for repeats of a second, and much time for each request.
+   * Starts a gateway with the given engine, a retry window of 1 s for keyed requests, and long
+   * deadlines.
    */
   private GatewayProcess gateway(InetSocketAddress of) throws IOException {
     String text = GatewayProcess.config(GatewayProcess.freeAddress(), changeLog.address(), of);
@@ -70,38 +71,37 @@
   }
 
   @Test
-  void aKeyedRequestIsNotRepeatedPastItsWindowAfterTheClockWentBack() throws Exception {
+  void doesNotRetryKeyedRequestPastWindowAfterBackwardStep() throws Exception {
     try (PausedPeer peer = new PausedPeer();
         GatewayProcess gateway = gateway(peer.address());
         ThriftClient client = gateway.ready()) {
       client.execute("load", "verb", "keyed", "unique", "key-1", "limit", "15000");
       Connection first = peer.accept();
-      for (String line = first.request(); !line.startsWith("ASK"); line = first.request()) {
+      for (String line = first.readRequest(); !line.startsWith("ASK"); line = first.readRequest()) {
         assertTrue(line.startsWith("INFO"), line);
       }
       clock.step(STEP.negated());
-      AtomicInteger repeats = new AtomicInteger();
-      FakeEngine.daemon(() -> answerAllThatComes(peer, repeats));
-      Thread.sleep(
-          STEP.toMillis()
-              + 200); // the wall clock shows the time of the first send again, and 0.2 s
+      AtomicInteger retries = new AtomicInteger();
+      FakeEngine.daemon(() -> serveFurtherRequests(peer, retries));
+      // Until the wall clock shows the time of the first attempt again, plus 0.2 s.
+      Thread.sleep(STEP.toMillis() + 200);
       first.socket.setSoLinger(true, 0);
       first.socket.close();
       Reply reply = client.reply();
-      assertEquals(0, repeats.get(), "sent again past its window");
+      assertEquals(0, retries.get(), "retried past its window");
       assertNotEquals("ANSWER", reply.kind());
     }
   }
 
-  /** Counts what is asked on further connections, and answers it at once. */
-  private static void answerAllThatComes(PausedPeer peer, AtomicInteger asked) {
+  /** Counts the requests on further connections, and responds to them at once. */
+  private static void serveFurtherRequests(PausedPeer peer, AtomicInteger requests) {
     try {
       while (true) {
-        Connection c = peer.accept();
-        for (String line = c.request(); line != null; line = c.request()) {
+        Connection connection = peer.accept();
+        for (String line = connection.readRequest(); line != null; line = connection.readRequest()) {
           if (line.startsWith("ASK")) {
-            asked.incrementAndGet();
-            c.say(line.split(" ")[1] + " OK fetches=1 6\r\na\tb\tc\n\r\n");
+            requests.incrementAndGet();
+            connection.write(line.split(" ")[1] + " OK fetches=1 6\r\na\tb\tc\n\r\n");
           }
         }
       }
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void aRequestIsAnsweredWithinItsTimeAfterTheClockWentBack() throws Exception {
+  void respondsInTimeAfterBackwardStep() throws Exception {
     try (GatewayProcess gateway = gateway(engine.address());
         ThriftClient client = gateway.ready()) {
       long start = System.nanoTime();
@@ -125,10 +125,10 @@
   }
 
   @Test
-  void aRequestKeepsItsTimeAfterTheClockWentForward() throws Exception {
+  void keepsDeadlineAfterForwardStep() throws Exception {
     try (GatewayProcess gateway = gateway(engine.address());
         ThriftClient client = gateway.ready()) {
-      client.execute("select 1 /* late */", "limit", "10000"); // its answer takes 300 ms
+      client.execute("select 1 /* late */", "limit", "10000"); // its response takes 300 ms
       awaitAsk();
       clock.step(HOUR);
       assertEquals(FakeEngine.ROW, client.reply().body());
@@ -136,20 +136,20 @@
   }
 
   @Test
-  void aClientThatReadsLateStillGetsAllItsAnswersAfterTheClockWentForward() throws Exception {
-    long wanted = 100; // of 48 KB: more than the system's own buffers hold
+  void slowReaderGetsAllResponsesAfterForwardStep() throws Exception {
+    long wanted = 100; // responses of 48 KB: more than the socket buffers hold
     try (RecordingEngine pages = new RecordingEngine("none");
         GatewayProcess gateway = gateway(pages.address());
         ThriftClient client = gateway.ready()) {
-      int asked = 0;
-      for (; pages.count("FREE") < wanted; asked++) {
+      int requests = 0;
+      for (; pages.count("FREE") < wanted; requests++) {
         client.execute("select 1", "limit", "15000");
-        Thread.sleep(10); // the engine has served most of them, and their answers wait to be taken
+        Thread.sleep(10); // the engine has served most of them, and the responses are unread
       }
       clock.step(HOUR);
       Thread.sleep(1_500); // the sockets' own timers run once a second
       int answers = 0;
-      for (int i = 0; i < asked; i++) {
+      for (int i = 0; i < requests; i++) {
         answers += client.reply().kind().equals("ANSWER") ? 1 : 0;
       }
       assertTrue(answers >= wanted, answers + " answers");
--- a/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
+++ b/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 import reachloom.scheduler.api.AttemptOutcome;
 
-/** Slots with generations, deadlines in one order, and what a broken attempt proves. */
+/** Client eviction, generational slots, the order of deadlines, and outcomes of broken attempts. */
 class TablesTest {
   @Test
-  void theSilentThenTheIdleThenTheNewGiveWay() {
+  void evictsSilentThenIdleThenNewConnections() {
     ClientConnectionTable clients = new ClientConnectionTable(3);
     ClientConnection silent = new ClientConnection(null, 10);
     ClientConnection idle = new ClientConnection(null, 20);
     ClientConnection fresh = new ClientConnection(null, 90);
-    for (ClientConnection c : new ClientConnection[] {silent, idle, fresh}) {
-      assertTrue(clients.add(c));
+    for (ClientConnection connection : new ClientConnection[] {silent, idle, fresh}) {
+      assertTrue(clients.add(connection));
     }
     assertFalse(clients.add(new ClientConnection(null, 95)), "full");
     clients.messageReceived(idle, 30);
@@ -31,14 +31,14 @@
     assertSame(
         idle,
         clients.evictable(50).orElseThrow(),
-        "before the one whose first words may be on their way");
+        "before the connection whose first request may be in transit");
     idle.openRequests.put(1, null);
     clients.touch(idle, 40);
-    assertSame(fresh, clients.evictable(50).orElseThrow(), "one with a request open never does");
+    assertSame(fresh, clients.evictable(50).orElseThrow(), "a connection with an open request is never evicted");
     clients.messageReceived(fresh, 100);
     idle.openRequests.clear();
     clients.touch(idle, 110);
-    assertSame(fresh, clients.evictable(150).orElseThrow(), "the one idle for longest");
+    assertSame(fresh, clients.evictable(150).orElseThrow(), "the connection idle for longest");
     assertEquals(Optional.empty(), clients.overdue(200, 100));
     assertSame(fresh, clients.overdue(200, 101).orElseThrow());
     clients.messageBegun(idle, 120);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void aHandleKeptPastItsEndFindsNothing() {
+  void staleHandleFindsNothing() {
     GenerationalSlots<String> slots = new GenerationalSlots<>(2);
     long a = slots.add("a");
     slots.remove(a);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aFullTableTakesNoMore() {
+  void fullTableRejectsFurtherValues() {
     GenerationalSlots<Integer> slots = new GenerationalSlots<>(200);
     for (int i = 0; i < 200; i++) {
       assertEquals(i, slots.get(slots.add(i)));
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void deadlinesComeByTimeAndThenInTheOrderSet() {
+  void deadlinesAreOrderedByTimeThenInsertion() {
     DeadlineQueue deadlines = new DeadlineQueue();
     List<String> done = new ArrayList<>();
     deadlines.add(20, () -> done.add("c"));
@@ -96,10 +96,10 @@
   }
 
   @Test
-  void onlyWhatWasWholeOnTheWireMayHaveRun() {
+  void outcomeDependsOnAttemptProgress() {
     assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.outcomeIfConnectionLost);
     assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.PARTLY_WRITTEN.outcomeIfConnectionLost);
-    // What waits to be written goes out later, before the word that gives it up.
+    // The unwritten rest is still sent, before the cancel command.
     assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.PARTLY_WRITTEN.outcomeIfTimedOut);
     assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.outcomeIfTimedOut);
     assertEquals(AttemptOutcome.RESET, AttemptProgress.SENT.outcomeIfConnectionLost);
