--- a/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
@@ -269,7 +269,7 @@
   }
 
   private void onResponse(EngineAttempt attempt, EngineResponse response) {
-    attempt.answered();
+    attempt.responseReceived();
     response.loadReport().ifPresent(report -> attempt.loadReport = report);
     switch (response.status()) {
       case RESULT -> results.onFirstPage(attempt, response);
--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -200,7 +200,7 @@
     loop.deadlines().cancel(silenceTimeout);
     loop.deadlines().cancel(reconnectTimer);
     if (session != null) {
-      closing.end(session);
+      closing.close(session);
       session = null;
     } else if (connectFuture != null) {
       Sockets.giveUp(connectFuture);
--- a/gateway/src/main/java/reachloom/gateway/ClientConnections.java
+++ b/gateway/src/main/java/reachloom/gateway/ClientConnections.java
@@ -168,7 +168,7 @@
   private void disconnect(ClientConnection client, String reason) {
     table.remove(client);
     logOpenRequests(client, reason);
-    closing.end(client.session);
+    closing.close(client.session);
     abandonRequests(client);
   }
 
@@ -228,7 +228,7 @@
 
   private void onOpened(IoSession session) {
     if (closed) { // its requests would be forwarded without anyone to receive the response
-      closing.end(session);
+      closing.close(session);
       return;
     }
     ClientConnection client = new ClientConnection(session, loop.now());
--- a/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
@@ -315,7 +315,7 @@
       removeIfUnused(connection.engine(), engine);
     }
     if (connection.isConnected()) {
-      closing.end(connection.session()); // sends pending cancel commands first
+      closing.close(connection.session()); // sends pending cancel commands first
     }
     if (connection.attemptCount() > 0) {
       LOG.log(
--- a/gateway/src/main/java/reachloom/gateway/LingeringClose.java
+++ b/gateway/src/main/java/reachloom/gateway/LingeringClose.java
@@ -41,20 +41,20 @@
    * Starts to close a connection; nothing may be written to it afterwards. If too many are closing,
    * the oldest one is closed at once.
    */
-  void end(IoSession session) {
+  void close(IoSession session) {
     if (session.isClosing() || closing.containsKey(session)) {
       return;
     }
     DecodingHandler.readNoMore(session);
-    closing.put(session, loop.deadlines().add(loop.now() + timeoutNanos, () -> cut(session)));
-    session.getCloseFuture().addListener(future -> loop.post(0, () -> cut(session)));
+    closing.put(session, loop.deadlines().add(loop.now() + timeoutNanos, () -> closeNow(session)));
+    session.getCloseFuture().addListener(future -> loop.post(0, () -> closeNow(session)));
     sockets.shutOutputOnceWritten(session);
     if (closing.size() > maxConnections) {
-      cut(closing.keySet().iterator().next());
+      closeNow(closing.keySet().iterator().next());
     }
   }
 
-  private void cut(IoSession session) {
+  private void closeNow(IoSession session) {
     Deadline timeout = closing.remove(session);
     if (timeout != null) {
       loop.deadlines().cancel(timeout);
--- a/gateway/src/main/java/reachloom/gateway/RequestHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestHandler.java
@@ -112,9 +112,9 @@
       responses.write(client, ThriftWriter.busy(call.seq())); // it was never forwarded
       return;
     }
-    request.backstop =
+    request.expiryTimer =
         loop.deadlines()
-            .add(RequestTiming.backstopAtNanos(request), () -> expire(request, "deadline reached"));
+            .add(RequestTiming.expiryAtNanos(request), () -> expire(request, "deadline reached"));
     long now = loop.now();
     scheduler.onQuery(now, query(request, fields.get(), call, now));
   }
--- a/gateway/src/main/java/reachloom/gateway/RequestRegistry.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestRegistry.java
@@ -60,7 +60,7 @@
   /** Closes a request: no further response is sent to its client. */
   void close(ClientRequest request) {
     request.closed = true;
-    loop.deadlines().cancel(request.backstop);
+    loop.deadlines().cancel(request.expiryTimer);
     clients
         .find(request.connection)
         .ifPresent(
--- a/gateway/src/main/java/reachloom/gateway/RequestTiming.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestTiming.java
@@ -21,7 +21,7 @@
    * The gateway itself responds at this fraction (1/n) of the margin before the deadline: by then
    * the scheduler, to which the end of the attempts is reported at the full margin, has decided.
    */
-  private static final int BACKSTOP_MARGIN_DIVISOR = 4;
+  private static final int EXPIRY_MARGIN_DIVISOR = 4;
 
   private RequestTiming() {}
 
@@ -31,8 +31,8 @@
   }
 
   /** Returns when the gateway itself responds to a request that is still open. */
-  static long backstopAtNanos(ClientRequest request) {
-    return request.deadlineNanos - marginNanos(request) / BACKSTOP_MARGIN_DIVISOR;
+  static long expiryAtNanos(ClientRequest request) {
+    return request.deadlineNanos - marginNanos(request) / EXPIRY_MARGIN_DIVISOR;
   }
 
   private static long marginNanos(ClientRequest request) {
--- a/gateway/src/main/java/reachloom/gateway/state/ClientRequest.java
+++ b/gateway/src/main/java/reachloom/gateway/state/ClientRequest.java
@@ -71,7 +71,7 @@
   public boolean closed;
 
   /** The deadline at which the gateway itself responds if the request is still open. */
-  public Deadline backstop;
+  public Deadline expiryTimer;
 
   /** Creates a request as it was received. */
   public ClientRequest(
--- a/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
@@ -82,7 +82,7 @@
   }
 
   /** Records that the engine has responded, which implies that it received the whole request. */
-  public void answered() {
+  public void responseReceived() {
     if (progress == AttemptProgress.PARTLY_WRITTEN) {
       progress = AttemptProgress.SENT;
     }
--- a/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
@@ -355,8 +355,8 @@
 
   /**
    * Runs a gateway process that closes engine connections after 0.4 s of idle time, so that 3 s
-   * correspond to a minute in production. Its classes have such long deadlines that a busy machine
-   * causes no rejections.
+   * stand for a minute of idle time. Its classes have such long deadlines that a busy machine causes
+   * no rejections.
    */
   @Test
   void servesBurstAfterIdlePeriod() throws Exception {
--- a/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
@@ -142,7 +142,7 @@
     changeLog.close();
   }
 
-  private Query taken(ThriftClient client, String statement, String... changes) throws Exception {
+  private Query submitQuery(ThriftClient client, String statement, String... changes) throws Exception {
     client.execute(statement, changes);
     return nextEvent(Query.class);
   }
@@ -157,7 +157,7 @@
   void socketsAndSimulatorReportSameEvents() throws Exception {
     List<Object> sockets = new ArrayList<>();
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = taken(client, "select 1 /* note */ from sales_3.a", "txn", "00000000000000ab");
+      Query query = submitQuery(client, "select 1 /* note */ from sales_3.a", "txn", "00000000000000ab");
       sockets.add(
           new Query(
               query.id(),
@@ -213,7 +213,7 @@
   @Test
   void reportsCancelledAttemptAfterDelay() throws Exception {
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = taken(client, "select 1 /* hang */");
+      Query query = submitQuery(client, "select 1 /* hang */");
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       awaitAsk();
       long[] at = new long[1];
@@ -235,7 +235,7 @@
   @Test
   void reportsExactlyOneOutcomePerAttempt() throws Exception {
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = taken(client, "select 1 /* hang */");
+      Query query = submitQuery(client, "select 1 /* hang */");
       runOnLoop(() -> actions.forward(query.id(), "s-00000099", 0));
       assertEquals(
           AttemptOutcome.UNREACHED,
@@ -251,7 +251,7 @@
             actions.forward(query.id(), "s-00000001", 0);
           });
       assertEquals("FAILED", client.reply().kind());
-      Query second = taken(client, "select 1 /* err */");
+      Query second = submitQuery(client, "select 1 /* err */");
       for (int i = 0; i < config.settings().limits().maxAttempts(); i++) {
         runOnLoop(() -> actions.forward(second.id(), "s-00000001", 0));
         assertEquals(AttemptOutcome.ERROR, nextEvent(AttemptResult.class).outcome());
@@ -265,7 +265,7 @@
   @Test
   void retryAtSameEngineUsesAnotherConnection() throws Exception {
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = taken(client, "select 1 /* slow first */");
+      Query query = submitQuery(client, "select 1 /* slow first */");
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 20_000_000));
       assertEquals(AttemptOutcome.TIMEOUT, nextEvent(AttemptResult.class).outcome());
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
@@ -292,7 +292,7 @@
   @Test
   void reportsProgressByKind() throws Exception {
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = taken(client, "select 1 /* allnotes */");
+      Query query = submitQuery(client, "select 1 /* allnotes */");
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       List<ProgressKind> kinds = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
@@ -312,7 +312,7 @@
   @Test
   void restartedEngineGetsNewConnections() throws Exception {
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = taken(client, "select 1 /* hang */");
+      Query query = submitQuery(client, "select 1 /* hang */");
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       awaitAsk();
       changeLog.add(1, engine, 0, System.currentTimeMillis());
@@ -333,7 +333,7 @@
       // The response has to be in time even if a wake-up is late by tens of milliseconds.
       for (String[] limit : new String[][] {{"1500", "1420"}, {"300", "270"}}) {
         engine.commands.clear();
-        Query query = taken(client, "select 1 /* hang */", "limit", limit[0]);
+        Query query = submitQuery(client, "select 1 /* hang */", "limit", limit[0]);
         runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
         assertEquals(AttemptOutcome.TIMEOUT, nextEvent(AttemptResult.class).outcome());
         String ask =
--- a/gateway/src/test/java/reachloom/gateway/PausedPeer.java
+++ b/gateway/src/test/java/reachloom/gateway/PausedPeer.java
@@ -15,7 +15,7 @@
 /**
  * An engine or a change log that does nothing by itself: a test decides when a connect succeeds,
  * when bytes are read, and what is sent. Connects are blocked by a full accept queue of the
- * operating system, so that they are late as on a real network.
+ * operating system, so that they succeed late, as slow connects do.
  */
 final class PausedPeer implements AutoCloseable {
   private static final int RECEIVE_BUFFER_BYTES = 64 * 1024;
--- a/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
@@ -88,7 +88,7 @@
 
   /**
    * Asserts that a connection on which a message was sent after its end has not been reset: after a
-   * reset the next write fails.
+   * reset the next write fails, at the latest. Called once the first message has been read.
    */
   private static void assertNoReset(ThriftClient client) {
     assertDoesNotThrow(() -> client.execute("select 'after the end'"));
