--- a/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptDispatcher.java
@@ -33,8 +33,8 @@
   private static final int MAX_UNWRITTEN_BYTES = 8 * 1024;
 
   /**
-   * If a request that was withdrawn during its write is not completely written after this time, the
-   * connection is closed, so that the engine does not receive it.
+   * If a partly written request may not start any more, and is not completely written after this
+   * time, the connection is closed, so that the engine does not receive it.
    */
   private static final long STUCK_WRITE_TIMEOUT_NANOS = 50 * NANOS_PER_MILLI;
 
@@ -50,8 +50,9 @@
   /**
    * Creates a dispatcher without attempts.
    *
-   * @param unresponsiveAfterNanos a connection on which nothing was received for this long after an
-   *     attempt is avoided
+   * @param unresponsiveAfterNanos how long after an attempt was forwarded nothing may have been
+   *     received on its connection; if the attempt is withdrawn later than that, the connection is
+   *     avoided
    */
   AttemptDispatcher(
       EventLoop loop,
@@ -78,7 +79,7 @@
     attempt.connection = connection;
     connection.addAttempt(attempt);
     toDispatch.add(connection);
-    pool.markInUse(connection);
+    pool.cancelIdleTimeout(connection);
   }
 
   /**
@@ -149,8 +150,9 @@
   // ---- Withdrawing ----
 
   /**
-   * Withdraws an attempt that has not ended: sends a cancel command to the engine, whose further
-   * responses to the attempt are ignored. Does nothing if the attempt has ended here.
+   * Withdraws an attempt that has not ended: if its request was written, at least in part, sends a
+   * cancel command, or a release command while the result is being received; further responses to
+   * it are ignored. For an attempt that has ended, only discards its buffered pages.
    */
   void withdraw(EngineAttempt attempt) {
     results.discard(attempt);
@@ -159,7 +161,7 @@
       return;
     }
     closeIfWriteIsStuck(attempt);
-    if (attempt.isConnected()) {
+    if (attempt.isWriteStarted()) {
       if (wasUnanswered(attempt, connection)) {
         connection.markUnresponsive();
       }
@@ -173,8 +175,8 @@
   }
 
   /**
-   * Returns whether the engine sent nothing for long after an attempt; an attempt withdrawn earlier
-   * than that is no evidence.
+   * Returns whether nothing was received on a connection for long after an attempt was forwarded;
+   * an attempt withdrawn earlier than that is no evidence.
    */
   private boolean wasUnanswered(EngineAttempt attempt, EngineConnection connection) {
     return connection.lastReceivedNanos() < attempt.forwardedAtNanos
@@ -196,8 +198,8 @@
     if (!connection.isClosed() && !attempt.isRequestWritten()) {
       LOG.log(
           Level.INFO,
-          "engine {0}: a withdrawn request is still partly written after {1} ms; its connection is"
-              + " closed",
+          "engine {0}: a request that may not start any more is still partly written after {1} ms;"
+              + " its connection is closed",
           connection.engine(),
           Long.toString(STUCK_WRITE_TIMEOUT_NANOS / NANOS_PER_MILLI));
       connection.markUnresponsive();
@@ -206,12 +208,15 @@
     }
   }
 
-  /** Changes the priority of an attempt that its engine is running. */
+  /**
+   * Changes the priority of an attempt whose request has been written, at least in part, and that
+   * has no result yet; does nothing for others.
+   */
   void setPriority(EngineAttempt attempt, int priority) {
-    boolean isRunning =
+    boolean awaitsResult =
         attempt.progress() == AttemptProgress.SENT
             || attempt.progress() == AttemptProgress.PARTLY_WRITTEN;
-    if (attempt.connection != null && !attempt.ended && isRunning) {
+    if (attempt.connection != null && !attempt.ended && awaitsResult) {
       pool.write(attempt.connection, EngineCommandWriter.setPriority(attempt.request.id, priority));
     }
   }
@@ -255,9 +260,9 @@
       EngineAttempt attempt, EngineConnection connection, boolean lost) {
     AttemptProgress progress = attempt.progress();
     if (progress == AttemptProgress.PARTLY_WRITTEN && !lost) {
-      return AttemptOutcome.RESET; // the rest is still written, so that it may run
+      return AttemptOutcome.RESET; // the rest is still written, and the attempt may run
     }
-    if (progress == AttemptProgress.NOT_CONNECTED && connection.connectFailedLocally()) {
+    if (progress == AttemptProgress.NOT_WRITTEN && connection.connectFailedLocally()) {
       return AttemptOutcome.NOT_SENT; // no evidence against the engine
     }
     return progress.outcomeIfConnectionLost;
--- a/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
@@ -121,7 +121,7 @@
     }
     attempt.ended = true;
     loop.deadlines().cancel(attempt.timeout);
-    boolean engineMayRunOn = outcome.mayRunOn && attempt.isConnected();
+    boolean engineMayRunOn = outcome.mayRunOn && attempt.isWriteStarted();
     engines.withdraw(attempt);
     if (outcome == AttemptOutcome.SERVED && !attempt.request.closed) {
       responses.respond(
--- a/gateway/src/main/java/reachloom/gateway/EngineClient.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineClient.java
@@ -61,12 +61,18 @@
     dispatcher.send(attempt);
   }
 
-  /** Withdraws an attempt that has not ended, and sends a cancel command to its engine. */
+  /**
+   * Withdraws an attempt that has not ended; if its request was written, at least in part, sends a
+   * cancel command, or a release command while the result is being received.
+   */
   void withdraw(EngineAttempt attempt) {
     dispatcher.withdraw(attempt);
   }
 
-  /** Changes the priority of an attempt that its engine is running. */
+  /**
+   * Changes the priority of an attempt whose request has been written, at least in part, and that
+   * has no result yet; does nothing for others.
+   */
   void setPriority(EngineAttempt attempt, int priority) {
     dispatcher.setPriority(attempt, priority);
   }
@@ -76,7 +82,7 @@
     healthChecks.check(engine);
   }
 
-  /** Closes the connections on which a response has stalled before its end. */
+  /** Closes the connections on which a response has been incomplete for too long. */
   void closeStalledConnections() {
     pool.closeStalledConnections();
   }
--- a/gateway/src/main/java/reachloom/gateway/EngineClientListener.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineClientListener.java
@@ -26,8 +26,8 @@
   /**
    * A health check has ended.
    *
-   * @param answered whether the engine responded that it is up
+   * @param up whether the engine responded that it is up
    * @param report the load report of the response, if it had one
    */
-  void onHealthCheck(String engine, boolean answered, Optional<LoadReport> report);
+  void onHealthCheck(String engine, boolean up, Optional<LoadReport> report);
 }
--- a/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
@@ -22,8 +22,8 @@
 
 /**
  * The connections to engines, by engine name. The pool updates them with the endpoint list,
- * assigns them to attempts and health checks, and closes connections that are idle, stalled or
- * broken.
+ * assigns them to attempts and health checks, and closes connections that are idle or broken, or on
+ * which a response stays incomplete for too long.
  *
  * <p>A connection belongs to one incarnation of an engine: after a restart, an engine gets new
  * connections. The number of connections is limited per engine and in total. Confined to the event
@@ -41,8 +41,8 @@
   private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
   /**
-   * A partial response without progress for this long counts as broken: engines may pause, but
-   * hardly within a response.
+   * A response that is still incomplete this long after its first bytes counts as broken: engines
+   * may pause, but hardly within a response.
    */
   private static final long MAX_PARTIAL_RESPONSE_NANOS = 1_000 * NANOS_PER_MILLI;
 
@@ -242,8 +242,8 @@
     }
   }
 
-  /** Marks a connection as in use, so that it is not closed as idle. */
-  void markInUse(EngineConnection connection) {
+  /** Cancels the idle timeout of a connection, if it is set. */
+  void cancelIdleTimeout(EngineConnection connection) {
     loop.deadlines().cancel(connection.idleTimeout());
     connection.setIdleTimeout(null);
   }
@@ -261,7 +261,7 @@
       close(connection, false, "the engine was removed");
       return;
     }
-    markInUse(connection);
+    cancelIdleTimeout(connection);
     long idleTimeoutNanos = (long) (transport.keepaliveNanos() * IDLE_TIMEOUT_SHARE);
     connection.setIdleTimeout(
         loop.deadlines()
@@ -272,8 +272,8 @@
 
   /**
    * Closes a connection on which the engine violated the protocol: no later response on it can be
-   * trusted. All attempts open on it end now instead of at their timeouts, also when the violation
-   * was harmless to the others.
+   * trusted. All attempts open on it end now instead of at their timeouts, even if the violation
+   * concerned only one of them.
    *
    * @param violation what the engine sent, for the log
    */
@@ -283,22 +283,26 @@
         "engine {0} sent {1}; its connection is closed",
         connection.engine(),
         violation);
-    close(connection, false, "the engine sent an invalid response");
+    close(connection, false, "the engine sent " + violation);
   }
 
-  /** Closes the connections on which a response has stalled before its end. */
+  /** Closes the connections on which a response has been incomplete for too long. */
   void closeStalledConnections() {
     long latestNanos = loop.now() - MAX_PARTIAL_RESPONSE_NANOS;
+    String violation =
+        "a response that is incomplete after "
+            + MAX_PARTIAL_RESPONSE_NANOS / NANOS_PER_MILLI
+            + " ms";
     connections.all().stream()
         .filter(connection -> connection.partialResponseSinceNanos() < latestNanos)
-        .forEach(connection -> closeOnProtocolError(connection, "a response that stalled before its end"));
+        .forEach(connection -> closeOnProtocolError(connection, violation));
   }
 
   /**
    * Closes a connection, and has the listener end the attempts and health checks open on it.
    *
-   * @param lost whether the transport was lost; otherwise pending writes are still sent, so that a
-   *     partly written attempt may still run
+   * @param lost whether the transport was lost; otherwise pending writes are still sent: a partly
+   *     written attempt may still run
    * @param reason for the log
    */
   private void close(EngineConnection connection, boolean lost, String reason) {
@@ -308,7 +312,7 @@
     connection.markClosed();
     connections.remove(connection.handle());
     loop.deadlines().cancel(connection.connectTimeout());
-    markInUse(connection);
+    cancelIdleTimeout(connection);
     Engine engine = engines.get(connection.engine());
     if (engine != null) {
       engine.connections.remove(connection);
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -30,14 +30,15 @@
  * {@link ResponseWriter} writes responses, {@link EngineClient} connects to engines and {@link
  * ChangeLogClient} follows the endpoint list.
  *
- * <p>Confined to the thread of its {@link EventLoop} once {@link #start()} is called. Only the I/O
- * thread of the sockets runs beside it, and posts everything it reads to the loop.
+ * <p>Confined to the thread of its {@link EventLoop} once {@link #start()} is called. Only the
+ * threads of the sockets run beside it, and post everything to the loop.
  */
 public final class GatewayService
     implements SchedulerActions, EngineClientListener, ChangeLogClient.Subscriber {
   /**
-   * The components of the gateway log under one name: operators filter on it, and the logger limits
-   * the lines of each name per second.
+   * The components that serve clients and call the scheduler log under one name: operators filter
+   * on it, and the logger limits the lines of each name per second. Other components, such as those
+   * of {@link EngineClient} and {@link ChangeLogClient}, have loggers of their own.
    */
   static final Logger LOG = System.getLogger(GatewayService.class.getName());
 
@@ -53,15 +54,15 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Interval of the search for overdue clients and stalled responses of engines. */
+  /** Interval of the search for overdue clients and overdue partial responses of engines. */
   private static final long SWEEP_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
 
   /** Clients and engines each get this fraction (1/n) of the configured sockets. */
   private static final int SOCKET_SHARE_DIVISOR = 3;
 
   /**
-   * Connections just accepted or closing may exist beside the admitted clients, as this fraction
-   * (1/n) of their number.
+   * Beside the largest number of admitted clients, 1/n of that number of connections may be just
+   * accepted, and as many may be closing.
    */
   private static final int TRANSIENT_CONNECTION_DIVISOR = 8;
 
@@ -184,7 +185,10 @@
     handler.expireAll("gateway shutdown");
   }
 
-  /** Stops admitting clients, and closes each connection once its pending responses are written. */
+  /**
+   * Stops admitting clients, abandons open requests, and closes each connection once the responses
+   * already written to it are sent.
+   */
   public void close() {
     clients.close();
   }
@@ -202,7 +206,7 @@
     return closing.pending();
   }
 
-  /** Returns the number of entries of each table, by name. */
+  /** Returns the number of entries of each table by name; for statements, the number of bytes. */
   Map<String, Integer> tableSizes() {
     return Map.of(
         "requests",
@@ -288,8 +292,8 @@
   }
 
   @Override
-  public void onHealthCheck(String engine, boolean answered, Optional<LoadReport> report) {
-    scheduler.onHealthCheck(loop.now(), engine, answered, report.orElse(null));
+  public void onHealthCheck(String engine, boolean up, Optional<LoadReport> report) {
+    scheduler.onHealthCheck(loop.now(), engine, up, report.orElse(null));
   }
 
   // ---- Actions of the scheduler ----
@@ -339,7 +343,8 @@
   }
 
   /**
-   * {@inheritDoc} Does nothing: the change log is always followed, and its outages are reported.
+   * {@inheritDoc} Does nothing: the change log is always followed, and its outages are reported if
+   * the settings subscribe to it.
    */
   @Override
   public void watchEndpoints() {}
--- a/gateway/src/main/java/reachloom/gateway/HealthCheckClient.java
+++ b/gateway/src/main/java/reachloom/gateway/HealthCheckClient.java
@@ -53,7 +53,7 @@
         loop.deadlines()
             .add(loop.now() + timeoutNanos, () -> end(connection, tag, false, Optional.empty()));
     connection.addHealthCheck(tag, deadline);
-    pool.markInUse(connection);
+    pool.cancelIdleTimeout(connection);
     write(connection, tag);
   }
 
@@ -82,16 +82,16 @@
   }
 
   private void end(
-      EngineConnection connection, String tag, boolean answered, Optional<LoadReport> report) {
+      EngineConnection connection, String tag, boolean up, Optional<LoadReport> report) {
     Optional<Deadline> deadline = connection.removeHealthCheck(tag);
     if (deadline.isPresent()) {
       loop.deadlines().cancel(deadline.get());
       pool.release(connection);
-      listener.onHealthCheck(connection.engine(), answered, report);
+      listener.onHealthCheck(connection.engine(), up, report);
     }
   }
 
-  /** Reports the open health checks of a closed connection as not answered. */
+  /** Reports the open health checks of a closed connection as failed. */
   void onClosed(EngineConnection connection) {
     for (String tag : connection.healthCheckTags()) {
       connection.removeHealthCheck(tag).ifPresent(loop.deadlines()::cancel);
--- a/gateway/src/main/java/reachloom/gateway/state/AttemptProgress.java
+++ b/gateway/src/main/java/reachloom/gateway/state/AttemptProgress.java
@@ -5,7 +5,7 @@
 /** The progress of an attempt, which determines its outcome if it fails at that point. */
 public enum AttemptProgress {
   /** Not handed to an established connection yet. */
-  NOT_CONNECTED(AttemptOutcome.UNREACHED, AttemptOutcome.UNREACHED),
+  NOT_WRITTEN(AttemptOutcome.UNREACHED, AttemptOutcome.UNREACHED),
   /**
    * Handed to a connection, but not completely written. If the connection is lost, the attempt
    * can't have run; if the attempt times out, its rest is still written, and it may run.
--- a/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineAttempt.java
@@ -53,7 +53,7 @@
   /** The latest load report received with a response to the attempt; null without one. */
   public LoadReport loadReport;
 
-  private AttemptProgress progress = AttemptProgress.NOT_CONNECTED;
+  private AttemptProgress progress = AttemptProgress.NOT_WRITTEN;
   private WriteFuture requestWrite;
 
   /**
@@ -102,8 +102,8 @@
   }
 
   /** Returns whether the request has been handed to an established connection. */
-  public boolean isConnected() {
-    return progress != AttemptProgress.NOT_CONNECTED;
+  public boolean isWriteStarted() {
+    return progress != AttemptProgress.NOT_WRITTEN;
   }
 
   /** Returns the progress of the attempt, updated from the state of its write. */
--- a/gateway/src/main/java/reachloom/gateway/state/EngineConnection.java
+++ b/gateway/src/main/java/reachloom/gateway/state/EngineConnection.java
@@ -177,14 +177,17 @@
     return lastReceivedNanos;
   }
 
-  /** Records that an attempt got no response on this connection for long. */
+  /**
+   * Records that nothing was received on this connection for long after an attempt was forwarded,
+   * or that a write to it is stuck.
+   */
   public void markUnresponsive() {
     unresponsive = true;
   }
 
   /**
-   * Returns whether an attempt got no response on this connection for long; new attempts use it
-   * only if no other connection is available.
+   * Returns whether the connection was marked as unresponsive; new attempts use it only if no other
+   * connection is available.
    */
   public boolean isUnresponsive() {
     return unresponsive;
--- a/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
+++ b/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
@@ -97,11 +97,11 @@
 
   @Test
   void outcomeDependsOnAttemptProgress() {
-    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.outcomeIfConnectionLost);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_WRITTEN.outcomeIfConnectionLost);
     assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.PARTLY_WRITTEN.outcomeIfConnectionLost);
     // The unwritten rest is still sent, before the cancel command.
     assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.PARTLY_WRITTEN.outcomeIfTimedOut);
-    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_CONNECTED.outcomeIfTimedOut);
+    assertEquals(AttemptOutcome.UNREACHED, AttemptProgress.NOT_WRITTEN.outcomeIfTimedOut);
     assertEquals(AttemptOutcome.RESET, AttemptProgress.SENT.outcomeIfConnectionLost);
     assertEquals(AttemptOutcome.TIMEOUT, AttemptProgress.SENT.outcomeIfTimedOut);
     assertEquals(AttemptOutcome.RESET, AttemptProgress.RECEIVING_RESULT.outcomeIfConnectionLost);
