--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -97,8 +97,8 @@
   /**
    * Applies a reloaded configuration: its endpoint list, if that is newer than the last applied
    * event, and the address of the change log. The client leaves the old address once the events
-   * read from there are handled: they count as known, and the new change log, which continues their
-   * numbers, may send them late.
+   * already read from there are handled: the gateway is expected to know them, and the new change
+   * log, which continues the numbering, may send them again only later.
    */
   void reconfigure(GatewayConfig next) {
     if (watch.toldElsewhere(next.lastEventNumber())) {
@@ -129,8 +129,8 @@
 
   /**
    * Runs an action once the change log has sent all its events, or its time for that has passed.
-   * The configured endpoint list may be outdated at the start, and events that the log has sent
-   * since count as known.
+   * The configured endpoint list may be outdated at the start, and the gateway is expected to know
+   * all events that the log has sent since.
    */
   void whenCaughtUp(Runnable action) {
     onCaughtUp = action;
@@ -171,7 +171,10 @@
     expectWithin(EndpointWatch.DIAL_TIMEOUT, "the connect timed out");
   }
 
-  /** Treats the connection as failed unless an event is received within the timeout. */
+  /**
+   * Treats the connection as failed unless it is established, or an event or heartbeat is received,
+   * within the timeout; each of them calls this again.
+   */
   private void expectWithin(long timeoutNanos, String reason) {
     loop.deadlines().cancel(silenceTimeout);
     long number = connectionNumber;
@@ -185,7 +188,7 @@
     }
     LOG.log(
         Level.INFO,
-        "change log at {0}: {1}; the endpoint list of event {2} stays in use until a reconnect",
+        "change log at {0}: {1}; the endpoint list of event {2} stays in use",
         address,
         reason,
         Long.toString(watch.last()));
--- a/gateway/src/main/java/reachloom/gateway/ClientConnections.java
+++ b/gateway/src/main/java/reachloom/gateway/ClientConnections.java
@@ -37,7 +37,9 @@
 
   /** Executes the calls that arrive; called on the event loop's thread. */
   interface Handler extends ClientCall.Handler<Arrival> {
-    /** Called when the connection of an open request is gone, so that its response is not needed. */
+    /**
+     * Called when the connection of an open request is gone, so that its response is not needed.
+     */
     void onClientGone(ClientRequest request);
   }
 
@@ -46,8 +48,8 @@
   private static final AttributeKey CLIENT = new AttributeKey(ClientConnections.class, "client");
 
   /**
-   * A connection on which the client sends nothing, or stalls within a message, is closed after
-   * this time, since it holds a file descriptor.
+   * A connection on which the client sends no complete message after connecting, or does not
+   * complete one that it began, is closed after this time, since it holds a file descriptor.
    */
   private static final long MAX_SILENCE_NANOS = 2_000 * NANOS_PER_MILLI;
 
@@ -59,8 +61,8 @@
   private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
   /**
-   * Clients send their first request within this time, also when this process is short of CPU time.
-   * Until then a new connection is evicted only if no other one can be.
+   * By then, a client's first request has been sent and handled, even if this process is short of
+   * CPU time. Until then a new connection is evicted only if no other one can be.
    */
   private static final long FIRST_REQUEST_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
@@ -132,7 +134,10 @@
     return table.overdue(now - MAX_SILENCE_NANOS, now - idleTimeoutNanos);
   }
 
-  /** Stops admitting clients, and closes each connection once its pending responses are written. */
+  /**
+   * Stops admitting clients, abandons open requests, and closes each connection once the responses
+   * already written to it are sent.
+   */
   void close() {
     closed = true;
     closing.removeLimit();
--- a/gateway/src/main/java/reachloom/gateway/EventLoop.java
+++ b/gateway/src/main/java/reachloom/gateway/EventLoop.java
@@ -19,7 +19,10 @@
   private static final Logger LOG = System.getLogger(EventLoop.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A wake-up later than this means that the process stalled; the sockets are then read first. */
+  /**
+   * A wake-up that is late by more than this means that the process stalled; the sockets are then
+   * read first.
+   */
   private static final long STALL_THRESHOLD_NANOS = 20 * NANOS_PER_MILLI;
 
   /** After a stall, the sockets count as read once no task has been posted for this long. */
@@ -66,7 +69,7 @@
   /**
    * Runs an action on the loop's thread. Blocks while too many bytes are queued.
    *
-   * @param bytes the memory that the action holds until it has run
+   * @param bytes the memory that the action holds while it is queued
    */
   public void post(int bytes, Runnable action) {
     post(bytes, action, false);
@@ -143,10 +146,10 @@
   }
 
   /**
-   * Runs the tasks read from the sockets after a stall, before any deadline: what was waiting on the
-   * sockets had arrived in time. No ordinary task runs before the sockets have been read, and tasks
-   * from {@link #postFirst} run ahead of the others, so that no query is sent by an endpoint list
-   * that has long been replaced.
+   * Runs the tasks read from the sockets after a stall, before any deadline: what was waiting on
+   * the sockets had arrived in time. No ordinary task runs before the sockets have been read, and
+   * tasks from {@link #postFirst} run ahead of the others, so that no query is sent by an endpoint
+   * list that has long been replaced.
    */
   private void runTasksReadAfterStall(Task firstTask) throws InterruptedException {
     long until = now() + MAX_SOCKET_DRAIN_NANOS;
--- a/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
+++ b/gateway/src/main/java/reachloom/gateway/HandoffQueue.java
@@ -6,10 +6,10 @@
 
 /**
  * An unbounded FIFO queue from any number of producers to one consumer. The consumer's progress
- * never depends on that of a producer. It does in the timed waits of {@code java.util.concurrent}'s
- * condition objects: after their timeout they spin until the signalling thread, which has marked
- * the waiting one, has also enqueued it. If that thread is suspended in between and only one of the
- * two can run at a time, they spin forever.
+ * never depends on that of a producer. In the timed waits of {@code java.util.concurrent}'s
+ * condition objects it can: after its timeout, the waiting thread spins until the signalling
+ * thread, which has already marked it, has also enqueued it. If the signalling thread is suspended
+ * in between and only one of the two can run at a time, the waiting thread spins forever.
  *
  * <p>{@link #add} and {@link #size} may be called from any thread, {@link #poll()} and {@link
  * #poll(long)} from the consumer only.
--- a/gateway/src/main/java/reachloom/gateway/LingeringClose.java
+++ b/gateway/src/main/java/reachloom/gateway/LingeringClose.java
@@ -25,7 +25,7 @@
   private final Map<IoSession, Deadline> closing = new LinkedHashMap<>();
 
   /**
-   * Creates the component without closing connections.
+   * Creates the component; no connection is closing yet.
    *
    * @param timeoutNanos how long the peer may take to close
    * @param maxConnections the most connections that may be closing at once; at least 1 is allowed
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
@@ -41,8 +41,8 @@
 
   /**
    * The longest deadline considered at shutdown. All requests get a response within the longest
-   * deadline of a class, limited by this, plus {@link #RESPONSE_MARGIN_NANOS} after SIGTERM: SIGKILL
-   * follows no sooner than that deadline plus 0.7 s.
+   * deadline of a class, limited by this, plus {@link #RESPONSE_MARGIN_NANOS} after SIGTERM:
+   * SIGKILL follows no sooner than that deadline plus 0.7 s.
    */
   private static final long MAX_DEADLINE_NANOS = 3_000 * NANOS_PER_MILLI;
 
@@ -52,9 +52,10 @@
   private static final long SHUTDOWN_POLL_INTERVAL_NANOS = 10 * NANOS_PER_MILLI;
 
   /**
-   * Connections stay open for this long after the last response: if a client sends at once on a
-   * closed connection, the connection is reset, which destroys responses that the client has not
-   * read yet. The delay prolongs restarts.
+   * If requests are still open when {@link #MIN_DRAIN_TIME_NANOS} has passed, connections stay open
+   * for this long after the last one has been closed: if a client sends at once on a closed
+   * connection, the connection is reset, which destroys responses that the client has not read yet.
+   * The delay prolongs restarts.
    */
   private static final long CLOSE_DELAY_NANOS = 120 * NANOS_PER_MILLI;
 
@@ -140,7 +141,10 @@
 
   // ---- Start ----
 
-  /** Starts gossip with other instances; returns false if the settings are invalid. */
+  /**
+   * Starts gossip with other instances; returns false if the settings are invalid or the socket
+   * can't be bound.
+   */
   private boolean startGossip(GossipSettings settings) {
     try {
       gossip =
@@ -172,7 +176,9 @@
     thread.start();
   }
 
-  /** Admits clients; called only once the change log has sent its events. */
+  /**
+   * Admits clients; called once the change log has sent its events, or its time for that is over.
+   */
   private void listen() {
     if (stopping) {
       return;
@@ -198,7 +204,7 @@
       gateway.setReady(true);
       LOG.log(
           Level.INFO,
-          "{0} serves at {1} with {2} engines known",
+          "{0} serves at {1}; the configuration lists {2} engines",
           config.name(),
           config.listen(),
           config.knownEngines().size());
@@ -280,7 +286,7 @@
 
   /**
    * Shuts down on SIGTERM: the process continues until the event loop has ended, and then exits
-   * with the server's exit status.
+   * with the server's exit status, or after 1 minute with 1.
    */
   private void onTerminate() {
     loop.post(0, this::shutDown);
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -49,7 +49,11 @@
   private static final Logger LOG = System.getLogger(WarmUp.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** The longest duration of the warm-up, in real time: a restart waits for it. */
+  /**
+   * Real time after which the warm-up sends no more checks: a restart waits for it. Queries are
+   * simulated for two thirds of this time; the wait until clients are admitted, which follows, is
+   * limited to this time as well.
+   */
   private static final long MAX_DURATION_NANOS = 800 * NANOS_PER_MILLI;
 
   /**
