--- a/gateway/src/test/java/reachloom/gateway/ChangeLogClientTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ChangeLogClientTest.java
@@ -163,7 +163,7 @@
   }
 
   @Test
-  void reconnectsToChangeLogWhenClientsHoldAllDescriptors() throws Exception {
+  void reconnectsToChangeLogWithMoreClientsThanDescriptors() throws Exception {
     List<ThriftClient> idle = new ArrayList<>();
     try (PausedPeer log = new PausedPeer();
         FakeEngine engine = new FakeEngine()) {
--- a/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
@@ -49,7 +49,9 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int MAX_OPEN = 32;
 
-  /** An attempt may still start this long after its client has disconnected. */
+  /**
+   * By the gateway's rules, an attempt may still start this long after its client has disconnected.
+   */
   private static final long MAX_START_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
   private static final int MAX_ROUNDS = 20;
@@ -171,7 +173,8 @@
     // The engine receives a cancel command for each request that it received.
     await(() -> engine.count("ASK") == engine.count("QUIT"));
     await(() -> gateway.tableSize("deadlines") < 30);
-    assertTrue(gateway.tableSize("connections") <= 16);
+    int connections = gateway.tableSize("connections");
+    assertTrue(connections <= 16, connections + " connections to two engines, at most 8 each");
   }
 
   @Test
@@ -308,10 +311,12 @@
         answered = true;
       } catch (IOException e) {
         // A client that takes 2 s for a message is closed: then this machine was too busy to judge.
-        assertTrue(System.nanoTime() - start > 1_500 * NANOS_PER_MILLI, "ended: " + e);
+        assertTrue(
+            System.nanoTime() - start > 1_500 * NANOS_PER_MILLI,
+            "the slow client's connection ended before 1.5 s: " + e);
       }
     }
-    assertTrue(answered);
+    assertTrue(answered, "no slow client finished its message within 2 s in 10 attempts");
   }
 
   @Test
@@ -355,8 +360,8 @@
 
   /**
    * Runs a gateway process that closes engine connections after 0.4 s of idle time, so that 3 s
-   * stand for a minute of idle time. Its classes have such long deadlines that a busy machine causes
-   * no rejections.
+   * stand for a minute of idle time. Its classes have such long deadlines that a busy machine
+   * causes no rejections.
    */
   @Test
   void servesBurstAfterIdlePeriod() throws Exception {
@@ -383,13 +388,13 @@
       assertTrue(idleClient.reply().good());
       runBurst(process);
       int hellos = log.hellos.size();
-      // Longer than a silent change log connection counts as alive.
+      // 3 s: longer than the 2.5 s after which a silent change log connection counts as dead.
       long until = System.nanoTime() + 3_000 * NANOS_PER_MILLI;
       // No connection is left that could be stale.
       await(() -> System.nanoTime() > until && other.open() == 0);
       int before = other.connections();
       runBurst(process);
-      assertTrue(other.connections() > before, "over new connections");
+      assertTrue(other.connections() > before, "the second burst uses new engine connections");
       assertEquals(
           "ANSWER",
           idleClient.run("select 1", "limit", "20000").kind(),
--- a/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayHarness.java
@@ -66,7 +66,10 @@
     FakeEngine.daemon(loop);
   }
 
-  /** Returns a scheduler that records events, and acts only as the two fields above say. */
+  /**
+   * Returns a scheduler that records events, lets attempts start and forwards queries as the two
+   * fields above say, and cancels the first attempt of a query whose client is gone.
+   */
   SchedulerEvents scriptedScheduler() {
     return new GatewayServiceTest.RecordingScheduler(events) {
       @Override
@@ -125,7 +128,7 @@
     for (int i = 0; i < 4_000 && !wanted.getAsBoolean(); i++) {
       Thread.sleep(5);
     }
-    assertTrue(wanted.getAsBoolean());
+    assertTrue(wanted.getAsBoolean(), "the awaited condition does not hold after 20 s");
   }
 
   /** Pauses the loop until the returned latch opens; returns once the loop is paused. */
@@ -133,7 +136,9 @@
     return pauseLoopAfter(() -> {});
   }
 
-  /** Runs an action on the loop and pauses the loop within the same iteration, as if it were busy. */
+  /**
+   * Runs an action on the loop and pauses the loop within the same iteration, as if it were busy.
+   */
   CountDownLatch pauseLoopAfter(Runnable action) throws InterruptedException {
     CountDownLatch paused = new CountDownLatch(1);
     CountDownLatch resume = new CountDownLatch(1);
--- a/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
@@ -30,8 +30,8 @@
 import reachloom.standin.ThriftMessages;
 
 /**
- * The events that the gateway on sockets reports to the scheduler: the same as the simulator adapter
- * reports, in the same units.
+ * The events that the gateway on sockets reports to the scheduler: the same as the simulator
+ * adapter reports, in the same units.
  */
 class GatewayServiceTest extends GatewayHarness {
   /** The table group of queries on which the scheduler throws an exception. */
@@ -171,7 +171,7 @@
               query.clientRetry()));
       assertTrue(
           query.remainingNanos() > 1_000_000_000 && query.remainingNanos() <= 1_500_000_000,
-          "in nanoseconds");
+          "remaining time in nanoseconds: " + query.remainingNanos());
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 0));
       sockets.add(nextEvent(ProgressReport.class));
       AttemptResult ended = nextEvent(AttemptResult.class);
@@ -225,7 +225,9 @@
       AttemptResult end = nextEvent(AttemptResult.class);
       // Without the delay a further attempt could reach another engine before the QUIT reaches this
       // one.
-      assertTrue(System.nanoTime() - at[0] >= 5_000_000);
+      assertTrue(
+          System.nanoTime() - at[0] >= 5_000_000,
+          "the outcome is reported at least 5 ms after the cancellation");
       assertEquals(AttemptOutcome.CANCELLED, end.outcome());
       runOnLoop(() -> actions.reject(query.id(), 0));
       assertEquals("BUSY", client.reply().kind());
--- a/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
+++ b/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
@@ -152,7 +152,7 @@
                 .matches(
                     "(?s).*(BlockingQueue|BlockingDeque|DelayQueue"
                         + "|\\bCondition\\b|Exchanger|\\bawaitNanos\\b).*"),
-            file.toString());
+            file + " uses a timed wait on a condition object");
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
+++ b/gateway/src/test/java/reachloom/gateway/OrderingHarness.java
@@ -36,10 +36,10 @@
   /** The engine to which the scheduler retries a query as its first attempt ends; null for none. */
   volatile String retryAt;
 
-  /** When each attempt started, by the id of its query. */
+  /** When the scheduler last allowed an attempt to start, by the id of its query. */
   final Map<String, Long> startedAtNanos = new ConcurrentHashMap<>();
 
-  /** The queries of attempts that started after the scheduler learned that their client is gone. */
+  /** The queries of attempts that were allowed to start after their client was known to be gone. */
   final Set<String> startedAfterClientGone = ConcurrentHashMap.newKeySet();
 
   /** Creates a gateway with a recording scheduler. */
--- a/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
@@ -87,8 +87,9 @@
   }
 
   /**
-   * Asserts that a connection on which a message was sent after its end has not been reset: after a
-   * reset the next write fails, at the latest. Called once the first message has been read.
+   * Asserts that the gateway did not reset a connection on which the client sent a message after
+   * the gateway had ended it: a write after a reset fails. Called once the gateway has read that
+   * message.
    */
   private static void assertNoReset(ThriftClient client) {
     assertDoesNotThrow(() -> client.execute("select 'after the end'"));
@@ -99,7 +100,10 @@
     engineConnection.write(query.id() + SERVED);
   }
 
-  /** Which part of the request has been read, and on which connection, before the shutdown. */
+  /**
+   * What is queued for the loop behind the shutdown: a request on an open connection, one on a
+   * connection opened after the shutdown, or the second half of a request.
+   */
   enum RequestPosition {
     ON_OPEN_CONNECTION,
     ON_NEW_CONNECTION,
@@ -108,7 +112,7 @@
 
   @ParameterizedTest
   @EnumSource(RequestPosition.class)
-  void requestBehindShutdownIsNeitherForwardedNorReset(RequestPosition position)
+  void requestQueuedAfterShutdownIsDiscardedWithoutReset(RequestPosition position)
       throws Exception {
     ThriftClient client = new ThriftClient(config.listen());
     assertFalse(client.check());
@@ -198,7 +202,7 @@
         assertEquals("ANSWER", first.kind());
         ThriftMessages.Reply second = open.reply();
         assertEquals(hanging, second.seq());
-        assertTrue(Set.of("BUSY", "FAILED").contains(second.kind()));
+        assertTrue(Set.of("BUSY", "FAILED").contains(second.kind()), second.kind());
         assertTrue(open.ended() && half.ended() && late.ended(), "no reset");
       }
       assertEquals(0, process.exit());
@@ -214,8 +218,7 @@
   }
 
   @Test
-  void requestReadBeforeEvictionIsServedLaterOneDiscarded()
-      throws Exception {
+  void evictionServesReadRequestAndDiscardsLaterOne() throws Exception {
     List<ThriftClient> idleClients = new ArrayList<>();
     try {
       for (int i = 0; i < 32; i++) { // the most clients admitted
@@ -256,7 +259,7 @@
         idleClients.add(new ThriftClient(config.listen()));
         assertFalse(idleClients.get(i).check());
       }
-      assertTrue(idleClients.get(0).ended(), "after ten seconds");
+      assertTrue(idleClients.get(0).ended(), "the gateway closes an idle client after 10 s");
       for (ThriftClient client : idleClients) {
         client.execute("select 1", "limit", "8000");
       }
