--- a/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
+++ b/gateway/src/main/java/reachloom/gateway/ChangeLogClient.java
@@ -231,17 +231,17 @@
     expectWithin(EndpointWatch.MAX_SILENCE_NANOS, "no event or heartbeat was received in time");
     long lastBefore = watch.lastEventNumber();
     switch (watch.onFrame(event.number(), event.isComplete(), event.isHeartbeat())) {
-      case TAKE -> subscriber.onEvent(event);
-      case MISSED ->
+      case APPLY -> subscriber.onEvent(event);
+      case REQUEST_COMPLETE_LIST ->
           connectionFailed(
               connectionNumber,
               "events are missing: received " + event.number() + " after " + lastBefore);
-      case FOLD -> addToPartialList(event);
-      case WHOLE -> {
+      case BUFFER -> addToPartialList(event);
+      case APPLY_BUFFERED -> {
         addToPartialList(event);
         completePartialList(event.number());
       }
-      case SKIP -> {
+      case IGNORE -> {
         // a heartbeat, or an event that was applied before
       }
     }
--- a/gateway/src/main/java/reachloom/gateway/EngineConnector.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnector.java
@@ -124,7 +124,7 @@
         connection.engine(),
         address,
         future.getException());
-    boolean failedLocally = sockets.failedHere(future);
+    boolean failedLocally = sockets.failedLocally(future);
     connection.setConnectFailedLocally(failedLocally);
     if (failedLocally) {
       loop.deadlines()
