--- a/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
@@ -367,7 +367,7 @@
   void servesBurstAfterIdlePeriod() throws Exception {
     try (FakeEngine replacement = new FakeEngine();
         FakeChangeLog log = new FakeChangeLog(1)) {
-      log.speaksEach(100);
+      log.setHeartbeatPeriod(100);
       String text =
           GatewayProcess.config(GatewayProcess.freeAddress(), log, other)
               .replace("\"keepalive\":30000000000", "\"keepalive\":500000000")
--- a/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
@@ -238,7 +238,7 @@
     for (int i = 0; i < 3; i++) {
       try (ThriftClient client = new ThriftClient(config.listen())) {
         CountDownLatch resume = pauseLoop();
-        client.checkAndNonsense(2_000);
+        client.checkThenGarbage(2_000);
         awaitSocketsRead();
         resume.countDown();
         // More than the socket buffers hold: a reset would make a write fail.
--- a/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
@@ -185,14 +185,14 @@
         ThriftClient half = new ThriftClient(process.listen)) {
       assertTrue(half.check());
       half.begin("select 1");
-      process.standStill();
+      process.suspend();
       // A deadline beyond the end of admission.
       int hanging = open.execute("select 1 /* hang */", "limit", "1300");
       int plain = open.execute("select 1");
       try (ThriftClient late = new ThriftClient(process.listen)) {
         late.execute("select 1");
         process.terminate();
-        process.goOn();
+        process.resume();
         assertEquals("ANSWER", late.reply().kind());
         await(() -> isShuttingDown(process));
         half.finish();
--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import reachloom.standin.model.EngineModel;
-import reachloom.standin.model.EngineModel.Mood;
-import reachloom.standin.model.Scheduler;
+import reachloom.standin.model.EngineModel.Condition;
+import reachloom.standin.model.TaskScheduler;
 
 /**
  * What lies around the gateways: engines, the list of them as each part of the fleet is told it,
@@ -100,7 +100,7 @@
     }
 
     /** Calls back for each event from now on. */
-    public void hear(Consumer<Event> hearer) {
+    public void addListener(Consumer<Event> hearer) {
       hearers.add(hearer);
     }
 
@@ -135,7 +135,7 @@
   }
 
   final ClusterPlan plan;
-  public final Scheduler time;
+  public final TaskScheduler time;
   public final Map<Integer, EngineModel> engines = new LinkedHashMap<>();
   final Map<Integer, Listed> list = new LinkedHashMap<>();
   public final List<View> views = new ArrayList<>();
@@ -152,7 +152,7 @@
   private Consumer<EngineModel> ended = e -> {};
 
   /** A world with the plan's engines, all well, on that timeline. */
-  public ClusterModel(ClusterPlan plan, Scheduler time) {
+  public ClusterModel(ClusterPlan plan, TaskScheduler time) {
     this.plan = plan;
     this.time = time;
     random = new SplittableRandom(plan.seed() * 31 + 5);
@@ -220,7 +220,7 @@
     int id = ++last;
     EngineModel e = new EngineModel(id, plan.spec(id), time, plan.seed() * 65_537 + id);
     engines.put(id, e);
-    e.onFall(() -> fallen(e));
+    e.onOverload(() -> fallen(e));
     return new Listed(id, READY, startedMs);
   }
 
@@ -258,7 +258,7 @@
     List<EngineModel> some =
         new ArrayList<>(
             engines.values().stream()
-                .filter(e -> list.get(e.id).state == READY && e.mood() == Mood.WELL)
+                .filter(e -> list.get(e.id).state == READY && e.condition() == Condition.HEALTHY)
                 .filter(e -> zone < 0 || plan.zoneOfEngine(e.id) == zone)
                 .toList());
     int wanted = (int) Math.ceil(share * some.size() - 1e-9);
@@ -272,10 +272,10 @@
   }
 
   /** They hang, or err in that share of queries, for so long. */
-  void upset(List<EngineModel> of, Mood mood, double share, long lasts) {
-    of.forEach(e -> e.mood(mood, share));
-    Predicate<EngineModel> still = e -> e.mood() == mood;
-    time.at(time.now() + lasts, () -> of.stream().filter(still).forEach(e -> e.mood(Mood.WELL, 0)));
+  void upset(List<EngineModel> of, Condition mood, double share, long lasts) {
+    of.forEach(e -> e.setCondition(mood, share));
+    Predicate<EngineModel> still = e -> e.condition() == mood;
+    time.at(time.now() + lasts, () -> of.stream().filter(still).forEach(e -> e.setCondition(Condition.HEALTHY, 0)));
   }
 
   /**
@@ -294,14 +294,14 @@
 
   /** They are so many times slower for so long. */
   void slow(List<EngineModel> of, double times, long lasts) {
-    of.forEach(e -> e.slow(times));
-    time.at(time.now() + lasts, () -> of.forEach(e -> e.slow(1)));
+    of.forEach(e -> e.setSlowdown(times));
+    time.at(time.now() + lasts, () -> of.forEach(e -> e.setSlowdown(1)));
   }
 
   /** Their processes end at once and start anew after that time, cold. */
   void crash(List<EngineModel> of, long back) {
     for (EngineModel e : of) {
-      e.mood(Mood.DOWN, 0);
+      e.setCondition(Condition.DOWN, 0);
       ended.accept(e);
       long startedMs = list.get(e.id).startedMs;
       if (back > NOTICE) {
@@ -330,7 +330,7 @@
                 time.now() + DRAIN,
                 () -> {
                   announce(new Listed(e.id, GONE, list.get(e.id).startedMs));
-                  e.mood(Mood.DOWN, 0);
+                  e.setCondition(Condition.DOWN, 0);
                   ended.accept(e);
                 });
           });
--- a/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
@@ -19,7 +19,7 @@
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.Listener;
 import reachloom.standin.model.EngineModel;
-import reachloom.standin.model.EngineModel.Mood;
+import reachloom.standin.model.EngineModel.Condition;
 
 /**
  * The engines and the change logs on loopback sockets. Each engine has an address for the gateways
@@ -74,7 +74,7 @@
     if (withLists) {
       for (ClusterModel.View v : world.views) {
         ListServer server = new ListServer(world.time, world.plan, port, () -> v.log);
-        v.hear(e -> server.tell());
+        v.addListener(e -> server.sendNewEvents());
         server.bind(listAddress(v.zone));
         lists.add(server);
       }
@@ -244,7 +244,7 @@
               conns.remove(c);
               c.open.forEach(
                   (id, t) -> {
-                    c.engine.quit(id);
+                    c.engine.cancel(id);
                     truth.ended(t, world.time.now());
                   });
               c.open.clear();
@@ -260,7 +260,7 @@
     switch (command.word()) {
       case "ASK" -> ask(c, command, sentAt);
       case "QUIT" -> {
-        c.engine.quit(command.id());
+        c.engine.cancel(command.id());
         truth.ended(c.open.remove(command.id()), world.time.now());
       }
       case "INFO", "NOOP" -> {
@@ -293,13 +293,13 @@
     EngineModel e = c.engine;
     HistoryChecker.Try[] mine = new HistoryChecker.Try[1];
     boolean runs =
-        e.mood() != Mood.DOWN
-            && e.ask(
+        e.condition() != Condition.DOWN
+            && e.submit(
                 id,
                 a.work(),
                 a.of().threads(),
                 a.of().memoryMb(),
-                new EngineModel.Asker() {
+                new EngineModel.QueryListener() {
                   @Override
                   public void served(double work, double memoryMb) {
                     over(
@@ -339,7 +339,7 @@
     mine[0] = truth.came(a.number(), e.id, -1, world.time.now(), sentAt, runs);
     if (runs && mine[0] != null) {
       c.open.put(id, mine[0]);
-    } else if (e.mood() != Mood.DOWN) {
+    } else if (e.condition() != Condition.DOWN) {
       say(c, id + " BUSY -", "");
     }
   }
--- a/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import reachloom.standin.model.EngineModel;
-import reachloom.standin.model.EngineModel.Mood;
+import reachloom.standin.model.EngineModel.Condition;
 
 /** Plays a script: brings each trouble about in its time, and ends it. */
 public final class FaultInjector {
@@ -76,7 +76,7 @@
 
   /** Plans all of it, from that time on, as long as the run goes on. */
   public void play(FaultSchedule script, long start, BooleanSupplier goesOn) {
-    for (Fault t : script.troubles()) {
+    for (Fault t : script.faults()) {
       world.time.at(
           start + t.start(),
           () -> {
@@ -163,8 +163,8 @@
 
   private void engines(Fault t, List<EngineModel> some) {
     switch (t.kind()) {
-      case HANG -> world.upset(some, Mood.HANGS, 0, t.length());
-      case ERR -> world.upset(some, Mood.ERRS, t.by(), t.length());
+      case HANG -> world.upset(some, Condition.HANGING, 0, t.length());
+      case ERR -> world.upset(some, Condition.FAILING, t.by(), t.length());
       case SLOW -> world.slow(some, t.by(), t.length());
       case CROWD -> world.crowd(some, (int) t.by(), t.length());
       case CRASH -> world.crash(some, t.length());
--- a/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
@@ -19,7 +19,7 @@
 import org.xml.sax.SAXParseException;
 
 /** A script of troubles, in XML that {@code script.xsd} describes. */
-public record FaultSchedule(String name, List<Fault> troubles) {
+public record FaultSchedule(String name, List<Fault> faults) {
   /** Scripts that the program brings along. */
   public static final List<String> NAMED =
       List.of(
@@ -86,15 +86,15 @@
               .newSchema(new StreamSource(schema)));
       var builder = factory.newDocumentBuilder();
       builder.setErrorHandler(new Strict());
-      List<Fault> troubles = new ArrayList<>();
+      List<Fault> faults = new ArrayList<>();
       for (Node n = builder.parse(in).getDocumentElement().getFirstChild();
           n != null;
           n = n.getNextSibling()) {
         if (n instanceof Element e) {
-          troubles.add(trouble(e, name));
+          faults.add(trouble(e, name));
         }
       }
-      return new FaultSchedule(name, List.copyOf(troubles));
+      return new FaultSchedule(name, List.copyOf(faults));
     } catch (SAXParseException e) {
       throw new Unusable(name + ": line " + e.getLineNumber() + ": " + e.getMessage());
     } catch (SAXException | ParserConfigurationException e) {
@@ -128,22 +128,22 @@
 
   /** Whether only a whole installation can play it. */
   public boolean ofInstallation() {
-    return troubles.stream().anyMatch(Fault::ofInstallation);
+    return faults.stream().anyMatch(Fault::ofInstallation);
   }
 
   /** Whether it steps wall clocks. */
   boolean stepsClocks() {
-    return troubles.stream().anyMatch(Fault::ofClocks);
+    return faults.stream().anyMatch(Fault::ofClocks);
   }
 
   /** Whether it lets system calls fail. */
   boolean failsCalls() {
-    return troubles.stream().anyMatch(Fault::ofCalls);
+    return faults.stream().anyMatch(Fault::ofCalls);
   }
 
   /** The last moment at which something happens, in seconds. */
   double end() {
-    return troubles.stream().mapToDouble(t -> t.at() + t.lasts() + t.within()).max().orElse(0);
+    return faults.stream().mapToDouble(t -> t.at() + t.lasts() + t.within()).max().orElse(0);
   }
 
   private static final class Strict implements ErrorHandler {
--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -262,7 +262,7 @@
   /**
    * What gateways of a zone are told does not reach all of them from now on, or does again by now.
    */
-  public void cutOff(int zone, boolean now) {
+  public void setUpdatesBlocked(int zone, boolean now) {
     if (now) {
       unheard.putIfAbsent(zone, new ArrayList<>());
     } else if (unheard.containsKey(zone)) {
@@ -450,7 +450,7 @@
         Math.round(
                 1e3
                     * world.engines.values().stream()
-                        .mapToDouble(EngineModel::coldMost)
+                        .mapToDouble(EngineModel::peakColdLoad)
                         .max()
                         .orElse(0))
             / 1e3);
--- a/lab/src/main/java/reachloom/lab/cluster/ListServer.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ListServer.java
@@ -16,7 +16,7 @@
 import reachloom.gateway.wire.Decoder;
 import reachloom.gateway.wire.DecodingHandler;
 import reachloom.gateway.wire.Listener;
-import reachloom.standin.model.Scheduler;
+import reachloom.standin.model.TaskScheduler;
 
 /**
  * The change log on sockets: tells whoever follows it what came after the event that it names, each
@@ -59,7 +59,7 @@
     }
   }
 
-  private final Scheduler time;
+  private final TaskScheduler time;
   private final ClusterPlan plan;
   private final int enginePort;
   private final Supplier<List<ClusterModel.Event>> log;
@@ -69,7 +69,7 @@
 
   /** A server of that log that listens nowhere yet; engines listen at that port. */
   public ListServer(
-      Scheduler time, ClusterPlan plan, int enginePort, Supplier<List<ClusterModel.Event>> log) {
+      TaskScheduler time, ClusterPlan plan, int enginePort, Supplier<List<ClusterModel.Event>> log) {
     this.time = time;
     this.plan = plan;
     this.enginePort = enginePort;
@@ -119,7 +119,7 @@
   }
 
   /** Tells what has come since, on the timeline. */
-  public void tell() {
+  public void sendNewEvents() {
     List.copyOf(followers.keySet()).forEach(this::bring);
   }
 
--- a/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import reachloom.standin.model.EngineModel;
-import reachloom.standin.model.EngineModel.Mood;
+import reachloom.standin.model.EngineModel.Condition;
 
 /** How evenly the load lies on the engines, looked at in windows of 100 ms. */
 final class LoadImbalance {
@@ -72,7 +72,7 @@
     return world.engines.values().stream()
         .anyMatch(
             e ->
-                e.roomSince() <= now - WINDOW
+                e.idleCoreSince() <= now - WINDOW
                     && e.spec.cores() - e.threads() >= threads
                     && listed(e));
   }
@@ -85,7 +85,7 @@
     windows++;
     List<EngineModel> well =
         world.engines.values().stream()
-            .filter(e -> e.mood() == Mood.WELL && !e.cold() && listed(e))
+            .filter(e -> e.condition() == Condition.HEALTHY && !e.cold() && listed(e))
             .toList();
     double[] used = new double[well.size()];
     boolean pressed = refused > 0;
@@ -133,7 +133,7 @@
     boolean somebody = seen.values().stream().anyMatch(s -> s.sent > s.before);
     for (EngineModel e : world.engines.values()) {
       Seen s = of(e);
-      boolean unused = e.mood() == Mood.WELL && listed(e) && s.sent == s.before && somebody;
+      boolean unused = e.condition() == Condition.HEALTHY && listed(e) && s.sent == s.before && somebody;
       s.unusedWindows = unused ? s.unusedWindows + 1 : 0;
       longestUnused = Math.max(longestUnused, s.unusedWindows);
     }
--- a/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
@@ -92,7 +92,7 @@
   public String configuration(int gateway) {
     AtomicReference<List<ClusterModel.Event>> log = new AtomicReference<>();
     ClusterModel.View view = world.views.get(plan.zoneOf(gateway));
-    onWorld(
+    runOnScheduler(
         () -> {
           log.set(List.copyOf(view.log));
           lives[gateway]++;
@@ -131,7 +131,7 @@
   }
 
   /** Runs something on the world's thread, and waits for it. */
-  public void onWorld(Runnable work) {
+  public void runOnScheduler(Runnable work) {
     CountDownLatch done = new CountDownLatch(1);
     time.at(
         0,
@@ -161,7 +161,7 @@
   public Map<String, Object> play(FaultSchedule script, Runnable atEnd)
       throws IOException, InterruptedException {
     AtomicReference<IOException> failed = new AtomicReference<>();
-    onWorld(
+    runOnScheduler(
         () -> {
           truth = new HistoryChecker(world, time.now());
           try {
@@ -184,12 +184,12 @@
     if (script.failsCalls()) {
       processes.ownCalls();
     }
-    int ready = processes.startAll() + (company == null ? 0 : company.join());
+    int ready = processes.startAll() + (company == null ? 0 : company.startGateways());
     long started = time.now() - from;
     System.err.printf("%d of %d gateways are ready after %.1f s%n", ready, all(), started / 1e9);
     long start = time.now() + SETTLE;
     long end = start + plan.seconds() * ClusterPlan.SECOND;
-    onWorld(
+    runOnScheduler(
         () -> {
           java.util.Arrays.fill(up, true);
           truth.begin(start);
@@ -211,7 +211,7 @@
     Thread.sleep(500); // what is still on its way
     atEnd.run();
     AtomicReference<Map<String, Object>> figures = new AtomicReference<>();
-    onWorld(
+    runOnScheduler(
         () -> {
           Map<String, Object> f = truth.figures(time.now(), start);
           f.put("connections_max", hosts.mostConnections());
@@ -232,7 +232,7 @@
   /** What became of the queries that came from that second on, by class. */
   public List<HistoryChecker.Row> rows(double fromSecond) {
     AtomicReference<List<HistoryChecker.Row>> rows = new AtomicReference<>();
-    onWorld(() -> rows.set(truth.rows((long) (fromSecond * ClusterPlan.SECOND))));
+    runOnScheduler(() -> rows.set(truth.rows((long) (fromSecond * ClusterPlan.SECOND))));
     return rows.get();
   }
 
@@ -283,7 +283,7 @@
   private void ends(int gateway) {
     up[gateway] = false;
     if (company != null) {
-      company.runs(gateway, false);
+      company.onGatewayRunning(gateway, false);
     }
   }
 
@@ -291,7 +291,7 @@
     if (company == null) {
       throw new IllegalStateException("nobody here can bring about " + t);
     }
-    company.trouble(t);
+    company.injectFault(t);
   }
 
   @Override
@@ -349,7 +349,7 @@
                 () -> {
                   up[gateway] = true;
                   if (company != null) {
-                    company.runs(gateway, true);
+                    company.onGatewayRunning(gateway, true);
                   }
                 }));
   }
--- a/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
+++ b/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
@@ -19,14 +19,14 @@
   void open(ClusterModel world, EngineHosts hosts) throws IOException, InterruptedException;
 
   /** Starts the further gateways; gives how many are ready within their time. */
-  int join() throws IOException, InterruptedException;
+  int startGateways() throws IOException, InterruptedException;
 
   /** Queries begin at that time; on the timeline. */
   void begin(HistoryChecker truth, long start, long end);
 
   /** Brings a trouble of the installation about; on the timeline. */
-  void trouble(Fault trouble);
+  void injectFault(Fault fault);
 
   /** A gateway that is a process runs again, or is ended; on the timeline. */
-  void runs(int gateway, boolean now);
+  void onGatewayRunning(int gateway, boolean running);
 }
--- a/lab/src/main/java/reachloom/lab/fleet/Baseline.java
+++ b/lab/src/main/java/reachloom/lab/fleet/Baseline.java
@@ -24,7 +24,7 @@
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.model.EngineModel;
-import reachloom.standin.model.EngineModel.Mood;
+import reachloom.standin.model.EngineModel.Condition;
 
 /**
  * Plain policies to compare with, in simulated time only: they send at once, try again where the
@@ -78,7 +78,7 @@
     void watch(ClusterModel world) {
       Map<Integer, Double> now = new HashMap<>();
       for (EngineModel e : world.engines.values()) {
-        boolean well = e.mood() == Mood.WELL;
+        boolean well = e.condition() == Condition.HEALTHY;
         double room = e.spec.cores() * e.spec.speed() * (e.cold() ? COLD_MARGIN * e.warmth() : 1);
         now.put(e.id, well ? e.threads() / room : Double.POSITIVE_INFINITY);
       }
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -212,7 +212,7 @@
       clockOff = (long) ((2 * random.nextDouble() - 1) * plan.clocksApart());
       settings = SchedulerSettingsReader.read(GatewayConfigurations.settings(plan, number));
       ClusterModel.View view = world.views.get(zone);
-      view.hear(e -> hear(view));
+      view.addListener(e -> hear(view));
     }
 
     /** What this gateway takes the time to be. */
@@ -433,14 +433,14 @@
     private void come(Open o, int place, Out t, ClusterModel.Link link, long way) {
       Arrival a = o.arrival;
       EngineModel e = t.engine;
-      if (e.mood() == EngineModel.Mood.DOWN) {
+      if (e.condition() == EngineModel.Condition.DOWN) {
         disconnect(e.id);
         answer(link, way, () -> finish(o, place, AttemptOutcome.UNREACHED, 0, 0));
         return;
       }
       int mine = life;
-      EngineModel.Asker asker =
-          new EngineModel.Asker() {
+      EngineModel.QueryListener asker =
+          new EngineModel.QueryListener() {
             @Override
             public void served(double work, double memoryMb) {
               truth.ended(t.seen, time.now());
@@ -481,11 +481,11 @@
               answer(link, way, () -> finish(o, place, AttemptOutcome.RESET, 0, 0));
             }
           };
-      boolean runs = e.ask(a.id(), a.work(), a.of().threads(), a.of().memoryMb(), asker);
+      boolean runs = e.submit(a.id(), a.work(), a.of().threads(), a.of().memoryMb(), asker);
       t.seen = truth.came(a.number(), e.id, number, time.now(), t.sentAt, runs);
       if (!runs) {
         AttemptOutcome why =
-            e.mood() == EngineModel.Mood.DOWN ? AttemptOutcome.RESET : AttemptOutcome.FULL;
+            e.condition() == EngineModel.Condition.DOWN ? AttemptOutcome.RESET : AttemptOutcome.FULL;
         answer(link, way, () -> finish(o, place, why, 0, 0));
       }
     }
@@ -533,7 +533,7 @@
           if (!t.over && plan.zoneOfEngine(t.engine.id) == engineZone) {
             int place = i;
             t.quit = true;
-            t.engine.quit(o.arrival.id());
+            t.engine.cancel(o.arrival.id());
             truth.ended(t.seen, time.now());
             tell(life, () -> finish(o, place, AttemptOutcome.RESET, 0, 0), NEAR);
           }
@@ -550,7 +550,7 @@
         time.at(
             time.now() + way(link, engineZone),
             () -> {
-              t.engine.quit(o.arrival.id());
+              t.engine.cancel(o.arrival.id());
               truth.ended(t.seen, time.now());
             });
       }
@@ -597,7 +597,7 @@
       long arrives = up + way;
       if (up == CLOSED
           || !link.sound() && (link.cutIn || link.cutOut)
-          || e.mood() == EngineModel.Mood.DOWN) {
+          || e.condition() == EngineModel.Condition.DOWN) {
         tell(life, () -> module.onHealthCheck(clock(), engine, false, null), PROBE_TIMEOUT);
         return;
       }
--- a/lab/src/main/java/reachloom/lab/scale/ControlMain.java
+++ b/lab/src/main/java/reachloom/lab/scale/ControlMain.java
@@ -60,7 +60,7 @@
                     Integer.parseInt(words[2]),
                     Integer.parseInt(words[3]),
                     Long.parseLong(words[4]))));
-        server.tell();
+        server.sendNewEvents();
       }
       return;
     }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -107,7 +107,7 @@
     } catch (FaultSchedule.Unusable e) {
       throw new ParseException("--script: " + e.getMessage());
     }
-    if (script.troubles().stream().anyMatch(t -> t.who() == Fault.Who.LIST)) {
+    if (script.faults().stream().anyMatch(t -> t.who() == Fault.Who.LIST)) {
       throw new ParseException(
           "--script: "
               + script.name()
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -225,7 +225,7 @@
     for (int m = 0; m < size.control; m++) {
       machine(m);
     }
-    fleet.onWorld(() -> world.views.get(0).hear(this::announce));
+    fleet.runOnScheduler(() -> world.views.get(0).addListener(this::announce));
   }
 
   private void identities() throws IOException {
@@ -281,7 +281,7 @@
             "--zones",
             Integer.toString(size.zones));
     meters.controlStarts(m, child.pid());
-    fleet.onWorld(
+    fleet.runOnScheduler(
         () -> {
           world.views.get(0).log.forEach(e -> child.tell(words(e)));
           machines[m] = child;
@@ -320,7 +320,7 @@
   }
 
   @Override
-  public int join() throws IOException, InterruptedException {
+  public int startGateways() throws IOException, InterruptedException {
     int count = (size.hollow() + size.aHost - 1) / size.aHost;
     for (int h = 0; h < count; h++) {
       int host = h;
@@ -487,7 +487,7 @@
 
   private boolean anyLost() {
     boolean[] any = {false};
-    fleet.onWorld(
+    fleet.runOnScheduler(
         () -> {
           for (boolean l : lost) {
             any[0] |= l;
@@ -526,7 +526,7 @@
   }
 
   @Override
-  public void trouble(Fault t) {
+  public void injectFault(Fault t) {
     switch (t.kind()) {
       case ISSUE -> {
         for (int i = 0; i < (int) t.by(); i++) {
@@ -552,7 +552,7 @@
       return;
     }
     lost[m] = true;
-    cutOff();
+    setUpdatesBlocked();
     machines[m].kill();
     world.time.at(
         world.time.now() + length,
@@ -560,10 +560,10 @@
             attempt(
                 starts,
                 () -> {
-                  fleet.onWorld(() -> lost[m] = false);
+                  fleet.runOnScheduler(() -> lost[m] = false);
                   machine(m);
                   lists.healed(MachineTime.millis());
-                  fleet.onWorld(this::hearAgain);
+                  fleet.runOnScheduler(this::hearAgain);
                 }));
   }
 
@@ -583,7 +583,7 @@
     for (int m = 0; m < size.control; m++) {
       if (size.regionOf(m) != 0) {
         apart[m] = now;
-        cutOff();
+        setUpdatesBlocked();
         if (!now && !lost[m]) {
           catchUp(m);
         }
@@ -608,10 +608,10 @@
    * Whoever follows a machine that can't be reached, or learns nothing, is not bound by what it
    * missed.
    */
-  private void cutOff() {
+  private void setUpdatesBlocked() {
     for (int z = 0; z < size.zones; z++) {
       if (follows(z, lost) || follows(z, apart)) {
-        truth.cutOff(z, true);
+        truth.setUpdatesBlocked(z, true);
       }
     }
   }
@@ -623,7 +623,7 @@
         () -> {
           for (int z = 0; z < size.zones; z++) {
             if (!follows(z, lost) && !follows(z, apart)) {
-              truth.cutOff(z, false);
+              truth.setUpdatesBlocked(z, false);
             }
           }
         });
@@ -664,7 +664,7 @@
   }
 
   @Override
-  public void runs(int gateway, boolean now) {
+  public void onGatewayRunning(int gateway, boolean now) {
     synchronized (up) {
       up.set(gateway, now);
     }
--- a/lab/src/main/java/reachloom/lab/slopes/SyntheticEngines.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SyntheticEngines.java
@@ -159,12 +159,12 @@
 
   private static void ask(IoSession session, EngineModel model, String id) {
     boolean runs =
-        model.ask(
+        model.submit(
             id,
             WORK,
             1,
             MEMORY_MB,
-            new EngineModel.Asker() {
+            new EngineModel.QueryListener() {
               @Override
               public void served(double work, double memoryMb) {
                 say(
--- a/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
@@ -28,7 +28,7 @@
         read("<engines at=\"5\" do=\"err\" share=\"0.25\" zone=\"1\" by=\"0.9\" for=\"10\"/>");
     assertEquals(
         new Fault(5, Fault.Who.ENGINES, Fault.Kind.ERR, 0.25, 1, -1, 0.9, 10, 0),
-        s.troubles().get(0));
+        s.faults().get(0));
   }
 
   @Test
--- a/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
@@ -162,15 +162,15 @@
     pass(1.5);
     for (int i = 0; i < 400 && (int) truth.figures(time.now(), 0).get("fell_over") == 0; i++) {
       long q = ask(LOOKUP, 0);
-      boolean runs = world.engines.get(1).ask("q" + i, 1, 1, 0, new Deaf());
+      boolean runs = world.engines.get(1).submit("q" + i, 1, 1, 0, new Deaf());
       truth.came(q, 1, -1, time.now(), time.now(), runs);
-      world.engines.get(1).quit("q" + i);
+      world.engines.get(1).cancel("q" + i);
       truth.answered(q, Answer.FAILED, time.now());
     }
     assertEquals(1, broken().get("cold engine pushed over"));
   }
 
-  private static final class Deaf implements reachloom.standin.model.EngineModel.Asker {
+  private static final class Deaf implements reachloom.standin.model.EngineModel.QueryListener {
     @Override
     public void served(double work, double memoryMb) {}
 
--- a/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
@@ -195,7 +195,7 @@
       // One stands still over three issues, and the first issuer is killed meanwhile: the rest goes
       // on.
       GatewayProcess still = gateways.get("g1");
-      still.standStill();
+      still.suspend();
       issuers.get("c1").destroyForcibly().waitFor();
       issue("c2", moved(before.address()));
       issue("c3", moved(after.address()));
@@ -206,7 +206,7 @@
           await("at " + g.getKey(), () -> inForce(g.getValue(), newest));
         }
       }
-      still.goOn();
+      still.resume();
       awaitInForce(newest);
       assertEquals("ANSWER", client.run("select 1", "limit", "20000").kind());
     }
--- a/lab/src/test/java/reachloom/standin/model/EngineModelTest.java
+++ b/lab/src/test/java/reachloom/standin/model/EngineModelTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import reachloom.standin.model.EngineModel.Mood;
+import reachloom.standin.model.EngineModel.Condition;
 
 /** The engine that stands in for real ones. */
 class EngineModelTest {
@@ -41,8 +41,8 @@
         1);
   }
 
-  private EngineModel.Asker asker(String id) {
-    return new EngineModel.Asker() {
+  private EngineModel.QueryListener asker(String id) {
+    return new EngineModel.QueryListener() {
       @Override
       public void served(double work, double memoryMb) {
         heard.add(id + " served " + Math.round(time.now() / 1e6));
@@ -68,9 +68,9 @@
   @Test
   void coresAreShared() {
     EngineModel e = engine(2, 0);
-    e.ask("a", 0.1, 1, 0, asker("a"));
-    e.ask("b", 0.1, 1, 0, asker("b"));
-    e.ask("c", 0.2, 1, 0, asker("c"));
+    e.submit("a", 0.1, 1, 0, asker("a"));
+    e.submit("b", 0.1, 1, 0, asker("b"));
+    e.submit("c", 0.2, 1, 0, asker("c"));
     time.runUntil(SECOND);
     // Three on two cores: each at two thirds until the first two are done, then the third alone at
     // one.
@@ -93,12 +93,12 @@
       time.at(
           from,
           () ->
-              e.ask(
+              e.submit(
                   id,
                   work,
                   1,
                   0,
-                  new EngineModel.Asker() {
+                  new EngineModel.QueryListener() {
                     @Override
                     public void served(double w, double m) {
                       sums[0] += (time.now() - from) / 1e9;
@@ -125,11 +125,11 @@
   void sessionsAreLimitedAndMemoryThatIsShortSlowsAll() {
     EngineModel e = engine(1, 100);
     for (int i = 0; i < 6; i++) {
-      assertTrue(e.ask("q" + i, 0.1, 1, 0, asker("q" + i)));
+      assertTrue(e.submit("q" + i, 0.1, 1, 0, asker("q" + i)));
     }
-    assertFalse(e.ask("more", 0.1, 1, 0, asker("more")));
-    e.quit("q5");
-    assertTrue(e.ask("large", 0.1, 1, 200, asker("large")));
+    assertFalse(e.submit("more", 0.1, 1, 0, asker("more")));
+    e.cancel("q5");
+    assertTrue(e.submit("large", 0.1, 1, 200, asker("large")));
     time.runUntil(700_000_000L);
     assertEquals(
         List.of(), heard.stream().filter(h -> h.contains("served")).toList(), "half as fast");
@@ -138,13 +138,13 @@
   @Test
   void oneThatHangsSaysNothingAndOneThatDiesEndsAll() {
     EngineModel e = engine(2, 0);
-    e.ask("a", 1, 1, 0, asker("a"));
+    e.submit("a", 1, 1, 0, asker("a"));
     time.runUntil(SECOND * 6 / 10);
-    e.mood(Mood.HANGS, 0);
+    e.setCondition(Condition.HANGING, 0);
     time.runUntil(5 * SECOND);
     assertEquals(List.of("a at 50"), heard);
-    e.mood(Mood.DOWN, 0);
-    assertFalse(e.ask("b", 1, 1, 0, asker("b")));
+    e.setCondition(Condition.DOWN, 0);
+    assertFalse(e.submit("b", 1, 1, 0, asker("b")));
     assertEquals(List.of("a at 50", "a died"), heard);
   }
 
@@ -152,7 +152,7 @@
   void aColdOneFallsUnderTooMuchOnly() {
     EngineModel e = engine(8, 0);
     int[] falls = new int[1];
-    e.onFall(() -> falls[0]++);
+    e.onOverload(() -> falls[0]++);
     e.restart();
     // 0.35 of 8 cores for 1.5 s, 2.5 times, at 0.2 a query: 45, and what chance brings on top.
     for (int i = 0; i < 60; i++) {
@@ -160,20 +160,20 @@
       time.at(
           i * SECOND / 50,
           () -> {
-            e.ask("q" + n, 0.2, 1, 0, asker("q" + n));
-            e.quit("q" + n);
+            e.submit("q" + n, 0.2, 1, 0, asker("q" + n));
+            e.cancel("q" + n);
           });
     }
     time.runUntil(2 * SECOND);
     assertEquals(0, falls[0]);
     for (int i = 0; i < 100; i++) { // given up at once: what was sent counts
-      e.ask("z" + i, 0.2, 1, 0, asker("z" + i));
-      e.quit("z" + i);
+      e.submit("z" + i, 0.2, 1, 0, asker("z" + i));
+      e.cancel("z" + i);
     }
     assertEquals(1, falls[0]);
-    assertEquals(Mood.DOWN, e.mood());
+    assertEquals(Condition.DOWN, e.condition());
     e.restart();
-    assertEquals(Mood.WELL, e.mood());
+    assertEquals(Condition.HEALTHY, e.condition());
     assertTrue(e.cold());
     time.runUntil(time.now() + 11 * SECOND);
     assertFalse(e.cold());
@@ -183,7 +183,7 @@
   void reportsAreSamplesOfSomeTimeAgo() {
     EngineModel e = engine(2, 0);
     time.runUntil(SECOND);
-    e.ask("a", 5, 2, 0, asker("a"));
+    e.submit("a", 5, 2, 0, asker("a"));
     time.runUntil(SECOND + SECOND / 20);
     assertEquals(0, e.load().util(), "nothing of the last moments is known");
     time.runUntil(2 * SECOND);
--- a/standin/src/main/java/reachloom/standin/FakeChangeLog.java
+++ b/standin/src/main/java/reachloom/standin/FakeChangeLog.java
@@ -34,7 +34,7 @@
   }
 
   /** From now on a frame comes at least so often, also where nothing is new. */
-  public void speaksEach(long ms) {
+  public void setHeartbeatPeriod(long ms) {
     pauseMs = ms;
   }
 
--- a/standin/src/main/java/reachloom/standin/GatewayProcess.java
+++ b/standin/src/main/java/reachloom/standin/GatewayProcess.java
@@ -189,11 +189,11 @@
   }
 
   /** Lets the process stand still: what comes to its sockets, and further signals, wait. */
-  public void standStill() throws IOException, InterruptedException {
+  public void suspend() throws IOException, InterruptedException {
     signal("STOP");
   }
 
-  public void goOn() throws IOException, InterruptedException {
+  public void resume() throws IOException, InterruptedException {
     signal("CONT");
   }
 
--- a/standin/src/main/java/reachloom/standin/ThriftClient.java
+++ b/standin/src/main/java/reachloom/standin/ThriftClient.java
@@ -96,7 +96,7 @@
   }
 
   /** Asks whether the gateway is ready, and goes on in the same bytes with what is no message. */
-  public void checkAndNonsense(int bytes) throws IOException {
+  public void checkThenGarbage(int bytes) throws IOException {
     ByteBuffer call = ThriftMessages.check(++seq);
     byte[] all = new byte[call.limit() + bytes];
     Arrays.fill(all, (byte) -1);
--- a/standin/src/main/java/reachloom/standin/model/EngineModel.java
+++ b/standin/src/main/java/reachloom/standin/model/EngineModel.java
@@ -44,10 +44,10 @@
   public record Load(long at, double util, double queue, double memory) {}
 
   /** What engines do when they are not well. */
-  public enum Mood {
-    WELL,
-    HANGS,
-    ERRS,
+  public enum Condition {
+    HEALTHY,
+    HANGING,
+    FAILING,
     DOWN
   }
 
@@ -55,7 +55,7 @@
    * Hears of one query; at most one of the ends comes, and none from an engine that hangs or has
    * died.
    */
-  public interface Asker {
+  public interface QueryListener {
     void served(double work, double memoryMb);
 
     void error();
@@ -71,11 +71,11 @@
     private final double work;
     private final int threads;
     private final double memoryMb;
-    private final Asker asker;
+    private final QueryListener asker;
     private final double from;
     private boolean over;
 
-    Job(String id, double work, int threads, double memoryMb, Asker asker) {
+    Job(String id, double work, int threads, double memoryMb, QueryListener asker) {
       this.id = id;
       this.work = work;
       this.threads = threads;
@@ -93,7 +93,7 @@
 
   public final int id;
   public final Spec spec;
-  private final Scheduler time;
+  private final TaskScheduler time;
   private final SplittableRandom random;
   private final Map<String, Job> running = new LinkedHashMap<>();
 
@@ -114,47 +114,50 @@
   private double busy;
   private double busyAtSample;
   private long sampledAt;
-  private Mood mood = Mood.WELL;
+  private Condition condition = Condition.HEALTHY;
   private double errorShare;
   private double slowness = 1;
   private long startedAt;
   private boolean cold;
-  private int falls;
-  private double coldMost;
-  private long roomSince;
+  private int overloadFailures;
+  private double peakColdLoad;
+  private long idleCoreSince;
   private Runnable fallen = () -> {};
 
   /** A warm engine that runs. */
-  public EngineModel(int id, Spec spec, Scheduler time, long seed) {
+  public EngineModel(int id, Spec spec, TaskScheduler time, long seed) {
     this.id = id;
     this.spec = spec;
     this.time = time;
     random = new SplittableRandom(seed);
     sharedAt = time.now();
     sampledAt = sharedAt;
-    roomSince = sharedAt;
+    idleCoreSince = sharedAt;
     // Samples of different engines do not fall together.
     time.at(sharedAt + (long) (random.nextDouble() * spec.reportPeriod), this::sample);
   }
 
   /** What is to be done when it falls over. */
-  public void onFall(Runnable then) {
+  public void onOverload(Runnable then) {
     fallen = then;
   }
 
   // ---- What is asked of it ----
 
   /** Takes a query; false where it is full, or gone: the query never runs. */
-  public boolean ask(String query, double work, int width, double memoryMb, Asker asker) {
-    if (mood == Mood.DOWN || running.size() >= spec.sessions || running.containsKey(query)) {
+  public boolean submit(
+      String query, double work, int width, double memoryMb, QueryListener asker) {
+    if (condition == Condition.DOWN
+        || running.size() >= spec.sessions
+        || running.containsKey(query)) {
       return false;
     }
     advance();
     noteColdWork(work);
-    if (mood == Mood.DOWN) {
+    if (condition == Condition.DOWN) {
       return false; // it was the last straw
     }
-    if (mood == Mood.ERRS && random.nextDouble() < errorShare) {
+    if (condition == Condition.FAILING && random.nextDouble() < errorShare) {
       time.at(time.now() + (long) (0.002 * SECOND), asker::error); // quickly, as failing engines do
       return true;
     }
@@ -172,7 +175,7 @@
   }
 
   /** A query is given up; its work stops. */
-  public void quit(String query) {
+  public void cancel(String query) {
     Job j = running.get(query);
     if (j != null) {
       advance();
@@ -195,11 +198,11 @@
   // ---- Troubles ----
 
   /** From now on it hangs, errs in that share of queries, or is well again. */
-  public void mood(Mood next, double share) {
+  public void setCondition(Condition next, double share) {
     advance();
-    mood = next;
+    condition = next;
     errorShare = share;
-    if (next == Mood.DOWN) {
+    if (next == Condition.DOWN) {
       List<Job> open = List.copyOf(running.values());
       open.forEach(this::remove);
       open.forEach(j -> j.asker.died());
@@ -209,7 +212,7 @@
   }
 
   /** From now on each thread does its work so many times slower. */
-  public void slow(double times) {
+  public void setSlowdown(double times) {
     advance();
     slowness = times;
     plan();
@@ -217,12 +220,12 @@
 
   /** Its process starts anew, cold and with nothing running. */
   public void restart() {
-    mood(Mood.DOWN, 0);
+    setCondition(Condition.DOWN, 0);
     startedAt = time.now();
     cold = true;
     sentLately = 0;
     lately.clear();
-    mood(Mood.WELL, 0);
+    setCondition(Condition.HEALTHY, 0);
     warm();
   }
 
@@ -253,27 +256,27 @@
             * (spec.fallTime / SECOND)
             / spec.meanWork;
     double most = allowed + 3 * Math.sqrt(allowed) + 3; // chance alone does not fell it
-    coldMost = Math.max(coldMost, sentLately / spec.meanWork / most);
+    peakColdLoad = Math.max(peakColdLoad, sentLately / spec.meanWork / most);
     if (sentLately / spec.meanWork > most) {
-      falls++;
-      mood(Mood.DOWN, 0);
+      overloadFailures++;
+      setCondition(Condition.DOWN, 0);
       fallen.run();
     }
   }
 
   // ---- What is known of it from outside ----
 
-  public Mood mood() {
-    return mood;
+  public Condition condition() {
+    return condition;
   }
 
-  public int falls() {
-    return falls;
+  public int overloadFailures() {
+    return overloadFailures;
   }
 
   /** The most that it was sent while cold, as a share of what makes it fall. */
-  public double coldMost() {
-    return coldMost;
+  public double peakColdLoad() {
+    return peakColdLoad;
   }
 
   public int running() {
@@ -306,14 +309,14 @@
    * Since when it has had a core free for a query, without a break; the largest time while it has
    * none.
    */
-  public long roomSince() {
-    return roomSince;
+  public long idleCoreSince() {
+    return idleCoreSince;
   }
 
   // ---- Sharing ----
 
   private double rate() {
-    if (mood == Mood.HANGS || mood == Mood.DOWN || threads == 0) {
+    if (condition == Condition.HANGING || condition == Condition.DOWN || threads == 0) {
       return 0;
     }
     double paging = spec.memoryMb > 0 && memory > spec.memoryMb ? spec.memoryMb / memory : 1;
@@ -325,7 +328,7 @@
     double passed = (now - sharedAt) / SECOND;
     sharedAt = now;
     shared += passed * rate();
-    busy += passed * (mood == Mood.DOWN ? 0 : Math.min(threads, spec.cores));
+    busy += passed * (condition == Condition.DOWN ? 0 : Math.min(threads, spec.cores));
   }
 
   private void plan() {
@@ -370,12 +373,12 @@
   }
 
   private void noteRoom() {
-    boolean room = mood == Mood.WELL && !cold && threads < spec.cores;
-    roomSince = !room ? Long.MAX_VALUE : Math.min(roomSince, time.now());
+    boolean room = condition == Condition.HEALTHY && !cold && threads < spec.cores;
+    idleCoreSince = !room ? Long.MAX_VALUE : Math.min(idleCoreSince, time.now());
   }
 
   private void tellProgress(Job j) {
-    if (!j.over && mood != Mood.HANGS) {
+    if (!j.over && condition != Condition.HANGING) {
       advance();
       j.asker.progress(Math.min(1, (shared - j.from) / (j.work / j.threads)));
     }
--- a/standin/src/main/java/reachloom/standin/model/RealTimeScheduler.java
+++ b/standin/src/main/java/reachloom/standin/model/RealTimeScheduler.java
@@ -10,7 +10,7 @@
  * Real time: one thread does what is due. Its clock starts at the wall clock's time and runs on
  * steadily.
  */
-public final class RealTimeScheduler implements Scheduler, AutoCloseable {
+public final class RealTimeScheduler implements TaskScheduler, AutoCloseable {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
   private final long start = System.currentTimeMillis() * MILLISECOND;
--- a/standin/src/main/java/reachloom/standin/model/SimulatedScheduler.java
+++ b/standin/src/main/java/reachloom/standin/model/SimulatedScheduler.java
@@ -5,7 +5,7 @@
 /**
  * Simulated time: what is due happens in order of time, and of being asked for where times agree.
  */
-public final class SimulatedScheduler implements Scheduler {
+public final class SimulatedScheduler implements TaskScheduler {
   private record Due(long at, long number, Runnable action) implements Comparable<Due> {
     @Override
     public int compareTo(Due other) {
--- a/standin/src/main/java/reachloom/standin/model/Scheduler.java
+++ b/standin/src/main/java/reachloom/standin/model/TaskScheduler.java
@@ -4,7 +4,7 @@
  * A clock, and what is to happen at a time of it; simulated or real. Times are nanoseconds of Unix
  * time.
  */
-public interface Scheduler {
+public interface TaskScheduler {
   long now();
 
   /**
