--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -275,7 +275,9 @@
   void upset(List<EngineModel> of, Condition mood, double share, long lasts) {
     of.forEach(e -> e.setCondition(mood, share));
     Predicate<EngineModel> still = e -> e.condition() == mood;
-    time.at(time.now() + lasts, () -> of.stream().filter(still).forEach(e -> e.setCondition(Condition.HEALTHY, 0)));
+    time.at(
+        time.now() + lasts,
+        () -> of.stream().filter(still).forEach(e -> e.setCondition(Condition.HEALTHY, 0)));
   }
 
   /**
--- a/lab/src/main/java/reachloom/lab/cluster/ListServer.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ListServer.java
@@ -69,7 +69,10 @@
 
   /** A server of that log that listens nowhere yet; engines listen at that port. */
   public ListServer(
-      TaskScheduler time, ClusterPlan plan, int enginePort, Supplier<List<ClusterModel.Event>> log) {
+      TaskScheduler time,
+      ClusterPlan plan,
+      int enginePort,
+      Supplier<List<ClusterModel.Event>> log) {
     this.time = time;
     this.plan = plan;
     this.enginePort = enginePort;
--- a/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -133,7 +133,8 @@
     boolean somebody = seen.values().stream().anyMatch(s -> s.sent > s.before);
     for (EngineModel e : world.engines.values()) {
       Seen s = of(e);
-      boolean unused = e.condition() == Condition.HEALTHY && listed(e) && s.sent == s.before && somebody;
+      boolean unused =
+          e.condition() == Condition.HEALTHY && listed(e) && s.sent == s.before && somebody;
       s.unusedWindows = unused ? s.unusedWindows + 1 : 0;
       longestUnused = Math.max(longestUnused, s.unusedWindows);
     }
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -485,7 +485,9 @@
       t.seen = truth.came(a.number(), e.id, number, time.now(), t.sentAt, runs);
       if (!runs) {
         AttemptOutcome why =
-            e.condition() == EngineModel.Condition.DOWN ? AttemptOutcome.RESET : AttemptOutcome.FULL;
+            e.condition() == EngineModel.Condition.DOWN
+                ? AttemptOutcome.RESET
+                : AttemptOutcome.FULL;
         answer(link, way, () -> finish(o, place, why, 0, 0));
       }
     }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -552,7 +552,7 @@
       return;
     }
     lost[m] = true;
-    setUpdatesBlocked();
+    cutOff();
     machines[m].kill();
     world.time.at(
         world.time.now() + length,
@@ -583,7 +583,7 @@
     for (int m = 0; m < size.control; m++) {
       if (size.regionOf(m) != 0) {
         apart[m] = now;
-        setUpdatesBlocked();
+        cutOff();
         if (!now && !lost[m]) {
           catchUp(m);
         }
@@ -608,7 +608,7 @@
    * Whoever follows a machine that can't be reached, or learns nothing, is not bound by what it
    * missed.
    */
-  private void setUpdatesBlocked() {
+  private void cutOff() {
     for (int z = 0; z < size.zones; z++) {
       if (follows(z, lost) || follows(z, apart)) {
         truth.setUpdatesBlocked(z, true);
