--- a/standin/src/main/java/reachloom/standin/FakeChangeLog.java
+++ b/standin/src/main/java/reachloom/standin/FakeChangeLog.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The change log as the protocol page describes it: events after the number told, else a frame a
- * second.
+ * A change log on loopback. It sends each client the events after the number in the client's hello,
+ * and an empty frame every heartbeat period, one second by default.
  */
 public final class FakeChangeLog implements AutoCloseable {
   public final List<Long> hellos = new CopyOnWriteArrayList<>();
@@ -20,9 +20,9 @@
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
   private final ServerSocket server;
   private final long first;
-  private volatile long pauseMs = 1_000;
+  private volatile long heartbeatPeriodMs = 1_000;
 
-  /** A log whose events follow the given number. */
+  /** Creates a log whose first event has the number after the given one. */
   public FakeChangeLog(long first) throws IOException {
     this.first = first;
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -33,9 +33,9 @@
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** From now on a frame comes at least so often, also where nothing is new. */
+  /** Sets the period in milliseconds at which a frame without an event is sent. */
   public void setHeartbeatPeriod(long ms) {
-    pauseMs = ms;
+    heartbeatPeriodMs = ms;
   }
 
   /** Adds an event of one engine; state 0 is ready, 1 draining, 2 gone. */
@@ -43,8 +43,8 @@
     add(id, node, state, 0);
   }
 
-  /** Adds an event of one engine that started at that Unix millisecond. */
-  public void add(int id, FakeEngine node, int state, long started) {
+  /** Adds an event of one engine that started at a Unix time in milliseconds. */
+  public void add(int id, FakeEngine node, int state, long startedMs) {
     ByteBuffer frame =
         ByteBuffer.allocate(4 + 9 + 27)
             .putInt(9 + 27)
@@ -58,11 +58,11 @@
             .put((byte) 0)
             .putShort((short) 0)
             .putInt(1000)
-            .putLong(started);
+            .putLong(startedMs);
     events.add(frame.array());
   }
 
-  /** Breaks all connections. */
+  /** Closes all connections. */
   public void cut() throws IOException {
     for (Socket s : sockets) {
       s.close();
@@ -78,7 +78,7 @@
         FakeEngine.daemon(() -> serve(s));
       }
     } catch (IOException e) {
-      // closed
+      // the server socket is closed
     }
   }
 
@@ -87,20 +87,20 @@
       long last = new DataInputStream(s.getInputStream()).readLong();
       hellos.add(last);
       int next = (int) (last - first);
-      // By the clock and not by its own steps, which a busy machine makes longer.
-      for (long spoke = System.nanoTime() - pauseMs * 1_000_000; ; ) {
+      // Measures time by the clock: on a busy machine each loop step takes longer than its sleep.
+      for (long lastHeartbeat = System.nanoTime() - heartbeatPeriodMs * 1_000_000; ; ) {
         if (next < events.size()) {
           s.getOutputStream().write(events.get(next++));
           continue;
-        } else if (System.nanoTime() - spoke >= pauseMs * 1_000_000) {
-          spoke = System.nanoTime();
+        } else if (System.nanoTime() - lastHeartbeat >= heartbeatPeriodMs * 1_000_000) {
+          lastHeartbeat = System.nanoTime();
           s.getOutputStream()
               .write(ByteBuffer.allocate(13).putInt(9).putLong(first + next).put((byte) 0).array());
         }
         Thread.sleep(50);
       }
     } catch (IOException | InterruptedException e) {
-      // the connection is gone
+      // the connection is closed
     }
   }
 
--- a/standin/src/main/java/reachloom/standin/FakeEngine.java
+++ b/standin/src/main/java/reachloom/standin/FakeEngine.java
@@ -20,10 +20,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An engine as the protocol page describes it. What it does with a statement is told by a comment
- * in it: {@code busy}, {@code err}, {@code hang}, {@code die}, {@code late}, {@code pages}, {@code
- * badpage}, {@code copies} (of each answer, behind one of an unknown id), {@code noise}, {@code
- * stops} (half-way).
+ * An engine on loopback that speaks the engine line protocol. Words in a statement's text select how
+ * it responds: {@code busy}, {@code err}, {@code hang}, {@code die}, {@code late}, {@code pages},
+ * {@code badpage}, {@code copies} (each answer is sent twice, after one with an unknown id), {@code
+ * noise}, {@code stops} (after half of the answer), {@code note}, {@code allnotes}, {@code garbage},
+ * {@code slow first}.
  */
 public final class FakeEngine implements AutoCloseable {
   public static final String ROW = "a\tb\tc\n";
@@ -48,13 +49,16 @@
     t.start();
   }
 
-  /** From now on plain statements take that long, exponentially distributed, six means at most. */
-  public void takes(double ms) {
+  /**
+   * Sets the mean service time of plain statements in milliseconds. Times are exponentially
+   * distributed, at most six means.
+   */
+  public void setMeanServiceTime(double ms) {
     meanMs = ms;
-    keptCommands = 0; // a long run need not be told line by line
+    keptCommands = 0; // a long run would keep too many command lines
   }
 
-  /** Whether it takes requests and says nothing more; probes are still answered. */
+  /** Sets whether accepted requests get no answer; probes are still answered. */
   public void hang(boolean now) {
     hung = now;
   }
@@ -67,7 +71,7 @@
     return commands.stream().filter(c -> c.startsWith(prefix)).count();
   }
 
-  /** Ends all its connections in order, as an engine does with idle ones. */
+  /** Closes all connections with a FIN, as an engine closes idle ones. */
   public void cut() throws IOException {
     for (Socket s : sockets) {
       s.close();
@@ -78,7 +82,7 @@
     return sockets.size();
   }
 
-  /** How many of its connections neither side has ended. */
+  /** Returns how many connections the engine has not closed. */
   public long open() {
     return sockets.stream().filter(s -> !s.isClosed()).count();
   }
@@ -91,7 +95,7 @@
         daemon(() -> serve(s));
       }
     } catch (IOException e) {
-      // closed
+      // the server socket is closed
     }
   }
 
@@ -120,7 +124,7 @@
         }
       }
     } catch (IOException e) {
-      // the connection is gone
+      // the connection is closed
     }
   }
 
@@ -169,22 +173,22 @@
       later(() -> say(s, id + " OK fetches=1,effort=5,high=1", ROW), 300);
     } else if (!statement.contains("hang") && meanMs > 0) {
       if (!hung) {
-        later(() -> say(s, id + " OK fetches=1,effort=5,high=1", ROW), time());
+        later(() -> say(s, id + " OK fetches=1,effort=5,high=1", ROW), drawServiceTimeMs());
       }
     } else if (!statement.contains("hang")) {
       say(s, id + " OK fetches=1,effort=5,high=1", ROW);
     }
   }
 
-  private synchronized long time() {
+  private synchronized long drawServiceTimeMs() {
     return Math.round(Math.min(6 * meanMs, -meanMs * Math.log(1 - random.nextDouble())));
   }
 
-  private interface Words {
-    void say() throws IOException;
+  private interface Response {
+    void send() throws IOException;
   }
 
-  private static final ScheduledExecutorService LATER =
+  private static final ScheduledExecutorService DELAYED_RESPONSES =
       Executors.newScheduledThreadPool(
           2,
           work -> {
@@ -193,16 +197,16 @@
             return t;
           });
 
-  private static void later(Words words, long ms) {
-    LATER.schedule(
+  private static void later(Response response, long delayMs) {
+    DELAYED_RESPONSES.schedule(
         () -> {
           try {
-            words.say();
+            response.send();
           } catch (IOException e) {
-            // nobody waits for it
+            // the gateway has closed the connection
           }
         },
-        ms,
+        delayMs,
         TimeUnit.MILLISECONDS);
   }
 
--- a/standin/src/main/java/reachloom/standin/FaultyCalls.java
+++ b/standin/src/main/java/reachloom/standin/FaultyCalls.java
@@ -5,26 +5,29 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** System calls on TCP sockets that fail, as Linux documents, in processes that a test starts. */
+/**
+ * Makes system calls on TCP sockets fail with errors that Linux documents, in processes that a test
+ * starts.
+ */
 public final class FaultyCalls {
-  /** How many in a thousand calls of each kind fail. */
+  /** The failure rate of each system call, per thousand calls. */
   public record Shares(int accept, int socket, int connect, int read, int write) {
-    /** No call fails. */
+    /** Rates at which no call fails. */
     public static final Shares NONE = all(0);
 
-    /** Of each kind so many. */
+    /** Returns the same rate for each system call. */
     public static Shares all(int perThousand) {
       return new Shares(perThousand, perThousand, perThousand, perThousand, perThousand);
     }
   }
 
-  private static final int NUMBERS = 6;
+  private static final int CONTROL_NUMBERS = 6;
 
   private final PreloadedLibrary library;
   private final int seed;
 
   /**
-   * Compiles the library into a folder; no call fails yet.
+   * Compiles the preloaded library into a folder; no call fails until {@link #fail} is called.
    *
    * @throws IOException if there is no C compiler, or it fails
    */
@@ -35,18 +38,18 @@
             folder, "faulty-calls", "FAULTY_CALLS_FILE", numbers(Shares.NONE, seed));
   }
 
-  /** What has to be added to the environment of a process whose calls are to fail. */
+  /** Returns the variables to add to the environment of a process whose calls are to fail. */
   public Map<String, String> environment() {
     return library.environment();
   }
 
-  /** From now on so many fail. */
+  /** Sets the failure rates, also for processes that already run. */
   public void fail(Shares shares) throws IOException {
-    library.tell(numbers(shares, seed));
+    library.writeControlFile(numbers(shares, seed));
   }
 
   private static ByteBuffer numbers(Shares s, int seed) {
-    return PreloadedLibrary.buffer(NUMBERS * Integer.BYTES)
+    return PreloadedLibrary.buffer(CONTROL_NUMBERS * Integer.BYTES)
         .putInt(s.accept)
         .putInt(s.socket)
         .putInt(s.connect)
--- a/standin/src/main/java/reachloom/standin/GatewayProcess.java
+++ b/standin/src/main/java/reachloom/standin/GatewayProcess.java
@@ -16,7 +16,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The program, started as a process of its own. */
+/** A gateway that runs in its own process. */
 public final class GatewayProcess implements AutoCloseable {
   private static final String SETTINGS =
       """
@@ -40,32 +40,32 @@
   private final Path config;
   private final Process process;
 
-  /** Starts a gateway that knows those engines, numbered from 1. */
+  /** Starts a gateway whose configuration lists the given engines, numbered from 1. */
   public GatewayProcess(
       Path folder, FakeChangeLog changeLog, InetSocketAddress listen, FakeEngine... nodes)
       throws IOException {
     this(folder, config(listen, changeLog, nodes));
   }
 
-  /** Starts a gateway with that configuration. */
+  /** Starts a gateway with the given configuration. */
   public GatewayProcess(Path folder, String text) throws IOException {
     this(folder, text, List.of());
   }
 
-  /** Starts a gateway with that configuration and further words on its command line. */
+  /** Starts a gateway with the given configuration and additional command-line arguments. */
   public GatewayProcess(Path folder, String text, List<String> words) throws IOException {
     this(folder, text, List.of(), words);
   }
 
-  /** Starts a gateway with that configuration and further variables in its environment. */
+  /** Starts a gateway with the given configuration and additional environment variables. */
   public GatewayProcess(Path folder, String text, Map<String, String> environment)
       throws IOException {
     this(folder, text, environment, List.of(), List.of());
   }
 
   /**
-   * Starts a gateway by a command that those words begin, as a shell's that replaces itself by the
-   * rest.
+   * Starts a gateway through a command prefix, for example a shell that replaces itself (exec) with
+   * the rest of the command.
    */
   public GatewayProcess(Path folder, String text, List<String> before, List<String> words)
       throws IOException {
@@ -81,7 +81,7 @@
       throws IOException {
     Matcher address = Pattern.compile("\"listen\":\"([0-9.]+):([0-9]+)\"").matcher(text);
     if (!address.find()) {
-      throw new IllegalArgumentException("no address to listen at");
+      throw new IllegalArgumentException("the configuration has no \"listen\" address");
     }
     listen = new InetSocketAddress(address.group(1), Integer.parseInt(address.group(2)));
     config = Files.writeString(folder.resolve("config.json"), text);
@@ -127,7 +127,9 @@
         Arrays.stream(nodes).map(FakeEngine::address).toArray(InetSocketAddress[]::new));
   }
 
-  /** A configuration with a change log and engines, numbered from 1, at those addresses. */
+  /**
+   * Returns a configuration with a change log and engines, numbered from 1, at the given addresses.
+   */
   public static String config(
       InetSocketAddress listen, InetSocketAddress changeLog, InetSocketAddress... engines) {
     StringBuilder hosts = new StringBuilder();
@@ -159,7 +161,10 @@
     }
   }
 
-  /** Waits until check says good; gives the connection that was told so. */
+  /**
+   * Waits until the gateway's readiness check succeeds, with up to 600 checks 50 ms apart; returns
+   * the client whose check succeeded.
+   */
   public ThriftClient ready() throws IOException, InterruptedException {
     for (int i = 0; i < 600; i++) {
       try {
@@ -170,15 +175,16 @@
         c.close();
       } catch (IOException e) {
         if (!process.isAlive()) {
-          throw new IOException("the gateway ended: " + Files.readString(log), e);
+          throw new IOException(
+              "gateway process exited before it was ready: " + Files.readString(log), e);
         }
       }
       Thread.sleep(50);
     }
-    throw new IOException("never ready: " + Files.readString(log));
+    throw new IOException("gateway did not become ready: " + Files.readString(log));
   }
 
-  /** Replaces the configuration file. */
+  /** Replaces the configuration file atomically. */
   public void configure(String text) throws IOException {
     Path next = Files.writeString(config.resolveSibling("next.json"), text);
     Files.move(next, config, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
@@ -188,7 +194,7 @@
     signal("HUP");
   }
 
-  /** Lets the process stand still: what comes to its sockets, and further signals, wait. */
+  /** Suspends the process (SIGSTOP): data on its sockets and further signals stay pending. */
   public void suspend() throws IOException, InterruptedException {
     signal("STOP");
   }
@@ -213,7 +219,7 @@
     return process.waitFor(20, TimeUnit.SECONDS) ? process.exitValue() : -1;
   }
 
-  /** The processor time that the process has used. */
+  /** Returns the CPU time that the process has used. */
   public Duration processorTime() {
     return process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO);
   }
--- a/standin/src/main/java/reachloom/standin/KnownFailures.java
+++ b/standin/src/main/java/reachloom/standin/KnownFailures.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Passes over the tests that {@code KNOWN-RED.txt} at the root of the repository lists, and prints
- * each. A line has the form {@code Class#method: cause (issue)}; three lines at most. With the
- * system property {@code known.red} set to {@code run} they run like all others.
+ * Skips the tests that {@code KNOWN-RED.txt} at the root of the repository lists, and prints each
+ * one. A line has the form {@code Class#method: cause (issue)}; the file has at most three lines.
+ * With the system property {@code known.red} set to {@code run} the listed tests run like all
+ * others.
  */
 public final class KnownFailures implements ExecutionCondition {
-  /** The most lines that the list may have. */
-  public static final int MOST = 3;
+  /** The maximum number of lines of the list. */
+  public static final int MAX_ENTRIES = 3;
 
   private static final String FILE = "KNOWN-RED.txt";
   private static final String ROOT_MARK = ".ci";
@@ -39,7 +40,10 @@
         .orElseGet(() -> ConditionEvaluationResult.enabled("not listed"));
   }
 
-  /** The lines of the list; none where there is no such file above the working directory. */
+  /**
+   * Returns the lines of the list. The list is empty if the file is missing or if no parent of the
+   * working directory is the root of the repository.
+   */
   static List<String> listed() {
     Path folder = Path.of("").toAbsolutePath();
     while (folder != null && !Files.isDirectory(folder.resolve(ROOT_MARK))) {
@@ -49,9 +53,9 @@
   }
 
   /**
-   * The lines of such a list, none where the file is missing.
+   * Returns the lines of a list file; none if the file is missing.
    *
-   * @throws IllegalStateException if there are more than {@link #MOST}
+   * @throws IllegalStateException if there are more than {@link #MAX_ENTRIES}
    */
   public static List<String> lines(Path file) {
     if (!Files.exists(file)) {
@@ -60,9 +64,9 @@
     try {
       List<String> lines =
           Files.readAllLines(file).stream().filter(line -> !line.isBlank()).toList();
-      if (lines.size() > MOST) {
+      if (lines.size() > MAX_ENTRIES) {
         throw new IllegalStateException(
-            file + " holds " + lines.size() + " lines; " + MOST + " at most");
+            file + " holds " + lines.size() + " lines; " + MAX_ENTRIES + " at most");
       }
       return lines;
     } catch (IOException e) {
--- a/standin/src/main/java/reachloom/standin/PreloadedLibrary.java
+++ b/standin/src/main/java/reachloom/standin/PreloadedLibrary.java
@@ -13,30 +13,32 @@
 import java.util.Map;
 
 /**
- * A small library of this project's own that a test compiles and preloads into the processes that
- * it starts. It is told what to do by a file that it maps; all other processes are left alone.
+ * A small C library that a test compiles and preloads into the processes that it starts. The library
+ * maps a control file that sets its behaviour; other processes are not affected.
  */
 final class PreloadedLibrary {
   private final Path library;
-  private final Path file;
+  private final Path controlFile;
   private final String variable;
 
   /**
-   * Compiles a source beside this class into a folder.
+   * Writes the initial control file and compiles the C source, a resource beside this class, into a
+   * folder.
    *
-   * @param variable the variable by which the library finds its file
+   * @param variable the environment variable that names the control file
+   * @param initial the initial content of the control file
    * @throws IOException if there is no C compiler, or it fails
    */
-  PreloadedLibrary(Path folder, String name, String variable, ByteBuffer start)
+  PreloadedLibrary(Path folder, String name, String variable, ByteBuffer initial)
       throws IOException, InterruptedException {
     this.variable = variable;
     library = folder.resolve(name + ".so");
-    file = folder.resolve(name + ".control");
+    controlFile = folder.resolve(name + ".control");
     Path source = folder.resolve(name + ".c");
     try (InputStream text = PreloadedLibrary.class.getResourceAsStream(name + ".c")) {
       Files.copy(text, source, StandardCopyOption.REPLACE_EXISTING);
     }
-    tell(start);
+    writeControlFile(initial);
     Path output = folder.resolve(name + ".log");
     List<String> command =
         List.of("cc", "-O2", "-shared", "-fPIC", "-o", library.toString(), source.toString());
@@ -50,20 +52,20 @@
     }
   }
 
-  /** What has to be added to the environment of a process that is to be met. */
+  /** Returns the variables to add to the environment of a process that loads the library. */
   Map<String, String> environment() {
-    return Map.of("LD_PRELOAD", library.toString(), variable, file.toString());
+    return Map.of("LD_PRELOAD", library.toString(), variable, controlFile.toString());
   }
 
-  /** Writes the file, in place, since it is mapped. */
-  void tell(ByteBuffer bytes) throws IOException {
+  /** Writes the control file in place, since processes have mapped it. */
+  void writeControlFile(ByteBuffer bytes) throws IOException {
     try (FileChannel channel =
-        FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+        FileChannel.open(controlFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
       channel.write(bytes, 0);
     }
   }
 
-  /** An empty buffer in the order of bytes of this machine. */
+  /** Returns an empty buffer in this machine's byte order. */
   static ByteBuffer buffer(int size) {
     return ByteBuffer.allocate(size).order(ByteOrder.nativeOrder());
   }
--- a/standin/src/main/java/reachloom/standin/SteppedClock.java
+++ b/standin/src/main/java/reachloom/standin/SteppedClock.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * The wall clock of processes that a test starts, to be stepped while they run. Their monotonic
- * clock is left alone.
+ * Steps the wall clock of processes that a test starts, while they run. Their monotonic clock is not
+ * changed.
  */
 public final class SteppedClock {
   private final PreloadedLibrary library;
 
   /**
-   * Compiles the library into a folder.
+   * Compiles the preloaded library into a folder.
    *
    * @throws IOException if there is no C compiler, or it fails
    */
@@ -23,14 +23,14 @@
         new PreloadedLibrary(folder, "stepped-clock", "STEPPED_CLOCK_FILE", offset(Duration.ZERO));
   }
 
-  /** What has to be added to the environment of a process whose wall clock this is. */
+  /** Returns the variables to add to the environment of a process that uses this wall clock. */
   public Map<String, String> environment() {
     return library.environment();
   }
 
-  /** From now on the wall clock is off by that much from this machine's. */
+  /** Sets the total offset of the wall clock from this machine's. */
   public void step(Duration total) throws IOException {
-    library.tell(offset(total));
+    library.writeControlFile(offset(total));
   }
 
   private static ByteBuffer offset(Duration total) {
--- a/standin/src/main/java/reachloom/standin/ThriftClient.java
+++ b/standin/src/main/java/reachloom/standin/ThriftClient.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import reachloom.standin.ThriftMessages.Reply;
 
-/** A client that speaks the protocol byte by byte, and waits for its answers. */
+/** A blocking client that can also send incomplete and malformed messages. */
 public final class ThriftClient implements AutoCloseable {
   private final Socket socket = new Socket();
   private final DataInputStream in;
   private int seq;
 
-  /** What is still to be sent of a message that was begun. */
+  /** The unsent second half of the message that {@link #begin} started. */
   private byte[] rest = {};
 
   public ThriftClient(InetSocketAddress address) throws IOException {
@@ -26,13 +26,13 @@
     in = new DataInputStream(socket.getInputStream());
   }
 
-  /** Sends a statement; gives its number. */
+  /** Sends a statement; returns its sequence number. */
   public int execute(String statement, String... changes) throws IOException {
     send(call(statement, changes));
     return seq;
   }
 
-  /** Sends the first half of such a message; gives its number. */
+  /** Sends the first half of an execute message; returns its sequence number. */
   public int begin(String statement, String... changes) throws IOException {
     ByteBuffer call = call(statement, changes);
     byte[] bytes = Arrays.copyOf(call.array(), call.limit());
@@ -41,7 +41,7 @@
     return seq;
   }
 
-  /** Sends the rest of the message that was begun. */
+  /** Sends the rest of the message that {@link #begin} started. */
   public void finish() throws IOException {
     raw(rest);
   }
@@ -95,7 +95,7 @@
     return ThriftMessages.reply(frame);
   }
 
-  /** Asks whether the gateway is ready, and goes on in the same bytes with what is no message. */
+  /** Sends a readiness check and, in the same write, bytes that are not a valid message. */
   public void checkThenGarbage(int bytes) throws IOException {
     ByteBuffer call = ThriftMessages.check(++seq);
     byte[] all = new byte[call.limit() + bytes];
@@ -104,17 +104,17 @@
     socket.getOutputStream().write(all);
   }
 
-  /** Whether the other side has ended the connection in order; a reset is an exception. */
+  /** Returns whether the gateway closed the connection with a FIN; a reset throws an exception. */
   public boolean ended() throws IOException {
     return in.read() < 0;
   }
 
-  /** Sends nothing more, but would still read. */
+  /** Shuts down the output; the client can still read. */
   public void halfClose() throws IOException {
     socket.shutdownOutput();
   }
 
-  /** Ends the connection by a reset. */
+  /** Closes the connection with a reset. */
   public void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
--- a/standin/src/main/java/reachloom/standin/ThriftMessages.java
+++ b/standin/src/main/java/reachloom/standin/ThriftMessages.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** What a client says and hears, as bytes: framed Thrift in its strict binary form. */
+/** Encodes a client's calls and decodes the gateway's replies: framed Thrift, strict binary. */
 public final class ThriftMessages {
   private static final int MAX_CALL = 64 * 1024;
   private static final int VERSION = 0x80010000;
@@ -12,11 +12,15 @@
   private ThriftMessages() {}
 
   /**
-   * What a gateway answered: ANSWER, BUSY, FAILED or EXCEPTION, and the body and mark of an answer.
+   * A gateway's reply.
+   *
+   * @param kind ANSWER, BUSY, FAILED or EXCEPTION
+   * @param body the body of an answer
+   * @param good the status mark of an answer
    */
   public record Reply(int seq, String kind, String body, boolean good) {}
 
-  /** A call that runs a statement; a whole frame, ready to be read. */
+  /** Encodes a call that runs a statement, as a complete frame that is ready to be read. */
   public static ByteBuffer execute(int seq, Map<String, String> fields, String statement) {
     ByteBuffer out =
         head("execute", 1, seq)
@@ -29,23 +33,23 @@
     return end(text(out.put((byte) 11).putShort((short) 2), statement).put((byte) 0));
   }
 
-  /** A call that gives another one up. */
+  /** Encodes a call that interrupts the call of another sequence number. */
   public static ByteBuffer interrupt(int seq, int target) {
     return end(
         head("interrupt", 4, seq).put((byte) 8).putShort((short) 1).putInt(target).put((byte) 0));
   }
 
-  /** A call that asks whether the gateway is ready. */
+  /** Encodes a call that checks whether the gateway is ready. */
   public static ByteBuffer check(int seq) {
     return end(head("check", 1, seq).put((byte) 2).putShort((short) 1).put((byte) 1).put((byte) 0));
   }
 
-  /** A call of a method that nobody knows. */
+  /** Encodes a call of a method that the protocol does not define. */
   public static ByteBuffer unknown(int seq) {
     return end(head("drop", 1, seq).put((byte) 0));
   }
 
-  /** A reply, from its frame without the length. */
+  /** Decodes a reply from its frame without the length prefix. */
   public static Reply reply(byte[] frame) {
     ByteBuffer from = ByteBuffer.wrap(frame);
     int type = from.getInt() & 0xff;
--- a/standin/src/main/java/reachloom/standin/model/EngineModel.java
+++ b/standin/src/main/java/reachloom/standin/model/EngineModel.java
@@ -9,21 +9,21 @@
 import java.util.TreeMap;
 
 /**
- * One engine: queries share its cores (processor sharing, each on threads of its own), memory that
- * is short slows all of them, sessions are limited, a process that has just started does part of
- * its work only and falls over under too much, and load reports are samples of some time ago. Work
- * is in core-seconds.
+ * A model of one engine. Queries share its cores (processor sharing, each query on its own threads),
+ * a memory shortage slows all of them, sessions are limited, and load reports are samples taken some
+ * time ago. A cold engine, whose process has just started, runs at a fraction of its speed and
+ * crashes under overload. Work is in core-seconds.
  */
 public final class EngineModel {
   private static final double SECOND = 1e9; // nanoseconds
 
-  /** Between looks at a speed that changes with time. */
-  private static final long WARMING_STEP = 50_000_000;
+  /** Interval at which the speed of a cold engine is updated, in nanoseconds. */
+  private static final long WARMUP_STEP_NANOS = 50_000_000;
 
-  private static final double CAPACITY =
-      0.85; // share of busy cores that the cold rule calls capacity
+  /** Fraction of busy cores that the overload rule for cold engines counts as full capacity. */
+  private static final double CAPACITY = 0.85;
 
-  /** What an engine is made of; times in nanoseconds, {@code meanWork} in core-seconds. */
+  /** Parameters of an engine; times in nanoseconds, {@code meanWork} in core-seconds. */
   public record Spec(
       int cores,
       double speed,
@@ -38,12 +38,10 @@
       double meanWork,
       long notePeriod) {}
 
-  /**
-   * A load report as engines word it: shares of cores and of memory in use, and queries in line.
-   */
+  /** A load report: the fractions of cores and of memory in use, and the queue length. */
   public record Load(long at, double util, double queue, double memory) {}
 
-  /** What engines do when they are not well. */
+  /** The condition of an engine; a failing engine answers a share of queries with an error. */
   public enum Condition {
     HEALTHY,
     HANGING,
@@ -52,8 +50,9 @@
   }
 
   /**
-   * Hears of one query; at most one of the ends comes, and none from an engine that hangs or has
-   * died.
+   * Receives the events of one query. At most one of {@code served}, {@code error} and {@code died}
+   * is called; an engine that hangs calls none of them, nor is any called after {@link #cancel} has
+   * ended the query.
    */
   public interface QueryListener {
     void served(double work, double memoryMb);
@@ -62,7 +61,7 @@
 
     void progress(double share);
 
-    /** The engine's process died under it. */
+    /** Called when the engine's process dies while it runs the query. */
     void died();
   }
 
@@ -71,25 +70,25 @@
     private final double work;
     private final int threads;
     private final double memoryMb;
-    private final QueryListener asker;
-    private final double from;
-    private boolean over;
+    private final QueryListener listener;
+    private final double startedAtWork;
+    private boolean ended;
 
-    Job(String id, double work, int threads, double memoryMb, QueryListener asker) {
+    Job(String id, double work, int threads, double memoryMb, QueryListener listener) {
       this.id = id;
       this.work = work;
       this.threads = threads;
       this.memoryMb = memoryMb;
-      this.asker = asker;
-      from = shared;
+      this.listener = listener;
+      startedAtWork = workPerThread;
     }
 
     double endsAt() {
-      return from + work / threads;
+      return startedAtWork + work / threads;
     }
   }
 
-  private record Sent(long at, double work) {}
+  private record ReceivedWork(long at, double work) {}
 
   public final int id;
   public final Spec spec;
@@ -97,107 +96,114 @@
   private final SplittableRandom random;
   private final Map<String, Job> running = new LinkedHashMap<>();
 
-  /** Jobs by the shared work at which each ends. */
-  private final TreeMap<Double, List<Job>> ends = new TreeMap<>();
+  /** Jobs by the value of {@code workPerThread} at which each ends. */
+  private final TreeMap<Double, List<Job>> jobsByEnd = new TreeMap<>();
 
-  private final ArrayDeque<Sent> lately = new ArrayDeque<>();
+  private final ArrayDeque<ReceivedWork> recentWork = new ArrayDeque<>();
   private final ArrayDeque<Load> samples = new ArrayDeque<>();
-  private double sentLately;
+  private double recentWorkSum;
 
-  /** Core-seconds that one thread has had since the engine was made. */
-  private double shared;
+  /** Core-seconds that each thread has received since the engine was created. */
+  private double workPerThread;
 
-  private long sharedAt;
-  private long planned;
+  private long advancedAt;
+  private long scheduledCompletions;
   private int threads;
-  private double memory;
-  private double busy;
+  private double memoryMb;
+  private double busyCoreSeconds;
   private double busyAtSample;
   private long sampledAt;
   private Condition condition = Condition.HEALTHY;
   private double errorShare;
-  private double slowness = 1;
+  private double slowdown = 1;
   private long startedAt;
   private boolean cold;
   private int overloadFailures;
   private double peakColdLoad;
   private long idleCoreSince;
-  private Runnable fallen = () -> {};
+  private Runnable overloadListener = () -> {};
 
-  /** A warm engine that runs. */
+  /** Creates a healthy, warm engine. */
   public EngineModel(int id, Spec spec, TaskScheduler time, long seed) {
     this.id = id;
     this.spec = spec;
     this.time = time;
     random = new SplittableRandom(seed);
-    sharedAt = time.now();
-    sampledAt = sharedAt;
-    idleCoreSince = sharedAt;
-    // Samples of different engines do not fall together.
-    time.at(sharedAt + (long) (random.nextDouble() * spec.reportPeriod), this::sample);
+    advancedAt = time.now();
+    sampledAt = advancedAt;
+    idleCoreSince = advancedAt;
+    // A random phase, so that the samples of different engines do not coincide.
+    time.at(advancedAt + (long) (random.nextDouble() * spec.reportPeriod), this::sample);
   }
 
-  /** What is to be done when it falls over. */
-  public void onOverload(Runnable then) {
-    fallen = then;
+  /** Sets the callback for a crash of a cold engine under overload. */
+  public void onOverload(Runnable listener) {
+    overloadListener = listener;
   }
 
-  // ---- What is asked of it ----
+  // ---- Queries and load reports ----
 
-  /** Takes a query; false where it is full, or gone: the query never runs. */
+  /**
+   * Accepts a query, or returns false if the engine is full or down or runs a query of this id; a
+   * query that is not accepted never runs.
+   */
   public boolean submit(
-      String query, double work, int width, double memoryMb, QueryListener asker) {
+      String query, double work, int width, double queryMemoryMb, QueryListener listener) {
     if (condition == Condition.DOWN
         || running.size() >= spec.sessions
         || running.containsKey(query)) {
       return false;
     }
     advance();
-    noteColdWork(work);
+    recordColdWork(work);
     if (condition == Condition.DOWN) {
-      return false; // it was the last straw
+      return false; // this query's work has crashed the cold engine
     }
     if (condition == Condition.FAILING && random.nextDouble() < errorShare) {
-      time.at(time.now() + (long) (0.002 * SECOND), asker::error); // quickly, as failing engines do
+      // after 2 ms: failing engines respond quickly
+      time.at(time.now() + (long) (0.002 * SECOND), listener::error);
       return true;
     }
-    Job j = new Job(query, work, width, memoryMb, asker);
-    running.put(query, j);
-    ends.computeIfAbsent(j.endsAt(), k -> new ArrayList<>(1)).add(j);
+    Job job = new Job(query, work, width, queryMemoryMb, listener);
+    running.put(query, job);
+    jobsByEnd.computeIfAbsent(job.endsAt(), k -> new ArrayList<>(1)).add(job);
     threads += width;
-    memory += memoryMb;
-    noteRoom();
-    plan();
+    memoryMb += queryMemoryMb;
+    updateIdleCoreSince();
+    scheduleCompletion();
     if (spec.notePeriod > 0) {
-      time.at(time.now() + spec.notePeriod, () -> tellProgress(j));
+      time.at(time.now() + spec.notePeriod, () -> reportProgress(job));
     }
     return true;
   }
 
-  /** A query is given up; its work stops. */
+  /** Cancels a query if it runs; its work stops and its listener gets no further call. */
   public void cancel(String query) {
-    Job j = running.get(query);
-    if (j != null) {
+    Job job = running.get(query);
+    if (job != null) {
       advance();
-      remove(j);
-      plan();
+      remove(job);
+      scheduleCompletion();
     }
   }
 
-  /** The latest report that can be known by now. */
+  /** Returns the latest load report that has passed the report delay; zeros if there is none. */
   public Load load() {
     Load known = null;
-    for (Load l : samples) {
-      if (l.at + spec.reportDelay <= time.now()) {
-        known = l;
+    for (Load sample : samples) {
+      if (sample.at + spec.reportDelay <= time.now()) {
+        known = sample;
       }
     }
     return known == null ? new Load(time.now(), 0, 0, 0) : known;
   }
 
-  // ---- Troubles ----
+  // ---- Faults ----
 
-  /** From now on it hangs, errs in that share of queries, or is well again. */
+  /**
+   * Sets the condition. A condition of {@code DOWN} ends all running queries; the error share
+   * applies to {@code FAILING}.
+   */
   public void setCondition(Condition next, double share) {
     advance();
     condition = next;
@@ -205,48 +211,48 @@
     if (next == Condition.DOWN) {
       List<Job> open = List.copyOf(running.values());
       open.forEach(this::remove);
-      open.forEach(j -> j.asker.died());
+      open.forEach(j -> j.listener.died());
     }
-    noteRoom();
-    plan();
+    updateIdleCoreSince();
+    scheduleCompletion();
   }
 
-  /** From now on each thread does its work so many times slower. */
-  public void setSlowdown(double times) {
+  /** Divides the speed of each thread by a factor. */
+  public void setSlowdown(double factor) {
     advance();
-    slowness = times;
-    plan();
+    slowdown = factor;
+    scheduleCompletion();
   }
 
-  /** Its process starts anew, cold and with nothing running. */
+  /** Restarts the engine's process: running queries die, and the engine is cold. */
   public void restart() {
     setCondition(Condition.DOWN, 0);
     startedAt = time.now();
     cold = true;
-    sentLately = 0;
-    lately.clear();
+    recentWorkSum = 0;
+    recentWork.clear();
     setCondition(Condition.HEALTHY, 0);
-    warm();
+    updateWarmth();
   }
 
-  private void warm() {
+  private void updateWarmth() {
     advance();
     cold = cold && time.now() < startedAt + spec.coldTime;
     if (cold) {
-      time.at(time.now() + WARMING_STEP, this::warm);
+      time.at(time.now() + WARMUP_STEP_NANOS, this::updateWarmth);
     }
-    plan();
+    scheduleCompletion();
   }
 
-  private void noteColdWork(double work) {
+  private void recordColdWork(double work) {
     if (!cold) {
       return;
     }
     long now = time.now();
-    lately.addLast(new Sent(now, work));
-    sentLately += work;
-    while (lately.peekFirst().at < now - spec.fallTime) {
-      sentLately -= lately.removeFirst().work;
+    recentWork.addLast(new ReceivedWork(now, work));
+    recentWorkSum += work;
+    while (recentWork.peekFirst().at < now - spec.fallTime) {
+      recentWorkSum -= recentWork.removeFirst().work;
     }
     double allowed =
         spec.fallMultiple
@@ -255,16 +261,17 @@
             * spec.cores
             * (spec.fallTime / SECOND)
             / spec.meanWork;
-    double most = allowed + 3 * Math.sqrt(allowed) + 3; // chance alone does not fell it
-    peakColdLoad = Math.max(peakColdLoad, sentLately / spec.meanWork / most);
-    if (sentLately / spec.meanWork > most) {
+    // Three standard deviations on top: random variation alone does not crash the engine.
+    double limit = allowed + 3 * Math.sqrt(allowed) + 3;
+    peakColdLoad = Math.max(peakColdLoad, recentWorkSum / spec.meanWork / limit);
+    if (recentWorkSum / spec.meanWork > limit) {
       overloadFailures++;
       setCondition(Condition.DOWN, 0);
-      fallen.run();
+      overloadListener.run();
     }
   }
 
-  // ---- What is known of it from outside ----
+  // ---- State ----
 
   public Condition condition() {
     return condition;
@@ -274,7 +281,7 @@
     return overloadFailures;
   }
 
-  /** The most that it was sent while cold, as a share of what makes it fall. */
+  /** Returns the most work received while cold, as a fraction of the work that crashes the engine. */
   public double peakColdLoad() {
     return peakColdLoad;
   }
@@ -291,7 +298,7 @@
     return cold;
   }
 
-  /** The share of its full speed that it does now. */
+  /** Returns the current fraction of full speed, which is less than 1 while the engine is cold. */
   public double warmth() {
     return !cold
         ? 1
@@ -299,91 +306,95 @@
             + (1 - spec.coldFrom) * Math.min(1, (time.now() - startedAt) / (double) spec.coldTime);
   }
 
-  /** Core-seconds that were in use since it was made. */
+  /** Returns the core-seconds that were in use since the engine was created. */
   public double busy() {
     advance();
-    return busy;
+    return busyCoreSeconds;
   }
 
   /**
-   * Since when it has had a core free for a query, without a break; the largest time while it has
-   * none.
+   * Returns the time since which the engine has been healthy and warm with a free core without a
+   * break; {@code Long.MAX_VALUE} if it is not so now.
    */
   public long idleCoreSince() {
     return idleCoreSince;
   }
 
-  // ---- Sharing ----
+  // ---- Processor sharing ----
 
-  private double rate() {
+  /** Returns the speed of one thread, in core-seconds of work per second. */
+  private double threadSpeed() {
     if (condition == Condition.HANGING || condition == Condition.DOWN || threads == 0) {
       return 0;
     }
-    double paging = spec.memoryMb > 0 && memory > spec.memoryMb ? spec.memoryMb / memory : 1;
-    return Math.min(1, (double) spec.cores / threads) * spec.speed * warmth() * paging / slowness;
+    double paging = spec.memoryMb > 0 && memoryMb > spec.memoryMb ? spec.memoryMb / memoryMb : 1;
+    return Math.min(1, (double) spec.cores / threads) * spec.speed * warmth() * paging / slowdown;
   }
 
   private void advance() {
     long now = time.now();
-    double passed = (now - sharedAt) / SECOND;
-    sharedAt = now;
-    shared += passed * rate();
-    busy += passed * (condition == Condition.DOWN ? 0 : Math.min(threads, spec.cores));
+    double elapsed = (now - advancedAt) / SECOND;
+    advancedAt = now;
+    workPerThread += elapsed * threadSpeed();
+    busyCoreSeconds +=
+        elapsed * (condition == Condition.DOWN ? 0 : Math.min(threads, spec.cores));
   }
 
-  private void plan() {
-    long mine = ++planned;
-    double rate = rate();
-    if (ends.isEmpty() || rate <= 0) {
+  /** Schedules the end of the next job; a later call replaces the scheduled end. */
+  private void scheduleCompletion() {
+    long completion = ++scheduledCompletions;
+    double speed = threadSpeed();
+    if (jobsByEnd.isEmpty() || speed <= 0) {
       return;
     }
-    double left = Math.max(0, ends.firstKey() - shared);
+    double remaining = Math.max(0, jobsByEnd.firstKey() - workPerThread);
     time.at(
-        time.now() + (long) Math.ceil(left / rate * SECOND),
+        time.now() + (long) Math.ceil(remaining / speed * SECOND),
         () -> {
-          if (mine == planned) {
+          if (completion == scheduledCompletions) {
             advance();
-            finish();
-            plan();
+            completeJobs();
+            scheduleCompletion();
           }
         });
   }
 
-  private void finish() {
-    double reached = shared + 1e-9; // less than a nanosecond of work is rounding
-    while (!ends.isEmpty() && ends.firstKey() <= reached) {
-      for (Job j : List.copyOf(ends.firstEntry().getValue())) {
-        remove(j);
-        j.asker.served(j.work, j.memoryMb);
+  private void completeJobs() {
+    double reached = workPerThread + 1e-9; // less than a nanosecond of work is rounding
+    while (!jobsByEnd.isEmpty() && jobsByEnd.firstKey() <= reached) {
+      for (Job job : List.copyOf(jobsByEnd.firstEntry().getValue())) {
+        remove(job);
+        job.listener.served(job.work, job.memoryMb);
       }
     }
   }
 
-  private void remove(Job j) {
-    j.over = true;
-    running.remove(j.id);
-    List<Job> same = ends.get(j.endsAt());
-    same.remove(j);
-    if (same.isEmpty()) {
-      ends.remove(j.endsAt());
+  private void remove(Job job) {
+    job.ended = true;
+    running.remove(job.id);
+    List<Job> sameEnd = jobsByEnd.get(job.endsAt());
+    sameEnd.remove(job);
+    if (sameEnd.isEmpty()) {
+      jobsByEnd.remove(job.endsAt());
     }
-    threads -= j.threads;
-    memory -= j.memoryMb;
-    noteRoom();
+    threads -= job.threads;
+    memoryMb -= job.memoryMb;
+    updateIdleCoreSince();
   }
 
-  private void noteRoom() {
-    boolean room = condition == Condition.HEALTHY && !cold && threads < spec.cores;
-    idleCoreSince = !room ? Long.MAX_VALUE : Math.min(idleCoreSince, time.now());
+  private void updateIdleCoreSince() {
+    boolean idleCore = condition == Condition.HEALTHY && !cold && threads < spec.cores;
+    idleCoreSince = !idleCore ? Long.MAX_VALUE : Math.min(idleCoreSince, time.now());
   }
 
-  private void tellProgress(Job j) {
-    if (!j.over && condition != Condition.HANGING) {
+  private void reportProgress(Job job) {
+    if (!job.ended && condition != Condition.HANGING) {
       advance();
-      j.asker.progress(Math.min(1, (shared - j.from) / (j.work / j.threads)));
+      job.listener.progress(
+          Math.min(1, (workPerThread - job.startedAtWork) / (job.work / job.threads)));
     }
-    if (!j.over) {
-      time.at(time.now() + spec.notePeriod, () -> tellProgress(j));
+    if (!job.ended) {
+      time.at(time.now() + spec.notePeriod, () -> reportProgress(job));
     }
   }
 
@@ -391,10 +402,10 @@
     advance();
     long now = time.now();
     double span = Math.max(1, now - sampledAt) / SECOND;
-    double util = Math.min(1, (busy - busyAtSample) / span / spec.cores);
-    busyAtSample = busy;
+    double util = Math.min(1, (busyCoreSeconds - busyAtSample) / span / spec.cores);
+    busyAtSample = busyCoreSeconds;
     sampledAt = now;
-    samples.addLast(new Load(now, util, 0, spec.memoryMb > 0 ? memory / spec.memoryMb : 0));
+    samples.addLast(new Load(now, util, 0, spec.memoryMb > 0 ? memoryMb / spec.memoryMb : 0));
     while (samples.size() > 1
         && samples.peekFirst().at < now - spec.reportDelay - 2 * spec.reportPeriod) {
       samples.removeFirst();
--- a/standin/src/main/java/reachloom/standin/model/RealTimeScheduler.java
+++ b/standin/src/main/java/reachloom/standin/model/RealTimeScheduler.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Real time: one thread does what is due. Its clock starts at the wall clock's time and runs on
- * steadily.
+ * A scheduler in real time that runs all tasks on one thread. Its clock starts at the wall clock's
+ * time and is monotonic from then on.
  */
 public final class RealTimeScheduler implements TaskScheduler, AutoCloseable {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
 
-  private final long start = System.currentTimeMillis() * MILLISECOND;
-  private final long from = System.nanoTime();
+  private final long startWallNanos = System.currentTimeMillis() * MILLISECOND;
+  private final long startMonotonicNanos = System.nanoTime();
   private final ScheduledExecutorService thread;
   private final AtomicInteger defects = new AtomicInteger();
 
-  /** Time whose thread has that name. */
+  /** Creates a scheduler whose thread has the given name. */
   public RealTimeScheduler(String name) {
     thread =
         Executors.newSingleThreadScheduledExecutor(
@@ -31,7 +31,7 @@
 
   @Override
   public long now() {
-    return start + System.nanoTime() - from;
+    return startWallNanos + System.nanoTime() - startMonotonicNanos;
   }
 
   @Override
@@ -43,17 +43,17 @@
               action.run();
             } catch (RuntimeException e) {
               defects.incrementAndGet();
-              e.printStackTrace(); // a defect of the stand-in: counted, and the rest goes on
+              e.printStackTrace(); // a defect of the stand-in: counted; later tasks still run
             }
           },
           time - now(),
           TimeUnit.NANOSECONDS);
     } catch (RejectedExecutionException e) {
-      // closed: nothing is due any more
+      // the scheduler is closed: the task is dropped
     }
   }
 
-  /** How many actions have failed by an exception: defects of whoever planned them. */
+  /** Returns how many tasks have thrown an exception; each is a defect of the code under it. */
   public int defects() {
     return defects.get();
   }
--- a/standin/src/main/java/reachloom/standin/model/SimulatedScheduler.java
+++ b/standin/src/main/java/reachloom/standin/model/SimulatedScheduler.java
@@ -3,24 +3,25 @@
 import java.util.PriorityQueue;
 
 /**
- * Simulated time: what is due happens in order of time, and of being asked for where times agree.
+ * A scheduler in simulated time. Tasks run in the order of their due times; tasks due at the same
+ * time run in the order in which they were scheduled.
  */
 public final class SimulatedScheduler implements TaskScheduler {
-  private record Due(long at, long number, Runnable action) implements Comparable<Due> {
+  private record Task(long dueNanos, long sequence, Runnable action) implements Comparable<Task> {
     @Override
-    public int compareTo(Due other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+    public int compareTo(Task other) {
+      int byTime = Long.compare(dueNanos, other.dueNanos);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>();
+  private final PriorityQueue<Task> tasks = new PriorityQueue<>();
   private long now;
-  private long count;
+  private long nextSequence;
 
-  /** A clock that starts at that time, in nanoseconds. */
-  public SimulatedScheduler(long start) {
-    now = start;
+  /** Creates a scheduler whose clock starts at a time in nanoseconds. */
+  public SimulatedScheduler(long startNanos) {
+    now = startNanos;
   }
 
   @Override
@@ -30,15 +31,15 @@
 
   @Override
   public void at(long time, Runnable action) {
-    due.add(new Due(Math.max(now, time), count++, action));
+    tasks.add(new Task(Math.max(now, time), nextSequence++, action));
   }
 
-  /** Plays all that is due up to that time. */
+  /** Runs all tasks that are due up to a time, and advances the clock to it. */
   public void runUntil(long time) {
-    while (!due.isEmpty() && due.peek().at <= time) {
-      Due d = due.poll();
-      now = d.at;
-      d.action.run();
+    while (!tasks.isEmpty() && tasks.peek().dueNanos <= time) {
+      Task task = tasks.poll();
+      now = task.dueNanos;
+      task.action.run();
     }
     now = Math.max(now, time);
   }
--- a/standin/src/main/java/reachloom/standin/model/TaskScheduler.java
+++ b/standin/src/main/java/reachloom/standin/model/TaskScheduler.java
@@ -1,15 +1,15 @@
 package reachloom.standin.model;
 
 /**
- * A clock, and what is to happen at a time of it; simulated or real. Times are nanoseconds of Unix
- * time.
+ * A clock and a single-threaded task scheduler, in simulated or real time. Times are nanoseconds
+ * since the Unix epoch.
  */
 public interface TaskScheduler {
   long now();
 
   /**
-   * Does something at that time, or as soon as possible where that has passed; on the timeline's
-   * thread.
+   * Runs an action on the scheduler's thread at a time, or as soon as possible if that time has
+   * passed.
    */
   void at(long time, Runnable action);
 }
--- a/standin/src/main/java/reachloom/standin/model/package-info.java
+++ b/standin/src/main/java/reachloom/standin/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Engines as a model: what they do with queries, apart from sockets and from real time, so that one
- * model serves simulated fleets and stand-ins on loopback alike.
+ * A model of engines and of how they run queries, independent of sockets and of real time, so that
+ * simulated fleets and stand-ins on loopback use the same model.
  */
 package reachloom.standin.model;
--- a/standin/src/main/resources/reachloom/standin/faulty-calls.c
+++ b/standin/src/main/resources/reachloom/standin/faulty-calls.c
@@ -1,7 +1,8 @@
 /*
- * A library for LD_PRELOAD in which system calls on TCP sockets fail as Linux documents that they may, for tests.
- * The file that FAULTY_CALLS_FILE names holds six numbers of 32 bits: how many in a thousand calls of accept, socket,
- * connect, read and write fail, and the seed. Whoever writes there changes them while the process runs.
+ * A library for LD_PRELOAD, for tests, that makes system calls on TCP sockets fail with errors that Linux documents.
+ * The file named by FAULTY_CALLS_FILE holds six 32-bit numbers: how many in a thousand calls of accept, socket,
+ * connect, read and write fail, and the seed. The file is mapped, so that a write to it takes effect while the process
+ * runs.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -33,7 +34,7 @@
   close(fd);
 }
 
-/* The finalizer of SplitMix64 over the seed and the number of the draw. */
+/* Returns a pseudo-random number: the SplitMix64 finalizer over the seed and the number of the draw. */
 static uint64_t draw(void) {
   uint64_t z = (uint64_t) numbers[SEED] + atomic_fetch_add(&drawn, 1) * 0x9e3779b97f4a7c15ULL;
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -41,7 +42,7 @@
   return z ^ (z >> 31);
 }
 
-/* Whether this call is to fail: then errno is one of the errors given. */
+/* Decides whether this call fails; if so, sets errno to one of the given errors and returns 1. */
 static int fails(enum call call, const int *errors, int count) {
   if (numbers == NULL || numbers[call] == 0 || draw() % 1000 >= (uint64_t) numbers[call]) {
     return 0;
@@ -62,7 +63,7 @@
   return is;
 }
 
-static const int NO_ROOM[] = {ENOBUFS, ENOMEM, EINTR};
+static const int BUFFER_ERRORS[] = {ENOBUFS, ENOMEM, EINTR};
 
 int accept(int fd, struct sockaddr *from, socklen_t *size) {
   static const int errors[] = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR};
@@ -80,21 +81,21 @@
 }
 
 ssize_t read(int fd, void *to, size_t size) {
-  return numbers != NULL && numbers[READ] != 0 && is_tcp(fd) && fails(READ, NO_ROOM, 3) ? -1
+  return numbers != NULL && numbers[READ] != 0 && is_tcp(fd) && fails(READ, BUFFER_ERRORS, 3) ? -1
       : syscall(SYS_read, fd, to, size);
 }
 
 ssize_t write(int fd, const void *from, size_t size) {
-  return numbers != NULL && numbers[WRITE] != 0 && is_tcp(fd) && fails(WRITE, NO_ROOM, 3) ? -1
+  return numbers != NULL && numbers[WRITE] != 0 && is_tcp(fd) && fails(WRITE, BUFFER_ERRORS, 3) ? -1
       : syscall(SYS_write, fd, from, size);
 }
 
 ssize_t readv(int fd, const struct iovec *to, int count) {
-  return numbers != NULL && numbers[READ] != 0 && is_tcp(fd) && fails(READ, NO_ROOM, 3) ? -1
+  return numbers != NULL && numbers[READ] != 0 && is_tcp(fd) && fails(READ, BUFFER_ERRORS, 3) ? -1
       : syscall(SYS_readv, fd, to, count);
 }
 
 ssize_t writev(int fd, const struct iovec *from, int count) {
-  return numbers != NULL && numbers[WRITE] != 0 && is_tcp(fd) && fails(WRITE, NO_ROOM, 3) ? -1
+  return numbers != NULL && numbers[WRITE] != 0 && is_tcp(fd) && fails(WRITE, BUFFER_ERRORS, 3) ? -1
       : syscall(SYS_writev, fd, from, count);
 }
--- a/standin/src/main/resources/reachloom/standin/stepped-clock.c
+++ b/standin/src/main/resources/reachloom/standin/stepped-clock.c
@@ -1,7 +1,7 @@
 /*
- * A library for LD_PRELOAD that steps the wall clock of one process, for tests. The offset, in nanoseconds, stands
- * in the eight bytes of the file that STEPPED_CLOCK_FILE names; whoever writes there steps the clock. All other
- * clocks are left alone, as they are when an operator or a time service steps the clock of a machine.
+ * A library for LD_PRELOAD, for tests, that steps the wall clock of one process. The file named by STEPPED_CLOCK_FILE
+ * holds the offset in nanoseconds in eight bytes; the file is mapped, so that a write to it steps the clock. All other
+ * clocks are unchanged, as when an operator or a time service steps the clock of a machine.
  */
 #define _GNU_SOURCE
 #include <fcntl.h>
