--- a/lab/src/main/java/reachloom/lab/cluster/Clients.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Clients.java
@@ -59,8 +59,8 @@
     }
   }
 
-  private final ClusterModel world;
-  private final HistoryChecker truth;
+  private final ClusterModel model;
+  private final HistoryChecker checker;
   private final List<InetSocketAddress> gateways;
   private final IntPredicate killed;
   private final NioSocketConnector connector = new NioSocketConnector(SOCKET_THREADS);
@@ -71,12 +71,12 @@
    * ended.
    */
   Clients(
-      ClusterModel world,
-      HistoryChecker truth,
+      ClusterModel model,
+      HistoryChecker checker,
       List<InetSocketAddress> gateways,
       IntPredicate killed) {
-    this.world = world;
-    this.truth = truth;
+    this.model = model;
+    this.checker = checker;
     this.gateways = gateways;
     this.killed = killed;
     connector.getSessionConfig().setTcpNoDelay(true);
@@ -109,7 +109,7 @@
   }
 
   private ByteBuffer call(Arrival a, int seq) {
-    long left = (a.at() + a.of().deadline() - world.time.now()) / ClusterPlan.MILLISECOND;
+    long left = (a.at() + a.of().deadline() - model.time.now()) / ClusterPlan.MILLISECOND;
     Map<String, String> fields = new LinkedHashMap<>();
     fields.put("verb", a.of().name());
     fields.put("txn", a.id());
@@ -123,8 +123,8 @@
 
   /** Sends a query to a gateway that is up. */
   void send(Arrival a, int gateway) {
-    truth.taken(a, gateway, world.time.now());
-    put(new Asked(a, world.time.now(), false), gateway);
+    checker.queryAccepted(a, gateway, model.time.now());
+    put(new Asked(a, model.time.now(), false), gateway);
   }
 
   private void put(Asked q, int gateway) {
@@ -145,7 +145,7 @@
     future.addListener(
         f -> {
           if (!future.isConnected()) {
-            world.time.at(0, () -> lost(c));
+            model.time.at(0, () -> lost(c));
           }
         });
   }
@@ -161,11 +161,11 @@
         .forEach(
             q -> {
               boolean crossed =
-                  !dead && !q.again && (c.session == null || world.time.now() - q.at < CROSSES);
+                  !dead && !q.again && (c.session == null || model.time.now() - q.at < CROSSES);
               if (crossed) {
-                put(new Asked(q.arrival, world.time.now(), true), c.gateway);
+                put(new Asked(q.arrival, model.time.now(), true), c.gateway);
               } else {
-                truth.orphaned(q.arrival.number(), dead);
+                checker.connectionClosed(q.arrival.number(), dead);
               }
             });
     c.open.clear();
@@ -175,7 +175,7 @@
     @Override
     public void opened(IoSession session) {
       Conn c = (Conn) session.getAttribute(OF);
-      world.time.at(
+      model.time.at(
           0,
           () -> {
             c.session = session;
@@ -187,14 +187,14 @@
     @Override
     public void received(IoSession session, byte[] frame, int bytes) {
       Conn c = (Conn) session.getAttribute(OF);
-      long now = world.time.now();
+      long now = model.time.now();
       ThriftMessages.Reply reply = ThriftMessages.reply(frame);
-      world.time.at(
+      model.time.at(
           0,
           () -> {
             Asked q = c.open.remove(reply.seq());
             if (q != null) {
-              truth.answered(
+              checker.answered(
                   q.arrival.number(),
                   switch (reply.kind()) {
                     case "ANSWER" -> HistoryChecker.Answer.SERVED;
@@ -209,7 +209,7 @@
     @Override
     public void closed(IoSession session) {
       Conn c = (Conn) session.getAttribute(OF);
-      world.time.at(0, () -> lost(c));
+      model.time.at(0, () -> lost(c));
     }
   }
 
--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -12,56 +12,59 @@
 import reachloom.standin.model.TaskScheduler;
 
 /**
- * What lies around the gateways: engines, the list of them as each part of the fleet is told it,
- * and the links between zones. One thread, that of the timeline, touches it.
+ * A model of the cluster around the gateways: the engines, the endpoint list as each zone receives
+ * it, and the links between zones. It is accessed only on the scheduler's thread.
  */
 public final class ClusterModel {
   static final int READY = 0;
   static final int DRAINING = 1;
 
-  /** The state of an engine that the list no longer has. */
+  /** The state of an engine that was removed from the list. */
   public static final int GONE = 2;
 
-  /** From a drain to the end of the process: longer than most queries take. */
-  private static final long DRAIN = 4 * ClusterPlan.SECOND;
+  /** Time from a drain to the end of the process: longer than most queries take. */
+  private static final long DRAIN_TIME = 4 * ClusterPlan.SECOND;
 
-  /** The list learns so long after it that a process has ended by itself. */
-  private static final long NOTICE = 2 * ClusterPlan.SECOND;
+  /** Time after which the list learns that a process has ended unexpectedly. */
+  private static final long DETECTION_TIME = 2 * ClusterPlan.SECOND;
 
-  /** An engine that fell over is back so long after it. */
-  private static final long REPAIR = 10 * ClusterPlan.SECOND;
+  /** Time after which an engine that crashed under overload is back. */
+  private static final long REPAIR_TIME = 10 * ClusterPlan.SECOND;
 
   /**
-   * An engine as the list has it: ready, draining or gone, and the Unix millisecond of a late
-   * start.
+   * An entry of the list.
+   *
+   * @param state ready, draining or gone
+   * @param startedMs the Unix time in milliseconds of a start after the list's; 0 otherwise
    */
   public record Listed(int id, int state, long startedMs) {}
 
-  /** One change of the list; numbers run on without gaps. */
+  /** One change of the list; numbers are consecutive. */
   public record Event(long number, Listed engine) {}
 
-  /** The way between the gateways of one zone and the engines of another. */
+  /** The link between the gateways of one zone and the engines of another. */
   public static final class Link {
-    /** Added to the way of each message, in nanoseconds. */
+    /** Added to the delay of each message, in nanoseconds. */
     public long delay;
 
-    /** Whether what gateways send, or what engines answer, is lost. */
+    /** Whether messages from gateways to engines are lost. */
     public boolean cutOut;
 
+    /** Whether messages from engines to gateways are lost. */
     public boolean cutIn;
 
-    /** Whether nothing is wrong with it. */
-    public boolean sound() {
+    /** Returns whether the link has neither a delay nor a cut. */
+    public boolean healthy() {
       return delay == 0 && !cutOut && !cutIn;
     }
   }
 
-  /** The list as the gateways of one zone are told it. */
+  /** The list as the gateways of one zone receive it. */
   public final class View {
     final int zone;
     public final List<Event> log = new ArrayList<>();
     private final List<Event> held = new ArrayList<>();
-    private final List<Consumer<Event>> hearers = new ArrayList<>();
+    private final List<Consumer<Event>> listeners = new ArrayList<>();
     private long delay;
     private boolean stale;
     private boolean down;
@@ -70,38 +73,41 @@
       this.zone = zone;
     }
 
-    /** From now on events come so much later. */
-    void late(long by) {
-      delay = by;
+    /** Sets the delay of events, in nanoseconds. */
+    void setDelay(long delayNanos) {
+      delay = delayNanos;
     }
 
-    /** From now on it tells nothing new, though it can be reached; or what it held back, and on. */
-    void stale(boolean now) {
+    /**
+     * Sets whether the view is reachable but holds back new events. When it ends, the view delivers
+     * the events that it held back.
+     */
+    void setStale(boolean now) {
       stale = now || down;
       if (!stale) {
-        List.copyOf(held).forEach(this::tell);
+        List.copyOf(held).forEach(this::deliver);
         held.clear();
       }
     }
 
     /**
-     * From now on it can't be reached and learns nothing, or is there again and tells what it
-     * missed.
+     * Sets whether the view is unreachable and holds back events. When it ends, the view delivers
+     * the events that it held back.
      */
-    void down(boolean now) {
+    void setDown(boolean now) {
       down = now;
-      stale(now);
-      reach.accept(this);
+      setStale(now);
+      availabilityListener.accept(this);
     }
 
-    /** Whether it can't be reached now. */
+    /** Returns whether the view is unreachable now. */
     public boolean isDown() {
       return down;
     }
 
-    /** Calls back for each event from now on. */
-    public void addListener(Consumer<Event> hearer) {
-      hearers.add(hearer);
+    /** Adds a listener that is called for each event delivered from now on. */
+    public void addListener(Consumer<Event> listener) {
+      listeners.add(listener);
     }
 
     private void add(Event e) {
@@ -111,26 +117,26 @@
             if (stale) {
               held.add(e);
             } else {
-              tell(e);
+              deliver(e);
             }
           });
     }
 
-    private void tell(Event e) {
-      Event mine = new Event(log.size() + 1, e.engine); // numbered in the order of this view
-      log.add(mine);
-      told.accept(this, mine);
-      hearers.forEach(h -> h.accept(mine));
+    private void deliver(Event e) {
+      Event numbered = new Event(log.size() + 1, e.engine); // numbered in the order of this view
+      log.add(numbered);
+      deliveryListener.accept(this, numbered);
+      listeners.forEach(listener -> listener.accept(numbered));
     }
   }
 
-  /** Hears that all connections from the gateways of one zone to the engines of another break. */
-  public interface Broken {
+  /** Called when all connections from one zone's gateways to another zone's engines break. */
+  public interface ConnectionResetListener {
     void accept(int gatewayZone, int engineZone);
   }
 
-  /** Hears what each view is told. */
-  interface Told {
+  /** Called for each event that a view delivers. */
+  interface DeliveryListener {
     void accept(View view, Event event);
   }
 
@@ -144,14 +150,14 @@
   private final SplittableRandom random;
   private int last;
   private long events;
-  private Told told = (v, e) -> {};
-  private Broken reset = (g, e) -> {};
-  private Consumer<View> reach = v -> {};
-  private Consumer<EngineModel> added = e -> {};
-  private Consumer<EngineModel> fell = e -> {};
-  private Consumer<EngineModel> ended = e -> {};
-
-  /** A world with the plan's engines, all well, on that timeline. */
+  private DeliveryListener deliveryListener = (v, e) -> {};
+  private ConnectionResetListener resetListener = (g, e) -> {};
+  private Consumer<View> availabilityListener = v -> {};
+  private Consumer<EngineModel> addedListener = e -> {};
+  private Consumer<EngineModel> overloadListener = e -> {};
+  private Consumer<EngineModel> endedListener = e -> {};
+
+  /** Creates a model with the plan's engines, all healthy. */
   public ClusterModel(ClusterPlan plan, TaskScheduler time) {
     this.plan = plan;
     this.time = time;
@@ -169,49 +175,49 @@
     views.forEach(v -> list.values().forEach(l -> v.log.add(new Event(v.log.size() + 1, l))));
   }
 
-  void onTold(Told hearer) {
-    told = hearer;
+  void onDelivery(DeliveryListener listener) {
+    deliveryListener = listener;
   }
 
-  /** Hears when connections are broken. */
-  public void onReset(Broken hearer) {
-    reset = hearer;
+  /** Sets the listener for broken connections. */
+  public void onReset(ConnectionResetListener listener) {
+    resetListener = listener;
   }
 
   /** Breaks all connections from the gateways of one zone to the engines of another. */
   void reset(int gatewayZone, int engineZone) {
-    reset.accept(gatewayZone, engineZone);
+    resetListener.accept(gatewayZone, engineZone);
   }
 
-  void onReach(Consumer<View> hearer) {
-    reach = hearer;
+  void onAvailabilityChange(Consumer<View> listener) {
+    availabilityListener = listener;
   }
 
-  /** Calls back for each engine that is added later. */
-  void onAdded(Consumer<EngineModel> hearer) {
-    added = hearer;
+  /** Sets the listener for engines that are added or restarted later. */
+  void onAdded(Consumer<EngineModel> listener) {
+    addedListener = listener;
   }
 
-  void onFall(Consumer<EngineModel> hearer) {
-    fell = hearer;
+  void onOverload(Consumer<EngineModel> listener) {
+    overloadListener = listener;
   }
 
-  /** Calls back when an engine's process has ended. */
-  void onEnd(Consumer<EngineModel> hearer) {
-    ended = hearer;
+  /** Sets the listener for engines whose process has ended. */
+  void onEnd(Consumer<EngineModel> listener) {
+    endedListener = listener;
   }
 
-  /** What the list calls an engine. */
+  /** Returns an engine's name in the list. */
   public static String name(int engine) {
     return String.format("s-%08x", engine);
   }
 
-  /** The number in such a name. */
+  /** Returns the number in an engine's name. */
   public static int number(String name) {
     return Integer.parseUnsignedInt(name.substring(2), 16);
   }
 
-  /** The way between the gateways of one zone and the engines of another. */
+  /** Returns the link between the gateways of one zone and the engines of another. */
   public Link link(int gatewayZone, int engineZone) {
     return links[gatewayZone][engineZone];
   }
@@ -220,7 +226,7 @@
     int id = ++last;
     EngineModel e = new EngineModel(id, plan.spec(id), time, plan.seed() * 65_537 + id);
     engines.put(id, e);
-    e.onOverload(() -> fallen(e));
+    e.onOverload(() -> handleOverload(e));
     return new Listed(id, READY, startedMs);
   }
 
@@ -234,25 +240,24 @@
     views.forEach(v -> v.add(e));
   }
 
-  private void fallen(EngineModel e) {
-    fell.accept(e);
-    ended.accept(e);
+  private void handleOverload(EngineModel e) {
+    overloadListener.accept(e);
+    endedListener.accept(e);
     long startedMs = list.get(e.id).startedMs;
-    time.at(time.now() + NOTICE, () -> announce(new Listed(e.id, GONE, startedMs)));
-    time.at(time.now() + REPAIR, () -> back(e));
+    time.at(time.now() + DETECTION_TIME, () -> announce(new Listed(e.id, GONE, startedMs)));
+    time.at(time.now() + REPAIR_TIME, () -> restart(e));
   }
 
-  private void back(EngineModel e) {
+  private void restart(EngineModel e) {
     e.restart();
-    added.accept(e);
+    addedListener.accept(e);
     announce(new Listed(e.id, READY, time.now() / ClusterPlan.MILLISECOND));
   }
 
-  // ---- Troubles ----
+  // ---- Faults ----
 
   /**
-   * Some of the engines that serve: a share of those in the zone, or of all for -1, drawn by
-   * chance.
+   * Draws at random a share of the ready and healthy engines of a zone, or of all zones for -1.
    */
   List<EngineModel> draw(double share, int zone) {
     List<EngineModel> some =
@@ -271,50 +276,51 @@
     return List.copyOf(some.subList(0, wanted));
   }
 
-  /** They hang, or err in that share of queries, for so long. */
-  void upset(List<EngineModel> of, Condition mood, double share, long lasts) {
-    of.forEach(e -> e.setCondition(mood, share));
-    Predicate<EngineModel> still = e -> e.condition() == mood;
+  /** Sets the condition of some engines for a time; the share of errors applies to failing ones. */
+  void setCondition(List<EngineModel> of, Condition condition, double share, long lasts) {
+    of.forEach(e -> e.setCondition(condition, share));
+    Predicate<EngineModel> still = e -> e.condition() == condition;
     time.at(
         time.now() + lasts,
         () -> of.stream().filter(still).forEach(e -> e.setCondition(Condition.HEALTHY, 0)));
   }
 
   /**
-   * They hold at most so many connections for so long; further ones are closed as soon as they are
-   * up.
+   * Limits the connections that each of some engines holds, for a time; further ones are closed as
+   * soon as they are established.
    */
-  void crowd(List<EngineModel> of, int most, long lasts) {
+  void limitConnections(List<EngineModel> of, int most, long lasts) {
     of.forEach(e -> mostConnections.put(e.id, most));
     time.at(time.now() + lasts, () -> of.forEach(e -> mostConnections.remove(e.id)));
   }
 
-  /** How many connections an engine holds at most now. */
+  /** Returns the maximum number of connections that an engine holds now. */
   public int mostConnections(int engine) {
     return mostConnections.getOrDefault(engine, Integer.MAX_VALUE);
   }
 
-  /** They are so many times slower for so long. */
+  /** Slows some engines down by a factor, for a time. */
   void slow(List<EngineModel> of, double times, long lasts) {
     of.forEach(e -> e.setSlowdown(times));
     time.at(time.now() + lasts, () -> of.forEach(e -> e.setSlowdown(1)));
   }
 
-  /** Their processes end at once and start anew after that time, cold. */
+  /** Crashes the processes of some engines; they restart cold after a time. */
   void crash(List<EngineModel> of, long back) {
     for (EngineModel e : of) {
       e.setCondition(Condition.DOWN, 0);
-      ended.accept(e);
+      endedListener.accept(e);
       long startedMs = list.get(e.id).startedMs;
-      if (back > NOTICE) {
-        time.at(time.now() + NOTICE, () -> announce(new Listed(e.id, GONE, startedMs)));
+      if (back > DETECTION_TIME) {
+        time.at(time.now() + DETECTION_TIME, () -> announce(new Listed(e.id, GONE, startedMs)));
       }
-      time.at(time.now() + back, () -> back(e));
+      time.at(time.now() + back, () -> restart(e));
     }
   }
 
   /**
-   * Each is replaced by a new one within that time: it drains, ends, and another one starts cold.
+   * Replaces some engines by new ones, evenly spread over a time: each one drains and ends, and a
+   * new one starts cold.
    */
   void replace(List<EngineModel> of, long within) {
     for (int i = 0; i < of.size(); i++) {
@@ -326,14 +332,14 @@
             Listed fresh = add(time.now() / ClusterPlan.MILLISECOND);
             EngineModel other = engines.get(fresh.id);
             other.restart();
-            added.accept(other);
+            addedListener.accept(other);
             announce(fresh);
             time.at(
-                time.now() + DRAIN,
+                time.now() + DRAIN_TIME,
                 () -> {
                   announce(new Listed(e.id, GONE, list.get(e.id).startedMs));
                   e.setCondition(Condition.DOWN, 0);
-                  ended.accept(e);
+                  endedListener.accept(e);
                 });
           });
     }
--- a/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
@@ -39,7 +39,7 @@
     private final IoSession session;
     private final EngineModel engine;
     private final int zone;
-    private final Map<String, HistoryChecker.Try> open = new HashMap<>();
+    private final Map<String, HistoryChecker.Attempt> open = new HashMap<>();
 
     Conn(IoSession session, EngineModel engine, int zone) {
       this.session = session;
@@ -48,8 +48,8 @@
     }
   }
 
-  private final ClusterModel world;
-  private final HistoryChecker truth;
+  private final ClusterModel model;
+  private final HistoryChecker checker;
   private final int port;
   private final NioSocketAcceptor engines = new NioSocketAcceptor(SOCKET_THREADS);
   private final List<ListServer> lists = new ArrayList<>();
@@ -61,31 +61,31 @@
   private long probes;
 
   /** Engines that listen, and change logs where they are wanted here. */
-  EngineHosts(ClusterModel world, HistoryChecker truth, boolean withLists) throws IOException {
-    this.world = world;
-    this.truth = truth;
+  EngineHosts(ClusterModel model, HistoryChecker checker, boolean withLists) throws IOException {
+    this.model = model;
+    this.checker = checker;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
     prepare(engines, new DecodingHandler<>("gateway", EngineCommandDecoder::new, new Asked()));
-    for (EngineModel e : world.engines.values()) {
+    for (EngineModel e : model.engines.values()) {
       bind(e);
     }
     if (withLists) {
-      for (ClusterModel.View v : world.views) {
-        ListServer server = new ListServer(world.time, world.plan, port, () -> v.log);
+      for (ClusterModel.View v : model.views) {
+        ListServer server = new ListServer(model.time, model.plan, port, () -> v.log);
         v.addListener(e -> server.sendNewEvents());
         server.bind(listAddress(v.zone));
         lists.add(server);
       }
-      world.onReach(v -> attempt(() -> reach(v)));
+      model.onAvailabilityChange(v -> attempt(() -> reach(v)));
     }
-    world.onAdded(e -> attempt(() -> bind(e)));
-    world.onEnd(this::end);
-    world.onReset(
+    model.onAdded(e -> attempt(() -> bind(e)));
+    model.onEnd(this::end);
+    model.onReset(
         (g, e) ->
             List.copyOf(conns).stream()
-                .filter(c -> c.zone == g && world.plan.zoneOfEngine(c.engine.id) == e)
+                .filter(c -> c.zone == g && model.plan.zoneOfEngine(c.engine.id) == e)
                 .forEach(c -> c.session.closeNow()));
   }
 
@@ -138,7 +138,7 @@
   }
 
   private void bind(EngineModel e) throws IOException {
-    for (int z = 0; z < world.plan.zones(); z++) {
+    for (int z = 0; z < model.plan.zones(); z++) {
       InetSocketAddress address = address(e.id, z);
       synchronized (byAddress) {
         byAddress.put(address, e);
@@ -151,7 +151,7 @@
 
   /** An engine's process has ended: its connections are reset, new ones refused. */
   private void end(EngineModel e) {
-    for (int z = 0; z < world.plan.zones(); z++) {
+    for (int z = 0; z < model.plan.zones(); z++) {
       engines.unbind(address(e.id, z));
     }
     for (Conn c : List.copyOf(conns)) {
@@ -172,7 +172,7 @@
   // ---- Engines ----
 
   private ClusterModel.Link link(Conn c) {
-    return world.link(c.zone, world.plan.zoneOfEngine(c.engine.id));
+    return model.link(c.zone, model.plan.zoneOfEngine(c.engine.id));
   }
 
   /** Does what a message brings about once it has come over that way; in order on each way. */
@@ -183,7 +183,7 @@
         heal(link);
       }
     } else if (link.delay > 0) {
-      world.time.at(world.time.now() + link.delay, arrival);
+      model.time.at(model.time.now() + link.delay, arrival);
     } else {
       arrival.run();
     }
@@ -191,8 +191,8 @@
 
   /** What was held up comes once the way is well, in its order. */
   private void heal(ClusterModel.Link link) {
-    world.time.at(
-        world.time.now() + 20 * ClusterPlan.MILLISECOND,
+    model.time.at(
+        model.time.now() + 20 * ClusterPlan.MILLISECOND,
         () -> {
           if (link.cutIn || link.cutOut) {
             heal(link);
@@ -213,11 +213,11 @@
       }
       Conn c = new Conn(session, e, ListServer.zone(address));
       session.setAttribute(OF, c);
-      world.time.at(
+      model.time.at(
           0,
           () -> {
             long there = conns.stream().filter(o -> o.engine == c.engine).count();
-            if (there >= world.mostConnections(c.engine.id)) {
+            if (there >= model.mostConnections(c.engine.id)) {
               session.closeNow();
               return;
             }
@@ -230,22 +230,22 @@
     @Override
     public void received(IoSession session, EngineCommand command, int bytes) {
       Conn c = (Conn) session.getAttribute(OF);
-      long sentAt = world.time.now();
-      world.time.at(0, () -> over(link(c), link(c).cutOut, () -> heard(c, command, sentAt)));
+      long sentAt = model.time.now();
+      model.time.at(0, () -> over(link(c), link(c).cutOut, () -> heard(c, command, sentAt)));
     }
 
     @Override
     public void closed(IoSession session) {
       Conn c = (Conn) session.getAttribute(OF);
       if (c != null) {
-        world.time.at(
+        model.time.at(
             0,
             () -> {
               conns.remove(c);
               c.open.forEach(
                   (id, t) -> {
                     c.engine.cancel(id);
-                    truth.ended(t, world.time.now());
+                    checker.attemptEnded(t, model.time.now());
                   });
               c.open.clear();
             });
@@ -261,7 +261,7 @@
       case "ASK" -> ask(c, command, sentAt);
       case "QUIT" -> {
         c.engine.cancel(command.id());
-        truth.ended(c.open.remove(command.id()), world.time.now());
+        checker.attemptEnded(c.open.remove(command.id()), model.time.now());
       }
       case "INFO", "NOOP" -> {
         probes++;
@@ -291,7 +291,7 @@
     String id = command.id();
     Workload.Arrival a = Clients.read(command);
     EngineModel e = c.engine;
-    HistoryChecker.Try[] mine = new HistoryChecker.Try[1];
+    HistoryChecker.Attempt[] mine = new HistoryChecker.Attempt[1];
     boolean runs =
         e.condition() != Condition.DOWN
             && e.submit(
@@ -317,7 +317,7 @@
                   }
 
                   private void over(String of, String words, String body) {
-                    truth.ended(mine[0], world.time.now());
+                    checker.attemptEnded(mine[0], model.time.now());
                     if (c.open.remove(of) != null) {
                       say(c, of + words, body);
                     }
@@ -332,11 +332,11 @@
 
                   @Override
                   public void died() {
-                    truth.ended(mine[0], world.time.now()); // the connection goes with the process
+                    checker.attemptEnded(mine[0], model.time.now()); // the connection goes with the process
                     c.open.remove(id);
                   }
                 });
-    mine[0] = truth.came(a.number(), e.id, -1, world.time.now(), sentAt, runs);
+    mine[0] = checker.attemptReceived(a.number(), e.id, -1, model.time.now(), sentAt, runs);
     if (runs && mine[0] != null) {
       c.open.put(id, mine[0]);
     } else if (e.condition() != Condition.DOWN) {
--- a/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
@@ -35,23 +35,23 @@
     }
   }
 
-  private final ClusterModel world;
+  private final ClusterModel model;
   private final int count;
   private final Consumer<Fault> others;
   private final Gateways gateways;
   private final Workload workload;
-  private final HistoryChecker truth;
+  private final HistoryChecker checker;
   private final SplittableRandom random;
 
   /** A director over that world; what it does to gateways is done by others. */
   public FaultInjector(
-      ClusterModel world, Gateways gateways, Workload workload, HistoryChecker truth) {
+      ClusterModel model, Gateways gateways, Workload workload, HistoryChecker checker) {
     this(
-        world,
-        world.plan.gateways(),
+        model,
+        model.plan.gateways(),
         gateways,
         workload,
-        truth,
+        checker,
         t -> {
           throw new IllegalStateException("nobody here can bring about " + t);
         });
@@ -59,25 +59,25 @@
 
   /** The same over so many gateways; what meets none of these things is brought about by others. */
   public FaultInjector(
-      ClusterModel world,
+      ClusterModel model,
       int count,
       Gateways gateways,
       Workload workload,
-      HistoryChecker truth,
+      HistoryChecker checker,
       Consumer<Fault> others) {
-    this.world = world;
+    this.model = model;
     this.count = count;
     this.others = others;
     this.gateways = gateways;
     this.workload = workload;
-    this.truth = truth;
-    random = new SplittableRandom(world.plan.seed() * 17 + 3);
+    this.checker = checker;
+    random = new SplittableRandom(model.plan.seed() * 17 + 3);
   }
 
   /** Plans all of it, from that time on, as long as the run goes on. */
   public void play(FaultSchedule script, long start, BooleanSupplier goesOn) {
     for (Fault t : script.faults()) {
-      world.time.at(
+      model.time.at(
           start + t.start(),
           () -> {
             if (goesOn.getAsBoolean()) {
@@ -88,13 +88,13 @@
   }
 
   private void later(long wait, Runnable action) {
-    world.time.at(world.time.now() + wait, action);
+    model.time.at(model.time.now() + wait, action);
   }
 
   private void begin(Fault t) {
     switch (t.who()) {
       case GATEWAYS -> gateways(t);
-      case ENGINES -> engines(t, world.draw(t.share(), t.zone()));
+      case ENGINES -> engines(t, model.draw(t.share(), t.zone()));
       case LINK -> links(t);
       case LIST -> views(t);
       case LOAD -> {
@@ -134,12 +134,12 @@
               }
               default -> {
                 gateways.halt(g, true);
-                truth.halted(g, true);
+                checker.halted(g, true);
                 later(
                     t.length(),
                     () -> {
                       gateways.halt(g, false);
-                      truth.halted(g, false);
+                      checker.halted(g, false);
                     });
               }
             }
@@ -150,7 +150,7 @@
   private List<Integer> drawGateways(double share, int zone) {
     List<Integer> all = new ArrayList<>();
     for (int g = 0; g < count; g++) {
-      if (zone < 0 || world.plan.zoneOf(g) == zone) {
+      if (zone < 0 || model.plan.zoneOf(g) == zone) {
         all.add(g);
       }
     }
@@ -163,18 +163,18 @@
 
   private void engines(Fault t, List<EngineModel> some) {
     switch (t.kind()) {
-      case HANG -> world.upset(some, Condition.HANGING, 0, t.length());
-      case ERR -> world.upset(some, Condition.FAILING, t.by(), t.length());
-      case SLOW -> world.slow(some, t.by(), t.length());
-      case CROWD -> world.crowd(some, (int) t.by(), t.length());
-      case CRASH -> world.crash(some, t.length());
-      default -> world.replace(some, t.spread());
+      case HANG -> model.setCondition(some, Condition.HANGING, 0, t.length());
+      case ERR -> model.setCondition(some, Condition.FAILING, t.by(), t.length());
+      case SLOW -> model.slow(some, t.by(), t.length());
+      case CROWD -> model.limitConnections(some, (int) t.by(), t.length());
+      case CRASH -> model.crash(some, t.length());
+      default -> model.replace(some, t.spread());
     }
   }
 
   private void links(Fault t) {
-    for (int g = 0; g < world.plan.zones(); g++) {
-      for (int e = 0; e < world.plan.zones(); e++) {
+    for (int g = 0; g < model.plan.zones(); g++) {
+      for (int e = 0; e < model.plan.zones(); e++) {
         // From one zone, to another one; without a far zone, between the zone and all others, both
         // ways.
         boolean meant =
@@ -182,18 +182,18 @@
                 ? g == t.zone() && e == t.far()
                 : t.zone() < 0 || (g == t.zone()) != (e == t.zone());
         if (meant && t.kind() == Fault.Kind.RESET) {
-          world.reset(g, e);
+          model.reset(g, e);
         } else if (meant) {
-          ClusterModel.Link link = world.link(g, e);
+          ClusterModel.Link link = model.link(g, e);
           set(link, t, true);
-          truth.impaired(g, e, true);
+          checker.impaired(g, e, true);
           int from = g;
           int to = e;
           later(
               t.length(),
               () -> {
                 set(link, t, false);
-                truth.impaired(from, to, false);
+                checker.impaired(from, to, false);
               });
         }
       }
@@ -213,20 +213,20 @@
   }
 
   private void views(Fault t) {
-    for (ClusterModel.View v : world.views) {
+    for (ClusterModel.View v : model.views) {
       if (t.zone() < 0 || v.zone == t.zone()) {
         switch (t.kind()) {
           case LATE -> {
-            v.late((long) (t.by() * ClusterPlan.MILLISECOND));
-            later(t.length(), () -> v.late(0));
+            v.setDelay((long) (t.by() * ClusterPlan.MILLISECOND));
+            later(t.length(), () -> v.setDelay(0));
           }
           case STALE -> {
-            v.stale(true);
-            later(t.length(), () -> v.stale(false));
+            v.setStale(true);
+            later(t.length(), () -> v.setStale(false));
           }
           default -> {
-            v.down(true);
-            later(t.length(), () -> v.down(false));
+            v.setDown(true);
+            later(t.length(), () -> v.setDown(false));
           }
         }
       }
--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -11,16 +11,16 @@
 import reachloom.standin.model.EngineModel;
 
 /**
- * What happened, as the engines and the clients saw it, and the rules held against it. It knows
- * nothing of the gateways' decisions. All of it runs on the timeline's thread, in the order of time
- * but for the network's.
+ * Records the history of a run as engines and clients observe it, and checks it against the rules
+ * that gateways must keep. It does not know the gateways' decisions. All methods run on the
+ * scheduler's thread; events are in order of time, except for delays in the network.
  */
 public final class HistoryChecker {
-  /** Each time limit is so much longer, as the platform's protocol allows. */
+  /** Tolerance added to each time limit, in nanoseconds, as the platform's protocol allows. */
   private static final long SLACK = 50 * ClusterPlan.MILLISECOND;
 
-  private static final int MAX_TOLD = 20;
-  private static final long LONGEST_MICROS = 60_000_000;
+  private static final int MAX_REPORTED_VIOLATIONS = 20;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
 
   /** How a query ended for its client. */
   public enum Answer {
@@ -30,22 +30,22 @@
     FAILED
   }
 
-  /** One attempt, as its engine saw it. */
-  public static final class Try {
-    final Query query;
+  /** One attempt, as its engine observed it. */
+  public static final class Attempt {
+    final QueryRecord query;
     final int engine;
     final int gateway;
     final long at;
 
-    /** When it was sent, as far as the link's delay tells. */
+    /** When the gateway sent the attempt, computed from the link's delay. */
     final long sentAt;
 
     final boolean ran;
 
-    /** Its end, or its being given up; the largest time while neither is known. */
+    /** When the attempt ended or was cancelled; {@code Long.MAX_VALUE} while it runs. */
     long endAt;
 
-    Try(Query query, int engine, int gateway, long at, long sentAt, boolean ran) {
+    Attempt(QueryRecord query, int engine, int gateway, long at, long sentAt, boolean ran) {
       this.query = query;
       this.engine = engine;
       this.gateway = gateway;
@@ -56,29 +56,29 @@
     }
   }
 
-  /** One query, as its client saw it. */
-  static final class Query {
+  /** One query, as its client observed it. */
+  static final class QueryRecord {
     final Arrival arrival;
 
-    /** The gateway that took it, and when; -1 where none did. */
+    /** The gateway to which the client sent the query; -1 if there was none. */
     final int gateway;
 
-    final long takenAt;
-    final List<Try> tries = new ArrayList<>(1);
+    final long acceptedAt;
+    final List<Attempt> attempts = new ArrayList<>(1);
     Answer answer = Answer.NONE;
     int answers;
     long answeredAt;
 
-    /** Its gateway was killed, or its connection ended with it. */
-    boolean orphan;
+    /** Whether the client's connection ended because the gateway was killed. */
+    boolean gatewayKilled;
 
-    Query(Arrival arrival, int gateway, long takenAt) {
+    QueryRecord(Arrival arrival, int gateway, long acceptedAt) {
       this.arrival = arrival;
       this.gateway = gateway;
-      this.takenAt = takenAt;
+      this.acceptedAt = acceptedAt;
     }
 
-    boolean inAim() {
+    boolean inTime() {
       return answer == Answer.SERVED
           && answeredAt - arrival.at() <= arrival.of().aimFor(arrival.work());
     }
@@ -88,7 +88,7 @@
     }
   }
 
-  /** What became of the queries of one class; times in milliseconds, of those served. */
+  /** Outcomes of the queries of one class; times are those of served queries, in milliseconds. */
   public record Row(
       String kind,
       long asked,
@@ -99,288 +99,304 @@
       double p50,
       double p99) {}
 
-  private record Span(long from, long to) {}
+  private record Interval(long from, long to) {}
 
-  private record Place(int a, int b) {}
+  private record Key(int a, int b) {}
 
-  private final ClusterModel world;
+  private final ClusterModel model;
   private final ClusterPlan plan;
-  private final Map<Long, Query> queries = new HashMap<>();
+  private final Map<Long, QueryRecord> queries = new HashMap<>();
 
-  /** Queries that nobody took: their gateway was down and its front did not know yet. */
+  /** Queries without a gateway: theirs was down and its front end had not noticed it yet. */
   private final List<Arrival> unplaced = new ArrayList<>();
 
-  private final Map<Place, List<Span>> halts = new HashMap<>();
-  private final Map<Place, List<Span>> cuts = new HashMap<>();
-  private final Map<Place, Long> haltedNow = new HashMap<>();
-  private final Map<Place, Long> cutNow = new HashMap<>();
-  private final Map<Place, Long> drainTold = new HashMap<>();
-  private final Map<Place, Long> startTold = new HashMap<>();
+  private final Map<Key, List<Interval>> halts = new HashMap<>();
+  private final Map<Key, List<Interval>> cuts = new HashMap<>();
+  private final Map<Key, Long> openHalts = new HashMap<>();
+  private final Map<Key, Long> openCuts = new HashMap<>();
+  private final Map<Key, Long> drainDeliveredAt = new HashMap<>();
+  private final Map<Key, Long> readyDeliveredAt = new HashMap<>();
 
-  /** What some gateways of a zone have not heard: it binds none there until all can have. */
-  private final Map<Integer, List<ClusterModel.Event>> unheard = new HashMap<>();
+  /**
+   * Events, by zone, that have not reached all gateways of the zone; the rules apply to none of its
+   * gateways until all can have received them.
+   */
+  private final Map<Integer, List<ClusterModel.Event>> blockedEvents = new HashMap<>();
 
-  private final Map<Integer, ArrayDeque<Try>> lately = new HashMap<>();
-  private final Map<Integer, List<Query>> byGateway = new TreeMap<>();
+  private final Map<Integer, ArrayDeque<Attempt>> recentAttempts = new HashMap<>();
+  private final Map<Integer, List<QueryRecord>> byGateway = new TreeMap<>();
   private final Map<String, Integer> broken = new TreeMap<>();
   private final List<String> brokenFirst = new ArrayList<>();
-  private final LoadImbalance spread;
+  private final LoadImbalance loadImbalance;
   private long start;
-  private volatile int owed;
+  private volatile int pendingAnswers;
   private int refusedWhileIdle;
-  private int fell;
+  private int overloadFailures;
 
-  /** An auditor of what happens in that world from that time on. */
-  public HistoryChecker(ClusterModel world, long start) {
-    this.world = world;
+  /** Creates a checker of the events in a cluster model from a time on. */
+  public HistoryChecker(ClusterModel model, long start) {
+    this.model = model;
     this.start = start;
-    plan = world.plan;
-    spread = new LoadImbalance(world, start);
-    world.onTold(this::told);
-    world.onFall(this::fell);
+    plan = model.plan;
+    loadImbalance = new LoadImbalance(model, start);
+    model.onDelivery(this::onDelivery);
+    model.onOverload(this::onOverload);
   }
 
-  LoadImbalance spread() {
-    return spread;
+  LoadImbalance loadImbalance() {
+    return loadImbalance;
   }
 
-  /** The first query comes at that time. */
+  /** Sets the time of the first query. */
   void begin(long at) {
     start = at;
   }
 
-  /** Whether nothing is owed any more; may be asked from any thread. */
+  /** Returns whether no query waits for an answer; may be called on any thread. */
   boolean allAnswered() {
-    return owed == 0;
+    return pendingAnswers == 0;
   }
 
-  /** Looks at all engines each window from now on. */
+  /** Samples the load of all engines in each window until a time. */
   public void watch(long until) {
-    spread.watch(until);
+    loadImbalance.watch(until);
   }
 
-  // ---- What clients see ----
+  // ---- Clients' events ----
 
-  /** A query was taken by that gateway. */
-  public Query taken(Arrival a, int gateway, long now) {
-    Query q = new Query(a, gateway, now);
+  /** Records a query that its client sends to a gateway. */
+  public QueryRecord queryAccepted(Arrival a, int gateway, long now) {
+    QueryRecord q = new QueryRecord(a, gateway, now);
     queries.put(a.number(), q);
-    owed++;
+    pendingAnswers++;
     byGateway.computeIfAbsent(gateway, g -> new ArrayList<>()).add(q);
     return q;
   }
 
-  /** Nobody could take it. */
+  /** Records a query that could be sent to no gateway. */
   public void unplaced(Arrival a) {
     unplaced.add(a);
   }
 
-  /** A client has its answer, or a further one. */
+  /** Records an answer to a client; a second answer to one query is a violation. */
   public void answered(long number, Answer answer, long now) {
-    Query q = queries.get(number);
+    QueryRecord q = queries.get(number);
     if (q == null) {
-      broken("answers to nothing asked", number);
+      recordViolation("answers to nothing asked", number);
       return;
     }
     if (q.answers++ > 0) {
-      broken("two answers", number);
+      recordViolation("two answers", number);
       return;
     }
-    owed -= q.orphan ? 0 : 1;
+    pendingAnswers -= q.gatewayKilled ? 0 : 1;
     q.answer = answer;
     q.answeredAt = now;
     if (answer != Answer.SERVED) {
-      spread.refused();
-      refusedWhileIdle += spread.somebodyHadRoom(now, q.arrival.of().threads()) ? 1 : 0;
+      loadImbalance.refused();
+      refusedWhileIdle += loadImbalance.somebodyHadRoom(now, q.arrival.of().threads()) ? 1 : 0;
     }
   }
 
-  /** The connection of an unanswered query ended. */
-  public void orphaned(long number, boolean killed) {
-    Query q = queries.get(number);
-    if (q != null && q.answers == 0 && !q.orphan) {
-      owed--;
-      q.orphan = killed;
+  /**
+   * Records that the connection of a query ended; without an answer this is a violation unless the
+   * gateway was killed.
+   */
+  public void connectionClosed(long number, boolean killed) {
+    QueryRecord q = queries.get(number);
+    if (q != null && q.answers == 0 && !q.gatewayKilled) {
+      pendingAnswers--;
+      q.gatewayKilled = killed;
       if (!killed) {
-        broken("connection ended without an answer", number);
+        recordViolation("connection ended without an answer", number);
       }
     }
   }
 
-  /** A gateway stands still from now on, or goes on. */
+  /** Records the start or the end of a gateway's halt. */
   void halted(int gateway, boolean now) {
-    span(halts, haltedNow, new Place(gateway, -1), now);
+    recordInterval(halts, openHalts, new Key(gateway, -1), now);
   }
 
-  /** The way between two zones is bad from now on, or is well. */
+  /** Records the start or the end of an impairment of the link between two zones. */
   public void impaired(int from, int to, boolean now) {
-    span(cuts, cutNow, new Place(from, to), now);
+    recordInterval(cuts, openCuts, new Key(from, to), now);
   }
 
-  private void span(Map<Place, List<Span>> to, Map<Place, Long> open, Place place, boolean now) {
+  private void recordInterval(
+      Map<Key, List<Interval>> to, Map<Key, Long> open, Key key, boolean now) {
     if (now) {
-      open.putIfAbsent(place, world.time.now());
-    } else if (open.containsKey(place)) {
-      to.computeIfAbsent(place, p -> new ArrayList<>())
-          .add(new Span(open.remove(place), world.time.now()));
+      open.putIfAbsent(key, model.time.now());
+    } else if (open.containsKey(key)) {
+      to.computeIfAbsent(key, p -> new ArrayList<>())
+          .add(new Interval(open.remove(key), model.time.now()));
     }
   }
 
-  // ---- What engines see ----
+  // ---- Engines' events ----
 
-  /** An attempt has come whole. */
-  public Try came(long number, int engine, int gateway, long now, long sentAt, boolean ran) {
-    Query q = queries.get(number);
+  /**
+   * Records an attempt whose request an engine has received completely, and checks it.
+   *
+   * @param gateway the sending gateway; -1 if the engine does not know it
+   * @return the attempt; null if its query is unknown
+   */
+  public Attempt attemptReceived(
+      long number, int engine, int gateway, long now, long sentAt, boolean ran) {
+    QueryRecord q = queries.get(number);
     if (q == null) {
-      broken("attempts of nothing asked", number);
+      recordViolation("attempts of nothing asked", number);
       return null;
     }
     if (gateway != q.gateway && gateway >= 0) {
-      broken("attempts by a gateway that was not asked", number);
+      recordViolation("attempts by a gateway that was not asked", number);
     }
-    Try t = new Try(q, engine, q.gateway, now, sentAt, ran);
+    Attempt t = new Attempt(q, engine, q.gateway, now, sentAt, ran);
     checkDrain(t);
     checkAnswered(t);
     checkRepeat(t);
-    q.tries.add(t);
-    spread.sent(engine);
-    ArrayDeque<Try> there = lately.computeIfAbsent(engine, e -> new ArrayDeque<>());
-    there.addLast(t);
-    while (there.peekFirst().at < now - ClusterPlan.FALL_TIME) {
-      there.removeFirst();
+    q.attempts.add(t);
+    loadImbalance.sent(engine);
+    ArrayDeque<Attempt> recent = recentAttempts.computeIfAbsent(engine, e -> new ArrayDeque<>());
+    recent.addLast(t);
+    while (recent.peekFirst().at < now - ClusterPlan.FALL_TIME) {
+      recent.removeFirst();
     }
     return t;
   }
 
-  /** An attempt has ended at its engine, or was given up there. */
-  public void ended(Try t, long now) {
+  /** Records that an attempt has ended or was cancelled at its engine. */
+  public void attemptEnded(Attempt t, long now) {
     if (t != null && t.endAt == Long.MAX_VALUE) {
       t.endAt = now;
     }
   }
 
   /**
-   * What gateways of a zone are told does not reach all of them from now on, or does again by now.
+   * Records that list updates do not reach all gateways of a zone, or that they reach all again.
    */
   public void setUpdatesBlocked(int zone, boolean now) {
     if (now) {
-      unheard.putIfAbsent(zone, new ArrayList<>());
-    } else if (unheard.containsKey(zone)) {
-      unheard.remove(zone).forEach(e -> told(world.views.get(zone), e));
+      blockedEvents.putIfAbsent(zone, new ArrayList<>());
+    } else if (blockedEvents.containsKey(zone)) {
+      blockedEvents.remove(zone).forEach(e -> onDelivery(model.views.get(zone), e));
     }
   }
 
-  private void told(ClusterModel.View view, ClusterModel.Event event) {
-    if (unheard.containsKey(view.zone)) {
-      unheard.get(view.zone).add(event);
+  private void onDelivery(ClusterModel.View view, ClusterModel.Event event) {
+    if (blockedEvents.containsKey(view.zone)) {
+      blockedEvents.get(view.zone).add(event);
       return;
     }
     ClusterModel.Listed e = event.engine();
     if (e.state() == ClusterModel.READY) {
-      drainTold.remove(new Place(view.zone, e.id()));
-      startTold.put(new Place(view.zone, e.id()), world.time.now());
+      drainDeliveredAt.remove(new Key(view.zone, e.id()));
+      readyDeliveredAt.put(new Key(view.zone, e.id()), model.time.now());
     } else {
-      drainTold.putIfAbsent(new Place(view.zone, e.id()), world.time.now());
+      drainDeliveredAt.putIfAbsent(new Key(view.zone, e.id()), model.time.now());
     }
   }
 
-  private void checkDrain(Try t) {
-    Long at = drainTold.get(new Place(plan.zoneOf(t.gateway), t.engine));
+  private void checkDrain(Attempt t) {
+    Long at = drainDeliveredAt.get(new Key(plan.zoneOf(t.gateway), t.engine));
     if (at != null && t.sentAt > at + GatewayConfigurations.GRACE + SLACK) {
-      broken("drain", t.query.arrival.number());
+      recordViolation("drain", t.query.arrival.number());
     }
   }
 
-  private void checkAnswered(Try t) {
+  private void checkAnswered(Attempt t) {
     if (t.query.answers > 0 && t.sentAt > t.query.answeredAt + SLACK) {
-      broken("sent after the answer", t.query.arrival.number());
+      recordViolation("sent after the answer", t.query.arrival.number());
     }
   }
 
-  private void checkRepeat(Try t) {
+  private void checkRepeat(Attempt t) {
     Workload.Kind kind = t.query.arrival.of();
-    for (Try before : t.query.tries) {
+    for (Attempt before : t.query.attempts) {
       if (!before.ran || !t.ran) {
         continue;
       }
       if (kind.effect().equals("once")) {
-        broken("ran twice", t.query.arrival.number());
+        recordViolation("ran twice", t.query.arrival.number());
       } else if (kind.effect().equals("by_key")
           && t.sentAt > before.at + GatewayConfigurations.KEY_WINDOW + SLACK) {
-        broken("repeated after its window", t.query.arrival.number());
+        recordViolation("repeated after its window", t.query.arrival.number());
       }
       if (before.endAt == Long.MAX_VALUE && !impairedSince(before)) {
-        // Given up on a way that is well, it has come to its engine by then.
-        world.time.at(
+        // On a healthy link the cancellation of the first attempt arrives within the slack.
+        model.time.at(
             t.at + SLACK,
             () -> {
               boolean both = Math.min(before.endAt, t.endAt) > t.at + SLACK;
               if (both && !impairedSince(before) && !impairedSince(t)) {
-                broken("two attempts out", t.query.arrival.number());
+                recordViolation("two attempts out", t.query.arrival.number());
               }
             });
       }
     }
   }
 
-  private boolean impairedSince(Try t) {
-    Place place = new Place(plan.zoneOf(t.gateway), plan.zoneOfEngine(t.engine));
-    return cutNow.containsKey(place)
+  private boolean impairedSince(Attempt t) {
+    Key key = new Key(plan.zoneOf(t.gateway), plan.zoneOfEngine(t.engine));
+    return openCuts.containsKey(key)
         || halted(t.gateway, t.at, Long.MAX_VALUE)
-        || cuts.getOrDefault(place, List.of()).stream().anyMatch(s -> s.to > t.at);
+        || cuts.getOrDefault(key, List.of()).stream().anyMatch(s -> s.to > t.at);
   }
 
   private boolean halted(int gateway, long from, long to) {
-    return haltedNow.containsKey(new Place(gateway, -1))
-        || halts.getOrDefault(new Place(gateway, -1), List.of()).stream()
+    return openHalts.containsKey(new Key(gateway, -1))
+        || halts.getOrDefault(new Key(gateway, -1), List.of()).stream()
             .anyMatch(s -> s.from < to && s.to > from);
   }
 
-  private void fell(EngineModel e) {
-    fell++;
-    // The rule is broken where over two thirds of it came from gateways that had been told of the
-    // start.
-    ArrayDeque<Try> there = lately.getOrDefault(e.id, new ArrayDeque<>());
-    long told =
+  private void onOverload(EngineModel e) {
+    overloadFailures++;
+    // A violation if over two thirds of the recent attempts came from gateways that had received
+    // the event of the engine's start.
+    ArrayDeque<Attempt> there = recentAttempts.getOrDefault(e.id, new ArrayDeque<>());
+    long informed =
         there.stream()
             .filter(
                 t ->
-                    startTold.getOrDefault(new Place(plan.zoneOf(t.gateway), e.id), Long.MAX_VALUE)
+                    readyDeliveredAt.getOrDefault(new Key(plan.zoneOf(t.gateway), e.id), Long.MAX_VALUE)
                         < t.sentAt)
             .count();
-    if (3 * told > 2 * there.size()) {
-      broken("cold engine pushed over", e.id);
+    if (3 * informed > 2 * there.size()) {
+      recordViolation("cold engine pushed over", e.id);
     }
   }
 
-  private void broken(String rule, long who) {
-    if (broken.merge(rule, 1, Integer::sum) == 1 && brokenFirst.size() < MAX_TOLD) {
+  private void recordViolation(String rule, long id) {
+    if (broken.merge(rule, 1, Integer::sum) == 1 && brokenFirst.size() < MAX_REPORTED_VIOLATIONS) {
       brokenFirst.add(
-          String.format("%s: first at %.3f s, %x", rule, (world.time.now() - start) / 1e9, who));
+          String.format("%s: first at %.3f s, %x", rule, (model.time.now() - start) / 1e9, id));
     }
   }
 
-  // ---- At the end ----
+  // ---- End of the run ----
 
-  /** Looks at what can be told only once all is over. */
-  private void close(long now) {
-    for (Query q : queries.values()) {
+  /** Checks the rules that can be checked only after the run. */
+  private void checkAtEnd(long now) {
+    for (QueryRecord q : queries.values()) {
       long limit = q.arrival.at() + q.arrival.of().deadline() + SLACK;
       boolean halted = halted(q.gateway, q.arrival.at(), limit);
-      if (q.answers == 0 && !q.orphan && limit < now && !halted) {
-        broken("unanswered", q.arrival.number());
+      if (q.answers == 0 && !q.gatewayKilled && limit < now && !halted) {
+        recordViolation("unanswered", q.arrival.number());
       } else if (q.answers > 0 && q.answeredAt > limit && !halted) {
-        broken("answered too late", q.arrival.number());
+        recordViolation("answered too late", q.arrival.number());
       }
     }
     byGateway.values().forEach(this::checkFurther);
   }
 
-  /** Further attempts of one gateway within any window, against what it took in it. */
-  private void checkFurther(List<Query> of) {
+  /**
+   * Checks the number of further attempts of one gateway within each window against the number of
+   * queries that it accepted in the window.
+   */
+  private void checkFurther(List<QueryRecord> of) {
     List<Long> further =
-        of.stream().flatMap(q -> q.tries.stream().skip(1)).map(t -> t.at).sorted().toList();
-    List<Long> taken = of.stream().map(q -> q.takenAt).sorted().toList();
+        of.stream().flatMap(q -> q.attempts.stream().skip(1)).map(t -> t.at).sorted().toList();
+    List<Long> taken = of.stream().map(q -> q.acceptedAt).sorted().toList();
     int fromTry = 0;
     int fromQuery = 0;
     int toQuery = 0;
@@ -400,51 +416,56 @@
           GatewayConfigurations.EXTRA_FREE
               + GatewayConfigurations.EXTRA_PER_QUERY * (toQuery - fromQuery);
       if (i - fromTry + 1 > most) {
-        broken("further attempts", of.get(0).gateway);
+        recordViolation("further attempts", of.get(0).gateway);
         return;
       }
     }
   }
 
   /**
-   * All figures; {@code service} is the share of the worth asked for that was served in the time
-   * wanted.
+   * Returns all figures. {@code service} is the worth of the queries that were served within their
+   * goal time, as a fraction of the worth of all queries.
    */
   public Map<String, Object> figures(long now, long settled) {
-    close(now);
-    List<Query> all = queries.values().stream().filter(q -> q.arrival.at() >= settled).toList();
+    checkAtEnd(now);
+    List<QueryRecord> all =
+        queries.values().stream().filter(q -> q.arrival.at() >= settled).toList();
     Map<String, Object> f = new java.util.LinkedHashMap<>();
     double worth =
-        all.stream().mapToDouble(Query::worth).sum()
+        all.stream().mapToDouble(QueryRecord::worth).sum()
             + unplaced.stream().mapToDouble(a -> a.of().worth()).sum();
     f.put("asked", all.size() + unplaced.size());
     f.put(
-        "service", share(all.stream().filter(Query::inAim).mapToDouble(Query::worth).sum(), worth));
+        "service",
+        share(
+            all.stream().filter(QueryRecord::inTime).mapToDouble(QueryRecord::worth).sum(), worth));
     for (int k = 0; k < Workload.KINDS.size(); k++) {
       int kind = k;
-      List<Query> some = all.stream().filter(q -> q.arrival.kind() == kind).toList();
+      List<QueryRecord> some = all.stream().filter(q -> q.arrival.kind() == kind).toList();
       f.put(
           "service_" + Workload.KINDS.get(k).name(),
           share(
-              some.stream().filter(Query::inAim).count(),
+              some.stream().filter(QueryRecord::inTime).count(),
               some.size() + unplaced.stream().filter(a -> a.kind() == kind).count()));
     }
-    f.put("service_worst_5s", worstSpan(all));
-    f.put("service_by_5s", spans(all));
+    f.put("service_worst_5s", worstInterval(all));
+    f.put("service_by_5s", serviceByInterval(all));
     f.put(
         "late",
-        share(count(all, Answer.SERVED) - all.stream().filter(Query::inAim).count(), all.size()));
+        share(
+            count(all, Answer.SERVED) - all.stream().filter(QueryRecord::inTime).count(),
+            all.size()));
     f.put("refused", share(count(all, Answer.REFUSED), all.size()));
     f.put("failed", share(count(all, Answer.FAILED), all.size()));
     f.put("unplaced", unplaced.size());
-    f.put("orphans", all.stream().filter(q -> q.orphan).count());
+    f.put("orphans", all.stream().filter(q -> q.gatewayKilled).count());
     f.put(
         "unanswered",
         broken.getOrDefault("unanswered", 0)
             + broken.getOrDefault("connection ended without an answer", 0));
-    f.put("attempts", share(all.stream().mapToInt(q -> q.tries.size()).sum(), all.size()));
+    f.put("attempts", share(all.stream().mapToInt(q -> q.attempts.size()).sum(), all.size()));
     f.put("refused_while_idle", share(refusedWhileIdle, queries.size()));
-    f.put("fell_over", fell);
+    f.put("fell_over", overloadFailures);
     f.put(
         "cold_most",
         Math.round(
@@ -459,28 +480,30 @@
       f.put("broken", new TreeMap<>(broken));
       f.put("broken_first", List.copyOf(brokenFirst));
     }
-    f.putAll(spread.figures());
+    f.putAll(loadImbalance.figures());
     return f;
   }
 
-  /** By class, for the queries that came so long after the first one could. */
+  /** Returns the outcomes by class of the queries that arrived at least this long after the start. */
   List<Row> rows(long after) {
     List<Row> rows = new ArrayList<>();
     for (int k = 0; k < Workload.KINDS.size(); k++) {
       int kind = k;
-      List<Query> of =
+      List<QueryRecord> of =
           queries.values().stream()
               .filter(q -> q.arrival.kind() == kind && q.arrival.at() >= start + after)
               .toList();
-      Histogram times = new Histogram(LONGEST_MICROS, 3);
+      Histogram times = new Histogram(MAX_LATENCY_MICROS, 3);
       of.stream()
           .filter(q -> q.answer == Answer.SERVED)
           .forEach(
               q ->
                   times.recordValue(
                       Math.max(
-                          0, Math.min(LONGEST_MICROS, (q.answeredAt - q.arrival.at()) / 1_000))));
-      long inTime = of.stream().filter(Query::inAim).count();
+                          0,
+                          Math.min(
+                              MAX_LATENCY_MICROS, (q.answeredAt - q.arrival.at()) / 1_000))));
+      long inTime = of.stream().filter(QueryRecord::inTime).count();
       rows.add(
           new Row(
               Workload.KINDS.get(k).name(),
@@ -495,7 +518,7 @@
     return rows;
   }
 
-  private static long count(List<Query> of, Answer answer) {
+  private static long count(List<QueryRecord> of, Answer answer) {
     return of.stream().filter(q -> q.answer == answer).count();
   }
 
@@ -503,13 +526,13 @@
     return whole == 0 ? 0 : Math.round(1e5 * part / whole) / 1e5;
   }
 
-  private List<Double> spans(List<Query> all) {
+  private List<Double> serviceByInterval(List<QueryRecord> all) {
     TreeMap<Long, double[]> by = new TreeMap<>();
-    for (Query q : all) {
+    for (QueryRecord q : all) {
       double[] sums =
           by.computeIfAbsent(
               (q.arrival.at() - start) / (5 * ClusterPlan.SECOND), k -> new double[2]);
-      sums[0] += q.inAim() ? q.worth() : 0;
+      sums[0] += q.inTime() ? q.worth() : 0;
       sums[1] += q.worth();
     }
     for (Arrival a : unplaced) {
@@ -519,7 +542,7 @@
     return by.values().stream().map(s -> share(s[0], s[1])).toList();
   }
 
-  private double worstSpan(List<Query> all) {
-    return spans(all).stream().mapToDouble(d -> d).min().orElse(0);
+  private double worstInterval(List<QueryRecord> all) {
+    return serviceByInterval(all).stream().mapToDouble(d -> d).min().orElse(0);
   }
 }
--- a/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -31,7 +31,7 @@
     private int windows;
   }
 
-  private final ClusterModel world;
+  private final ClusterModel model;
   private final Map<Integer, Seen> seen = new HashMap<>();
   private final List<Double> imbalance = new ArrayList<>();
   private final List<Double> variation = new ArrayList<>();
@@ -44,16 +44,16 @@
   private int refused;
   private int windows;
 
-  LoadImbalance(ClusterModel world, long start) {
-    this.world = world;
+  LoadImbalance(ClusterModel model, long start) {
+    this.model = model;
   }
 
   void watch(long until) {
-    world.time.at(
-        world.time.now() + WINDOW,
+    model.time.at(
+        model.time.now() + WINDOW,
         () -> {
           look();
-          if (world.time.now() < until) {
+          if (model.time.now() < until) {
             watch(until);
           }
         });
@@ -69,7 +69,7 @@
 
   /** Whether some warm engine that is well has had room for 100 ms. */
   boolean somebodyHadRoom(long now, int threads) {
-    return world.engines.values().stream()
+    return model.engines.values().stream()
         .anyMatch(
             e ->
                 e.idleCoreSince() <= now - WINDOW
@@ -78,13 +78,13 @@
   }
 
   private boolean listed(EngineModel e) {
-    return world.list.get(e.id).state() == ClusterModel.READY;
+    return model.list.get(e.id).state() == ClusterModel.READY;
   }
 
   private void look() {
     windows++;
     List<EngineModel> well =
-        world.engines.values().stream()
+        model.engines.values().stream()
             .filter(e -> e.condition() == Condition.HEALTHY && !e.cold() && listed(e))
             .toList();
     double[] used = new double[well.size()];
@@ -131,7 +131,7 @@
   /** Engines that are well, cold ones too, and are sent nothing while others are. */
   private void lookForUnused() {
     boolean somebody = seen.values().stream().anyMatch(s -> s.sent > s.before);
-    for (EngineModel e : world.engines.values()) {
+    for (EngineModel e : model.engines.values()) {
       Seen s = of(e);
       boolean unused =
           e.condition() == Condition.HEALTHY && listed(e) && s.sent == s.before && somebody;
--- a/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
@@ -29,18 +29,18 @@
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
   private final ClusterPlan plan;
-  private final RealTimeScheduler time = new RealTimeScheduler("world");
-  private final ClusterModel world;
+  private final RealTimeScheduler time = new RealTimeScheduler("cluster-model");
+  private final ClusterModel model;
   private final SplittableRandom random;
   private final Processes processes;
 
   /** Null where the gateways are alone. */
-  private final SideProcesses company;
+  private final SideProcesses sideProcesses;
 
   private final boolean[] up;
   private final long[] changedAt;
   private final long[] lives;
-  private HistoryChecker truth;
+  private HistoryChecker checker;
   private EngineHosts hosts;
   private Clients clients;
   private Workload workload;
@@ -69,11 +69,11 @@
       Path jar,
       int heapMb,
       IntFunction<List<String>> words,
-      SideProcesses company)
+      SideProcesses sideProcesses)
       throws IOException {
     this.plan = plan;
-    this.company = company;
-    world = new ClusterModel(plan, time);
+    this.sideProcesses = sideProcesses;
+    model = new ClusterModel(plan, time);
     random = new SplittableRandom(plan.seed() * 13 + 11);
     up = new boolean[plan.gateways()];
     changedAt = new long[plan.gateways()];
@@ -82,7 +82,7 @@
   }
 
   private int all() {
-    return plan.gateways() + (company == null ? 0 : company.gateways());
+    return plan.gateways() + (sideProcesses == null ? 0 : sideProcesses.gateways());
   }
 
   /**
@@ -91,7 +91,7 @@
    */
   public String configuration(int gateway) {
     AtomicReference<List<ClusterModel.Event>> log = new AtomicReference<>();
-    ClusterModel.View view = world.views.get(plan.zoneOf(gateway));
+    ClusterModel.View view = model.views.get(plan.zoneOf(gateway));
     runOnScheduler(
         () -> {
           log.set(List.copyOf(view.log));
@@ -110,7 +110,7 @@
         gateway,
         plan.seed() * 1_000_003 + gateway + lives[gateway] * 7_919,
         gateway < plan.gateways() ? processes.addresses().get(gateway) : NOWHERE,
-        company == null ? hosts.listAddress(view.zone) : company.changeLog(gateway),
+        sideProcesses == null ? hosts.listAddress(view.zone) : sideProcesses.changeLog(gateway),
         log.get().size(),
         engines);
   }
@@ -144,7 +144,7 @@
         });
     try {
       if (!done.await(PATIENCE_S, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("the world stands still");
+        throw new IllegalStateException("the model thread stands still");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -163,9 +163,9 @@
     AtomicReference<IOException> failed = new AtomicReference<>();
     runOnScheduler(
         () -> {
-          truth = new HistoryChecker(world, time.now());
+          checker = new HistoryChecker(model, time.now());
           try {
-            hosts = new EngineHosts(world, truth, company == null);
+            hosts = new EngineHosts(model, checker, sideProcesses == null);
           } catch (IOException e) {
             failed.set(e);
           }
@@ -174,8 +174,8 @@
       throw failed.get();
     }
     long from = time.now();
-    if (company != null) {
-      company.open(world, hosts);
+    if (sideProcesses != null) {
+      sideProcesses.open(model, hosts);
     }
     processes.archive();
     if (script.stepsClocks()) {
@@ -184,7 +184,7 @@
     if (script.failsCalls()) {
       processes.ownCalls();
     }
-    int ready = processes.startAll() + (company == null ? 0 : company.startGateways());
+    int ready = processes.startAll() + (sideProcesses == null ? 0 : sideProcesses.startGateways());
     long started = time.now() - from;
     System.err.printf("%d of %d gateways are ready after %.1f s%n", ready, all(), started / 1e9);
     long start = time.now() + SETTLE;
@@ -192,15 +192,15 @@
     runOnScheduler(
         () -> {
           java.util.Arrays.fill(up, true);
-          truth.begin(start);
+          checker.begin(start);
           workload = new Workload(plan, start);
-          clients = new Clients(world, truth, processes.addresses(), processes::killed);
-          new FaultInjector(world, all(), this, workload, truth, this::ofInstallation)
+          clients = new Clients(model, checker, processes.addresses(), processes::killed);
+          new FaultInjector(model, all(), this, workload, checker, this::ofInstallation)
               .play(script, start, () -> time.now() < end);
-          if (company != null) {
-            company.begin(truth, start, end);
+          if (sideProcesses != null) {
+            sideProcesses.begin(checker, start, end);
           }
-          time.at(start, () -> truth.watch(end));
+          time.at(start, () -> checker.watch(end));
           look(end);
           next(end);
         });
@@ -213,7 +213,7 @@
     AtomicReference<Map<String, Object>> figures = new AtomicReference<>();
     runOnScheduler(
         () -> {
-          Map<String, Object> f = truth.figures(time.now(), start);
+          Map<String, Object> f = checker.figures(time.now(), start);
           f.put("connections_max", hosts.mostConnections());
           f.put("handshakes", hosts.accepted());
           f.put("probes_per_s", hosts.probes() / plan.seconds());
@@ -232,12 +232,12 @@
   /** What became of the queries that came from that second on, by class. */
   public List<HistoryChecker.Row> rows(double fromSecond) {
     AtomicReference<List<HistoryChecker.Row>> rows = new AtomicReference<>();
-    runOnScheduler(() -> rows.set(truth.rows((long) (fromSecond * ClusterPlan.SECOND))));
+    runOnScheduler(() -> rows.set(checker.rows((long) (fromSecond * ClusterPlan.SECOND))));
     return rows.get();
   }
 
   private boolean settled(long end) {
-    return time.now() > end + ClusterPlan.SECOND && truth.allAnswered();
+    return time.now() > end + ClusterPlan.SECOND && checker.allAnswered();
   }
 
   private void look(long end) {
@@ -276,28 +276,28 @@
     if (up[g]) {
       clients.send(a, g);
     } else {
-      truth.unplaced(a);
+      checker.unplaced(a);
     }
   }
 
   private void ends(int gateway) {
     up[gateway] = false;
-    if (company != null) {
-      company.onGatewayRunning(gateway, false);
+    if (sideProcesses != null) {
+      sideProcesses.onGatewayRunning(gateway, false);
     }
   }
 
   private void ofInstallation(Fault t) {
-    if (company == null) {
+    if (sideProcesses == null) {
       throw new IllegalStateException("nobody here can bring about " + t);
     }
-    company.injectFault(t);
+    sideProcesses.injectFault(t);
   }
 
   @Override
   public void kill(int gateway) {
     if (gateway >= plan.gateways()) {
-      company.kill(gateway);
+      sideProcesses.kill(gateway);
       return;
     }
     ends(gateway);
@@ -308,7 +308,7 @@
   @Override
   public void terminate(int gateway) {
     if (gateway >= plan.gateways()) {
-      company.terminate(gateway);
+      sideProcesses.terminate(gateway);
       return;
     }
     ends(gateway);
@@ -319,7 +319,7 @@
   @Override
   public void halt(int gateway, boolean now) {
     if (gateway >= plan.gateways()) {
-      company.halt(gateway, now);
+      sideProcesses.halt(gateway, now);
     } else {
       processes.halt(gateway, now);
     }
@@ -338,7 +338,7 @@
   @Override
   public void start(int gateway) {
     if (gateway >= plan.gateways()) {
-      company.start(gateway);
+      sideProcesses.start(gateway);
       return;
     }
     processes.restart(
@@ -348,8 +348,8 @@
                 0,
                 () -> {
                   up[gateway] = true;
-                  if (company != null) {
-                    company.onGatewayRunning(gateway, true);
+                  if (sideProcesses != null) {
+                    sideProcesses.onGatewayRunning(gateway, true);
                   }
                 }));
   }
--- a/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
+++ b/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
@@ -16,13 +16,13 @@
   InetSocketAddress changeLog(int gateway);
 
   /** Prepares what gateways need from their start on; engines listen by now. */
-  void open(ClusterModel world, EngineHosts hosts) throws IOException, InterruptedException;
+  void open(ClusterModel model, EngineHosts hosts) throws IOException, InterruptedException;
 
   /** Starts the further gateways; gives how many are ready within their time. */
   int startGateways() throws IOException, InterruptedException;
 
   /** Queries begin at that time; on the timeline. */
-  void begin(HistoryChecker truth, long start, long end);
+  void begin(HistoryChecker checker, long start, long end);
 
   /** Brings a trouble of the installation about; on the timeline. */
   void injectFault(Fault fault);
--- a/lab/src/main/java/reachloom/lab/fleet/Baseline.java
+++ b/lab/src/main/java/reachloom/lab/fleet/Baseline.java
@@ -58,7 +58,7 @@
 
   private final Rule rule;
   private final SchedulerActions actions;
-  private final ClusterModel world;
+  private final ClusterModel model;
   private final Late late;
   private final Map<String, EngineEndpoint> engines = new LinkedHashMap<>();
   private final Map<String, Integer> out = new HashMap<>();
@@ -75,9 +75,9 @@
     private Map<Integer, Double> known = new HashMap<>();
 
     /** Looks from now on. */
-    void watch(ClusterModel world) {
+    void watch(ClusterModel model) {
       Map<Integer, Double> now = new HashMap<>();
-      for (EngineModel e : world.engines.values()) {
+      for (EngineModel e : model.engines.values()) {
         boolean well = e.condition() == Condition.HEALTHY;
         double room = e.spec.cores() * e.spec.speed() * (e.cold() ? COLD_MARGIN * e.warmth() : 1);
         now.put(e.id, well ? e.threads() / room : Double.POSITIVE_INFINITY);
@@ -86,14 +86,14 @@
       if (states.size() > AGE / STEP) {
         known = states.remove(0);
       }
-      world.time.at(world.time.now() + STEP, () -> watch(world));
+      model.time.at(model.time.now() + STEP, () -> watch(model));
     }
   }
 
-  Baseline(Rule rule, SchedulerActions actions, ClusterModel world, Late late) {
+  Baseline(Rule rule, SchedulerActions actions, ClusterModel model, Late late) {
     this.rule = rule;
     this.actions = actions;
-    this.world = world;
+    this.model = model;
     this.late = late;
   }
 
@@ -106,11 +106,11 @@
       return null;
     }
     Late late = new Late();
-    return (actions, world, gateway) -> {
+    return (actions, model, gateway) -> {
       if (rule == Rule.ORACLE && late.states.isEmpty()) {
-        late.watch(world);
+        late.watch(model);
       }
-      return new Baseline(rule, actions, world, late);
+      return new Baseline(rule, actions, model, late);
     };
   }
 
@@ -158,7 +158,7 @@
                               : 0);
               case FRESH ->
                   least(
-                      draw, 2, e -> world.engines.get(ClusterModel.number(e)).threads() / cores(e));
+                      draw, 2, e -> model.engines.get(ClusterModel.number(e)).threads() / cores(e));
               case ORACLE ->
                   least(draw, FOUR, e -> late.known.getOrDefault(ClusterModel.number(e), 0.0));
             };
--- a/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
@@ -105,7 +105,7 @@
     if (mode.equals("virtual")) {
       VirtualFleet.Policy made =
           policy.equals("reachloom")
-              ? (actions, world, g) -> new QueryScheduler(actions)
+              ? (actions, model, g) -> new QueryScheduler(actions)
               : Baseline.named(policy);
       if (made == null) {
         throw new ParseException("--policy: '" + policy + "' is not known");
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -56,16 +56,16 @@
 
   /** Makes the decisions of a gateway. */
   interface Policy {
-    SchedulerEvents make(SchedulerActions actions, ClusterModel world, int gateway);
+    SchedulerEvents make(SchedulerActions actions, ClusterModel model, int gateway);
   }
 
   private final ClusterPlan plan;
   private final Policy policy;
   private final SimulatedScheduler time = new SimulatedScheduler(START);
-  private final ClusterModel world;
-  private final HistoryChecker truth;
+  private final ClusterModel model;
+  private final HistoryChecker checker;
   private final Workload workload;
-  private final FaultInjector director;
+  private final FaultInjector faultInjector;
   private final List<Front> fronts = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<Integer, Integer> held = new HashMap<>();
@@ -78,11 +78,11 @@
   VirtualFleet(ClusterPlan plan, Policy policy) {
     this.plan = plan;
     this.policy = policy;
-    world = new ClusterModel(plan, time);
-    truth = new HistoryChecker(world, START);
+    model = new ClusterModel(plan, time);
+    checker = new HistoryChecker(model, START);
     workload = new Workload(plan, START + SETTLE);
-    director = new FaultInjector(world, this, workload, truth);
-    world.onReset(this::reset);
+    faultInjector = new FaultInjector(model, this, workload, checker);
+    model.onReset(this::reset);
     random = new SplittableRandom(plan.seed() * 13 + 11);
     for (int g = 0; g < plan.gateways(); g++) {
       fronts.add(new Front(g));
@@ -95,13 +95,13 @@
       time.at(START + (long) (random.nextDouble() * SETTLE / 2), f::start);
     }
     long end = START + SETTLE + plan.seconds() * ClusterPlan.SECOND;
-    director.play(script, START + SETTLE, () -> time.now() < end);
-    truth.watch(end);
+    faultInjector.play(script, START + SETTLE, () -> time.now() < end);
+    checker.watch(end);
     next(end);
     time.runUntil(end);
     long longest = Workload.KINDS.stream().mapToLong(Workload.Kind::deadline).max().orElse(0);
     time.runUntil(end + longest + ClusterPlan.SECOND);
-    Map<String, Object> f = truth.figures(time.now(), START + SETTLE);
+    Map<String, Object> f = checker.figures(time.now(), START + SETTLE);
     f.put("connections_max", connectionsMost);
     f.put("handshakes", handshakes);
     f.put("probes_per_s", probes / plan.seconds());
@@ -128,10 +128,10 @@
       f = up.isEmpty() ? f : up.get(random.nextInt(up.size()));
     }
     if (!f.up) {
-      truth.unplaced(a);
+      checker.unplaced(a);
       return;
     }
-    truth.taken(a, f.number, time.now());
+    checker.queryAccepted(a, f.number, time.now());
     Front to = f;
     f.tell(f.life, () -> to.arrive(a), 0);
   }
@@ -166,7 +166,7 @@
   private static final class Out {
     private final EngineModel engine;
     private final long sentAt;
-    private HistoryChecker.Try seen;
+    private HistoryChecker.Attempt seen;
     private boolean over;
     private boolean quit;
 
@@ -211,7 +211,7 @@
       zone = plan.zoneOf(number);
       clockOff = (long) ((2 * random.nextDouble() - 1) * plan.clocksApart());
       settings = SchedulerSettingsReader.read(GatewayConfigurations.settings(plan, number));
-      ClusterModel.View view = world.views.get(zone);
+      ClusterModel.View view = model.views.get(zone);
       view.addListener(e -> hear(view));
     }
 
@@ -227,9 +227,9 @@
       up = true;
       halted = false;
       changedAt = time.now();
-      module = policy.make(this, world, number);
+      module = policy.make(this, model, number);
       module.onStart(clock(), random.nextLong(), settings);
-      ClusterModel.View view = world.views.get(zone);
+      ClusterModel.View view = model.views.get(zone);
       Map<Integer, ClusterModel.Listed> known = new LinkedHashMap<>();
       view.log.forEach(e -> known.put(e.engine().id(), e.engine()));
       heardOf = view.log.size();
@@ -263,7 +263,7 @@
             }
             life++;
             for (Open o : List.copyOf(open.values())) {
-              truth.orphaned(o.arrival.number(), true);
+              checker.connectionClosed(o.arrival.number(), true);
               o.tries.stream().filter(t -> !t.over).forEach(t -> quit(o, t));
             }
             open.clear();
@@ -354,7 +354,7 @@
     private void settle(Open o, HistoryChecker.Answer answer) {
       if (!o.over) {
         o.over = true;
-        truth.answered(o.arrival.number(), answer, time.now());
+        checker.answered(o.arrival.number(), answer, time.now());
       }
       drop(o);
     }
@@ -372,7 +372,7 @@
     /** Books the connection; gives how long it takes until it is up. */
     private long connect(int engine, long way) {
       if (!links.containsKey(engine)
-          && held.getOrDefault(engine, 0) >= world.mostConnections(engine)) {
+          && held.getOrDefault(engine, 0) >= model.mostConnections(engine)) {
         handshakes++;
         return CLOSED;
       }
@@ -396,7 +396,7 @@
     @Override
     public void forward(String query, String engine, long timeout) {
       Open o = open.get(query);
-      EngineModel e = world.engines.get(ClusterModel.number(engine));
+      EngineModel e = model.engines.get(ClusterModel.number(engine));
       int place = o.tries.size();
       Out t = new Out(e, time.now());
       o.tries.add(t);
@@ -409,7 +409,7 @@
               - Math.min(DEADLINE_MARGIN, (deadline - a.at()) / DEADLINE_MARGIN_PART)
               - time.now());
       int engineZone = plan.zoneOfEngine(e.id);
-      ClusterModel.Link link = world.link(zone, engineZone);
+      ClusterModel.Link link = model.link(zone, engineZone);
       long way = way(link, engineZone);
       long up = connect(e.id, way);
       if (up == CLOSED) {
@@ -443,7 +443,7 @@
           new EngineModel.QueryListener() {
             @Override
             public void served(double work, double memoryMb) {
-              truth.ended(t.seen, time.now());
+              checker.attemptEnded(t.seen, time.now());
               answer(
                   link,
                   way,
@@ -452,7 +452,7 @@
 
             @Override
             public void error() {
-              truth.ended(t.seen, time.now());
+              checker.attemptEnded(t.seen, time.now());
               answer(link, way, () -> finish(o, place, AttemptOutcome.ERROR, 0, 0));
             }
 
@@ -476,13 +476,13 @@
 
             @Override
             public void died() {
-              truth.ended(t.seen, time.now());
+              checker.attemptEnded(t.seen, time.now());
               disconnect(e.id);
               answer(link, way, () -> finish(o, place, AttemptOutcome.RESET, 0, 0));
             }
           };
       boolean runs = e.submit(a.id(), a.work(), a.of().threads(), a.of().memoryMb(), asker);
-      t.seen = truth.came(a.number(), e.id, number, time.now(), t.sentAt, runs);
+      t.seen = checker.attemptReceived(a.number(), e.id, number, time.now(), t.sentAt, runs);
       if (!runs) {
         AttemptOutcome why =
             e.condition() == EngineModel.Condition.DOWN
@@ -536,7 +536,7 @@
             int place = i;
             t.quit = true;
             t.engine.cancel(o.arrival.id());
-            truth.ended(t.seen, time.now());
+            checker.attemptEnded(t.seen, time.now());
             tell(life, () -> finish(o, place, AttemptOutcome.RESET, 0, 0), NEAR);
           }
         }
@@ -547,13 +547,13 @@
     private void quit(Open o, Out t) {
       t.quit = true;
       int engineZone = plan.zoneOfEngine(t.engine.id);
-      ClusterModel.Link link = world.link(zone, engineZone);
+      ClusterModel.Link link = model.link(zone, engineZone);
       if (!link.cutOut) {
         time.at(
             time.now() + way(link, engineZone),
             () -> {
               t.engine.cancel(o.arrival.id());
-              truth.ended(t.seen, time.now());
+              checker.attemptEnded(t.seen, time.now());
             });
       }
     }
@@ -591,14 +591,14 @@
     @Override
     public void checkHealth(String engine) {
       probes++;
-      EngineModel e = world.engines.get(ClusterModel.number(engine));
+      EngineModel e = model.engines.get(ClusterModel.number(engine));
       int engineZone = plan.zoneOfEngine(e.id);
-      ClusterModel.Link link = world.link(zone, engineZone);
+      ClusterModel.Link link = model.link(zone, engineZone);
       long way = way(link, engineZone);
       long up = connect(e.id, way);
       long arrives = up + way;
       if (up == CLOSED
-          || !link.sound() && (link.cutIn || link.cutOut)
+          || !link.healthy() && (link.cutIn || link.cutOut)
           || e.condition() == EngineModel.Condition.DOWN) {
         tell(life, () -> module.onHealthCheck(clock(), engine, false, null), PROBE_TIMEOUT);
         return;
--- a/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
@@ -17,22 +17,22 @@
   private static final int ONCE = 3;
 
   private final SimulatedScheduler time = new SimulatedScheduler(SECOND);
-  private final ClusterModel world =
+  private final ClusterModel model =
       new ClusterModel(new ClusterPlan(4, 4, 2, 10, 0.5, 0, 0, 4, 1), time);
-  private final HistoryChecker truth = new HistoryChecker(world, time.now());
+  private final HistoryChecker checker = new HistoryChecker(model, time.now());
   private long numbers;
 
   private long ask(int kind, int gateway) {
     long number = ++numbers;
-    truth.taken(
+    checker.queryAccepted(
         new Arrival(number, time.now(), gateway, kind, 0.01, kind == LOAD ? 1 : -1),
         gateway,
         time.now());
     return number;
   }
 
-  private HistoryChecker.Try send(long number, int engine) {
-    return truth.came(number, engine, -1, time.now(), time.now(), true);
+  private HistoryChecker.Attempt send(long number, int engine) {
+    return checker.attemptReceived(number, engine, -1, time.now(), time.now(), true);
   }
 
   private void pass(double seconds) {
@@ -42,25 +42,25 @@
   @SuppressWarnings("unchecked")
   private Map<String, Integer> broken() {
     pass(60);
-    return (Map<String, Integer>) truth.figures(time.now(), 0).get("broken");
+    return (Map<String, Integer>) checker.figures(time.now(), 0).get("broken");
   }
 
   @Test
   void whatIsKeptIsNotBroken() {
     long a = ask(LOOKUP, 0);
-    HistoryChecker.Try t = send(a, 1);
+    HistoryChecker.Attempt t = send(a, 1);
     pass(0.1);
-    truth.ended(t, time.now()); // lost on the way: a further attempt elsewhere
+    checker.attemptEnded(t, time.now()); // lost on the way: a further attempt elsewhere
     pass(0.1);
-    truth.ended(send(a, 2), time.now());
-    truth.answered(a, Answer.SERVED, time.now());
+    checker.attemptEnded(send(a, 2), time.now());
+    checker.answered(a, Answer.SERVED, time.now());
     long k = ask(LOAD, 1);
-    truth.ended(send(k, 1), time.now());
+    checker.attemptEnded(send(k, 1), time.now());
     pass(11);
-    truth.ended(send(k, 2), time.now());
-    truth.answered(k, Answer.SERVED, time.now());
+    checker.attemptEnded(send(k, 2), time.now());
+    checker.answered(k, Answer.SERVED, time.now());
     long killed = ask(LOOKUP, 2);
-    truth.orphaned(killed, true);
+    checker.connectionClosed(killed, true);
     assertNull(broken());
   }
 
@@ -68,14 +68,14 @@
   void anAnswerThatNeverComesOrComesTwiceOrLate() {
     ask(LOOKUP, 0);
     long twice = ask(LOOKUP, 0);
-    truth.answered(twice, Answer.SERVED, time.now());
-    truth.answered(twice, Answer.SERVED, time.now());
+    checker.answered(twice, Answer.SERVED, time.now());
+    checker.answered(twice, Answer.SERVED, time.now());
     long late = ask(LOOKUP, 0);
     long cut = ask(LOOKUP, 0);
-    truth.orphaned(cut, false);
+    checker.connectionClosed(cut, false);
     pass(4);
-    truth.answered(late, Answer.FAILED, time.now());
-    truth.answered(77, Answer.FAILED, time.now());
+    checker.answered(late, Answer.FAILED, time.now());
+    checker.answered(77, Answer.FAILED, time.now());
     assertEquals(
         Map.of(
             "unanswered",
@@ -94,51 +94,51 @@
   @Test
   void oneThatStoodStillIsExcused() {
     ask(LOOKUP, 3);
-    truth.halted(3, true);
+    checker.halted(3, true);
     pass(5);
-    truth.halted(3, false);
+    checker.halted(3, false);
     assertNull(broken());
   }
 
   @Test
   void anEffectThatHappensTwice() {
     long once = ask(ONCE, 0);
-    truth.ended(send(once, 1), time.now());
-    truth.ended(send(once, 2), time.now());
-    truth.answered(once, Answer.SERVED, time.now());
+    checker.attemptEnded(send(once, 1), time.now());
+    checker.attemptEnded(send(once, 2), time.now());
+    checker.answered(once, Answer.SERVED, time.now());
     long keyed = ask(LOAD, 0);
-    truth.ended(send(keyed, 1), time.now());
+    checker.attemptEnded(send(keyed, 1), time.now());
     pass(13);
-    truth.ended(send(keyed, 1), time.now());
-    truth.answered(keyed, Answer.SERVED, time.now());
+    checker.attemptEnded(send(keyed, 1), time.now());
+    checker.answered(keyed, Answer.SERVED, time.now());
     assertEquals(Map.of("ran twice", 1, "repeated after its window", 1), broken());
   }
 
   @Test
   void attemptsThatAreOutTogetherOrAfterTheAnswer() {
     long both = ask(LOOKUP, 0);
-    HistoryChecker.Try first = send(both, 1);
-    HistoryChecker.Try second = send(both, 2);
+    HistoryChecker.Attempt first = send(both, 1);
+    HistoryChecker.Attempt second = send(both, 2);
     pass(0.2);
-    truth.ended(first, time.now());
-    truth.ended(second, time.now());
-    truth.answered(both, Answer.SERVED, time.now());
+    checker.attemptEnded(first, time.now());
+    checker.attemptEnded(second, time.now());
+    checker.answered(both, Answer.SERVED, time.now());
     pass(0.2);
-    truth.ended(send(both, 3), time.now());
+    checker.attemptEnded(send(both, 3), time.now());
     assertEquals(Map.of("two attempts out", 1, "sent after the answer", 1), broken());
   }
 
   @Test
   void aDrainThatIsNotKept() {
-    world.replace(java.util.List.of(world.engines.get(1)), SECOND);
+    model.replace(java.util.List.of(model.engines.get(1)), SECOND);
     pass(0.5);
     long near = ask(LOOKUP, 0);
-    truth.ended(send(near, 1), time.now());
-    truth.answered(near, Answer.SERVED, time.now());
+    checker.attemptEnded(send(near, 1), time.now());
+    checker.answered(near, Answer.SERVED, time.now());
     pass(0.1);
     long after = ask(LOOKUP, 0);
-    truth.ended(send(after, 1), time.now());
-    truth.answered(after, Answer.SERVED, time.now());
+    checker.attemptEnded(send(after, 1), time.now());
+    checker.answered(after, Answer.SERVED, time.now());
     assertEquals(Map.of("drain", 1), broken());
   }
 
@@ -147,10 +147,10 @@
     for (int i = 0; i < 14; i++) {
       long q = ask(LOOKUP, 0);
       for (int k = 0; k < 3; k++) {
-        truth.ended(send(q, k + 1), time.now());
+        checker.attemptEnded(send(q, k + 1), time.now());
         pass(0.06);
       }
-      truth.answered(q, Answer.FAILED, time.now());
+      checker.answered(q, Answer.FAILED, time.now());
     }
     // 28 against 20 and half of 14
     assertEquals(Map.of("further attempts", 1), broken());
@@ -158,14 +158,14 @@
 
   @Test
   void aColdEnginePushedOverByThoseWhoKnew() {
-    world.crash(java.util.List.of(world.engines.get(1)), SECOND);
+    model.crash(java.util.List.of(model.engines.get(1)), SECOND);
     pass(1.5);
-    for (int i = 0; i < 400 && (int) truth.figures(time.now(), 0).get("fell_over") == 0; i++) {
+    for (int i = 0; i < 400 && (int) checker.figures(time.now(), 0).get("fell_over") == 0; i++) {
       long q = ask(LOOKUP, 0);
-      boolean runs = world.engines.get(1).submit("q" + i, 1, 1, 0, new Deaf());
-      truth.came(q, 1, -1, time.now(), time.now(), runs);
-      world.engines.get(1).cancel("q" + i);
-      truth.answered(q, Answer.FAILED, time.now());
+      boolean runs = model.engines.get(1).submit("q" + i, 1, 1, 0, new Deaf());
+      checker.attemptReceived(q, 1, -1, time.now(), time.now(), runs);
+      model.engines.get(1).cancel("q" + i);
+      checker.answered(q, Answer.FAILED, time.now());
     }
     assertEquals(1, broken().get("cold engine pushed over"));
   }
--- a/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
@@ -19,7 +19,7 @@
  */
 class VirtualFleetTest {
   private static final VirtualFleet.Policy REACHLOOM =
-      (actions, world, g) -> new QueryScheduler(actions);
+      (actions, model, g) -> new QueryScheduler(actions);
 
   private static ClusterPlan plan(int gateways, int engines, double load) {
     return new ClusterPlan(gateways, engines, 3, 14, load, 0.8, 0, gateways, 5);
