--- a/lab/src/main/java/reachloom/lab/cluster/Clients.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Clients.java
@@ -20,35 +20,39 @@
 import reachloom.standin.ThriftMessages;
 
 /**
- * Clients of the fleet: they send each query when it is due, whatever has become of those before.
+ * Open-loop clients of the fleet: they send each query when it is due, regardless of the outcome of
+ * earlier ones.
  */
 final class Clients implements AutoCloseable {
   private static final int MAX_OPEN = 32; // on one connection, as the protocol says
   private static final int MAX_FRAME = 64 * 1024;
   private static final int SOCKET_THREADS = 2;
 
-  /** A query that crosses the end of its connection within this time is sent again, once. */
-  private static final long CROSSES = 50 * ClusterPlan.MILLISECOND;
+  /**
+   * A query whose connection closes within this time after it was sent is sent again, once, in
+   * nanoseconds.
+   */
+  private static final long RESEND_WINDOW = 50 * ClusterPlan.MILLISECOND;
 
-  private static final AttributeKey OF = new AttributeKey(Clients.class, "of");
+  private static final AttributeKey CONNECTION = new AttributeKey(Clients.class, "of");
 
-  /** A query on its way. */
-  private record Asked(Arrival arrival, long at, boolean again) {}
+  /** A query that was sent and has no reply yet. */
+  private record PendingQuery(Arrival arrival, long at, boolean resent) {}
 
   /** A connection to one gateway. */
-  private final class Conn {
+  private final class GatewayConnection {
     private final int gateway;
-    private final Map<Integer, Asked> open = new LinkedHashMap<>();
+    private final Map<Integer, PendingQuery> open = new LinkedHashMap<>();
     private final List<ByteBuffer> waiting = new ArrayList<>();
     private IoSession session;
-    private boolean over;
+    private boolean closed;
     private int seq;
 
-    Conn(int gateway) {
+    GatewayConnection(int gateway) {
       this.gateway = gateway;
     }
 
-    void send(Asked q) {
+    void send(PendingQuery q) {
       open.put(++seq, q);
       ByteBuffer call = call(q.arrival, seq);
       if (session == null) {
@@ -62,29 +66,31 @@
   private final ClusterModel model;
   private final HistoryChecker checker;
   private final List<InetSocketAddress> gateways;
-  private final IntPredicate killed;
+  private final IntPredicate wasKilled;
   private final NioSocketConnector connector = new NioSocketConnector(SOCKET_THREADS);
-  private final Map<Integer, List<Conn>> conns = new HashMap<>();
+  private final Map<Integer, List<GatewayConnection>> connections = new HashMap<>();
 
   /**
-   * Clients of gateways at these addresses; the predicate tells of those whose process has been
-   * ended.
+   * Creates clients of the gateways at the given addresses.
+   *
+   * @param wasKilled returns whether a gateway's process was killed
    */
   Clients(
       ClusterModel model,
       HistoryChecker checker,
       List<InetSocketAddress> gateways,
-      IntPredicate killed) {
+      IntPredicate wasKilled) {
     this.model = model;
     this.checker = checker;
     this.gateways = gateways;
-    this.killed = killed;
+    this.wasKilled = wasKilled;
     connector.getSessionConfig().setTcpNoDelay(true);
     connector.setHandler(
-        new DecodingHandler<>("gateway", () -> new FrameDecoder(1, MAX_FRAME), new Heard()));
+        new DecodingHandler<>(
+            "gateway", () -> new FrameDecoder(1, MAX_FRAME), new ReplyListener()));
   }
 
-  /** The statement of a query: what it needs stands in a comment, which only engines read. */
+  /** Returns a query's statement; a comment in it, which only engines read, has its parameters. */
   private static String statement(Arrival a) {
     return "select 1 from lab_1.t /* "
         + a.kind()
@@ -95,7 +101,7 @@
         + " */";
   }
 
-  /** The query that a command to an engine runs. */
+  /** Returns the query that a command makes an engine run. */
   static Arrival read(EngineCommand command) {
     String[] words = command.statement().split(" ");
     int from = words.length - 5;
@@ -121,49 +127,52 @@
     return ThriftMessages.execute(seq, fields, statement(a));
   }
 
-  /** Sends a query to a gateway that is up. */
+  /** Sends a query to a running gateway. */
   void send(Arrival a, int gateway) {
     checker.queryAccepted(a, gateway, model.time.now());
-    put(new Asked(a, model.time.now(), false), gateway);
+    sendOn(new PendingQuery(a, model.time.now(), false), gateway);
   }
 
-  private void put(Asked q, int gateway) {
-    List<Conn> of = conns.computeIfAbsent(gateway, g -> new ArrayList<>());
-    of.removeIf(c -> c.over);
-    Conn free = of.stream().filter(c -> c.open.size() < MAX_OPEN).findFirst().orElse(null);
+  private void sendOn(PendingQuery q, int gateway) {
+    List<GatewayConnection> of = connections.computeIfAbsent(gateway, g -> new ArrayList<>());
+    of.removeIf(c -> c.closed);
+    GatewayConnection free =
+        of.stream().filter(c -> c.open.size() < MAX_OPEN).findFirst().orElse(null);
     if (free == null) {
-      free = new Conn(gateway);
+      free = new GatewayConnection(gateway);
       of.add(free);
       connect(free);
     }
     free.send(q);
   }
 
-  private void connect(Conn c) {
+  private void connect(GatewayConnection c) {
     ConnectFuture future =
-        connector.connect(gateways.get(c.gateway), (s, f) -> s.setAttribute(OF, c));
+        connector.connect(gateways.get(c.gateway), (s, f) -> s.setAttribute(CONNECTION, c));
     future.addListener(
         f -> {
           if (!future.isConnected()) {
-            model.time.at(0, () -> lost(c));
+            model.time.at(0, () -> handleClosed(c));
           }
         });
   }
 
-  private void lost(Conn c) {
-    if (c.over) {
+  private void handleClosed(GatewayConnection c) {
+    if (c.closed) {
       return;
     }
-    c.over = true;
-    boolean dead = killed.test(c.gateway);
+    c.closed = true;
+    boolean dead = wasKilled.test(c.gateway);
     c.open
         .values()
         .forEach(
             q -> {
-              boolean crossed =
-                  !dead && !q.again && (c.session == null || model.time.now() - q.at < CROSSES);
-              if (crossed) {
-                put(new Asked(q.arrival, model.time.now(), true), c.gateway);
+              boolean resend =
+                  !dead
+                      && !q.resent
+                      && (c.session == null || model.time.now() - q.at < RESEND_WINDOW);
+              if (resend) {
+                sendOn(new PendingQuery(q.arrival, model.time.now(), true), c.gateway);
               } else {
                 checker.connectionClosed(q.arrival.number(), dead);
               }
@@ -171,10 +180,10 @@
     c.open.clear();
   }
 
-  private final class Heard implements Listener<byte[]> {
+  private final class ReplyListener implements Listener<byte[]> {
     @Override
     public void opened(IoSession session) {
-      Conn c = (Conn) session.getAttribute(OF);
+      GatewayConnection c = (GatewayConnection) session.getAttribute(CONNECTION);
       model.time.at(
           0,
           () -> {
@@ -186,13 +195,13 @@
 
     @Override
     public void received(IoSession session, byte[] frame, int bytes) {
-      Conn c = (Conn) session.getAttribute(OF);
+      GatewayConnection c = (GatewayConnection) session.getAttribute(CONNECTION);
       long now = model.time.now();
       ThriftMessages.Reply reply = ThriftMessages.reply(frame);
       model.time.at(
           0,
           () -> {
-            Asked q = c.open.remove(reply.seq());
+            PendingQuery q = c.open.remove(reply.seq());
             if (q != null) {
               checker.answered(
                   q.arrival.number(),
@@ -208,8 +217,8 @@
 
     @Override
     public void closed(IoSession session) {
-      Conn c = (Conn) session.getAttribute(OF);
-      model.time.at(0, () -> lost(c));
+      GatewayConnection c = (GatewayConnection) session.getAttribute(CONNECTION);
+      model.time.at(0, () -> handleClosed(c));
     }
   }
 
--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -35,7 +35,8 @@
    * An entry of the list.
    *
    * @param state ready, draining or gone
-   * @param startedMs the Unix time in milliseconds of a start after the list's; 0 otherwise
+   * @param startedMs the Unix time in milliseconds of the last start; 0 for an engine that runs
+   *     since the beginning
    */
   public record Listed(int id, int state, long startedMs) {}
 
--- a/lab/src/main/java/reachloom/lab/cluster/ClusterPlan.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterPlan.java
@@ -6,11 +6,16 @@
 import reachloom.standin.model.EngineModel;
 
 /**
- * What is played: how many of everything, for how long, and how the load falls on the gateways.
- * Load is the share of all cores that the queries need; {@code skew} is the exponent of Zipf's law
- * over the gateways; {@code believed} is how many gateways the settings name. In simulated time the
- * gateways' clocks are up to {@code clocksApart} off either way; reports are older by {@code
- * reportAge}; both in nanoseconds.
+ * The size of a run and its load.
+ *
+ * @param seconds how long queries arrive
+ * @param load the share of all cores that the queries need
+ * @param skew the exponent of Zipf's law by which queries are spread over the gateways
+ * @param large the share of engines that have twice the cores
+ * @param believed how many gateways the gateways' settings name
+ * @param clocksApart the most by which a gateway's clock is off either way in simulated time, in
+ *     nanoseconds
+ * @param reportAge the additional age of load reports, in nanoseconds
  */
 public record ClusterPlan(
     int gateways,
@@ -24,10 +29,8 @@
     long seed,
     long clocksApart,
     long reportAge) {
-  /** Units of time. */
   public static final long SECOND = 1_000_000_000L; // nanoseconds
-
-  public static final long MILLISECOND = 1_000_000L;
+  public static final long MILLISECOND = 1_000_000L; // nanoseconds
   static final int SMALL_CORES = 8;
   static final int LARGE_CORES = 16;
   static final double COLD_FROM = 0.35;
@@ -38,7 +41,7 @@
   private static final int SESSIONS_PER_CORE = 6;
   private static final double SPEED_SPREAD = 0.1;
 
-  /** A plan whose clocks agree and whose reports are as old as usual. */
+  /** Creates a plan with synchronized clocks and no additional age of load reports. */
   public ClusterPlan(
       int gateways,
       int engines,
@@ -52,17 +55,17 @@
     this(gateways, engines, zones, seconds, load, skew, large, believed, seed, 0, 0);
   }
 
-  /** Where a gateway is. */
+  /** Returns the zone of a gateway. */
   public int zoneOf(int gateway) {
     return gateway % zones;
   }
 
-  /** Where an engine is; replaced ones are numbered on, in the same zones. */
+  /** Returns the zone of an engine; the numbers of new engines continue those of the first ones. */
   public int zoneOfEngine(int engine) {
     return (engine - 1) % zones;
   }
 
-  /** Whether an engine is of the larger kind: spread evenly over the zones. */
+  /** Returns whether an engine is of the large kind; these are spread evenly over the zones. */
   public boolean isLarge(int engine) {
     int place = (engine - 1) % engines / zones;
     return Math.floor((place + 1) * large) > Math.floor(place * large);
@@ -72,7 +75,7 @@
     return isLarge(engine) ? LARGE_CORES : SMALL_CORES;
   }
 
-  /** All cores of the first engines. */
+  /** Returns the total number of cores of the first engines. */
   public int allCores() {
     int all = 0;
     for (int e = 1; e <= engines; e++) {
@@ -81,12 +84,12 @@
     return all;
   }
 
-  /** Queries a second that make up the load. */
+  /** Returns the queries per second that make up the load. */
   double rate() {
     return load * allCores() / Workload.meanWork();
   }
 
-  /** What engine of that number is; its speed and the time of its reports are drawn. */
+  /** Returns the parameters of an engine; its speed and the timing of its reports are random. */
   EngineModel.Spec spec(int engine) {
     SplittableRandom random = new SplittableRandom(seed * 7_919 + engine);
     int cores = cores(engine);
@@ -106,7 +109,7 @@
         SECOND / 2);
   }
 
-  /** The share of all queries that each gateway gets; who gets most is drawn. */
+  /** Returns the share of all queries that each gateway receives, in a random order of gateways. */
   double[] shares() {
     List<Integer> order = new ArrayList<>();
     for (int g = 0; g < gateways; g++) {
--- a/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
@@ -22,26 +22,25 @@
 import reachloom.standin.model.EngineModel.Condition;
 
 /**
- * The engines and the change logs on loopback sockets. Each engine has an address for the gateways
- * of each zone, so that the way between two zones can be made bad; what is lost on a way that is
- * cut comes once it is well again, as it would by TCP, where the connection has not been given up
- * meanwhile.
+ * The engines and the change logs on loopback sockets. Each engine has one address for the gateways
+ * of each zone, so that the link between two zones can be impaired. As with TCP, messages on a cut
+ * link are delivered once the link is healthy again, unless the connection was closed meanwhile.
  */
 public final class EngineHosts implements AutoCloseable {
   private static final int SOCKET_THREADS = 3;
   private static final int BACKLOG = 1_024;
-  private static final int READ = 2_048;
-  private static final AttributeKey OF = new AttributeKey(EngineHosts.class, "of");
+  private static final int READ_BUFFER_BYTES = 2_048;
+  private static final AttributeKey CONNECTION = new AttributeKey(EngineHosts.class, "of");
   private static final String ROW = "a\tb\tc\n";
 
-  /** A connection of a gateway: to which engine, from which zone. */
-  private static final class Conn {
+  /** A connection from a gateway of a zone to an engine. */
+  private static final class GatewayConnection {
     private final IoSession session;
     private final EngineModel engine;
     private final int zone;
     private final Map<String, HistoryChecker.Attempt> open = new HashMap<>();
 
-    Conn(IoSession session, EngineModel engine, int zone) {
+    GatewayConnection(IoSession session, EngineModel engine, int zone) {
       this.session = session;
       this.engine = engine;
       this.zone = zone;
@@ -54,20 +53,22 @@
   private final NioSocketAcceptor engines = new NioSocketAcceptor(SOCKET_THREADS);
   private final List<ListServer> lists = new ArrayList<>();
   private final Map<InetSocketAddress, EngineModel> byAddress = new HashMap<>();
-  private final Set<Conn> conns = new HashSet<>();
-  private final Map<ClusterModel.Link, ArrayDeque<Runnable>> held = new HashMap<>();
+  private final Set<GatewayConnection> connections = new HashSet<>();
+  private final Map<ClusterModel.Link, ArrayDeque<Runnable>> heldMessages = new HashMap<>();
   private long accepted;
-  private int most;
+  private int mostConnections;
   private long probes;
 
-  /** Engines that listen, and change logs where they are wanted here. */
+  /** Starts to listen for all engines and, if requested, for the change logs of all zones. */
   EngineHosts(ClusterModel model, HistoryChecker checker, boolean withLists) throws IOException {
     this.model = model;
     this.checker = checker;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
-    prepare(engines, new DecodingHandler<>("gateway", EngineCommandDecoder::new, new Asked()));
+    prepare(
+        engines,
+        new DecodingHandler<>("gateway", EngineCommandDecoder::new, new EngineListener()));
     for (EngineModel e : model.engines.values()) {
       bind(e);
     }
@@ -78,13 +79,13 @@
         server.bind(listAddress(v.zone));
         lists.add(server);
       }
-      model.onAvailabilityChange(v -> attempt(() -> reach(v)));
+      model.onAvailabilityChange(v -> logFailure(() -> updateAvailability(v)));
     }
-    model.onAdded(e -> attempt(() -> bind(e)));
+    model.onAdded(e -> logFailure(() -> bind(e)));
     model.onEnd(this::end);
     model.onReset(
         (g, e) ->
-            List.copyOf(conns).stream()
+            List.copyOf(connections).stream()
                 .filter(c -> c.zone == g && model.plan.zoneOfEngine(c.engine.id) == e)
                 .forEach(c -> c.session.closeNow()));
   }
@@ -93,40 +94,40 @@
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
-    acceptor.getSessionConfig().setReadBufferSize(READ);
+    acceptor.getSessionConfig().setReadBufferSize(READ_BUFFER_BYTES);
     acceptor.setHandler(handler);
     acceptor.setCloseOnDeactivation(false);
   }
 
-  private interface Attempted {
+  private interface IoAction {
     void run() throws IOException;
   }
 
-  private static void attempt(Attempted work) {
+  private static void logFailure(IoAction work) {
     try {
       work.run();
     } catch (IOException e) {
-      System.err.println("a stand-in can't be reached: " + e.getMessage());
+      System.err.println("lab: a stand-in could not listen on its address: " + e.getMessage());
     }
   }
 
-  /** Where gateways of that zone find that engine. */
+  /** Returns the address of an engine for the gateways of a zone. */
   public InetSocketAddress address(int engine, int zone) {
     return ListServer.engine(engine, zone, port);
   }
 
-  /** Where gateways of that zone find their change log. */
+  /** Returns the address of the change log for the gateways of a zone. */
   InetSocketAddress listAddress(int zone) {
     return ListServer.machine(0, zone, port);
   }
 
-  /** The port of all engines. */
+  /** Returns the port of all engines. */
   public int port() {
     return port;
   }
 
   int mostConnections() {
-    return most;
+    return mostConnections;
   }
 
   long accepted() {
@@ -149,19 +150,19 @@
     }
   }
 
-  /** An engine's process has ended: its connections are reset, new ones refused. */
+  /** Closes an engine's connections and refuses new ones after its process has ended. */
   private void end(EngineModel e) {
     for (int z = 0; z < model.plan.zones(); z++) {
       engines.unbind(address(e.id, z));
     }
-    for (Conn c : List.copyOf(conns)) {
+    for (GatewayConnection c : List.copyOf(connections)) {
       if (c.engine == e) {
         c.session.closeNow();
       }
     }
   }
 
-  private void reach(ClusterModel.View v) throws IOException {
+  private void updateAvailability(ClusterModel.View v) throws IOException {
     if (v.isDown()) {
       lists.get(v.zone).unbind();
     } else {
@@ -171,16 +172,16 @@
 
   // ---- Engines ----
 
-  private ClusterModel.Link link(Conn c) {
+  private ClusterModel.Link link(GatewayConnection c) {
     return model.link(c.zone, model.plan.zoneOfEngine(c.engine.id));
   }
 
-  /** Does what a message brings about once it has come over that way; in order on each way. */
-  private void over(ClusterModel.Link link, boolean cut, Runnable arrival) {
-    if (cut || held.containsKey(link)) {
-      held.computeIfAbsent(link, l -> new ArrayDeque<>()).addLast(arrival);
-      if (held.get(link).size() == 1) {
-        heal(link);
+  /** Runs the effect of a message once it has passed the link; messages of a link stay in order. */
+  private void deliver(ClusterModel.Link link, boolean cut, Runnable arrival) {
+    if (cut || heldMessages.containsKey(link)) {
+      heldMessages.computeIfAbsent(link, l -> new ArrayDeque<>()).addLast(arrival);
+      if (heldMessages.get(link).size() == 1) {
+        deliverWhenHealed(link);
       }
     } else if (link.delay > 0) {
       model.time.at(model.time.now() + link.delay, arrival);
@@ -189,21 +190,21 @@
     }
   }
 
-  /** What was held up comes once the way is well, in its order. */
-  private void heal(ClusterModel.Link link) {
+  /** Delivers the held messages of a link in order once the link is not cut. */
+  private void deliverWhenHealed(ClusterModel.Link link) {
     model.time.at(
         model.time.now() + 20 * ClusterPlan.MILLISECOND,
         () -> {
           if (link.cutIn || link.cutOut) {
-            heal(link);
+            deliverWhenHealed(link);
           } else {
-            ArrayDeque<Runnable> due = held.remove(link);
+            ArrayDeque<Runnable> due = heldMessages.remove(link);
             due.forEach(Runnable::run);
           }
         });
   }
 
-  private final class Asked implements Listener<EngineCommand> {
+  private final class EngineListener implements Listener<EngineCommand> {
     @Override
     public void opened(IoSession session) {
       InetSocketAddress address = (InetSocketAddress) session.getLocalAddress();
@@ -211,37 +212,37 @@
       synchronized (byAddress) {
         e = byAddress.get(address);
       }
-      Conn c = new Conn(session, e, ListServer.zone(address));
-      session.setAttribute(OF, c);
+      GatewayConnection c = new GatewayConnection(session, e, ListServer.zone(address));
+      session.setAttribute(CONNECTION, c);
       model.time.at(
           0,
           () -> {
-            long there = conns.stream().filter(o -> o.engine == c.engine).count();
-            if (there >= model.mostConnections(c.engine.id)) {
+            long count = connections.stream().filter(o -> o.engine == c.engine).count();
+            if (count >= model.mostConnections(c.engine.id)) {
               session.closeNow();
               return;
             }
-            conns.add(c);
+            connections.add(c);
             accepted++;
-            most = Math.max(most, conns.size());
+            mostConnections = Math.max(mostConnections, connections.size());
           });
     }
 
     @Override
     public void received(IoSession session, EngineCommand command, int bytes) {
-      Conn c = (Conn) session.getAttribute(OF);
+      GatewayConnection c = (GatewayConnection) session.getAttribute(CONNECTION);
       long sentAt = model.time.now();
-      model.time.at(0, () -> over(link(c), link(c).cutOut, () -> heard(c, command, sentAt)));
+      model.time.at(0, () -> deliver(link(c), link(c).cutOut, () -> handle(c, command, sentAt)));
     }
 
     @Override
     public void closed(IoSession session) {
-      Conn c = (Conn) session.getAttribute(OF);
+      GatewayConnection c = (GatewayConnection) session.getAttribute(CONNECTION);
       if (c != null) {
         model.time.at(
             0,
             () -> {
-              conns.remove(c);
+              connections.remove(c);
               c.open.forEach(
                   (id, t) -> {
                     c.engine.cancel(id);
@@ -253,12 +254,12 @@
     }
   }
 
-  private void heard(Conn c, EngineCommand command, long sentAt) {
+  private void handle(GatewayConnection c, EngineCommand command, long sentAt) {
     if (c.session.isClosing()) {
       return;
     }
     switch (command.word()) {
-      case "ASK" -> ask(c, command, sentAt);
+      case "ASK" -> runQuery(c, command, sentAt);
       case "QUIT" -> {
         c.engine.cancel(command.id());
         checker.attemptEnded(c.open.remove(command.id()), model.time.now());
@@ -266,7 +267,7 @@
       case "INFO", "NOOP" -> {
         probes++;
         EngineModel.Load l = c.engine.load();
-        say(
+        send(
             c,
             command.id()
                 + " UP use=util:"
@@ -278,7 +279,7 @@
             "");
       }
       default -> {
-        // all answers fit on one page, and priorities are not heeded
+        // every answer fits on one page, and priorities are ignored
       }
     }
   }
@@ -287,11 +288,11 @@
     return Math.round(value * 1e4) / 1e4;
   }
 
-  private void ask(Conn c, EngineCommand command, long sentAt) {
+  private void runQuery(GatewayConnection c, EngineCommand command, long sentAt) {
     String id = command.id();
     Workload.Arrival a = Clients.read(command);
     EngineModel e = c.engine;
-    HistoryChecker.Attempt[] mine = new HistoryChecker.Attempt[1];
+    HistoryChecker.Attempt[] recorded = new HistoryChecker.Attempt[1];
     boolean runs =
         e.condition() != Condition.DOWN
             && e.submit(
@@ -302,7 +303,7 @@
                 new EngineModel.QueryListener() {
                   @Override
                   public void served(double work, double memoryMb) {
-                    over(
+                    finish(
                         id,
                         " OK fetches=1,effort="
                             + Math.round(work * 1e3)
@@ -313,41 +314,42 @@
 
                   @Override
                   public void error() {
-                    over(id, " ERR -", "");
+                    finish(id, " ERR -", "");
                   }
 
-                  private void over(String of, String words, String body) {
-                    checker.attemptEnded(mine[0], model.time.now());
+                  private void finish(String of, String words, String body) {
+                    checker.attemptEnded(recorded[0], model.time.now());
                     if (c.open.remove(of) != null) {
-                      say(c, of + words, body);
+                      send(c, of + words, body);
                     }
                   }
 
                   @Override
                   public void progress(double share) {
                     if (c.open.containsKey(id)) {
-                      say(c, id + " NOTE detail=so_far,figure=" + round(share), "");
+                      send(c, id + " NOTE detail=so_far,figure=" + round(share), "");
                     }
                   }
 
                   @Override
                   public void died() {
-                    checker.attemptEnded(mine[0], model.time.now()); // the connection goes with the process
+                    // the connection closes with the process
+                    checker.attemptEnded(recorded[0], model.time.now());
                     c.open.remove(id);
                   }
                 });
-    mine[0] = checker.attemptReceived(a.number(), e.id, -1, model.time.now(), sentAt, runs);
-    if (runs && mine[0] != null) {
-      c.open.put(id, mine[0]);
+    recorded[0] = checker.attemptReceived(a.number(), e.id, -1, model.time.now(), sentAt, runs);
+    if (runs && recorded[0] != null) {
+      c.open.put(id, recorded[0]);
     } else if (e.condition() != Condition.DOWN) {
-      say(c, id + " BUSY -", "");
+      send(c, id + " BUSY -", "");
     }
   }
 
-  private void say(Conn c, String head, String body) {
+  private void send(GatewayConnection c, String head, String body) {
     byte[] bytes =
         (head + " " + body.length() + "\r\n" + body + "\r\n").getBytes(StandardCharsets.UTF_8);
-    over(link(c), link(c).cutIn, () -> c.session.write(IoBuffer.wrap(bytes)));
+    deliver(link(c), link(c).cutIn, () -> c.session.write(IoBuffer.wrap(bytes)));
   }
 
   @Override
--- a/lab/src/main/java/reachloom/lab/cluster/Fault.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Fault.java
@@ -1,11 +1,21 @@
 package reachloom.lab.cluster;
 
 /**
- * One line of a script: at that time, in seconds, it begins for a share of those it may meet, in
- * one zone or, for -1, in all. What {@code by} says depends on the kind: times slower, share of
- * errors, times the load, milliseconds of delay, connections that an engine holds at most, control
- * machines lost, changes of configuration issued one after another, seconds that a wall clock is
- * stepped by. Times are in seconds.
+ * One fault of a script. Times are in seconds.
+ *
+ * @param at when the fault begins
+ * @param who the kind of component that it affects
+ * @param kind what happens to the component
+ * @param share the fraction of the components that it affects
+ * @param zone the zone whose components it affects; -1 for all zones
+ * @param far the engines' zone of an affected link; -1 for links between the zone and all others
+ * @param by the kind's parameter: the factor by which engines slow down, the share of errors, the
+ *     factor on the load, the delay in milliseconds, the maximum number of connections of an
+ *     engine, the number of control machines lost, the number of configuration changes issued one
+ *     after another, the failing calls per thousand, or the seconds by which a wall clock is
+ *     stepped
+ * @param lasts how long it lasts for each component
+ * @param within the time over which the components are affected one after another
  */
 public record Fault(
     double at,
@@ -17,7 +27,7 @@
     double by,
     double lasts,
     double within) {
-  /** Whom it meets. */
+  /** The component that a fault affects. */
   public enum Who {
     GATEWAYS,
     ENGINES,
@@ -29,7 +39,7 @@
     CONFIGURATION
   }
 
-  /** What it does. */
+  /** What a fault does. */
   public enum Kind {
     KILL(Who.GATEWAYS),
     TERMINATE(Who.GATEWAYS),
@@ -67,19 +77,19 @@
     return (long) (seconds * ClusterPlan.SECOND);
   }
 
-  /** Whether it steps wall clocks, which only processes have. */
+  /** Returns whether the fault steps wall clocks, which only processes have. */
   boolean ofClocks() {
     return kind == Kind.CLOCK_FORWARD || kind == Kind.CLOCK_BACK;
   }
 
-  /** Whether it lets system calls fail, which only processes make. */
+  /** Returns whether the fault makes system calls fail, which only processes make. */
   boolean ofCalls() {
     return kind == Kind.FAIL_CALLS;
   }
 
   /**
-   * Whether only a whole installation can play it: regions, control machines, a source of
-   * configuration.
+   * Returns whether the fault needs a whole installation, with regions, control machines and a
+   * configuration source.
    */
   public boolean ofInstallation() {
     return who == Who.REGIONS || who == Who.CONTROL || who == Who.CONFIGURATION;
@@ -89,12 +99,12 @@
     return nanos(at);
   }
 
-  /** How long it lasts, in nanoseconds. */
+  /** Returns how long the fault lasts, in nanoseconds. */
   public long length() {
     return nanos(lasts);
   }
 
-  /** Within what time it has met all, in nanoseconds. */
+  /** Returns the time over which the components are affected one after another, in nanoseconds. */
   public long spread() {
     return nanos(within);
   }
--- a/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
@@ -8,42 +8,42 @@
 import reachloom.standin.model.EngineModel;
 import reachloom.standin.model.EngineModel.Condition;
 
-/** Plays a script: brings each trouble about in its time, and ends it. */
+/** Runs a script: injects each fault at its time, and ends it. */
 public final class FaultInjector {
-  /** What can be done to gateways. */
+  /** Injects the faults that affect gateways. */
   public interface Gateways {
-    /** Ends it at once, without a word. */
+    /** Kills a gateway at once, without a shutdown. */
     void kill(int gateway);
 
-    /** Asks it to end, as a planned restart does. */
+    /** Requests a gateway's shutdown, as a planned restart does. */
     void terminate(int gateway);
 
-    /** Stops it where it stands, or lets it go on. */
+    /** Suspends a gateway, or resumes it. */
     void halt(int gateway, boolean now);
 
-    /** Starts it anew under its name; nothing where it runs. */
+    /** Starts a gateway again under its name; does nothing if it runs. */
     void start(int gateway);
 
-    /** From now on its wall clock is off by so many seconds from this machine's. */
+    /** Sets the offset of a gateway's wall clock from this machine's, in seconds. */
     default void stepClock(int gateway, double seconds) {
       throw new IllegalStateException("only gateways that are processes have wall clocks");
     }
 
-    /** From now on so many in a thousand of its system calls on sockets fail. */
+    /** Sets how many in a thousand of a gateway's system calls on sockets fail. */
     default void failCalls(int gateway, int perThousand) {
       throw new IllegalStateException("only gateways that are processes make system calls");
     }
   }
 
   private final ClusterModel model;
-  private final int count;
-  private final Consumer<Fault> others;
+  private final int gatewayCount;
+  private final Consumer<Fault> otherFaults;
   private final Gateways gateways;
   private final Workload workload;
   private final HistoryChecker checker;
   private final SplittableRandom random;
 
-  /** A director over that world; what it does to gateways is done by others. */
+  /** Creates an injector for a cluster model and its gateways. */
   public FaultInjector(
       ClusterModel model, Gateways gateways, Workload workload, HistoryChecker checker) {
     this(
@@ -53,89 +53,94 @@
         workload,
         checker,
         t -> {
-          throw new IllegalStateException("nobody here can bring about " + t);
+          throw new IllegalStateException("this fleet cannot inject " + t);
         });
   }
 
-  /** The same over so many gateways; what meets none of these things is brought about by others. */
+  /**
+   * Creates an injector.
+   *
+   * @param gatewayCount the number of gateways that faults can affect
+   * @param otherFaults injects the faults of regions, control machines and configuration
+   */
   public FaultInjector(
       ClusterModel model,
-      int count,
+      int gatewayCount,
       Gateways gateways,
       Workload workload,
       HistoryChecker checker,
-      Consumer<Fault> others) {
+      Consumer<Fault> otherFaults) {
     this.model = model;
-    this.count = count;
-    this.others = others;
+    this.gatewayCount = gatewayCount;
+    this.otherFaults = otherFaults;
     this.gateways = gateways;
     this.workload = workload;
     this.checker = checker;
     random = new SplittableRandom(model.plan.seed() * 17 + 3);
   }
 
-  /** Plans all of it, from that time on, as long as the run goes on. */
-  public void play(FaultSchedule script, long start, BooleanSupplier goesOn) {
+  /** Schedules all faults of a script relative to a start time; none begins after the run's end. */
+  public void play(FaultSchedule script, long start, BooleanSupplier isRunning) {
     for (Fault t : script.faults()) {
       model.time.at(
           start + t.start(),
           () -> {
-            if (goesOn.getAsBoolean()) {
+            if (isRunning.getAsBoolean()) {
               begin(t);
             }
           });
     }
   }
 
-  private void later(long wait, Runnable action) {
+  private void schedule(long wait, Runnable action) {
     model.time.at(model.time.now() + wait, action);
   }
 
   private void begin(Fault t) {
     switch (t.who()) {
-      case GATEWAYS -> gateways(t);
-      case ENGINES -> engines(t, model.draw(t.share(), t.zone()));
-      case LINK -> links(t);
-      case LIST -> views(t);
+      case GATEWAYS -> injectIntoGateways(t);
+      case ENGINES -> injectIntoEngines(t, model.draw(t.share(), t.zone()));
+      case LINK -> injectIntoLinks(t);
+      case LIST -> injectIntoViews(t);
       case LOAD -> {
         workload.surge(t.zone(), t.by());
-        later(t.length(), () -> workload.surge(t.zone(), 1));
+        schedule(t.length(), () -> workload.surge(t.zone(), 1));
       }
-      default -> others.accept(t);
+      default -> otherFaults.accept(t);
     }
   }
 
-  /** All at once, or one after another over the time given. */
-  private void gateways(Fault t) {
+  /** Affects the gateways drawn all at once, or one after another over the fault's spread. */
+  private void injectIntoGateways(Fault t) {
     List<Integer> some = drawGateways(t.share(), t.zone());
     for (int i = 0; i < some.size(); i++) {
       int g = some.get(i);
-      later(
+      schedule(
           t.spread() * i / some.size(),
           () -> {
             switch (t.kind()) {
               case KILL -> {
                 gateways.kill(g);
-                later(t.length(), () -> gateways.start(g));
+                schedule(t.length(), () -> gateways.start(g));
               }
               case TERMINATE -> {
                 gateways.terminate(g);
-                later(t.length(), () -> gateways.start(g));
+                schedule(t.length(), () -> gateways.start(g));
               }
               case FAIL_CALLS -> {
                 gateways.failCalls(g, (int) t.by());
-                later(t.length(), () -> gateways.failCalls(g, 0));
+                schedule(t.length(), () -> gateways.failCalls(g, 0));
               }
               case CLOCK_FORWARD, CLOCK_BACK -> {
                 gateways.stepClock(g, t.kind() == Fault.Kind.CLOCK_BACK ? -t.by() : t.by());
                 if (t.length() > 0) {
-                  later(t.length(), () -> gateways.stepClock(g, 0));
+                  schedule(t.length(), () -> gateways.stepClock(g, 0));
                 }
               }
               default -> {
                 gateways.halt(g, true);
                 checker.halted(g, true);
-                later(
+                schedule(
                     t.length(),
                     () -> {
                       gateways.halt(g, false);
@@ -149,7 +154,7 @@
 
   private List<Integer> drawGateways(double share, int zone) {
     List<Integer> all = new ArrayList<>();
-    for (int g = 0; g < count; g++) {
+    for (int g = 0; g < gatewayCount; g++) {
       if (zone < 0 || model.plan.zoneOf(g) == zone) {
         all.add(g);
       }
@@ -161,7 +166,7 @@
     return all;
   }
 
-  private void engines(Fault t, List<EngineModel> some) {
+  private void injectIntoEngines(Fault t, List<EngineModel> some) {
     switch (t.kind()) {
       case HANG -> model.setCondition(some, Condition.HANGING, 0, t.length());
       case ERR -> model.setCondition(some, Condition.FAILING, t.by(), t.length());
@@ -172,27 +177,27 @@
     }
   }
 
-  private void links(Fault t) {
+  private void injectIntoLinks(Fault t) {
     for (int g = 0; g < model.plan.zones(); g++) {
       for (int e = 0; e < model.plan.zones(); e++) {
-        // From one zone, to another one; without a far zone, between the zone and all others, both
-        // ways.
-        boolean meant =
+        // With a far zone only the link from one zone's gateways to the other zone's engines;
+        // otherwise the links between the zone and all other zones in both directions.
+        boolean affected =
             t.far() >= 0
                 ? g == t.zone() && e == t.far()
                 : t.zone() < 0 || (g == t.zone()) != (e == t.zone());
-        if (meant && t.kind() == Fault.Kind.RESET) {
+        if (affected && t.kind() == Fault.Kind.RESET) {
           model.reset(g, e);
-        } else if (meant) {
+        } else if (affected) {
           ClusterModel.Link link = model.link(g, e);
-          set(link, t, true);
+          setImpaired(link, t, true);
           checker.impaired(g, e, true);
           int from = g;
           int to = e;
-          later(
+          schedule(
               t.length(),
               () -> {
-                set(link, t, false);
+                setImpaired(link, t, false);
                 checker.impaired(from, to, false);
               });
         }
@@ -200,7 +205,7 @@
     }
   }
 
-  private static void set(ClusterModel.Link link, Fault t, boolean now) {
+  private static void setImpaired(ClusterModel.Link link, Fault t, boolean now) {
     switch (t.kind()) {
       case DELAY -> link.delay = now ? (long) (t.by() * ClusterPlan.MILLISECOND) : 0;
       case CUT_OUT -> link.cutOut = now;
@@ -212,21 +217,21 @@
     }
   }
 
-  private void views(Fault t) {
+  private void injectIntoViews(Fault t) {
     for (ClusterModel.View v : model.views) {
       if (t.zone() < 0 || v.zone == t.zone()) {
         switch (t.kind()) {
           case LATE -> {
             v.setDelay((long) (t.by() * ClusterPlan.MILLISECOND));
-            later(t.length(), () -> v.setDelay(0));
+            schedule(t.length(), () -> v.setDelay(0));
           }
           case STALE -> {
             v.setStale(true);
-            later(t.length(), () -> v.setStale(false));
+            schedule(t.length(), () -> v.setStale(false));
           }
           default -> {
             v.setDown(true);
-            later(t.length(), () -> v.setDown(false));
+            schedule(t.length(), () -> v.setDown(false));
           }
         }
       }
--- a/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
@@ -18,9 +18,9 @@
 import org.xml.sax.SAXException;
 import org.xml.sax.SAXParseException;
 
-/** A script of troubles, in XML that {@code script.xsd} describes. */
+/** A script of faults, read from XML of the schema {@code script.xsd}. */
 public record FaultSchedule(String name, List<Fault> faults) {
-  /** Scripts that the program brings along. */
+  /** Names of the scripts that are resources of the program. */
   public static final List<String> NAMED =
       List.of(
           "calm",
@@ -45,7 +45,7 @@
 
   static final FaultSchedule NONE = new FaultSchedule("none", List.of());
 
-  /** A script that can't be used: the text names the line, and what is wrong there. */
+  /** Thrown for an invalid script; the message names the line and what is wrong there. */
   public static final class Unusable extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -54,7 +54,7 @@
     }
   }
 
-  /** The script of that name, or in the file of that name. */
+  /** Returns the bundled script of a name, or reads the script in the file of that name. */
   public static FaultSchedule of(String nameOrFile) throws Unusable {
     if (NAMED.contains(nameOrFile)) {
       try (InputStream in =
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Reads a script; the name stands for it in complaints. */
+  /** Reads a script; error messages use the given name. */
   public static FaultSchedule read(InputStream in, String name) throws IOException, Unusable {
     try (InputStream schema = FaultSchedule.class.getResourceAsStream("script.xsd")) {
       DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
@@ -85,13 +85,13 @@
           SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI)
               .newSchema(new StreamSource(schema)));
       var builder = factory.newDocumentBuilder();
-      builder.setErrorHandler(new Strict());
+      builder.setErrorHandler(new ThrowingErrorHandler());
       List<Fault> faults = new ArrayList<>();
       for (Node n = builder.parse(in).getDocumentElement().getFirstChild();
           n != null;
           n = n.getNextSibling()) {
         if (n instanceof Element e) {
-          faults.add(trouble(e, name));
+          faults.add(fault(e, name));
         }
       }
       return new FaultSchedule(name, List.copyOf(faults));
@@ -102,7 +102,7 @@
     }
   }
 
-  private static Fault trouble(Element e, String name) throws Unusable {
+  private static Fault fault(Element e, String name) throws Unusable {
     Fault.Kind kind =
         Fault.Kind.valueOf(e.getAttribute("do").replace('-', '_').toUpperCase(Locale.ROOT));
     Fault.Who who = Fault.Who.valueOf(e.getLocalName().toUpperCase(Locale.ROOT));
@@ -122,34 +122,34 @@
         number(e, "within", 0));
   }
 
-  private static double number(Element e, String key, double standard) {
-    return e.hasAttribute(key) ? Double.parseDouble(e.getAttribute(key)) : standard;
+  private static double number(Element e, String key, double defaultValue) {
+    return e.hasAttribute(key) ? Double.parseDouble(e.getAttribute(key)) : defaultValue;
   }
 
-  /** Whether only a whole installation can play it. */
+  /** Returns whether a fault of the script needs a whole installation. */
   public boolean ofInstallation() {
     return faults.stream().anyMatch(Fault::ofInstallation);
   }
 
-  /** Whether it steps wall clocks. */
+  /** Returns whether the script steps wall clocks. */
   boolean stepsClocks() {
     return faults.stream().anyMatch(Fault::ofClocks);
   }
 
-  /** Whether it lets system calls fail. */
+  /** Returns whether the script makes system calls fail. */
   boolean failsCalls() {
     return faults.stream().anyMatch(Fault::ofCalls);
   }
 
-  /** The last moment at which something happens, in seconds. */
+  /** Returns the time at which the last fault ends, in seconds. */
   double end() {
     return faults.stream().mapToDouble(t -> t.at() + t.lasts() + t.within()).max().orElse(0);
   }
 
-  private static final class Strict implements ErrorHandler {
+  private static final class ThrowingErrorHandler implements ErrorHandler {
     @Override
     public void warning(SAXParseException e) {
-      // what is only odd is taken
+      // warnings do not make a script invalid
     }
 
     @Override
--- a/lab/src/main/java/reachloom/lab/cluster/GatewayConfigurations.java
+++ b/lab/src/main/java/reachloom/lab/cluster/GatewayConfigurations.java
@@ -6,30 +6,27 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/**
- * The settings and the configuration of one gateway of the fleet, as the platform's JSON words
- * them.
- */
+/** Creates the settings and the configuration of the fleet's gateways, in the platform's JSON. */
 public final class GatewayConfigurations {
   private static final ObjectMapper JSON = new ObjectMapper();
-  static final long DIAL = 250 * ClusterPlan.MILLISECOND;
+  static final long DIAL_TIMEOUT = 250 * ClusterPlan.MILLISECOND;
 
-  /** Idle connections to engines are kept for so long. */
+  /** Time for which idle connections to engines are kept, in nanoseconds. */
   public static final long KEEPALIVE = 30 * ClusterPlan.SECOND;
 
-  static final long GRACE = 500 * ClusterPlan.MILLISECOND;
+  static final long DRAIN_GRACE = 500 * ClusterPlan.MILLISECOND;
   static final long KEY_WINDOW = 12 * ClusterPlan.SECOND;
   static final int MAX_ATTEMPTS = 5;
   static final long LOOK_BACK = 10 * ClusterPlan.SECOND;
-  static final double EXTRA_FREE = 20;
-  static final double EXTRA_PER_QUERY = 0.5;
+  static final double MIN_EXTRA_ATTEMPTS = 20;
+  static final double EXTRA_ATTEMPTS_PER_QUERY = 0.5;
   static final List<String> KIND_NAMES = List.of("usual", "large");
   private static final double PROBE_PRICE = 0.08;
-  private static final double CROSS_PRICE = 0.015;
+  private static final double CROSS_ZONE_PRICE = 0.015;
 
   private GatewayConfigurations() {}
 
-  /** The object of all settings for a gateway. */
+  /** Returns the settings of a gateway. */
   public static ObjectNode settings(ClusterPlan plan, int gateway) {
     ObjectNode root = JSON.createObjectNode();
     root.put("balancers", plan.believed())
@@ -68,7 +65,7 @@
         .put("maxAttempts", MAX_ATTEMPTS)
         .put("mayCancel", true)
         .put("probes", true)
-        .put("dialTimeout", DIAL)
+        .put("dialTimeout", DIAL_TIMEOUT)
         .put("keepalive", KEEPALIVE)
         .put("streamsPerConn", 100)
         .put("maxOpen", 2_000);
@@ -78,13 +75,13 @@
         .put("cold", ClusterPlan.COLD_TIME)
         .put("fall", ClusterPlan.FALL_TIME)
         .put("fallMultiple", ClusterPlan.FALL_MULTIPLE)
-        .put("stopSendingWithin", GRACE)
+        .put("stopSendingWithin", DRAIN_GRACE)
         .put("lookBack", LOOK_BACK)
-        .put("minExtra", EXTRA_FREE)
-        .put("extraPerRequest", EXTRA_PER_QUERY);
+        .put("minExtra", MIN_EXTRA_ATTEMPTS)
+        .put("extraPerRequest", EXTRA_ATTEMPTS_PER_QUERY);
     root.putObject("deductions")
         .put("probe", PROBE_PRICE)
-        .put("crossZone", CROSS_PRICE)
+        .put("crossZone", CROSS_ZONE_PRICE)
         .put("waste", 0.08);
     ObjectNode stats = root.putObject("stats").put("via", "pull");
     List.of("util", "queue", "x0").forEach(stats.putArray("names")::add);
@@ -95,7 +92,12 @@
     return "zone-" + zone;
   }
 
-  /** A whole configuration; {@code hosts} holds the engines of the start, told up to that event. */
+  /**
+   * Returns a complete configuration.
+   *
+   * @param lastEvent the number of the last event of the list that {@code hosts} includes
+   * @param hosts the engines of the list at the start
+   */
   static String configuration(
       ClusterPlan plan,
       int gateway,
@@ -118,7 +120,7 @@
     return root.toString();
   }
 
-  /** An engine as the configuration lists it. */
+  /** Returns the configuration's entry for an engine. */
   static ObjectNode host(ClusterPlan plan, ClusterModel.Listed engine, InetSocketAddress address) {
     return JSON.createObjectNode()
         .put("host", ClusterModel.name(engine.id()))
--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -194,7 +194,7 @@
     q.answeredAt = now;
     if (answer != Answer.SERVED) {
       loadImbalance.refused();
-      refusedWhileIdle += loadImbalance.somebodyHadRoom(now, q.arrival.of().threads()) ? 1 : 0;
+      refusedWhileIdle += loadImbalance.hadIdleEngine(now, q.arrival.of().threads()) ? 1 : 0;
     }
   }
 
@@ -299,7 +299,7 @@
 
   private void checkDrain(Attempt t) {
     Long at = drainDeliveredAt.get(new Key(plan.zoneOf(t.gateway), t.engine));
-    if (at != null && t.sentAt > at + GatewayConfigurations.GRACE + SLACK) {
+    if (at != null && t.sentAt > at + GatewayConfigurations.DRAIN_GRACE + SLACK) {
       recordViolation("drain", t.query.arrival.number());
     }
   }
@@ -358,7 +358,8 @@
         there.stream()
             .filter(
                 t ->
-                    readyDeliveredAt.getOrDefault(new Key(plan.zoneOf(t.gateway), e.id), Long.MAX_VALUE)
+                    readyDeliveredAt.getOrDefault(
+                            new Key(plan.zoneOf(t.gateway), e.id), Long.MAX_VALUE)
                         < t.sentAt)
             .count();
     if (3 * informed > 2 * there.size()) {
@@ -413,8 +414,8 @@
         toQuery++;
       }
       double most =
-          GatewayConfigurations.EXTRA_FREE
-              + GatewayConfigurations.EXTRA_PER_QUERY * (toQuery - fromQuery);
+          GatewayConfigurations.MIN_EXTRA_ATTEMPTS
+              + GatewayConfigurations.EXTRA_ATTEMPTS_PER_QUERY * (toQuery - fromQuery);
       if (i - fromTry + 1 > most) {
         recordViolation("further attempts", of.get(0).gateway);
         return;
@@ -484,7 +485,9 @@
     return f;
   }
 
-  /** Returns the outcomes by class of the queries that arrived at least this long after the start. */
+  /**
+   * Returns the outcomes by class of the queries that arrived at least this long after the start.
+   */
   List<Row> rows(long after) {
     List<Row> rows = new ArrayList<>();
     for (int k = 0; k < Workload.KINDS.size(); k++) {
--- a/lab/src/main/java/reachloom/lab/cluster/ListServer.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ListServer.java
@@ -19,30 +19,32 @@
 import reachloom.standin.model.TaskScheduler;
 
 /**
- * The change log on sockets: tells whoever follows it what came after the event that it names, each
- * event once it is there, and a frame without one each second. It has an address for the gateways
- * of each zone, since engines have. All but the sockets runs on the timeline.
+ * A change log on sockets. It sends each follower the events after the number in its hello, each as
+ * soon as it exists, and a heartbeat frame each second. Like an engine, it has one address for the
+ * gateways of each zone. All work except socket I/O runs on the scheduler's thread.
  */
 public final class ListServer implements AutoCloseable {
-  private static final int FIRST_OCTET = 40; // of 127.x: an x for the gateways of each zone
-  private static final int LIST_HOST = 250;
-  private static final int HOSTS = 200;
-  private static final int HEAD = Integer.BYTES + Long.BYTES + 1;
-  private static final int RECORD = 27;
-  private static final byte CHANGES = 2;
+  /** Second octet of the addresses for the first zone's gateways: 127.40.x.y, 127.41.x.y, ... */
+  private static final int FIRST_ZONE_OCTET = 40;
+
+  private static final int LIST_THIRD_OCTET = 250;
+  private static final int ENGINES_PER_THIRD_OCTET = 200;
+  private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES + 1;
+  private static final int RECORD_BYTES = 27;
+  private static final byte CHANGES_FRAME = 2;
   private static final int WHOLE_WEIGHT = 1_000;
 
-  /** What was sent to the gateways of one zone so far. */
+  /** Totals of the traffic sent to the gateways of one zone. */
   public static final class Sent {
     private long bytes;
     private long frames;
 
-    /** In bytes of the stream. */
+    /** Returns the number of bytes sent. */
     public long bytes() {
       return bytes;
     }
 
-    /** In frames. */
+    /** Returns the number of frames sent. */
     public long frames() {
       return frames;
     }
@@ -67,7 +69,12 @@
   private final Map<IoSession, Follower> followers = new HashMap<>();
   private final Sent[] sent;
 
-  /** A server of that log that listens nowhere yet; engines listen at that port. */
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param enginePort the port of all engines
+   * @param log supplies the events sent so far
+   */
   public ListServer(
       TaskScheduler time,
       ClusterPlan plan,
@@ -82,68 +89,70 @@
       sent[z] = new Sent();
     }
     EngineHosts.prepare(
-        acceptor, new DecodingHandler<>("gateway", HelloDecoder::new, new Followed()));
-    beat();
+        acceptor, new DecodingHandler<>("gateway", HelloDecoder::new, new FollowerListener()));
+    sendHeartbeats();
   }
 
-  /** Where gateways of that zone find that engine. */
+  /** Returns the address of an engine for the gateways of a zone. */
   static InetSocketAddress engine(int engine, int zone, int port) {
-    return at(zone, engine / HOSTS, engine % HOSTS + 1, port);
+    return at(zone, engine / ENGINES_PER_THIRD_OCTET, engine % ENGINES_PER_THIRD_OCTET + 1, port);
   }
 
-  /** Where gateways of that zone find the change log of that machine. */
+  /** Returns the address of a machine's change log for the gateways of a zone. */
   public static InetSocketAddress machine(int machine, int zone, int port) {
-    return at(zone, LIST_HOST, machine + 1, port);
+    return at(zone, LIST_THIRD_OCTET, machine + 1, port);
   }
 
-  /** The zone whose gateways find something at that address. */
+  /** Returns the zone whose gateways use an address. */
   static int zone(InetSocketAddress address) {
-    return (address.getAddress().getAddress()[1] & 0xff) - FIRST_OCTET;
+    return (address.getAddress().getAddress()[1] & 0xff) - FIRST_ZONE_OCTET;
   }
 
   private static InetSocketAddress at(int zone, int third, int fourth, int port) {
     try {
-      byte[] address = {127, (byte) (FIRST_OCTET + zone), (byte) third, (byte) fourth};
+      byte[] address = {127, (byte) (FIRST_ZONE_OCTET + zone), (byte) third, (byte) fourth};
       return new InetSocketAddress(InetAddress.getByAddress(address), port);
     } catch (UnknownHostException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** Listens there. */
+  /** Starts to listen on an address. */
   public void bind(InetSocketAddress address) throws IOException {
     acceptor.bind(address);
   }
 
-  /** Listens nowhere any more; all connections end. */
+  /** Stops listening and closes all connections. */
   public void unbind() {
     acceptor.unbind();
     acceptor.getManagedSessions().values().forEach(IoSession::closeNow);
   }
 
-  /** Tells what has come since, on the timeline. */
+  /** Sends new events to all followers; call on the scheduler's thread. */
   public void sendNewEvents() {
-    List.copyOf(followers.keySet()).forEach(this::bring);
+    List.copyOf(followers.keySet()).forEach(this::sendNewEventsTo);
   }
 
-  /** What went to the gateways of that zone, on the timeline. */
+  /** Returns the traffic to the gateways of a zone; call on the scheduler's thread. */
   public Sent sent(int zone) {
     return sent[zone];
   }
 
-  /** Bytes to each follower since this was last asked, on the timeline. */
+  /**
+   * Returns the bytes sent to each follower since the last call; call on the scheduler's thread.
+   */
   public List<Long> bytesSinceLooked() {
     List<Long> bytes = followers.values().stream().map(f -> f.bytes).toList();
     followers.values().forEach(f -> f.bytes = 0);
     return bytes;
   }
 
-  private void beat() {
-    followers.keySet().forEach(s -> write(s, nothing()));
-    time.at(time.now() + ClusterPlan.SECOND, this::beat);
+  private void sendHeartbeats() {
+    followers.keySet().forEach(s -> write(s, heartbeatFrame()));
+    time.at(time.now() + ClusterPlan.SECOND, this::sendHeartbeats);
   }
 
-  private void bring(IoSession s) {
+  private void sendNewEventsTo(IoSession s) {
     Follower f = followers.get(s);
     List<ClusterModel.Event> events = log.get();
     for (ClusterModel.Event e : events.subList(f.next, events.size())) {
@@ -160,17 +169,20 @@
     s.write(IoBuffer.wrap(frame));
   }
 
-  private byte[] nothing() {
-    return ByteBuffer.allocate(HEAD).putInt(HEAD - Integer.BYTES).putLong(log.get().size()).array();
+  private byte[] heartbeatFrame() {
+    return ByteBuffer.allocate(HEADER_BYTES)
+        .putInt(HEADER_BYTES - Integer.BYTES)
+        .putLong(log.get().size())
+        .array();
   }
 
   private byte[] frame(ClusterModel.Event event, int zone) {
     ClusterModel.Listed e = event.engine();
     InetSocketAddress a = engine(e.id(), zone, enginePort);
-    return ByteBuffer.allocate(HEAD + RECORD)
-        .putInt(HEAD - Integer.BYTES + RECORD)
+    return ByteBuffer.allocate(HEADER_BYTES + RECORD_BYTES)
+        .putInt(HEADER_BYTES - Integer.BYTES + RECORD_BYTES)
         .putLong(event.number())
-        .put(CHANGES)
+        .put(CHANGES_FRAME)
         .putInt(e.id())
         .put(a.getAddress().getAddress())
         .putShort((short) a.getPort())
@@ -183,24 +195,24 @@
         .array();
   }
 
-  /** The number that a gateway begins with. */
+  /** Decodes a gateway's hello: the number of the last event that it knows. */
   private static final class HelloDecoder implements Decoder<Long> {
     private long number;
-    private int have;
+    private int received;
 
     @Override
     public boolean partial() {
-      return have > 0 && have < Long.BYTES;
+      return received > 0 && received < Long.BYTES;
     }
 
     @Override
     public String feed(byte[] bytes, int from, int to, Consumer<? super Long> messages) {
       for (int at = from; at < to; at++) {
-        if (have == Long.BYTES) {
-          return "more than a number";
+        if (received == Long.BYTES) {
+          return "data after the hello's event number";
         }
         number = number << Byte.SIZE | bytes[at] & 0xff;
-        if (++have == Long.BYTES) {
+        if (++received == Long.BYTES) {
           messages.accept(number);
         }
       }
@@ -208,10 +220,10 @@
     }
   }
 
-  private final class Followed implements Listener<Long> {
+  private final class FollowerListener implements Listener<Long> {
     @Override
     public void opened(IoSession session) {
-      // it speaks first
+      // the follower sends its hello first
     }
 
     @Override
@@ -222,8 +234,8 @@
           () -> {
             if (session.isConnected()) {
               followers.put(session, new Follower((int) Math.min(last, log.get().size()), zone));
-              bring(session);
-              write(session, nothing());
+              sendNewEventsTo(session);
+              write(session, heartbeatFrame());
             }
           });
     }
--- a/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -9,36 +9,39 @@
 import reachloom.standin.model.EngineModel;
 import reachloom.standin.model.EngineModel.Condition;
 
-/** How evenly the load lies on the engines, looked at in windows of 100 ms. */
+/** Measures how evenly the load is spread over the engines, in windows of 100 ms. */
 final class LoadImbalance {
-  private static final long WINDOW = 100 * ClusterPlan.MILLISECOND;
-  private static final int PER_SECOND = 10;
+  private static final long WINDOW_NANOS = 100 * ClusterPlan.MILLISECOND;
+  private static final int WINDOWS_PER_SECOND = 10;
 
-  /** Over three times its share, and by more than chance does in a run of some thousand windows. */
-  private static final double HERD = 3;
+  /**
+   * A herd is a window in which an engine receives more than three times its share, and more than
+   * random variation brings about in a run of some thousand windows.
+   */
+  private static final double HERD_FACTOR = 3;
 
-  private static final double CHANCE = 5;
+  private static final double CHANCE_LIMIT = 5;
   private static final double PERCENTILE = 0.99;
   private static final double NEARLY_FULL = 0.8;
 
-  private static final class Seen {
+  private static final class EngineSamples {
     private double busy;
     private int sent;
-    private int before;
+    private int sentBefore;
     private int idleWindows;
     private int unusedWindows;
-    private double second;
+    private double usedInSecond;
     private int windows;
   }
 
   private final ClusterModel model;
-  private final Map<Integer, Seen> seen = new HashMap<>();
+  private final Map<Integer, EngineSamples> samples = new HashMap<>();
   private final List<Double> imbalance = new ArrayList<>();
   private final List<Double> variation = new ArrayList<>();
   private final List<Double> use = new ArrayList<>();
   private long herds;
   private long idle;
-  private long watched;
+  private long pressureSamples;
   private int longestIdle;
   private int longestUnused;
   private int refused;
@@ -50,9 +53,9 @@
 
   void watch(long until) {
     model.time.at(
-        model.time.now() + WINDOW,
+        model.time.now() + WINDOW_NANOS,
         () -> {
-          look();
+          sample();
           if (model.time.now() < until) {
             watch(until);
           }
@@ -60,19 +63,22 @@
   }
 
   void sent(int engine) {
-    seen.computeIfAbsent(engine, e -> new Seen()).sent++;
+    samples.computeIfAbsent(engine, e -> new EngineSamples()).sent++;
   }
 
   void refused() {
     refused++;
   }
 
-  /** Whether some warm engine that is well has had room for 100 ms. */
-  boolean somebodyHadRoom(long now, int threads) {
+  /**
+   * Returns whether a healthy, warm, listed engine has had a free core for 100 ms and has enough
+   * free cores now.
+   */
+  boolean hadIdleEngine(long now, int threads) {
     return model.engines.values().stream()
         .anyMatch(
             e ->
-                e.idleCoreSince() <= now - WINDOW
+                e.idleCoreSince() <= now - WINDOW_NANOS
                     && e.spec.cores() - e.threads() >= threads
                     && listed(e));
   }
@@ -81,86 +87,89 @@
     return model.list.get(e.id).state() == ClusterModel.READY;
   }
 
-  private void look() {
+  private void sample() {
     windows++;
-    List<EngineModel> well =
+    List<EngineModel> healthy =
         model.engines.values().stream()
             .filter(e -> e.condition() == Condition.HEALTHY && !e.cold() && listed(e))
             .toList();
-    double[] used = new double[well.size()];
-    boolean pressed = refused > 0;
-    double cores = well.stream().mapToInt(e -> e.spec.cores()).sum();
-    double allSent = well.stream().mapToInt(e -> of(e).sent - of(e).before).sum();
+    double[] used = new double[healthy.size()];
+    boolean underPressure = refused > 0;
+    double cores = healthy.stream().mapToInt(e -> e.spec.cores()).sum();
+    double allSent =
+        healthy.stream().mapToInt(e -> samplesOf(e).sent - samplesOf(e).sentBefore).sum();
     for (int i = 0; i < used.length; i++) {
-      EngineModel e = well.get(i);
-      Seen s = of(e);
+      EngineModel e = healthy.get(i);
+      EngineSamples s = samplesOf(e);
       double busy = e.busy();
-      used[i] = (busy - s.busy) * 1e9 / WINDOW / e.spec.cores();
+      used[i] = (busy - s.busy) * 1e9 / WINDOW_NANOS / e.spec.cores();
       s.busy = busy;
-      s.second += used[i];
+      s.usedInSecond += used[i];
       s.windows++;
       double share = allSent * e.spec.cores() / cores;
-      double got = s.sent - s.before;
-      if (windows > 1 && got > HERD * share && got > share + CHANCE * Math.sqrt(share) + CHANCE) {
+      double received = s.sent - s.sentBefore;
+      if (windows > 1
+          && received > HERD_FACTOR * share
+          && received > share + CHANCE_LIMIT * Math.sqrt(share) + CHANCE_LIMIT) {
         herds++;
       }
-      pressed |= e.threads() > e.spec.cores();
+      underPressure |= e.threads() > e.spec.cores();
     }
     double mean = Arrays.stream(used).average().orElse(0);
     boolean full = mean > NEARLY_FULL;
     for (int i = 0; i < used.length; i++) {
-      Seen s = of(well.get(i));
+      EngineSamples s = samplesOf(healthy.get(i));
       boolean idleNow = used[i] == 0;
       s.idleWindows = idleNow && full ? s.idleWindows + 1 : 0;
       longestIdle = Math.max(longestIdle, s.idleWindows);
-      idle += idleNow && pressed ? 1 : 0;
-      watched += pressed ? 1 : 0;
+      idle += idleNow && underPressure ? 1 : 0;
+      pressureSamples += underPressure ? 1 : 0;
     }
     if (mean > 0.05) {
       imbalance.add(Arrays.stream(used).max().orElse(0) / mean);
     }
     use.add(mean);
-    lookForUnused();
-    seen.values().forEach(s -> s.before = s.sent);
+    checkUnused();
+    samples.values().forEach(s -> s.sentBefore = s.sent);
     refused = 0;
-    if (windows % PER_SECOND == 0) {
-      vary(well);
+    if (windows % WINDOWS_PER_SECOND == 0) {
+      recordVariation(healthy);
     }
   }
 
-  /** Engines that are well, cold ones too, and are sent nothing while others are. */
-  private void lookForUnused() {
-    boolean somebody = seen.values().stream().anyMatch(s -> s.sent > s.before);
+  /** Counts the windows in which a healthy engine, warm or cold, is sent nothing but others are. */
+  private void checkUnused() {
+    boolean anySent = samples.values().stream().anyMatch(s -> s.sent > s.sentBefore);
     for (EngineModel e : model.engines.values()) {
-      Seen s = of(e);
+      EngineSamples s = samplesOf(e);
       boolean unused =
-          e.condition() == Condition.HEALTHY && listed(e) && s.sent == s.before && somebody;
+          e.condition() == Condition.HEALTHY && listed(e) && s.sent == s.sentBefore && anySent;
       s.unusedWindows = unused ? s.unusedWindows + 1 : 0;
       longestUnused = Math.max(longestUnused, s.unusedWindows);
     }
   }
 
-  private Seen of(EngineModel e) {
-    return seen.computeIfAbsent(e.id, k -> new Seen());
+  private EngineSamples samplesOf(EngineModel e) {
+    return samples.computeIfAbsent(e.id, k -> new EngineSamples());
   }
 
-  /** The coefficient of variation of what engines did over the last second. */
-  private void vary(List<EngineModel> well) {
+  /** Records the coefficient of variation of the engines' utilization over the last second. */
+  private void recordVariation(List<EngineModel> healthy) {
     double[] used =
-        well.stream()
-            .map(this::of)
-            .filter(s -> s.windows == PER_SECOND)
-            .mapToDouble(s -> s.second / s.windows)
+        healthy.stream()
+            .map(this::samplesOf)
+            .filter(s -> s.windows == WINDOWS_PER_SECOND)
+            .mapToDouble(s -> s.usedInSecond / s.windows)
             .toArray();
     double mean = Arrays.stream(used).average().orElse(0);
     double square = Arrays.stream(used).map(u -> (u - mean) * (u - mean)).average().orElse(0);
     if (mean > 0.05) {
       variation.add(Math.sqrt(square) / mean);
     }
-    seen.values()
+    samples.values()
         .forEach(
             s -> {
-              s.second = 0;
+              s.usedInSecond = 0;
               s.windows = 0;
             });
   }
@@ -171,9 +180,9 @@
     f.put("imbalance", Math.round(1e3 * percentile(imbalance)) / 1e3);
     f.put("cv", mean(variation));
     f.put("herds", herds);
-    f.put("idle_share", HistoryChecker.share(idle, watched));
-    f.put("idle_longest_s", longestIdle / (double) PER_SECOND);
-    f.put("unused_longest_s", longestUnused / (double) PER_SECOND);
+    f.put("idle_share", HistoryChecker.share(idle, pressureSamples));
+    f.put("idle_longest_s", longestIdle / (double) WINDOWS_PER_SECOND);
+    f.put("unused_longest_s", longestUnused / (double) WINDOWS_PER_SECOND);
     return f;
   }
 
--- a/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
@@ -16,16 +16,18 @@
 import reachloom.lab.cluster.Workload.Arrival;
 import reachloom.standin.model.RealTimeScheduler;
 
-/** The fleet as processes of the program, among engines, change logs and clients on loopback. */
+/** A fleet of gateway processes, with engines, change logs and clients on loopback. */
 public final class ProcessFleet implements FaultInjector.Gateways, AutoCloseable {
+  /** Time after which the front end notices that a gateway is down or up, in nanoseconds. */
   private static final long FRONT_NOTICE = ClusterPlan.SECOND;
-  private static final long SETTLE = ClusterPlan.SECOND;
-  private static final long MEMORY_GAP = 2 * ClusterPlan.SECOND;
-  private static final long LATEST = ClusterPlan.SECOND;
-  private static final int PATIENCE_S = 60;
 
-  /** Where gateways that no client asks are said to listen. */
-  private static final InetSocketAddress NOWHERE =
+  private static final long SETTLE_TIME = ClusterPlan.SECOND;
+  private static final long MEMORY_SAMPLE_PERIOD = 2 * ClusterPlan.SECOND;
+  private static final long TERMINATE_MARGIN = ClusterPlan.SECOND;
+  private static final int SCHEDULER_TIMEOUT_S = 60;
+
+  /** The listen address in the configuration of gateways that have no clients. */
+  private static final InetSocketAddress UNUSED_ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
   private final ClusterPlan plan;
@@ -34,41 +36,47 @@
   private final SplittableRandom random;
   private final Processes processes;
 
-  /** Null where the gateways are alone. */
+  /** Null if there are no processes beside the gateways. */
   private final SideProcesses sideProcesses;
 
   private final boolean[] up;
   private final long[] changedAt;
-  private final long[] lives;
+  private final long[] starts;
   private HistoryChecker checker;
   private EngineHosts hosts;
   private Clients clients;
   private Workload workload;
-  private double memoryMost;
-  private double memoryAll;
-  private long latest;
+  private double maxMemoryMb;
+  private double totalMemoryMb;
+  private long maxLateness;
 
   /**
-   * A fleet whose files go to that folder; {@code jar} null takes the program from the class path.
+   * Creates a fleet.
+   *
+   * @param folder the folder for the gateways' files
+   * @param jar the gateway's jar; null to run the gateway from the class path
    */
   public ProcessFleet(ClusterPlan plan, Path folder, Path jar, int heapMb) throws IOException {
     this(plan, folder, jar, heapMb, g -> List.of());
   }
 
-  /** The same, each gateway with further words on its command line. */
+  /** Creates a fleet whose gateways have additional command-line arguments. */
   public ProcessFleet(
-      ClusterPlan plan, Path folder, Path jar, int heapMb, IntFunction<List<String>> words)
+      ClusterPlan plan, Path folder, Path jar, int heapMb, IntFunction<List<String>> arguments)
       throws IOException {
-    this(plan, folder, jar, heapMb, words, null);
+    this(plan, folder, jar, heapMb, arguments, null);
   }
 
-  /** The same in company; the plan's gateways are those that are processes and that clients ask. */
+  /**
+   * Creates a fleet with processes beside it; the plan's gateways are those that are gateway
+   * processes and serve clients.
+   */
   public ProcessFleet(
       ClusterPlan plan,
       Path folder,
       Path jar,
       int heapMb,
-      IntFunction<List<String>> words,
+      IntFunction<List<String>> arguments,
       SideProcesses sideProcesses)
       throws IOException {
     this.plan = plan;
@@ -77,17 +85,17 @@
     random = new SplittableRandom(plan.seed() * 13 + 11);
     up = new boolean[plan.gateways()];
     changedAt = new long[plan.gateways()];
-    lives = new long[all()];
-    processes = new Processes(folder, jar, plan.gateways(), heapMb, this::configuration, words);
+    starts = new long[totalGateways()];
+    processes = new Processes(folder, jar, plan.gateways(), heapMb, this::configuration, arguments);
   }
 
-  private int all() {
+  private int totalGateways() {
     return plan.gateways() + (sideProcesses == null ? 0 : sideProcesses.gateways());
   }
 
   /**
-   * What a gateway is told at its start or by a change of configuration: the list as its view has
-   * it now.
+   * Returns the configuration for a gateway's start or reload, with the list as the gateway's zone
+   * has received it now.
    */
   public String configuration(int gateway) {
     AtomicReference<List<ClusterModel.Event>> log = new AtomicReference<>();
@@ -95,7 +103,7 @@
     runOnScheduler(
         () -> {
           log.set(List.copyOf(view.log));
-          lives[gateway]++;
+          starts[gateway]++;
         });
     Map<Integer, ClusterModel.Listed> known = new java.util.LinkedHashMap<>();
     log.get().forEach(e -> known.put(e.engine().id(), e.engine()));
@@ -108,29 +116,29 @@
     return GatewayConfigurations.configuration(
         plan,
         gateway,
-        plan.seed() * 1_000_003 + gateway + lives[gateway] * 7_919,
-        gateway < plan.gateways() ? processes.addresses().get(gateway) : NOWHERE,
+        plan.seed() * 1_000_003 + gateway + starts[gateway] * 7_919,
+        gateway < plan.gateways() ? processes.addresses().get(gateway) : UNUSED_ADDRESS,
         sideProcesses == null ? hosts.listAddress(view.zone) : sideProcesses.changeLog(gateway),
         log.get().size(),
         engines);
   }
 
-  /** Tells all gateways that are processes to read their configuration again. */
+  /** Makes all gateway processes reload their configuration (SIGHUP). */
   public void hangUp() {
     processes.hangUp();
   }
 
-  /** The processes that run now. */
+  /** Returns the ids of the running processes. */
   public List<Long> pids() {
     return processes.pids();
   }
 
-  /** The time of the world; what touches it runs there. */
+  /** Returns the scheduler on whose thread the cluster model is accessed. */
   public RealTimeScheduler time() {
     return time;
   }
 
-  /** Runs something on the world's thread, and waits for it. */
+  /** Runs an action on the scheduler's thread and waits until it has finished. */
   public void runOnScheduler(Runnable work) {
     CountDownLatch done = new CountDownLatch(1);
     time.at(
@@ -143,8 +151,9 @@
           }
         });
     try {
-      if (!done.await(PATIENCE_S, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("the model thread stands still");
+      if (!done.await(SCHEDULER_TIMEOUT_S, TimeUnit.SECONDS)) {
+        throw new IllegalStateException(
+            "the scheduler's thread did not run the action in " + SCHEDULER_TIMEOUT_S + " s");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -152,12 +161,12 @@
     }
   }
 
-  /** Plays the script; gives the figures. */
+  /** Runs a script; returns the figures. */
   public Map<String, Object> play(FaultSchedule script) throws IOException, InterruptedException {
     return play(script, () -> {});
   }
 
-  /** Plays the script, and does that when the queries are over and the gateways still run. */
+  /** Runs a script, and an action when the queries are over and the gateways still run. */
   public Map<String, Object> play(FaultSchedule script, Runnable atEnd)
       throws IOException, InterruptedException {
     AtomicReference<IOException> failed = new AtomicReference<>();
@@ -179,36 +188,43 @@
     }
     processes.archive();
     if (script.stepsClocks()) {
-      processes.ownClocks();
+      processes.enableClockSteps();
     }
     if (script.failsCalls()) {
-      processes.ownCalls();
+      processes.enableCallFailures();
     }
     int ready = processes.startAll() + (sideProcesses == null ? 0 : sideProcesses.startGateways());
     long started = time.now() - from;
-    System.err.printf("%d of %d gateways are ready after %.1f s%n", ready, all(), started / 1e9);
-    long start = time.now() + SETTLE;
+    System.err.printf(
+        "%d of %d gateways are ready after %.1f s%n", ready, totalGateways(), started / 1e9);
+    long start = time.now() + SETTLE_TIME;
     long end = start + plan.seconds() * ClusterPlan.SECOND;
     runOnScheduler(
         () -> {
           java.util.Arrays.fill(up, true);
           checker.begin(start);
           workload = new Workload(plan, start);
-          clients = new Clients(model, checker, processes.addresses(), processes::killed);
-          new FaultInjector(model, all(), this, workload, checker, this::ofInstallation)
+          clients = new Clients(model, checker, processes.addresses(), processes::wasKilled);
+          new FaultInjector(
+                  model,
+                  totalGateways(),
+                  this,
+                  workload,
+                  checker,
+                  this::injectInstallationFault)
               .play(script, start, () -> time.now() < end);
           if (sideProcesses != null) {
             sideProcesses.begin(checker, start, end);
           }
           time.at(start, () -> checker.watch(end));
-          look(end);
-          next(end);
+          sampleMemory(end);
+          scheduleNext(end);
         });
     long longest = Workload.KINDS.stream().mapToLong(Workload.Kind::deadline).max().orElse(0);
     while (time.now() < end + longest + ClusterPlan.SECOND && !settled(end)) {
       Thread.sleep(100);
     }
-    Thread.sleep(500); // what is still on its way
+    Thread.sleep(500); // messages still in transit arrive
     atEnd.run();
     AtomicReference<Map<String, Object>> figures = new AtomicReference<>();
     runOnScheduler(
@@ -221,15 +237,15 @@
           f.put("ready_s", Math.round(started / 1e8) / 10.0);
           f.put("crashed", processes.crashed().size());
           f.put("rig_defects", time.defects());
-          f.put("rss_mb_max", Math.round(memoryMost * 10) / 10.0);
-          f.put("rss_mb_all", Math.round(memoryAll));
-          f.put("clients_late_ms", latest / ClusterPlan.MILLISECOND);
+          f.put("rss_mb_max", Math.round(maxMemoryMb * 10) / 10.0);
+          f.put("rss_mb_all", Math.round(totalMemoryMb));
+          f.put("clients_late_ms", maxLateness / ClusterPlan.MILLISECOND);
           figures.set(f);
         });
     return figures.get();
   }
 
-  /** What became of the queries that came from that second on, by class. */
+  /** Returns the outcomes, by class, of the queries that arrived from a second on. */
   public List<HistoryChecker.Row> rows(double fromSecond) {
     AtomicReference<List<HistoryChecker.Row>> rows = new AtomicReference<>();
     runOnScheduler(() -> rows.set(checker.rows((long) (fromSecond * ClusterPlan.SECOND))));
@@ -240,29 +256,29 @@
     return time.now() > end + ClusterPlan.SECOND && checker.allAnswered();
   }
 
-  private void look(long end) {
+  private void sampleMemory(long end) {
     double[] memory = processes.memory();
-    memoryMost = Math.max(memoryMost, memory[0]);
-    memoryAll = Math.max(memoryAll, memory[1]);
+    maxMemoryMb = Math.max(maxMemoryMb, memory[0]);
+    totalMemoryMb = Math.max(totalMemoryMb, memory[1]);
     if (time.now() < end) {
-      time.at(time.now() + MEMORY_GAP, () -> look(end));
+      time.at(time.now() + MEMORY_SAMPLE_PERIOD, () -> sampleMemory(end));
     }
   }
 
-  private void next(long end) {
+  private void scheduleNext(long end) {
     Arrival a = workload.next();
     if (a.at() < end) {
       time.at(
           a.at(),
           () -> {
-            latest = Math.max(latest, time.now() - a.at());
-            place(a);
-            next(end);
+            maxLateness = Math.max(maxLateness, time.now() - a.at());
+            route(a);
+            scheduleNext(end);
           });
     }
   }
 
-  private void place(Arrival a) {
+  private void route(Arrival a) {
     int g = a.gateway();
     if (!up[g] && time.now() > changedAt[g] + FRONT_NOTICE) {
       List<Integer> others = new ArrayList<>();
@@ -280,16 +296,16 @@
     }
   }
 
-  private void ends(int gateway) {
+  private void markDown(int gateway) {
     up[gateway] = false;
     if (sideProcesses != null) {
       sideProcesses.onGatewayRunning(gateway, false);
     }
   }
 
-  private void ofInstallation(Fault t) {
+  private void injectInstallationFault(Fault t) {
     if (sideProcesses == null) {
-      throw new IllegalStateException("nobody here can bring about " + t);
+      throw new IllegalStateException("this fleet cannot inject " + t);
     }
     sideProcesses.injectFault(t);
   }
@@ -300,7 +316,7 @@
       sideProcesses.kill(gateway);
       return;
     }
-    ends(gateway);
+    markDown(gateway);
     changedAt[gateway] = time.now();
     processes.kill(gateway);
   }
@@ -311,8 +327,9 @@
       sideProcesses.terminate(gateway);
       return;
     }
-    ends(gateway);
-    changedAt[gateway] = time.now() - FRONT_NOTICE - LATEST; // its front takes it out first
+    markDown(gateway);
+    // The front end removes a gateway before a planned restart, so it need not notice it.
+    changedAt[gateway] = time.now() - FRONT_NOTICE - TERMINATE_MARGIN;
     processes.terminate(gateway);
   }
 
--- a/lab/src/main/java/reachloom/lab/cluster/Processes.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Processes.java
@@ -24,15 +24,15 @@
 import reachloom.standin.ThriftClient;
 
 /**
- * The gateways as processes of the program. Signals go only to processes that were started here;
- * all end with the laboratory, also where it is killed: a watcher holds the numbers of all and a
- * pipe that breaks then.
+ * Starts and controls gateway processes. Signals go only to processes that were started here. All
+ * of them end with the laboratory, even if it is killed: a watcher process holds their ids and
+ * kills them when the pipe to the laboratory breaks.
  */
 public final class Processes implements AutoCloseable {
-  private static final int WAVE = 16; // started at once: a start takes a core for about a second
-  private static final long READY_S = 60;
-  private static final int STATUS_STEPS = 50;
-  private static final List<String> FLAGS =
+  private static final int CONCURRENT_STARTS = 16; // a start uses a core for about a second
+  private static final long READY_TIMEOUT_S = 60;
+  private static final int READY_POLL_MS = 50;
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-Xss512k",
@@ -51,8 +51,8 @@
   private final IntFunction<List<String>> words;
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final List<Process> running = new ArrayList<>();
-  private final Set<Integer> ended = new HashSet<>();
-  private final ExecutorService starters = Executors.newFixedThreadPool(WAVE);
+  private final Set<Integer> killed = new HashSet<>();
+  private final ExecutorService starters = Executors.newFixedThreadPool(CONCURRENT_STARTS);
   private final Process watcher;
   private final Thread hook = new Thread(this::killAll);
   private final List<SteppedClock> clocks = new ArrayList<>();
@@ -61,8 +61,12 @@
   private volatile boolean closing;
 
   /**
-   * Gateways whose logs and files go to that folder; a configuration and further words for the
-   * command line are asked for at each start.
+   * Reserves the gateways' addresses and starts the watcher.
+   *
+   * @param folder the folder for logs and other files
+   * @param jar the gateway's jar; null to run the gateway from the class path
+   * @param configuration returns a gateway's configuration; called at each start
+   * @param words returns a gateway's additional command-line arguments; called at each start
    */
   public Processes(
       Path folder,
@@ -77,7 +81,7 @@
     this.heapMb = heapMb;
     this.configuration = configuration;
     this.words = words;
-    List<ServerSocket> taken = new ArrayList<>(); // all at once, so that no two are the same
+    List<ServerSocket> taken = new ArrayList<>(); // open together, so that no two ports are equal
     for (int g = 0; g < gateways; g++) {
       ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
       taken.add(s);
@@ -96,12 +100,15 @@
     Runtime.getRuntime().addShutdownHook(hook);
   }
 
-  /** Where each listens. */
+  /** Returns the gateways' listen addresses. */
   public List<InetSocketAddress> addresses() {
     return addresses;
   }
 
-  /** Keeps the classes that a start takes, as the deployment's build does: 200 starts are many. */
+  /**
+   * Creates a class-data-sharing archive of the classes that a start loads, as the deployment's
+   * build does; it shortens each of up to 200 starts.
+   */
   public void archive() throws IOException, InterruptedException {
     Path file = folder.resolve("classes.jsa");
     List<String> command =
@@ -112,31 +119,31 @@
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("rehearse.log").toFile())
             .start();
-    if (p.waitFor(READY_S, TimeUnit.SECONDS) && p.exitValue() == 0 && Files.exists(file)) {
+    if (p.waitFor(READY_TIMEOUT_S, TimeUnit.SECONDS) && p.exitValue() == 0 && Files.exists(file)) {
       archive = file;
     }
   }
 
-  /** Two libraries that are preloaded into one process. */
-  private static String both(String first, String second) {
+  /** Joins two values of LD_PRELOAD, so that a process loads both libraries. */
+  private static String join(String first, String second) {
     return first + ":" + second;
   }
 
-  /** Gives each gateway that starts from now on a wall clock of its own, which can be stepped. */
-  public void ownClocks() throws IOException, InterruptedException {
+  /** Gives each gateway started from now on its own wall clock, which can be stepped. */
+  public void enableClockSteps() throws IOException, InterruptedException {
     for (int g = 0; g < addresses.size(); g++) {
       clocks.add(new SteppedClock(Files.createDirectories(folder.resolve("clock" + g))));
     }
   }
 
-  /** Lets system calls of each gateway that starts from now on fail, once that is asked for. */
-  public void ownCalls() throws IOException, InterruptedException {
+  /** Prepares each gateway started from now on for {@link #failCalls}. */
+  public void enableCallFailures() throws IOException, InterruptedException {
     for (int g = 0; g < addresses.size(); g++) {
       calls.add(new FaultyCalls(Files.createDirectories(folder.resolve("calls" + g)), g));
     }
   }
 
-  /** From now on so many in a thousand of a gateway's system calls on sockets fail. */
+  /** Sets how many in a thousand of a gateway's system calls on sockets fail. */
   void failCalls(int gateway, int perThousand) {
     try {
       calls.get(gateway).fail(FaultyCalls.Shares.all(perThousand));
@@ -145,7 +152,7 @@
     }
   }
 
-  /** From now on a gateway's wall clock is off by so many seconds from this machine's. */
+  /** Sets the offset of a gateway's wall clock from this machine's, in seconds. */
   void stepClock(int gateway, double seconds) {
     try {
       clocks.get(gateway).step(Duration.ofMillis(Math.round(seconds * 1_000)));
@@ -157,7 +164,7 @@
   private List<String> command(String... more) {
     List<String> words = new ArrayList<>();
     words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    words.addAll(FLAGS);
+    words.addAll(JVM_FLAGS);
     words.addAll(List.of("-Xms" + Math.min(16, heapMb) + "m", "-Xmx" + heapMb + "m"));
     words.addAll(List.of(more));
     words.addAll(
@@ -167,7 +174,7 @@
     return words;
   }
 
-  /** Starts a gateway; it is not ready yet. */
+  /** Starts a gateway unless it runs, without waiting until it is ready. */
   synchronized void start(int gateway) throws IOException {
     if (closing || running.get(gateway) != null && running.get(gateway).isAlive()) {
       return;
@@ -189,20 +196,23 @@
     builder.environment().put("LB_CONFIG", config.toString());
     Map<String, String> environment = builder.environment();
     if (!clocks.isEmpty()) {
-      clocks.get(gateway).environment().forEach((k, v) -> environment.merge(k, v, Processes::both));
+      clocks.get(gateway).environment().forEach((k, v) -> environment.merge(k, v, Processes::join));
     }
     if (!calls.isEmpty()) {
-      calls.get(gateway).environment().forEach((k, v) -> environment.merge(k, v, Processes::both));
+      calls.get(gateway).environment().forEach((k, v) -> environment.merge(k, v, Processes::join));
     }
     Process p = builder.start();
     running.set(gateway, p);
     OutputStream to = watcher.getOutputStream();
     to.write((p.pid() + "\n").getBytes(StandardCharsets.US_ASCII));
     to.flush();
-    ended.remove(gateway);
+    killed.remove(gateway);
   }
 
-  /** Starts all by waves, and waits until each is ready; gives how many are within a minute. */
+  /**
+   * Starts all gateways, a limited number at once, and waits until they are ready; returns how many
+   * are ready within 60 s of their start.
+   */
   public int startAll() throws InterruptedException {
     List<java.util.concurrent.Future<Boolean>> starts = new ArrayList<>();
     for (int g = 0; g < addresses.size(); g++) {
@@ -219,13 +229,13 @@
       try {
         ready += s.get() ? 1 : 0;
       } catch (java.util.concurrent.ExecutionException e) {
-        System.err.println("a gateway did not start: " + e.getCause().getMessage());
+        System.err.println("lab: a gateway could not be started: " + e.getCause().getMessage());
       }
     }
     return ready;
   }
 
-  /** Starts one again, off this thread, and does that once it is ready. */
+  /** Starts a gateway again on another thread, and runs an action once it is ready. */
   void restart(int gateway, Runnable then) {
     try {
       starters.execute(
@@ -236,7 +246,8 @@
                 then.run();
               }
             } catch (IOException e) {
-              System.err.println("gateway " + gateway + " did not start: " + e.getMessage());
+              System.err.println(
+                  "lab: gateway " + gateway + " could not be started: " + e.getMessage());
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
@@ -246,24 +257,24 @@
     }
   }
 
-  /** Waits until check says good; false where that does not come within a minute. */
+  /** Waits until a gateway's readiness check succeeds; returns false if it does not within 60 s. */
   private boolean ready(int gateway) throws InterruptedException {
-    long until = System.nanoTime() + READY_S * 1_000_000_000L;
+    long until = System.nanoTime() + READY_TIMEOUT_S * 1_000_000_000L;
     while (System.nanoTime() < until && !closing && running.get(gateway).isAlive()) {
       try (ThriftClient c = new ThriftClient(addresses.get(gateway))) {
         if (c.check()) {
           return true;
         }
       } catch (IOException e) {
-        // not there yet
+        // the gateway does not listen yet
       }
-      Thread.sleep(STATUS_STEPS);
+      Thread.sleep(READY_POLL_MS);
     }
     return false;
   }
 
   synchronized void kill(int gateway) {
-    ended.add(gateway);
+    killed.add(gateway);
     running.get(gateway).destroyForcibly();
   }
 
@@ -271,12 +282,12 @@
     running.get(gateway).destroy();
   }
 
-  /** Those that run now. */
+  /** Returns the ids of the running processes. */
   synchronized List<Long> pids() {
     return running.stream().filter(p -> p != null && p.isAlive()).map(Process::pid).toList();
   }
 
-  /** Tells all that run to read their configuration again. */
+  /** Makes all running gateways reload their configuration (SIGHUP). */
   synchronized void hangUp() {
     List<String> words = new ArrayList<>(List.of("kill", "-HUP"));
     running.stream()
@@ -287,7 +298,7 @@
     }
   }
 
-  /** Stops it where it stands, or lets it go on. */
+  /** Suspends a gateway (SIGSTOP), or resumes it (SIGCONT). */
   void halt(int gateway, boolean now) {
     Process p = running.get(gateway);
     if (p != null && p.isAlive()) {
@@ -300,28 +311,28 @@
     try {
       new ProcessBuilder(words).start().waitFor();
     } catch (IOException e) {
-      System.err.println(whom + " could not be signalled: " + e.getMessage());
+      System.err.println("lab: " + whom + " could not be signalled: " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** The number that the system knows it by. */
+  /** Returns the process id of a gateway. */
   public synchronized long pid(int gateway) {
     return running.get(gateway).pid();
   }
 
-  /** Whether it was killed, and has not been started again since. */
-  synchronized boolean killed(int gateway) {
-    return ended.contains(gateway);
+  /** Returns whether a gateway was killed and has not been started again since. */
+  synchronized boolean wasKilled(int gateway) {
+    return killed.contains(gateway);
   }
 
-  /** Ended without being told to. */
+  /** Returns the gateways that exited with an error and were not killed. */
   synchronized List<Integer> crashed() {
     List<Integer> crashed = new ArrayList<>();
     for (int g = 0; g < running.size(); g++) {
       Process p = running.get(g);
-      if (p != null && !p.isAlive() && !ended.contains(g) && p.exitValue() != 0) {
+      if (p != null && !p.isAlive() && !killed.contains(g) && p.exitValue() != 0) {
         crashed.add(g);
       }
     }
@@ -329,7 +340,8 @@
   }
 
   /**
-   * The most resident memory of any of them now, and of all, in MB; what can't be read is left out.
+   * Returns the largest resident memory of a gateway and that of all gateways together, in MB;
+   * processes whose memory cannot be read are left out.
    */
   double[] memory() {
     double most = 0;
@@ -347,7 +359,7 @@
           sum += mb;
         }
       } catch (IOException e) {
-        // it has just ended
+        // the process has just ended
       }
     }
     return new double[] {most, sum};
@@ -360,14 +372,14 @@
         p.destroyForcibly();
       }
     }
-    watcher.destroyForcibly(); // it has nobody left to end
+    watcher.destroyForcibly(); // all processes have been killed
   }
 
   @Override
   public void close() throws InterruptedException {
     closing = true;
     starters.shutdownNow();
-    starters.awaitTermination(READY_S, TimeUnit.SECONDS);
+    starters.awaitTermination(READY_TIMEOUT_S, TimeUnit.SECONDS);
     killAll();
     for (Process p : running) {
       if (p != null) {
--- a/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
+++ b/lab/src/main/java/reachloom/lab/cluster/SideProcesses.java
@@ -4,29 +4,29 @@
 import java.net.InetSocketAddress;
 
 /**
- * What stands beside the gateways that are processes of the program: further gateways, numbered on
- * after them, and the change logs that all follow. Troubles of the whole installation are its to
- * bring about.
+ * The processes that run beside a fleet's gateway processes: further gateways, numbered after the
+ * fleet's, and the change logs that all gateways follow. Injects the faults that affect the whole
+ * installation.
  */
 public interface SideProcesses extends FaultInjector.Gateways {
-  /** How many further gateways there are. */
+  /** Returns the number of further gateways. */
   int gateways();
 
-  /** Which change log a gateway follows. */
+  /** Returns the address of the change log that a gateway follows. */
   InetSocketAddress changeLog(int gateway);
 
-  /** Prepares what gateways need from their start on; engines listen by now. */
+  /** Prepares what gateways need from their start; called when the engines listen. */
   void open(ClusterModel model, EngineHosts hosts) throws IOException, InterruptedException;
 
-  /** Starts the further gateways; gives how many are ready within their time. */
+  /** Starts the further gateways; returns how many become ready within the time limit. */
   int startGateways() throws IOException, InterruptedException;
 
-  /** Queries begin at that time; on the timeline. */
+  /** Called on the scheduler's thread with the times of the first and the last query. */
   void begin(HistoryChecker checker, long start, long end);
 
-  /** Brings a trouble of the installation about; on the timeline. */
+  /** Injects a fault of the installation; called on the scheduler's thread. */
   void injectFault(Fault fault);
 
-  /** A gateway that is a process runs again, or is ended; on the timeline. */
+  /** Called on the scheduler's thread when one of the fleet's gateways runs again or ends. */
   void onGatewayRunning(int gateway, boolean running);
 }
--- a/lab/src/main/java/reachloom/lab/cluster/Workload.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Workload.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * An open stream of queries: they come by their own clock, whatever becomes of those before. The
- * same seed gives the same queries, whoever serves them.
+ * An open-loop workload: queries arrive by their own clock, regardless of the outcome of earlier
+ * ones. The same seed gives the same queries, independent of how they are served.
  */
 public final class Workload {
   private static final long SECOND = ClusterPlan.SECOND;
   private static final int KEYS = 5_000;
-  private static final double MAX_WORK = 6; // means
+  private static final double MAX_WORK_MEANS = 6; // the longest query, in multiples of the mean
 
   /** A class of queries; times in nanoseconds, work in core-seconds. */
   public record Kind(
@@ -25,15 +25,13 @@
       double stretch,
       long deadline,
       double worth) {
-    /** Within what time an answer is wanted. */
+    /** Returns the goal time of a query of the class with the given work, in nanoseconds. */
     long aimFor(double ofWork) {
       return aim + (long) (stretch * ofWork / threads * SECOND);
     }
   }
 
-  /**
-   * What a fleet is asked: many short queries, a few long ones, and loads that may not run twice.
-   */
+  /** The query classes: many short queries, a few long ones, and loads that must not run twice. */
   public static final List<Kind> KINDS =
       List.of(
           new Kind("lookup", "repeatable", 0.82, 0.06, 1, 100, SECOND / 2, 1.5, 3 * SECOND, 1),
@@ -43,12 +41,12 @@
 
   /** One query; {@code key} is -1 in classes without one. */
   public record Arrival(long number, long at, int gateway, int kind, double work, int key) {
-    /** What clients and engines call it. */
+    /** Returns the query's id in the protocols of clients and engines. */
     public String id() {
       return String.format("%016x", number);
     }
 
-    /** Its class. */
+    /** Returns the query's class. */
     public Kind of() {
       return KINDS.get(kind);
     }
@@ -56,52 +54,52 @@
 
   private final ClusterPlan plan;
   private final SplittableRandom random;
-  private final double[] upTo;
-  private final double[] surge;
-  private double times = 1;
+  private final double[] cumulativeShares;
+  private final double[] surgeFactors;
+  private double rateFactor = 1;
   private double nextAt;
   private long count;
 
-  /** Queries that begin at that time. */
+  /** Creates a workload whose first query arrives after a start time. */
   public Workload(ClusterPlan plan, long start) {
     this.plan = plan;
     random = new SplittableRandom(plan.seed());
     nextAt = start;
-    surge = new double[plan.zones()];
-    Arrays.fill(surge, 1);
-    upTo = new double[plan.gateways()];
-    weigh();
+    surgeFactors = new double[plan.zones()];
+    Arrays.fill(surgeFactors, 1);
+    cumulativeShares = new double[plan.gateways()];
+    updateShares();
   }
 
   public static double meanWork() {
     return KINDS.stream().mapToDouble(k -> k.share * k.work).sum();
   }
 
-  /** From now on so many times as much comes, in one zone or, for -1, everywhere. */
+  /** Sets the factor on the rate of queries of one zone or, for -1, on the total rate. */
   void surge(int zone, double factor) {
     if (zone < 0) {
-      times = factor;
+      rateFactor = factor;
     } else {
-      surge[zone] = factor;
+      surgeFactors[zone] = factor;
     }
-    weigh();
+    updateShares();
   }
 
-  private void weigh() {
+  private void updateShares() {
     double[] shares = plan.shares();
     double sum = 0;
     for (int g = 0; g < shares.length; g++) {
-      sum += shares[g] * surge[plan.zoneOf(g)];
-      upTo[g] = sum;
+      sum += shares[g] * surgeFactors[plan.zoneOf(g)];
+      cumulativeShares[g] = sum;
     }
   }
 
-  /** The next query, later than all before. */
+  /** Returns the next query in order of time. */
   public Arrival next() {
-    double rate = plan.rate() * times * upTo[upTo.length - 1];
+    double rate = plan.rate() * rateFactor * cumulativeShares[cumulativeShares.length - 1];
     nextAt += -Math.log(1 - random.nextDouble()) / rate * SECOND;
-    double drawn = random.nextDouble() * upTo[upTo.length - 1];
-    int place = Arrays.binarySearch(upTo, drawn);
+    double drawn = random.nextDouble() * cumulativeShares[cumulativeShares.length - 1];
+    int place = Arrays.binarySearch(cumulativeShares, drawn);
     int gateway = Math.min(plan.gateways() - 1, place >= 0 ? place : -place - 1);
     int kind = 0;
     for (double left = random.nextDouble() - KINDS.get(0).share;
@@ -109,7 +107,7 @@
       left -= KINDS.get(++kind).share;
     }
     Kind of = KINDS.get(kind);
-    double work = Math.min(MAX_WORK, -Math.log(1 - random.nextDouble())) * of.work;
+    double work = Math.min(MAX_WORK_MEANS, -Math.log(1 - random.nextDouble())) * of.work;
     int key = random.nextInt(KEYS);
     return new Arrival(
         ++count, (long) nextAt, gateway, kind, work, of.effect.equals("by_key") ? key : -1);
--- a/lab/src/main/java/reachloom/lab/cluster/package-info.java
+++ b/lab/src/main/java/reachloom/lab/cluster/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What plays are made of: a plan, a script of troubles, the world of engines and lists, clients,
- * processes of the program, and the auditor. Each command that plays something puts its own
- * together from these.
+ * The components of a laboratory run: a plan, a script of faults, a model of engines and lists,
+ * clients, gateway processes, and a checker of the run's history. Each command combines those that
+ * it needs.
  */
 package reachloom.lab.cluster;
