--- a/lab/src/main/java/reachloom/lab/fleet/Baseline.java
+++ b/lab/src/main/java/reachloom/lab/fleet/Baseline.java
@@ -27,77 +27,79 @@
 import reachloom.standin.model.EngineModel.Condition;
 
 /**
- * Plain policies to compare with, in simulated time only: they send at once, try again where the
- * class allows, and give up where nothing is left. None of them is part of the gateway.
+ * Simple routing policies to compare with, in simulated time only. They forward at once, retry on
+ * another engine if the class allows it, and give up when no engine is left. They are not part of
+ * the gateway.
  */
 final class Baseline implements SchedulerEvents {
   /** How an engine is chosen. */
   enum Rule {
-    /** Any. */
+    /** A random engine. */
     RANDOM,
-    /** The less loaded of two by own counts. */
+    /** The less loaded of two random engines by the gateway's own counts of open attempts. */
     TWO,
-    /** The one that reported least, asked each half second. */
+    /** The engine with the lowest reported load; engines are probed every 500 ms. */
     REPORTED,
-    /** The less loaded of two by the true counts of now. */
+    /** The less loaded of two random engines by their true current counts. */
     FRESH,
     /**
-     * The least loaded of four by the true state of 50 ms ago; cold and sick engines are known as
-     * such.
+     * The least loaded of four random engines by their true state of 50 ms ago, which includes
+     * whether they are cold or unhealthy.
      */
     ORACLE
   }
 
-  private static final long PROBE_GAP = 500 * ClusterPlan.MILLISECOND;
-  private static final int FOUR = 4;
+  private static final long PROBE_PERIOD = 500 * ClusterPlan.MILLISECOND;
+  private static final int ORACLE_DRAWS = 4;
 
-  /** The oracle gives cold engines so much of what they can do. */
+  /** Fraction of a cold engine's capacity that the oracle uses. */
   private static final double COLD_MARGIN = 0.8;
 
-  private record Sent(Query query, List<String> tried) {}
+  private record OpenQuery(Query query, List<String> triedEngines) {}
 
   private final Rule rule;
   private final SchedulerActions actions;
   private final ClusterModel model;
-  private final Late late;
+  private final DelayedState delayedState;
   private final Map<String, EngineEndpoint> engines = new LinkedHashMap<>();
-  private final Map<String, Integer> out = new HashMap<>();
+  private final Map<String, Integer> openAttempts = new HashMap<>();
   private final Map<String, LoadReport> reports = new HashMap<>();
-  private final Map<String, Sent> open = new HashMap<>();
+  private final Map<String, OpenQuery> open = new HashMap<>();
   private SchedulerSettings settings;
   private SplittableRandom random;
 
-  /** What the oracles of one run see: the state of all engines, 50 ms old. */
-  static final class Late {
+  /** The state of all engines 50 ms ago, which the oracles of one run share. */
+  static final class DelayedState {
     private static final long AGE = 50 * ClusterPlan.MILLISECOND;
     private static final long STEP = 10 * ClusterPlan.MILLISECOND;
-    private final List<Map<Integer, Double>> states = new ArrayList<>();
-    private Map<Integer, Double> known = new HashMap<>();
+    private final List<Map<Integer, Double>> pendingLoads = new ArrayList<>();
+    private Map<Integer, Double> visibleLoads = new HashMap<>();
 
-    /** Looks from now on. */
-    void watch(ClusterModel model) {
+    /** Samples the engines' state now and in every further step. */
+    void sample(ClusterModel model) {
       Map<Integer, Double> now = new HashMap<>();
       for (EngineModel e : model.engines.values()) {
-        boolean well = e.condition() == Condition.HEALTHY;
-        double room = e.spec.cores() * e.spec.speed() * (e.cold() ? COLD_MARGIN * e.warmth() : 1);
-        now.put(e.id, well ? e.threads() / room : Double.POSITIVE_INFINITY);
+        boolean healthy = e.condition() == Condition.HEALTHY;
+        double capacity =
+            e.spec.cores() * e.spec.speed() * (e.cold() ? COLD_MARGIN * e.warmth() : 1);
+        now.put(e.id, healthy ? e.threads() / capacity : Double.POSITIVE_INFINITY);
       }
-      states.add(now);
-      if (states.size() > AGE / STEP) {
-        known = states.remove(0);
+      pendingLoads.add(now);
+      if (pendingLoads.size() > AGE / STEP) {
+        visibleLoads = pendingLoads.remove(0);
       }
-      model.time.at(model.time.now() + STEP, () -> watch(model));
+      model.time.at(model.time.now() + STEP, () -> sample(model));
     }
   }
 
-  Baseline(Rule rule, SchedulerActions actions, ClusterModel model, Late late) {
+  Baseline(Rule rule, SchedulerActions actions, ClusterModel model, DelayedState delayedState) {
     this.rule = rule;
     this.actions = actions;
     this.model = model;
-    this.late = late;
+    this.delayedState = delayedState;
   }
 
-  /** The policy of that name; null for none. */
+  /** Returns the policy of a name; null if there is none. */
   static VirtualFleet.Policy named(String name) {
     Rule rule;
     try {
@@ -105,12 +107,12 @@
     } catch (IllegalArgumentException e) {
       return null;
     }
-    Late late = new Late();
+    DelayedState delayedState = new DelayedState();
     return (actions, model, gateway) -> {
-      if (rule == Rule.ORACLE && late.states.isEmpty()) {
-        late.watch(model);
+      if (rule == Rule.ORACLE && delayedState.pendingLoads.isEmpty()) {
+        delayedState.sample(model);
       }
-      return new Baseline(rule, actions, model, late);
+      return new Baseline(rule, actions, model, delayedState);
     };
   }
 
@@ -118,7 +120,7 @@
   public void onStart(long now, long seed, SchedulerSettings s) {
     settings = s;
     random = new SplittableRandom(seed);
-    actions.setTimer(PROBE_GAP, 0);
+    actions.setTimer(PROBE_PERIOD, 0);
   }
 
   @Override
@@ -134,22 +136,22 @@
 
   @Override
   public void onQuery(long now, Query query) {
-    Sent s = new Sent(query, new ArrayList<>());
+    OpenQuery s = new OpenQuery(query, new ArrayList<>());
     open.put(query.id(), s);
     send(s);
   }
 
-  private void send(Sent s) {
+  private void send(OpenQuery s) {
     List<String> draw = new ArrayList<>(engines.keySet());
-    draw.removeAll(s.tried);
+    draw.removeAll(s.triedEngines);
     String best =
         draw.isEmpty()
             ? null
             : switch (rule) {
               case RANDOM -> draw.get(random.nextInt(draw.size()));
-              case TWO -> least(draw, 2, e -> out.getOrDefault(e, 0) / cores(e));
+              case TWO -> leastLoaded(draw, 2, e -> openAttempts.getOrDefault(e, 0) / cores(e));
               case REPORTED ->
-                  least(
+                  leastLoaded(
                       draw,
                       draw.size(),
                       e ->
@@ -157,18 +159,21 @@
                               ? reports.get(e).utilization() + random.nextDouble() / 100
                               : 0);
               case FRESH ->
-                  least(
+                  leastLoaded(
                       draw, 2, e -> model.engines.get(ClusterModel.number(e)).threads() / cores(e));
               case ORACLE ->
-                  least(draw, FOUR, e -> late.known.getOrDefault(ClusterModel.number(e), 0.0));
+                  leastLoaded(
+                      draw,
+                      ORACLE_DRAWS,
+                      e -> delayedState.visibleLoads.getOrDefault(ClusterModel.number(e), 0.0));
             };
-    if (best == null || s.tried.size() >= settings.limits().maxAttempts()) {
+    if (best == null || s.triedEngines.size() >= settings.limits().maxAttempts()) {
       actions.reject(s.query.id(), 0);
       open.remove(s.query.id());
       return;
     }
-    s.tried.add(best);
-    out.merge(best, 1, Integer::sum);
+    s.triedEngines.add(best);
+    openAttempts.merge(best, 1, Integer::sum);
     actions.forward(s.query.id(), best, 0);
   }
 
@@ -176,7 +181,7 @@
     return settings.kinds().get(engines.get(engine).kind()).cores();
   }
 
-  private String least(List<String> of, int draws, ToDoubleFunction<String> load) {
+  private String leastLoaded(List<String> of, int draws, ToDoubleFunction<String> load) {
     List<String> drawn = new ArrayList<>();
     for (int i = 0; i < draws; i++) {
       drawn.add(draws == of.size() ? of.get(i) : of.get(random.nextInt(of.size())));
@@ -186,8 +191,8 @@
 
   @Override
   public void onAttemptEnded(long now, AttemptResult end) {
-    out.merge(end.engine(), -1, Integer::sum);
-    Sent s = open.get(end.queryId());
+    openAttempts.merge(end.engine(), -1, Integer::sum);
+    OpenQuery s = open.get(end.queryId());
     if (s == null) {
       return;
     }
@@ -208,7 +213,7 @@
     if (rule == Rule.REPORTED) {
       engines.keySet().forEach(actions::checkHealth);
     }
-    actions.setTimer(PROBE_GAP, 0);
+    actions.setTimer(PROBE_PERIOD, 0);
   }
 
   @Override
@@ -225,21 +230,21 @@
 
   @Override
   public void onEndpointsUnavailable(long now) {
-    // The list held stays.
+    // The last list stays in use.
   }
 
   @Override
   public void onStreaming(long now, String query, int attempt) {
-    // Answers come whole here.
+    // The model's answers are not streamed.
   }
 
   @Override
   public void onProgress(long now, ProgressReport note) {
-    // Progress tells these policies nothing.
+    // These policies do not use progress reports.
   }
 
   @Override
   public void onPeerReport(long now, String engine, double level) {
-    // Nobody speaks to them.
+    // These policies exchange no peer reports.
   }
 }
--- a/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
@@ -17,10 +17,11 @@
 import reachloom.scheduler.QueryScheduler;
 
 /**
- * Plays a whole fleet under a script of troubles, and tells how the load was spread and what broke.
+ * Runs a fleet of gateways under a script of faults, and reports how the load was spread and which
+ * rules were broken.
  */
 public final class FleetCommand implements Command {
-  private static final double HUNDREDTHS = 100;
+  private static final double PERCENT = 100;
 
   @Override
   public String purpose() {
@@ -39,7 +40,7 @@
         .addOption(null, "gateways", true, "gateways (24)")
         .addOption(null, "engines", true, "engines at the start (12)")
         .addOption(null, "zones", true, "zones that gateways and engines are spread over (3)")
-        .addOption(null, "seconds", true, "how long queries come (20)")
+        .addOption(null, "seconds", true, "seconds for which queries arrive (20)")
         .addOption(
             null, "load", true, "share of all cores that the queries need, in hundredths (70)")
         .addOption(
@@ -51,8 +52,8 @@
             null,
             "clocks-apart-ms",
             true,
-            "most that a gateway's clock is off, in simulated time (0)")
-        .addOption(null, "report-age-ms", true, "reports are older by so much (0)")
+            "maximum offset of a gateway's clock, in simulated time (0)")
+        .addOption(null, "report-age-ms", true, "additional age of load reports (0)")
         .addOption(null, "script", true, "a file, or one of " + FaultSchedule.NAMED + " (calm)")
         .addOption(
             null,
@@ -62,7 +63,7 @@
         .addOption(
             null, "jar", true, "the program, on sockets (the one built beside the laboratory)")
         .addOption(null, "heap-mb", true, "heap of each gateway, on sockets (24)")
-        .addOption(null, "seed", true, "for all that is drawn (1)")
+        .addOption(null, "seed", true, "seed of all random choices (1)")
         .addOption(null, "json", true, "file for the figures")
         .addOption(null, "logs", true, "folder for the gateways' logs, on sockets");
   }
@@ -80,8 +81,8 @@
             Arguments.number(line, "engines", 12, 1, 500),
             Arguments.number(line, "zones", 3, 1, 16),
             Arguments.number(line, "seconds", 20, 2, 600),
-            Arguments.number(line, "load", 70, 1, 300) / HUNDREDTHS,
-            Arguments.number(line, "skew", 80, 0, 300) / HUNDREDTHS,
+            Arguments.number(line, "load", 70, 1, 300) / PERCENT,
+            Arguments.number(line, "skew", 80, 0, 300) / PERCENT,
             Arguments.share(line, "large", 0),
             Arguments.number(line, "believed", gateways, 1, 10_000),
             Arguments.number(line, "seed", 1, 0, Integer.MAX_VALUE),
@@ -97,8 +98,8 @@
       throw new ParseException(
           "--script: "
               + script.name()
-              + " speaks of regions, control or configuration, "
-              + "which only scale has");
+              + " has faults of regions, control or configuration, "
+              + "which only the command scale can inject");
     }
     String policy = line.getOptionValue("policy", "reachloom");
     Map<String, Object> figures;
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -30,31 +30,34 @@
 import reachloom.standin.model.SimulatedScheduler;
 
 /**
- * The fleet in simulated time: each gateway hosts the real decisions, or a policy to compare them
- * with. The same plan and script give the same figures to the byte.
+ * A fleet in simulated time. Each gateway runs the real scheduler, or a baseline policy to compare
+ * it with. The same plan and script give the same figures, byte for byte.
  */
 final class VirtualFleet implements FaultInjector.Gateways {
   private static final long START = 1_700_000_000L * ClusterPlan.SECOND;
-  private static final long NEAR = 200_000; // nanoseconds, one way
-  private static final long FAR = ClusterPlan.MILLISECOND;
+  private static final long SAME_ZONE_DELAY = 200_000; // nanoseconds, one way
+  private static final long CROSS_ZONE_DELAY = ClusterPlan.MILLISECOND;
   private static final long PROBE_TIMEOUT = 250 * ClusterPlan.MILLISECOND;
   private static final long CANCEL_LINGER = 5 * ClusterPlan.MILLISECOND;
 
-  /** The front in front of the gateways learns so late that one has died. */
+  /** Time after which the front end before the gateways notices that one has died. */
   private static final long FRONT_NOTICE = ClusterPlan.SECOND;
 
-  private static final long SETTLE = 2 * ClusterPlan.SECOND;
-  private static final long HEARD = 100 * ClusterPlan.MILLISECOND;
+  private static final long SETTLE_TIME = 2 * ClusterPlan.SECOND;
+  private static final long MAX_LIST_DELAY = 100 * ClusterPlan.MILLISECOND;
 
-  /** Time-outs come so long before the deadline, or a part of its time, as on sockets. */
+  /**
+   * Timeouts fire this long before the deadline, or a tenth of the time to the deadline if that is
+   * less, as on sockets.
+   */
   private static final long DEADLINE_MARGIN = 80 * ClusterPlan.MILLISECOND;
 
-  private static final int DEADLINE_MARGIN_PART = 10;
+  private static final int DEADLINE_MARGIN_DIVISOR = 10;
 
-  /** A connection that the engine closes at once. */
+  /** Result of a connect that the engine closes at once. */
   private static final long CLOSED = -1;
 
-  /** Makes the decisions of a gateway. */
+  /** Creates the scheduler of a gateway. */
   interface Policy {
     SchedulerEvents make(SchedulerActions actions, ClusterModel model, int gateway);
   }
@@ -66,11 +69,11 @@
   private final HistoryChecker checker;
   private final Workload workload;
   private final FaultInjector faultInjector;
-  private final List<Front> fronts = new ArrayList<>();
+  private final List<SimulatedGateway> gateways = new ArrayList<>();
   private final SplittableRandom random;
-  private final Map<Integer, Integer> held = new HashMap<>();
+  private final Map<Integer, Integer> connectionsByEngine = new HashMap<>();
   private long connections;
-  private long connectionsMost;
+  private long maxConnections;
   private long handshakes;
   private long probes;
   private long listLines;
@@ -80,161 +83,161 @@
     this.policy = policy;
     model = new ClusterModel(plan, time);
     checker = new HistoryChecker(model, START);
-    workload = new Workload(plan, START + SETTLE);
+    workload = new Workload(plan, START + SETTLE_TIME);
     faultInjector = new FaultInjector(model, this, workload, checker);
     model.onReset(this::reset);
     random = new SplittableRandom(plan.seed() * 13 + 11);
     for (int g = 0; g < plan.gateways(); g++) {
-      fronts.add(new Front(g));
+      gateways.add(new SimulatedGateway(g));
     }
   }
 
-  /** Plays the script; gives the figures. */
+  /** Runs a script; returns the figures. */
   Map<String, Object> play(FaultSchedule script) {
-    for (Front f : fronts) {
-      time.at(START + (long) (random.nextDouble() * SETTLE / 2), f::start);
+    for (SimulatedGateway f : gateways) {
+      time.at(START + (long) (random.nextDouble() * SETTLE_TIME / 2), f::start);
     }
-    long end = START + SETTLE + plan.seconds() * ClusterPlan.SECOND;
-    faultInjector.play(script, START + SETTLE, () -> time.now() < end);
+    long end = START + SETTLE_TIME + plan.seconds() * ClusterPlan.SECOND;
+    faultInjector.play(script, START + SETTLE_TIME, () -> time.now() < end);
     checker.watch(end);
-    next(end);
+    scheduleNext(end);
     time.runUntil(end);
     long longest = Workload.KINDS.stream().mapToLong(Workload.Kind::deadline).max().orElse(0);
     time.runUntil(end + longest + ClusterPlan.SECOND);
-    Map<String, Object> f = checker.figures(time.now(), START + SETTLE);
-    f.put("connections_max", connectionsMost);
+    Map<String, Object> f = checker.figures(time.now(), START + SETTLE_TIME);
+    f.put("connections_max", maxConnections);
     f.put("handshakes", handshakes);
     f.put("probes_per_s", probes / plan.seconds());
     f.put("list_lines", listLines);
     return f;
   }
 
-  private void next(long end) {
+  private void scheduleNext(long end) {
     Arrival a = workload.next();
     if (a.at() < end) {
       time.at(
           a.at(),
           () -> {
-            place(a);
-            next(end);
+            route(a);
+            scheduleNext(end);
           });
     }
   }
 
-  private void place(Arrival a) {
-    Front f = fronts.get(a.gateway());
+  private void route(Arrival a) {
+    SimulatedGateway f = gateways.get(a.gateway());
     if (!f.up && time.now() > f.changedAt + FRONT_NOTICE) {
-      List<Front> up = fronts.stream().filter(x -> x.up).toList();
+      List<SimulatedGateway> up = gateways.stream().filter(x -> x.up).toList();
       f = up.isEmpty() ? f : up.get(random.nextInt(up.size()));
     }
     if (!f.up) {
       checker.unplaced(a);
       return;
     }
-    checker.queryAccepted(a, f.number, time.now());
-    Front to = f;
-    f.tell(f.life, () -> to.arrive(a), 0);
+    checker.queryAccepted(a, f.gateway, time.now());
+    SimulatedGateway to = f;
+    f.schedule(f.incarnation, () -> to.arrive(a), 0);
   }
 
   @Override
   public void kill(int gateway) {
-    fronts.get(gateway).die(true);
+    gateways.get(gateway).stop(true);
   }
 
   @Override
   public void terminate(int gateway) {
-    fronts.get(gateway).die(false);
+    gateways.get(gateway).stop(false);
   }
 
   @Override
   public void halt(int gateway, boolean now) {
-    fronts.get(gateway).halt(now);
+    gateways.get(gateway).halt(now);
   }
 
   @Override
   public void start(int gateway) {
-    if (!fronts.get(gateway).up) {
-      fronts.get(gateway).start();
+    if (!gateways.get(gateway).up) {
+      gateways.get(gateway).start();
     }
   }
 
-  /** All connections from one zone to the engines of another break at once. */
+  /** Breaks all connections from one zone's gateways to another zone's engines. */
   private void reset(int gatewayZone, int engineZone) {
-    fronts.stream().filter(f -> f.zone == gatewayZone).forEach(f -> f.reset(engineZone));
+    gateways.stream().filter(f -> f.zone == gatewayZone).forEach(f -> f.reset(engineZone));
   }
 
-  private static final class Out {
+  private static final class OpenAttempt {
     private final EngineModel engine;
     private final long sentAt;
-    private HistoryChecker.Attempt seen;
-    private boolean over;
-    private boolean quit;
+    private HistoryChecker.Attempt recorded;
+    private boolean ended;
+    private boolean cancelled;
 
-    Out(EngineModel engine, long sentAt) {
+    OpenAttempt(EngineModel engine, long sentAt) {
       this.engine = engine;
       this.sentAt = sentAt;
     }
   }
 
-  private static final class Open {
+  private static final class OpenQuery {
     private final Arrival arrival;
-    private final List<Out> tries = new ArrayList<>(1);
-    private boolean over;
+    private final List<OpenAttempt> attempts = new ArrayList<>(1);
+    private boolean ended;
 
-    Open(Arrival arrival) {
+    OpenQuery(Arrival arrival) {
       this.arrival = arrival;
     }
   }
 
-  /** One gateway: carries out what its decisions say. */
-  private final class Front implements SchedulerActions {
-    private final int number;
+  /** One gateway: carries out its scheduler's actions. */
+  private final class SimulatedGateway implements SchedulerActions {
+    private final int gateway;
     private final int zone;
     private final SchedulerSettings settings;
-    private final Map<String, Open> open = new LinkedHashMap<>();
+    private final Map<String, OpenQuery> open = new LinkedHashMap<>();
     private final Map<Integer, Long> links = new HashMap<>();
 
-    /** What came while it stood still: the list of engines goes first, as on sockets. */
-    private final List<Runnable> waitingFirst = new ArrayList<>();
+    /** List events held while the gateway is halted; delivered before others, as on sockets. */
+    private final List<Runnable> heldListEvents = new ArrayList<>();
 
-    private final List<Runnable> waiting = new ArrayList<>();
-    private final long clockOff;
-    private SchedulerEvents module;
+    private final List<Runnable> heldEvents = new ArrayList<>();
+    private final long clockOffset;
+    private SchedulerEvents scheduler;
     private boolean up;
     private boolean halted;
     private long changedAt;
-    private int life;
-    private int heardOf;
-
-    Front(int number) {
-      this.number = number;
-      zone = plan.zoneOf(number);
-      clockOff = (long) ((2 * random.nextDouble() - 1) * plan.clocksApart());
-      settings = SchedulerSettingsReader.read(GatewayConfigurations.settings(plan, number));
+    private int incarnation;
+    private int receivedEvents;
+
+    SimulatedGateway(int gateway) {
+      this.gateway = gateway;
+      zone = plan.zoneOf(gateway);
+      clockOffset = (long) ((2 * random.nextDouble() - 1) * plan.clocksApart());
+      settings = SchedulerSettingsReader.read(GatewayConfigurations.settings(plan, gateway));
       ClusterModel.View view = model.views.get(zone);
-      view.addListener(e -> hear(view));
+      view.addListener(e -> onListEvent(view));
     }
 
-    /** What this gateway takes the time to be. */
+    /** Returns the time by the gateway's own clock. */
     private long clock() {
-      return time.now() + clockOff;
+      return time.now() + clockOffset;
     }
 
-    // ---- Its life ----
+    // ---- Lifecycle ----
 
     void start() {
-      life++;
+      incarnation++;
       up = true;
       halted = false;
       changedAt = time.now();
-      module = policy.make(this, model, number);
-      module.onStart(clock(), random.nextLong(), settings);
+      scheduler = policy.make(this, model, gateway);
+      scheduler.onStart(clock(), random.nextLong(), settings);
       ClusterModel.View view = model.views.get(zone);
       Map<Integer, ClusterModel.Listed> known = new LinkedHashMap<>();
       view.log.forEach(e -> known.put(e.engine().id(), e.engine()));
-      heardOf = view.log.size();
+      receivedEvents = view.log.size();
       listLines += known.size();
-      module.onEndpoints(
+      scheduler.onEndpoints(
           clock(),
           true,
           known.values().stream()
@@ -244,31 +247,31 @@
     }
 
     /**
-     * It ends; at once, with all that it has open, or as at a planned restart once that is
-     * answered.
+     * Stops the gateway: at once with its open queries, or, as in a planned restart, after 3 s in
+     * which open queries are answered.
      */
-    void die(boolean atOnce) {
+    void stop(boolean atOnce) {
       if (!up) {
         return;
       }
       up = false;
       changedAt = time.now();
-      int mine = life;
+      int ownIncarnation = incarnation;
       long wait = atOnce ? 0 : 3 * ClusterPlan.SECOND;
       time.at(
           time.now() + wait,
           () -> {
-            if (mine != life) {
+            if (ownIncarnation != incarnation) {
               return;
             }
-            life++;
-            for (Open o : List.copyOf(open.values())) {
+            incarnation++;
+            for (OpenQuery o : List.copyOf(open.values())) {
               checker.connectionClosed(o.arrival.number(), true);
-              o.tries.stream().filter(t -> !t.over).forEach(t -> quit(o, t));
+              o.attempts.stream().filter(t -> !t.ended).forEach(t -> cancelAtEngine(o, t));
             }
             open.clear();
-            waitingFirst.clear();
-            waiting.clear();
+            heldListEvents.clear();
+            heldEvents.clear();
             List.copyOf(links.keySet()).forEach(this::disconnect);
           });
     }
@@ -276,29 +279,29 @@
     void halt(boolean now) {
       halted = now;
       if (!now) {
-        List<Runnable> due = new ArrayList<>(waitingFirst);
-        due.addAll(waiting);
-        waitingFirst.clear();
-        waiting.clear();
+        List<Runnable> due = new ArrayList<>(heldListEvents);
+        due.addAll(heldEvents);
+        heldListEvents.clear();
+        heldEvents.clear();
         due.forEach(Runnable::run);
       }
     }
 
     /**
-     * Does something of that life of the gateway after a while; one that stands still hears it
-     * later.
+     * Delivers an event to one incarnation of the gateway after a delay; a halted gateway gets it
+     * when it resumes.
      */
-    private void tell(int of, Runnable event, long wait) {
-      tell(of, event, wait, waiting);
+    private void schedule(int ofIncarnation, Runnable event, long wait) {
+      schedule(ofIncarnation, event, wait, heldEvents);
     }
 
-    private void tell(int of, Runnable event, long wait, List<Runnable> line) {
+    private void schedule(int ofIncarnation, Runnable event, long wait, List<Runnable> held) {
       time.at(
           time.now() + wait,
           () -> {
-            if (of == life) {
+            if (ofIncarnation == incarnation) {
               if (halted) {
-                line.add(event);
+                held.add(event);
               } else {
                 event.run();
               }
@@ -306,25 +309,28 @@
           });
     }
 
-    private void hear(ClusterModel.View view) {
-      tell(
-          life,
+    private void onListEvent(ClusterModel.View view) {
+      schedule(
+          incarnation,
           () -> {
             if (view.isDown() || !up) {
               return;
             }
             List<EngineEndpoint> news =
-                view.log.subList(Math.min(heardOf, view.log.size()), view.log.size()).stream()
+                view
+                    .log
+                    .subList(Math.min(receivedEvents, view.log.size()), view.log.size())
+                    .stream()
                     .map(e -> info(e.engine()))
                     .toList();
-            heardOf = view.log.size();
+            receivedEvents = view.log.size();
             listLines += news.size();
             if (!news.isEmpty()) {
-              module.onEndpoints(clock(), false, news);
+              scheduler.onEndpoints(clock(), false, news);
             }
           },
-          (long) (random.nextDouble() * HEARD),
-          waitingFirst);
+          (long) (random.nextDouble() * MAX_LIST_DELAY),
+          heldListEvents);
     }
 
     private EngineEndpoint info(ClusterModel.Listed l) {
@@ -341,38 +347,38 @@
     // ---- Queries ----
 
     void arrive(Arrival a) {
-      Open o = new Open(a);
+      OpenQuery o = new OpenQuery(a);
       open.put(a.id(), o);
       long left = a.at() + a.of().deadline() - time.now();
       if (left <= 0) {
         settle(o, HistoryChecker.Answer.FAILED);
         return;
       }
-      module.onQuery(clock(), new Query(a.id(), a.kind(), 0, null, left, 0, 0, -1, false));
+      scheduler.onQuery(clock(), new Query(a.id(), a.kind(), 0, null, left, 0, 0, -1, false));
     }
 
-    private void settle(Open o, HistoryChecker.Answer answer) {
-      if (!o.over) {
-        o.over = true;
+    private void settle(OpenQuery o, HistoryChecker.Answer answer) {
+      if (!o.ended) {
+        o.ended = true;
         checker.answered(o.arrival.number(), answer, time.now());
       }
-      drop(o);
+      removeIfDone(o);
     }
 
-    private void drop(Open o) {
-      if (o.over && o.tries.stream().allMatch(t -> t.over)) {
+    private void removeIfDone(OpenQuery o) {
+      if (o.ended && o.attempts.stream().allMatch(t -> t.ended)) {
         open.remove(o.arrival.id());
       }
     }
 
-    private long way(ClusterModel.Link link, int engineZone) {
-      return (engineZone == zone ? NEAR : FAR) + link.delay;
+    private long linkDelay(ClusterModel.Link link, int engineZone) {
+      return (engineZone == zone ? SAME_ZONE_DELAY : CROSS_ZONE_DELAY) + link.delay;
     }
 
-    /** Books the connection; gives how long it takes until it is up. */
-    private long connect(int engine, long way) {
+    /** Opens a connection if necessary; returns how long it takes to be established. */
+    private long connect(int engine, long delay) {
       if (!links.containsKey(engine)
-          && held.getOrDefault(engine, 0) >= model.mostConnections(engine)) {
+          && connectionsByEngine.getOrDefault(engine, 0) >= model.mostConnections(engine)) {
         handshakes++;
         return CLOSED;
       }
@@ -382,92 +388,93 @@
       }
       handshakes++;
       connections += last == null ? 1 : 0;
-      held.merge(engine, last == null ? 1 : 0, Integer::sum);
-      connectionsMost = Math.max(connectionsMost, connections);
-      return 2 * way;
+      connectionsByEngine.merge(engine, last == null ? 1 : 0, Integer::sum);
+      maxConnections = Math.max(maxConnections, connections);
+      return 2 * delay;
     }
 
     private void disconnect(int engine) {
       boolean there = links.remove(engine) != null;
       connections -= there ? 1 : 0;
-      held.merge(engine, there ? -1 : 0, Integer::sum);
+      connectionsByEngine.merge(engine, there ? -1 : 0, Integer::sum);
     }
 
     @Override
     public void forward(String query, String engine, long timeout) {
-      Open o = open.get(query);
+      OpenQuery o = open.get(query);
       EngineModel e = model.engines.get(ClusterModel.number(engine));
-      int place = o.tries.size();
-      Out t = new Out(e, time.now());
-      o.tries.add(t);
+      int attempt = o.attempts.size();
+      OpenAttempt t = new OpenAttempt(e, time.now());
+      o.attempts.add(t);
       Arrival a = o.arrival;
       long deadline = a.at() + a.of().deadline();
-      tell(
-          life,
-          () -> finish(o, place, AttemptOutcome.TIMEOUT, 0, 0),
+      schedule(
+          incarnation,
+          () -> finish(o, attempt, AttemptOutcome.TIMEOUT, 0, 0),
           deadline
-              - Math.min(DEADLINE_MARGIN, (deadline - a.at()) / DEADLINE_MARGIN_PART)
+              - Math.min(DEADLINE_MARGIN, (deadline - a.at()) / DEADLINE_MARGIN_DIVISOR)
               - time.now());
       int engineZone = plan.zoneOfEngine(e.id);
       ClusterModel.Link link = model.link(zone, engineZone);
-      long way = way(link, engineZone);
-      long up = connect(e.id, way);
+      long delay = linkDelay(link, engineZone);
+      long up = connect(e.id, delay);
       if (up == CLOSED) {
-        tell(life, () -> finish(o, place, AttemptOutcome.RESET, 0, 0), 2 * way);
+        schedule(incarnation, () -> finish(o, attempt, AttemptOutcome.RESET, 0, 0), 2 * delay);
         return;
       }
-      long arrives = up + way;
-      int mine = life;
-      if (link.cutOut || link.cutIn && arrives > way) {
-        return; // silence: it is found by its missing signs
+      long arrives = up + delay;
+      int ownIncarnation = incarnation;
+      if (link.cutOut || link.cutIn && arrives > delay) {
+        return; // no answer: the scheduler detects it by the missing signals
       }
       time.at(
           time.now() + arrives,
           () -> {
-            if (mine == life && !t.quit) {
-              come(o, place, t, link, way);
+            if (ownIncarnation == incarnation && !t.cancelled) {
+              receive(o, attempt, t, link, delay);
             }
           });
     }
 
-    private void come(Open o, int place, Out t, ClusterModel.Link link, long way) {
+    private void receive(
+        OpenQuery o, int attempt, OpenAttempt t, ClusterModel.Link link, long delay) {
       Arrival a = o.arrival;
       EngineModel e = t.engine;
       if (e.condition() == EngineModel.Condition.DOWN) {
         disconnect(e.id);
-        answer(link, way, () -> finish(o, place, AttemptOutcome.UNREACHED, 0, 0));
+        answer(link, delay, () -> finish(o, attempt, AttemptOutcome.UNREACHED, 0, 0));
         return;
       }
-      int mine = life;
-      EngineModel.QueryListener asker =
+      int ownIncarnation = incarnation;
+      EngineModel.QueryListener listener =
           new EngineModel.QueryListener() {
             @Override
             public void served(double work, double memoryMb) {
-              checker.attemptEnded(t.seen, time.now());
+              checker.attemptEnded(t.recorded, time.now());
               answer(
                   link,
-                  way,
-                  () -> finish(o, place, AttemptOutcome.SERVED, (long) (work * 1e3), memoryMb));
+                  delay,
+                  () -> finish(o, attempt, AttemptOutcome.SERVED, (long) (work * 1e3), memoryMb));
             }
 
             @Override
             public void error() {
-              checker.attemptEnded(t.seen, time.now());
-              answer(link, way, () -> finish(o, place, AttemptOutcome.ERROR, 0, 0));
+              checker.attemptEnded(t.recorded, time.now());
+              answer(link, delay, () -> finish(o, attempt, AttemptOutcome.ERROR, 0, 0));
             }
 
             @Override
             public void progress(double share) {
-              if (mine == life && !t.over) {
+              if (ownIncarnation == incarnation && !t.ended) {
                 answer(
                     link,
-                    way,
+                    delay,
                     () ->
-                        module.onProgress(
+                        scheduler.onProgress(
                             clock(),
                             new ProgressReport(
                                 a.id(),
-                                place,
+                                attempt,
                                 ClusterModel.name(e.id),
                                 ProgressKind.PROGRESS,
                                 share)));
@@ -476,100 +483,107 @@
 
             @Override
             public void died() {
-              checker.attemptEnded(t.seen, time.now());
+              checker.attemptEnded(t.recorded, time.now());
               disconnect(e.id);
-              answer(link, way, () -> finish(o, place, AttemptOutcome.RESET, 0, 0));
+              answer(link, delay, () -> finish(o, attempt, AttemptOutcome.RESET, 0, 0));
             }
           };
-      boolean runs = e.submit(a.id(), a.work(), a.of().threads(), a.of().memoryMb(), asker);
-      t.seen = checker.attemptReceived(a.number(), e.id, number, time.now(), t.sentAt, runs);
+      boolean runs = e.submit(a.id(), a.work(), a.of().threads(), a.of().memoryMb(), listener);
+      t.recorded = checker.attemptReceived(a.number(), e.id, gateway, time.now(), t.sentAt, runs);
       if (!runs) {
         AttemptOutcome why =
             e.condition() == EngineModel.Condition.DOWN
                 ? AttemptOutcome.RESET
                 : AttemptOutcome.FULL;
-        answer(link, way, () -> finish(o, place, why, 0, 0));
+        answer(link, delay, () -> finish(o, attempt, why, 0, 0));
       }
     }
 
-    private void answer(ClusterModel.Link link, long way, Runnable event) {
+    private void answer(ClusterModel.Link link, long delay, Runnable event) {
       if (!link.cutIn) {
-        tell(life, event, way);
+        schedule(incarnation, event, delay);
       }
     }
 
-    private void finish(Open o, int place, AttemptOutcome outcome, long costMs, double memoryMb) {
-      Out t = o.tries.get(place);
-      if (t.over) {
+    private void finish(
+        OpenQuery o, int attempt, AttemptOutcome outcome, long costMs, double memoryMb) {
+      OpenAttempt t = o.attempts.get(attempt);
+      if (t.ended) {
         return;
       }
-      t.over = true;
+      t.ended = true;
       if (outcome == AttemptOutcome.TIMEOUT) {
-        quit(o, t);
+        cancelAtEngine(o, t);
       }
-      if (outcome == AttemptOutcome.SERVED && !o.over) {
+      if (outcome == AttemptOutcome.SERVED && !o.ended) {
         settle(o, HistoryChecker.Answer.SERVED);
       }
-      module.onAttemptEnded(
+      scheduler.onAttemptEnded(
           clock(),
           new AttemptResult(
               o.arrival.id(),
-              place,
+              attempt,
               ClusterModel.name(t.engine.id),
               outcome,
               time.now() - t.sentAt,
-              o.over,
+              o.ended,
               costMs,
               memoryMb,
               null));
-      drop(o);
+      removeIfDone(o);
     }
 
     private void reset(int engineZone) {
       List.copyOf(links.keySet()).stream()
           .filter(e -> plan.zoneOfEngine(e) == engineZone)
           .forEach(this::disconnect);
-      for (Open o : List.copyOf(open.values())) {
-        for (int i = 0; i < o.tries.size(); i++) {
-          Out t = o.tries.get(i);
-          if (!t.over && plan.zoneOfEngine(t.engine.id) == engineZone) {
-            int place = i;
-            t.quit = true;
+      for (OpenQuery o : List.copyOf(open.values())) {
+        for (int i = 0; i < o.attempts.size(); i++) {
+          OpenAttempt t = o.attempts.get(i);
+          if (!t.ended && plan.zoneOfEngine(t.engine.id) == engineZone) {
+            int attempt = i;
+            t.cancelled = true;
             t.engine.cancel(o.arrival.id());
-            checker.attemptEnded(t.seen, time.now());
-            tell(life, () -> finish(o, place, AttemptOutcome.RESET, 0, 0), NEAR);
+            checker.attemptEnded(t.recorded, time.now());
+            schedule(
+                incarnation,
+                () -> finish(o, attempt, AttemptOutcome.RESET, 0, 0),
+                SAME_ZONE_DELAY);
           }
         }
       }
     }
 
-    /** Gives an attempt up at its engine, as far as the way goes. */
-    private void quit(Open o, Out t) {
-      t.quit = true;
+    /** Cancels an attempt at its engine, unless the link to the engine is cut. */
+    private void cancelAtEngine(OpenQuery o, OpenAttempt t) {
+      t.cancelled = true;
       int engineZone = plan.zoneOfEngine(t.engine.id);
       ClusterModel.Link link = model.link(zone, engineZone);
       if (!link.cutOut) {
         time.at(
-            time.now() + way(link, engineZone),
+            time.now() + linkDelay(link, engineZone),
             () -> {
               t.engine.cancel(o.arrival.id());
-              checker.attemptEnded(t.seen, time.now());
+              checker.attemptEnded(t.recorded, time.now());
             });
       }
     }
 
     @Override
     public void cancelAttempt(String query, int attempt) {
-      Open o = open.get(query);
-      if (o != null && !o.tries.get(attempt).over) {
-        quit(o, o.tries.get(attempt));
-        tell(life, () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0), CANCEL_LINGER);
+      OpenQuery o = open.get(query);
+      if (o != null && !o.attempts.get(attempt).ended) {
+        cancelAtEngine(o, o.attempts.get(attempt));
+        schedule(
+            incarnation,
+            () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0),
+            CANCEL_LINGER);
       }
     }
 
     @Override
     public void reject(String query, long retryAfter) {
-      Open o = open.get(query);
+      OpenQuery o = open.get(query);
       if (o != null) {
         settle(o, HistoryChecker.Answer.REFUSED);
       }
@@ -577,7 +591,7 @@
 
     @Override
     public void fail(String query) {
-      Open o = open.get(query);
+      OpenQuery o = open.get(query);
       if (o != null) {
         settle(o, HistoryChecker.Answer.FAILED);
       }
@@ -585,7 +599,7 @@
 
     @Override
     public void setTimer(long delay, long token) {
-      tell(life, () -> module.onTimer(clock(), token), delay);
+      schedule(incarnation, () -> scheduler.onTimer(clock(), token), delay);
     }
 
     @Override
@@ -594,42 +608,45 @@
       EngineModel e = model.engines.get(ClusterModel.number(engine));
       int engineZone = plan.zoneOfEngine(e.id);
       ClusterModel.Link link = model.link(zone, engineZone);
-      long way = way(link, engineZone);
-      long up = connect(e.id, way);
-      long arrives = up + way;
+      long delay = linkDelay(link, engineZone);
+      long up = connect(e.id, delay);
+      long arrives = up + delay;
       if (up == CLOSED
           || !link.healthy() && (link.cutIn || link.cutOut)
           || e.condition() == EngineModel.Condition.DOWN) {
-        tell(life, () -> module.onHealthCheck(clock(), engine, false, null), PROBE_TIMEOUT);
+        schedule(
+            incarnation,
+            () -> scheduler.onHealthCheck(clock(), engine, false, null),
+            PROBE_TIMEOUT);
         return;
       }
-      tell(
-          life,
+      schedule(
+          incarnation,
           () -> {
             EngineModel.Load l = e.load();
-            tell(
-                life,
+            schedule(
+                incarnation,
                 () ->
-                    module.onHealthCheck(
+                    scheduler.onHealthCheck(
                         clock(), engine, true, new LoadReport(l.util(), l.queue(), l.memory(), 0)),
-                way);
+                delay);
           },
           arrives);
     }
 
     @Override
     public void setResources(String query, double grantMb, int priority) {
-      // These engines heed neither.
+      // The model's engines ignore memory grants and priorities.
     }
 
     @Override
     public void watchEndpoints() {
-      // The list is told unasked.
+      // The list is delivered without a request.
     }
 
     @Override
     public void log(String line) {
-      // Nothing is read from it.
+      // Log lines are discarded.
     }
   }
 }
--- a/lab/src/main/java/reachloom/lab/fleet/package-info.java
+++ b/lab/src/main/java/reachloom/lab/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A fleet of gateways under a script of troubles: processes of the program, or in simulated time
- * around the real decisions or around a policy to compare them with.
+ * A fleet of gateways under a script of faults: as processes of the program, or in simulated time
+ * with the real scheduler or with a baseline policy to compare it with.
  */
 package reachloom.lab.fleet;
