--- a/lab/src/test/java/reachloom/gateway/EngineList.java
+++ b/lab/src/test/java/reachloom/gateway/EngineList.java
@@ -10,17 +10,17 @@
 import reachloom.scheduler.api.LoadReport;
 import reachloom.scheduler.api.ProgressKind;
 
-/** The gateway's list of engines, without a connection to any, for measurements. */
+/** The gateway's client for engines, without any connection, for measurements of list updates. */
 public final class EngineList {
-  private static final int LINKS = 300;
-  private static final int CLIENTS = 10;
+  private static final int MAX_ENGINE_CONNECTIONS = 300;
+  private static final int MAX_CLIENTS = 10;
 
   private final EngineClient engines;
 
-  /** An empty list. */
+  /** Creates an empty list. */
   public EngineList() {
     EventLoop loop = new EventLoop();
-    Sockets sockets = new Sockets(CLIENTS);
+    Sockets sockets = new Sockets(MAX_CLIENTS);
     engines =
         new EngineClient(
             loop,
@@ -34,25 +34,25 @@
 
               @Override
               public void onAttemptEnded(EngineAttempt attempt, AttemptOutcome outcome) {
-                // there are none
+                // no attempts are made
               }
 
               @Override
               public void onProgress(EngineAttempt attempt, ProgressKind kind, double amount) {
-                // there are none
+                // no attempts are made
               }
 
               @Override
               public void onHealthCheck(
                   String engine, boolean answered, Optional<LoadReport> report) {
-                // there are none
+                // no health checks are sent
               }
             },
-            new EngineClient.Options(new Transport(1, 1, 1, 1), false, LINKS));
+            new EngineClient.Options(new Transport(1, 1, 1, 1), false, MAX_ENGINE_CONNECTIONS));
   }
 
-  /** Takes over what the list tells. */
-  public void update(boolean whole, List<EngineMember> members) {
-    engines.update(whole, members);
+  /** Applies a complete list or changes of it. */
+  public void update(boolean complete, List<EngineMember> members) {
+    engines.update(complete, members);
   }
 }
--- a/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
+++ b/lab/src/test/java/reachloom/gossip/net/DatagramVerifierTest.java
@@ -19,7 +19,7 @@
 import reachloom.lab.gossip.Installation;
 import reachloom.membership.MembershipMessage;
 
-/** What the verifier takes as time passes, with a clock handed in. */
+/** Tests which datagrams the verifier accepts as time passes, with an injected wall clock. */
 class DatagramVerifierTest {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long DAY = 24 * 60 * 60 * 1_000L; // milliseconds
@@ -33,7 +33,7 @@
   private long wallClock;
 
   @BeforeEach
-  void make() throws Exception {
+  void setUp() throws Exception {
     installation = new Installation(folder);
     installation.instance("g1", "ca", 30);
     installation.instance("g2", "ca", 3);
@@ -61,54 +61,56 @@
     return sender.appendSignature(unsigned);
   }
 
-  private VerifiedDatagram enter(long time, byte[] bytes) {
-    return enter(time, time, bytes);
+  private VerifiedDatagram verify(long timeMs, byte[] bytes) {
+    return verify(timeMs, timeMs, bytes);
   }
 
-  private VerifiedDatagram enter(long time, long wall, byte[] bytes) {
-    wallClock = wall * MILLISECOND;
-    return verifier.verify(time * MILLISECOND, 7, bytes).orElse(null);
+  private VerifiedDatagram verify(long timeMs, long wallMs, byte[] bytes) {
+    wallClock = wallMs * MILLISECOND;
+    return verifier.verify(timeMs * MILLISECOND, 7, bytes).orElse(null);
   }
 
   @Test
-  void afterAStepOfTheWallClockADatagramIsFreshByEitherClockAndNoOther() throws Exception {
+  void acceptsDatagramsOfEitherClockAfterWallClockStep() throws Exception {
     long now = System.currentTimeMillis();
     long stepped = now + DAY / 24;
     assertNotNull(
-        enter(now, stepped, datagram(now, true)), "of a peer whose clock was not stepped");
-    assertNotNull(enter(now, stepped, datagram(stepped, true)), "of a tool started after the step");
-    assertNull(enter(now, stepped, datagram(now - DAY / 24, true)));
+        verify(now, stepped, datagram(now, true)), "of a peer whose clock was not stepped");
+    assertNotNull(
+        verify(now, stepped, datagram(stepped, true)), "of a tool started after the step");
+    assertNull(verify(now, stepped, datagram(now - DAY / 24, true)));
     assertEquals(1L, verifier.rejections().get(RejectionReason.TIME));
   }
 
   @Test
-  void aCertificateThatExpiresWhileRunningIsNoLongerTaken() throws Exception {
+  void rejectsCertificateThatExpiresWhileRunning() throws Exception {
     long now = System.currentTimeMillis();
-    assertNotNull(enter(now, datagram(now, true)));
+    assertNotNull(verify(now, datagram(now, true)));
     assertTrue(
         verifier.knownCertificate("g2")
             == GossipCodec.certificateChecksum(sender.encodedCertificate()));
-    assertNotNull(enter(now, datagram(now, false)), "it is known, and need not bring it again");
+    assertNotNull(
+        verify(now, datagram(now, false)), "the certificate is known and need not be sent again");
     long later = now + 4 * DAY;
-    assertNull(enter(later, datagram(later, false)));
-    assertNull(enter(later, datagram(later, true)));
+    assertNull(verify(later, datagram(later, false)));
+    assertNull(verify(later, datagram(later, true)));
     assertEquals(2L, verifier.rejections().get(RejectionReason.CERTIFICATE));
   }
 
   @Test
-  void tornAtEachByteOrChangedInAnyNothingGetsIn() throws Exception {
+  void rejectsTruncatedAndCorruptedDatagrams() throws Exception {
     long now = System.currentTimeMillis();
-    assertNotNull(enter(now, datagram(now, true)));
+    assertNotNull(verify(now, datagram(now, true)));
     byte[] good = datagram(now, false);
     for (int length = 0; length < good.length; length++) {
-      now += 250; // the budget fills
-      assertNull(enter(now, Arrays.copyOf(good, length)));
+      now += 250; // the rate limit's budget refills
+      assertNull(verify(now, Arrays.copyOf(good, length)));
     }
     for (int i = 0; i < good.length; i++) {
       now += 250;
       byte[] changed = good.clone();
       changed[i] ^= 1;
-      assertNull(enter(now, changed), "byte " + i);
+      assertNull(verify(now, changed), "byte " + i);
     }
   }
 }
--- a/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Scripts of troubles: what they say, and what is said of those that can't be used. */
+/** Tests the reader of fault scripts and the messages for invalid scripts. */
 class FaultScheduleTest {
   private static FaultSchedule read(String body) throws Exception {
     String text = "<script xmlns=\"urn:reachloom:lab:script:1\">\n" + body + "\n</script>";
@@ -16,14 +16,14 @@
   }
 
   @Test
-  void allThatShipCanBeRead() throws Exception {
+  void readsAllBundledScripts() throws Exception {
     for (String name : FaultSchedule.NAMED) {
       FaultSchedule.of(name);
     }
   }
 
   @Test
-  void aTroubleIsReadWhole() throws Exception {
+  void readsAllAttributesOfFault() throws Exception {
     FaultSchedule s =
         read("<engines at=\"5\" do=\"err\" share=\"0.25\" zone=\"1\" by=\"0.9\" for=\"10\"/>");
     assertEquals(
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void whatCantBeUsedNamesItsLine() {
+  void namesLineOfInvalidScript() {
     for (String bad :
         new String[] {
           "<engines do=\"err\"/>",
--- a/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
@@ -9,7 +9,7 @@
 import reachloom.lab.cluster.Workload.Arrival;
 import reachloom.standin.model.SimulatedScheduler;
 
-/** The auditor sees each broken rule, and none where all is kept. */
+/** Tests that the checker reports each broken rule, and none if all rules are kept. */
 class HistoryCheckerTest {
   private static final long SECOND = ClusterPlan.SECOND;
   private static final int LOOKUP = 0;
@@ -22,7 +22,7 @@
   private final HistoryChecker checker = new HistoryChecker(model, time.now());
   private long numbers;
 
-  private long ask(int kind, int gateway) {
+  private long accept(int kind, int gateway) {
     long number = ++numbers;
     checker.queryAccepted(
         new Arrival(number, time.now(), gateway, kind, 0.01, kind == LOAD ? 1 : -1),
@@ -31,49 +31,49 @@
     return number;
   }
 
-  private HistoryChecker.Attempt send(long number, int engine) {
+  private HistoryChecker.Attempt receiveAttempt(long number, int engine) {
     return checker.attemptReceived(number, engine, -1, time.now(), time.now(), true);
   }
 
-  private void pass(double seconds) {
+  private void advance(double seconds) {
     time.runUntil(time.now() + (long) (seconds * SECOND));
   }
 
   @SuppressWarnings("unchecked")
   private Map<String, Integer> broken() {
-    pass(60);
+    advance(60);
     return (Map<String, Integer>) checker.figures(time.now(), 0).get("broken");
   }
 
   @Test
-  void whatIsKeptIsNotBroken() {
-    long a = ask(LOOKUP, 0);
-    HistoryChecker.Attempt t = send(a, 1);
-    pass(0.1);
-    checker.attemptEnded(t, time.now()); // lost on the way: a further attempt elsewhere
-    pass(0.1);
-    checker.attemptEnded(send(a, 2), time.now());
+  void reportsNothingWhenAllRulesAreKept() {
+    long a = accept(LOOKUP, 0);
+    HistoryChecker.Attempt t = receiveAttempt(a, 1);
+    advance(0.1);
+    checker.attemptEnded(t, time.now()); // its answer is lost: a further attempt on another engine
+    advance(0.1);
+    checker.attemptEnded(receiveAttempt(a, 2), time.now());
     checker.answered(a, Answer.SERVED, time.now());
-    long k = ask(LOAD, 1);
-    checker.attemptEnded(send(k, 1), time.now());
-    pass(11);
-    checker.attemptEnded(send(k, 2), time.now());
+    long k = accept(LOAD, 1);
+    checker.attemptEnded(receiveAttempt(k, 1), time.now());
+    advance(11);
+    checker.attemptEnded(receiveAttempt(k, 2), time.now());
     checker.answered(k, Answer.SERVED, time.now());
-    long killed = ask(LOOKUP, 2);
+    long killed = accept(LOOKUP, 2);
     checker.connectionClosed(killed, true);
     assertNull(broken());
   }
 
   @Test
-  void anAnswerThatNeverComesOrComesTwiceOrLate() {
-    ask(LOOKUP, 0);
-    long twice = ask(LOOKUP, 0);
+  void reportsMissingDuplicateAndLateAnswers() {
+    accept(LOOKUP, 0);
+    long twice = accept(LOOKUP, 0);
     checker.answered(twice, Answer.SERVED, time.now());
     checker.answered(twice, Answer.SERVED, time.now());
-    long late = ask(LOOKUP, 0);
-    long cut = ask(LOOKUP, 0);
+    long late = accept(LOOKUP, 0);
+    long cut = accept(LOOKUP, 0);
     checker.connectionClosed(cut, false);
-    pass(4);
+    advance(4);
     checker.answered(late, Answer.FAILED, time.now());
     checker.answered(77, Answer.FAILED, time.now());
     assertEquals(
@@ -92,77 +92,77 @@
   }
 
   @Test
-  void oneThatStoodStillIsExcused() {
-    ask(LOOKUP, 3);
+  void excusesUnansweredQueryOfHaltedGateway() {
+    accept(LOOKUP, 3);
     checker.halted(3, true);
-    pass(5);
+    advance(5);
     checker.halted(3, false);
     assertNull(broken());
   }
 
   @Test
-  void anEffectThatHappensTwice() {
-    long once = ask(ONCE, 0);
-    checker.attemptEnded(send(once, 1), time.now());
-    checker.attemptEnded(send(once, 2), time.now());
+  void reportsRepeatedEffects() {
+    long once = accept(ONCE, 0);
+    checker.attemptEnded(receiveAttempt(once, 1), time.now());
+    checker.attemptEnded(receiveAttempt(once, 2), time.now());
     checker.answered(once, Answer.SERVED, time.now());
-    long keyed = ask(LOAD, 0);
-    checker.attemptEnded(send(keyed, 1), time.now());
-    pass(13);
-    checker.attemptEnded(send(keyed, 1), time.now());
+    long keyed = accept(LOAD, 0);
+    checker.attemptEnded(receiveAttempt(keyed, 1), time.now());
+    advance(13);
+    checker.attemptEnded(receiveAttempt(keyed, 1), time.now());
     checker.answered(keyed, Answer.SERVED, time.now());
     assertEquals(Map.of("ran twice", 1, "repeated after its window", 1), broken());
   }
 
   @Test
-  void attemptsThatAreOutTogetherOrAfterTheAnswer() {
-    long both = ask(LOOKUP, 0);
-    HistoryChecker.Attempt first = send(both, 1);
-    HistoryChecker.Attempt second = send(both, 2);
-    pass(0.2);
+  void reportsConcurrentAttemptsAndAttemptsAfterAnswer() {
+    long both = accept(LOOKUP, 0);
+    HistoryChecker.Attempt first = receiveAttempt(both, 1);
+    HistoryChecker.Attempt second = receiveAttempt(both, 2);
+    advance(0.2);
     checker.attemptEnded(first, time.now());
     checker.attemptEnded(second, time.now());
     checker.answered(both, Answer.SERVED, time.now());
-    pass(0.2);
-    checker.attemptEnded(send(both, 3), time.now());
+    advance(0.2);
+    checker.attemptEnded(receiveAttempt(both, 3), time.now());
     assertEquals(Map.of("two attempts out", 1, "sent after the answer", 1), broken());
   }
 
   @Test
-  void aDrainThatIsNotKept() {
+  void reportsAttemptOnDrainingEngineAfterGrace() {
     model.replace(java.util.List.of(model.engines.get(1)), SECOND);
-    pass(0.5);
-    long near = ask(LOOKUP, 0);
-    checker.attemptEnded(send(near, 1), time.now());
+    advance(0.5);
+    long near = accept(LOOKUP, 0);
+    checker.attemptEnded(receiveAttempt(near, 1), time.now());
     checker.answered(near, Answer.SERVED, time.now());
-    pass(0.1);
-    long after = ask(LOOKUP, 0);
-    checker.attemptEnded(send(after, 1), time.now());
+    advance(0.1);
+    long after = accept(LOOKUP, 0);
+    checker.attemptEnded(receiveAttempt(after, 1), time.now());
     checker.answered(after, Answer.SERVED, time.now());
     assertEquals(Map.of("drain", 1), broken());
   }
 
   @Test
-  void furtherAttemptsBeyondTheirBudget() {
+  void reportsFurtherAttemptsBeyondBudget() {
     for (int i = 0; i < 14; i++) {
-      long q = ask(LOOKUP, 0);
+      long q = accept(LOOKUP, 0);
       for (int k = 0; k < 3; k++) {
-        checker.attemptEnded(send(q, k + 1), time.now());
-        pass(0.06);
+        checker.attemptEnded(receiveAttempt(q, k + 1), time.now());
+        advance(0.06);
       }
       checker.answered(q, Answer.FAILED, time.now());
     }
-    // 28 against 20 and half of 14
+    // 28 further attempts; the budget is 20 plus half of 14 queries
     assertEquals(Map.of("further attempts", 1), broken());
   }
 
   @Test
-  void aColdEnginePushedOverByThoseWhoKnew() {
+  void reportsColdEngineOverloadedByInformedGateways() {
     model.crash(java.util.List.of(model.engines.get(1)), SECOND);
-    pass(1.5);
+    advance(1.5);
     for (int i = 0; i < 400 && (int) checker.figures(time.now(), 0).get("fell_over") == 0; i++) {
-      long q = ask(LOOKUP, 0);
-      boolean runs = model.engines.get(1).submit("q" + i, 1, 1, 0, new Deaf());
+      long q = accept(LOOKUP, 0);
+      boolean runs = model.engines.get(1).submit("q" + i, 1, 1, 0, new IgnoringListener());
       checker.attemptReceived(q, 1, -1, time.now(), time.now(), runs);
       model.engines.get(1).cancel("q" + i);
       checker.answered(q, Answer.FAILED, time.now());
@@ -170,7 +170,8 @@
     assertEquals(1, broken().get("cold engine pushed over"));
   }
 
-  private static final class Deaf implements reachloom.standin.model.EngineModel.QueryListener {
+  private static final class IgnoringListener
+      implements reachloom.standin.model.EngineModel.QueryListener {
     @Override
     public void served(double work, double memoryMb) {}
 
--- a/lab/src/test/java/reachloom/lab/cluster/ProcessFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/ProcessFleetTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Fleets of real processes with faults between them; the rules are held against what engines and
- * clients saw.
+ * Runs fleets of gateway processes under faults and checks the rules against what engines and
+ * clients observed.
  */
 class ProcessFleetTest {
   @TempDir Path folder;
 
-  private Map<String, Object> play(ClusterPlan plan, String... troubles) throws Exception {
+  private Map<String, Object> play(ClusterPlan plan, String... faults) throws Exception {
     String text =
         "<script xmlns=\"urn:reachloom:lab:script:1\">"
-            + List.of(troubles).stream().collect(Collectors.joining())
+            + List.of(faults).stream().collect(Collectors.joining())
             + "</script>";
     FaultSchedule script =
         FaultSchedule.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), "test");
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aReleaseWhileGatewaysAreKilledRestartedAndStandStill() throws Exception {
+  void keepsRulesDuringReleaseWithGatewayFaults() throws Exception {
     Map<String, Object> f =
         play(
             new ClusterPlan(12, 9, 3, 9, 0.2, 0.8, 0.3, 12, 1),
@@ -54,12 +54,12 @@
             "<gateways at='4.5' do='halt' share='0.1' for='1.5'/>");
     assertTrue(
         ((Number) f.get("orphans")).intValue() + ((Number) f.get("unplaced")).intValue() > 0,
-        "the kill was felt: " + f);
+        "the kill affected some queries: " + f);
     assertTrue(service(f) > 0.6, f.toString());
   }
 
   @Test
-  void sickEnginesACutZoneAndListsThatDiffer() throws Exception {
+  void keepsRulesUnderEngineLinkAndListFaults() throws Exception {
     Map<String, Object> f =
         play(
             new ClusterPlan(12, 12, 3, 10, 0.2, 0.8, 0, 12, 2),
@@ -74,11 +74,11 @@
             "<list at='1' do='down' zone='2' for='3'/>",
             "<engines at='2.5' do='crash' share='0.1' for='1'/>");
     assertTrue(service(f) > 0.6, f.toString());
-    assertTrue(((Number) f.get("attempts")).doubleValue() > 1, "some were sent again: " + f);
+    assertTrue(((Number) f.get("attempts")).doubleValue() > 1, "some queries were retried: " + f);
   }
 
   @Test
-  void theWholeFleetIsStartedAnewAtOnce() throws Exception {
+  void keepsRulesWhenWholeFleetRestarts() throws Exception {
     Map<String, Object> f =
         play(
             new ClusterPlan(16, 8, 2, 9, 0.2, 0.8, 0, 16, 3),
--- a/lab/src/test/java/reachloom/lab/fleet/RigEndsTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/RigEndsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whatever ends the laboratory, the gateways that it started end with it. */
+/** Tests that the gateways end with the laboratory that started them, even if it is killed. */
 class RigEndsTest {
   @TempDir Path folder;
 
@@ -41,15 +41,15 @@
             .redirectOutput(folder.resolve("out").toFile())
             .start();
     List<ProcessHandle> started = List.of();
-    try (BufferedReader said = new BufferedReader(new InputStreamReader(lab.getErrorStream()))) {
-      String line = said.readLine();
+    try (BufferedReader stderr = new BufferedReader(new InputStreamReader(lab.getErrorStream()))) {
+      String line = stderr.readLine();
       while (line != null && !line.contains("gateways are ready")) {
-        line = said.readLine();
+        line = stderr.readLine();
       }
       assertTrue(line != null && line.startsWith("2 of 2"), line);
       started =
           lab.descendants().filter(p -> p.info().command().orElse("").endsWith("java")).toList();
-      assertEquals(2, started.size(), "the gateways are its children");
+      assertEquals(2, started.size(), "the gateways are children of the laboratory's process");
       if (killed) {
         lab.destroyForcibly();
       } else {
--- a/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
@@ -14,8 +14,8 @@
 import reachloom.scheduler.QueryScheduler;
 
 /**
- * Whole fleets in simulated time around the real decisions: spread, rules, and the hard cases of a
- * narrow view.
+ * Runs fleets in simulated time with the real scheduler: load distribution, the rules, and
+ * configurations in which each gateway sees only a small part of the load.
  */
 class VirtualFleetTest {
   private static final VirtualFleet.Policy REACHLOOM =
@@ -34,14 +34,14 @@
     return ((Number) figures.get(name)).doubleValue();
   }
 
-  private static void kept(Map<String, Object> f) {
+  private static void assertRulesKept(Map<String, Object> f) {
     assertEquals(0, number(f, "rules_broken"), f.toString());
     assertEquals(0, number(f, "unanswered"), f.toString());
     assertEquals(0, number(f, "fell_over"), f.toString());
   }
 
   @Test
-  void theSameSeedGivesTheSameFigures() throws FaultSchedule.Unusable {
+  void givesSameFiguresForSameSeed() throws FaultSchedule.Unusable {
     ClusterPlan plan = plan(20, 10, 0.7);
     assertEquals(play(plan, "kill").toString(), play(plan, "kill").toString());
     ClusterPlan other = new ClusterPlan(20, 10, 3, 14, 0.7, 0.8, 0, 20, 6);
@@ -64,23 +64,24 @@
         "surge",
         "crowd"
       })
-  void rulesAreKeptAndServiceStandsInEachTrouble(String script) throws FaultSchedule.Unusable {
+  void keepsRulesAndServiceUnderEachFault(String script) throws FaultSchedule.Unusable {
     Map<String, Object> f = play(plan(60, 24, 0.6), script);
-    kept(f);
+    assertRulesKept(f);
     boolean gatewaysDie = script.equals("kill") || script.equals("restart");
     assertTrue(number(f, "service") > (gatewaysDie ? 0.88 : 0.95), f.toString());
     assertEquals(0, number(f, "herds"), f.toString());
-    // Whatever it was that an engine was left for, it is found again.
+    // An engine that was avoided because of a fault is used again.
     assertTrue(number(f, "unused_longest_s") <= 3, f.toString());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"release", "restart", "zone"})
-  void coldEnginesBearTheSumOfAllGateways(String script) throws FaultSchedule.Unusable {
+  void doesNotOverloadColdEngines(String script) throws FaultSchedule.Unusable {
     for (int gateways : new int[] {20, 30}) {
       Map<String, Object> f = play(plan(gateways, 12, 0.7), script);
-      kept(f);
-      // The figure is a share of N + 3 root N + 3; N + 2 root N + 2 is at least two thirds of that.
+      assertRulesKept(f);
+      // The figure is a fraction of N + 3 sqrt(N) + 3; N + 2 sqrt(N) + 2 is at least two thirds of
+      // that.
       assertTrue(number(f, "cold_most") <= 2 / 3.0, f.toString());
     }
   }
@@ -97,32 +98,32 @@
     "5, 1, 1, 0.8, 0, 5",
     "60, 60, 3, 0.8, 0.04, 60"
   })
-  void narrowViewsOfEveryShape(
+  void keepsServiceForAllFleetShapes(
       int gateways, int engines, int zones, double skew, double large, int believed)
       throws FaultSchedule.Unusable {
-    // Numbers that the settings get wrong by three times; no skew and much; few engines, few
-    // gateways, each
-    // alone in its zone; one engine; two of 60 with twice the cores.
+    // Gateway counts in the settings that are wrong by a factor of three; no skew and high skew;
+    // few engines; few gateways; each gateway alone in its zone; one engine; two of 60 engines
+    // with twice the cores.
     ClusterPlan plan = new ClusterPlan(gateways, engines, zones, 14, 0.6, skew, large, believed, 5);
     Map<String, Object> f = play(plan, "calm");
-    kept(f);
+    assertRulesKept(f);
     assertTrue(number(f, "service") > 0.97, f.toString());
     assertTrue(number(f, "refused_while_idle") < 0.01, f.toString());
   }
 
   @Test
-  void hotGatewaysUseWhatOthersLeave() throws FaultSchedule.Unusable {
-    // Half of the engines cold, traffic uneven: bound by an equal part each, a twentieth was
-    // refused beside
-    // idle engines.
+  void busyGatewaysUseCapacityThatOthersLeave() throws FaultSchedule.Unusable {
+    // Half of the engines are cold and traffic is uneven: with an equal limit for each gateway, a
+    // twentieth of the queries was refused although engines were idle.
     Map<String, Object> f = play(new ClusterPlan(100, 30, 3, 14, 0.7, 0.8, 0, 100, 5), "release");
-    kept(f);
+    assertRulesKept(f);
     assertTrue(number(f, "refused_while_idle") < 0.025, f.toString());
   }
 
   @ParameterizedTest
   @CsvSource({"500, 0", "0, 1000", "500, 1000"})
-  void clocksApartAndReportsASecondOld(int clocksMs, int ageMs) throws FaultSchedule.Unusable {
+  void keepsRulesWithClockOffsetsAndOldReports(int clocksMs, int ageMs)
+      throws FaultSchedule.Unusable {
     ClusterPlan plan =
         new ClusterPlan(
             60,
@@ -138,20 +139,20 @@
             ageMs * ClusterPlan.MILLISECOND);
     for (String script : new String[] {"release", "zone"}) {
       Map<String, Object> f = play(plan, script);
-      kept(f);
+      assertRulesKept(f);
       assertTrue(number(f, "service") > 0.93, f.toString());
     }
   }
 
   @Test
-  void connectionsStayBounded() throws FaultSchedule.Unusable {
-    // Each gateway keeps to eight, but for those with much to send.
+  void boundsNumberOfConnections() throws FaultSchedule.Unusable {
+    // Each gateway uses eight engines, except for those with a large share of the traffic.
     Map<String, Object> f = play(new ClusterPlan(100, 60, 3, 14, 0.6, 0.5, 0, 100, 5), "calm");
     assertTrue(number(f, "connections_max") < 0.4 * 100 * 60, f.toString());
   }
 
   @Test
-  void plainPoliciesAreWorseInTrouble() throws FaultSchedule.Unusable {
+  void servesMoreThanBaselinesUnderFaults() throws FaultSchedule.Unusable {
     ClusterPlan plan = plan(60, 24, 0.7);
     Map<String, Object> f = play(plan, "sick");
     for (String name : new String[] {"random", "two", "reported"}) {
