--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -353,16 +353,16 @@
     overloadFailures++;
     // A violation if over two thirds of the recent attempts came from gateways that had received
     // the event of the engine's start.
-    ArrayDeque<Attempt> there = recentAttempts.getOrDefault(e.id, new ArrayDeque<>());
+    ArrayDeque<Attempt> recent = recentAttempts.getOrDefault(e.id, new ArrayDeque<>());
     long informed =
-        there.stream()
+        recent.stream()
             .filter(
                 t ->
                     readyDeliveredAt.getOrDefault(
                             new Key(plan.zoneOf(t.gateway), e.id), Long.MAX_VALUE)
                         < t.sentAt)
             .count();
-    if (3 * informed > 2 * there.size()) {
+    if (3 * informed > 2 * recent.size()) {
       recordViolation("cold engine pushed over", e.id);
     }
   }
@@ -397,26 +397,26 @@
   private void checkFurther(List<QueryRecord> of) {
     List<Long> further =
         of.stream().flatMap(q -> q.attempts.stream().skip(1)).map(t -> t.at).sorted().toList();
-    List<Long> taken = of.stream().map(q -> q.acceptedAt).sorted().toList();
-    int fromTry = 0;
-    int fromQuery = 0;
-    int toQuery = 0;
+    List<Long> accepted = of.stream().map(q -> q.acceptedAt).sorted().toList();
+    int firstFurther = 0;
+    int firstQuery = 0;
+    int queriesSeen = 0;
     for (int i = 0; i < further.size(); i++) {
       long at = further.get(i);
       long since = at - GatewayConfigurations.LOOK_BACK;
-      while (further.get(fromTry) < since + SLACK) {
-        fromTry++;
+      while (further.get(firstFurther) < since + SLACK) {
+        firstFurther++;
       }
-      while (fromQuery < taken.size() && taken.get(fromQuery) < since - SLACK) {
-        fromQuery++;
+      while (firstQuery < accepted.size() && accepted.get(firstQuery) < since - SLACK) {
+        firstQuery++;
       }
-      while (toQuery < taken.size() && taken.get(toQuery) <= at) {
-        toQuery++;
+      while (queriesSeen < accepted.size() && accepted.get(queriesSeen) <= at) {
+        queriesSeen++;
       }
-      double most =
+      double limit =
           GatewayConfigurations.MIN_EXTRA_ATTEMPTS
-              + GatewayConfigurations.EXTRA_ATTEMPTS_PER_QUERY * (toQuery - fromQuery);
-      if (i - fromTry + 1 > most) {
+              + GatewayConfigurations.EXTRA_ATTEMPTS_PER_QUERY * (queriesSeen - firstQuery);
+      if (i - firstFurther + 1 > limit) {
         recordViolation("further attempts", of.get(0).gateway);
         return;
       }
@@ -471,7 +471,7 @@
         "cold_most",
         Math.round(
                 1e3
-                    * world.engines.values().stream()
+                    * model.engines.values().stream()
                         .mapToDouble(EngineModel::peakColdLoad)
                         .max()
                         .orElse(0))
--- a/standin/src/main/java/reachloom/standin/FakeEngine.java
+++ b/standin/src/main/java/reachloom/standin/FakeEngine.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An engine on loopback that speaks the engine line protocol. Words in a statement's text select how
- * it responds: {@code busy}, {@code err}, {@code hang}, {@code die}, {@code late}, {@code pages},
- * {@code badpage}, {@code copies} (each answer is sent twice, after one with an unknown id), {@code
- * noise}, {@code stops} (after half of the answer), {@code note}, {@code allnotes}, {@code garbage},
- * {@code slow first}.
+ * An engine on loopback that speaks the engine line protocol. Words in a statement's text select
+ * how it responds: {@code busy}, {@code err}, {@code hang}, {@code die}, {@code late}, {@code
+ * pages}, {@code badpage}, {@code copies} (each answer is sent twice, after one with an unknown
+ * id), {@code noise}, {@code stops} (after half of the answer), {@code note}, {@code allnotes},
+ * {@code garbage}, {@code slow first}.
  */
 public final class FakeEngine implements AutoCloseable {
   public static final String ROW = "a\tb\tc\n";
--- a/standin/src/main/java/reachloom/standin/PreloadedLibrary.java
+++ b/standin/src/main/java/reachloom/standin/PreloadedLibrary.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * A small C library that a test compiles and preloads into the processes that it starts. The library
- * maps a control file that sets its behaviour; other processes are not affected.
+ * A small C library that a test compiles and preloads into the processes that it starts. The
+ * library maps a control file that sets its behaviour; other processes are not affected.
  */
 final class PreloadedLibrary {
   private final Path library;
--- a/standin/src/main/java/reachloom/standin/SteppedClock.java
+++ b/standin/src/main/java/reachloom/standin/SteppedClock.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Steps the wall clock of processes that a test starts, while they run. Their monotonic clock is not
- * changed.
+ * Steps the wall clock of processes that a test starts, while they run. Their monotonic clock is
+ * not changed.
  */
 public final class SteppedClock {
   private final PreloadedLibrary library;
--- a/standin/src/main/java/reachloom/standin/model/EngineModel.java
+++ b/standin/src/main/java/reachloom/standin/model/EngineModel.java
@@ -9,10 +9,10 @@
 import java.util.TreeMap;
 
 /**
- * A model of one engine. Queries share its cores (processor sharing, each query on its own threads),
- * a memory shortage slows all of them, sessions are limited, and load reports are samples taken some
- * time ago. A cold engine, whose process has just started, runs at a fraction of its speed and
- * crashes under overload. Work is in core-seconds.
+ * A model of one engine. Queries share its cores (processor sharing, each query on its own
+ * threads), a memory shortage slows all of them, sessions are limited, and load reports are samples
+ * taken some time ago. A cold engine, whose process has just started, runs at a fraction of its
+ * speed and crashes under overload. Work is in core-seconds.
  */
 public final class EngineModel {
   private static final double SECOND = 1e9; // nanoseconds
@@ -281,7 +281,9 @@
     return overloadFailures;
   }
 
-  /** Returns the most work received while cold, as a fraction of the work that crashes the engine. */
+  /**
+   * Returns the most work received while cold, as a fraction of the work that crashes the engine.
+   */
   public double peakColdLoad() {
     return peakColdLoad;
   }
