--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -38,10 +38,10 @@
    * @param startedMs the Unix time in milliseconds of the last start; 0 for an engine that runs
    *     since the beginning
    */
-  public record Listed(int id, int state, long startedMs) {}
+  public record ListEntry(int id, int state, long startedMs) {}
 
   /** One change of the list; numbers are consecutive. */
-  public record Event(long number, Listed engine) {}
+  public record Event(long number, ListEntry engine) {}
 
   /** The link between the gateways of one zone and the engines of another. */
   public static final class Link {
@@ -144,7 +144,7 @@
   final ClusterPlan plan;
   public final TaskScheduler time;
   public final Map<Integer, EngineModel> engines = new LinkedHashMap<>();
-  final Map<Integer, Listed> list = new LinkedHashMap<>();
+  final Map<Integer, ListEntry> list = new LinkedHashMap<>();
   public final List<View> views = new ArrayList<>();
   private final Map<Integer, Integer> mostConnections = new LinkedHashMap<>();
   private final Link[][] links;
@@ -223,19 +223,19 @@
     return links[gatewayZone][engineZone];
   }
 
-  private Listed add(long startedMs) {
+  private ListEntry add(long startedMs) {
     int id = ++last;
     EngineModel e = new EngineModel(id, plan.spec(id), time, plan.seed() * 65_537 + id);
     engines.put(id, e);
     e.onOverload(() -> handleOverload(e));
-    return new Listed(id, READY, startedMs);
+    return new ListEntry(id, READY, startedMs);
   }
 
-  private void put(Listed entry) {
+  private void put(ListEntry entry) {
     list.put(entry.id, entry);
   }
 
-  private void announce(Listed entry) {
+  private void announce(ListEntry entry) {
     put(entry);
     Event e = new Event(++events, entry);
     views.forEach(v -> v.add(e));
@@ -245,14 +245,14 @@
     overloadListener.accept(e);
     endedListener.accept(e);
     long startedMs = list.get(e.id).startedMs;
-    time.at(time.now() + DETECTION_TIME, () -> announce(new Listed(e.id, GONE, startedMs)));
+    time.at(time.now() + DETECTION_TIME, () -> announce(new ListEntry(e.id, GONE, startedMs)));
     time.at(time.now() + REPAIR_TIME, () -> restart(e));
   }
 
   private void restart(EngineModel e) {
     e.restart();
     addedListener.accept(e);
-    announce(new Listed(e.id, READY, time.now() / ClusterPlan.MILLISECOND));
+    announce(new ListEntry(e.id, READY, time.now() / ClusterPlan.MILLISECOND));
   }
 
   // ---- Faults ----
@@ -313,7 +313,7 @@
       endedListener.accept(e);
       long startedMs = list.get(e.id).startedMs;
       if (back > DETECTION_TIME) {
-        time.at(time.now() + DETECTION_TIME, () -> announce(new Listed(e.id, GONE, startedMs)));
+        time.at(time.now() + DETECTION_TIME, () -> announce(new ListEntry(e.id, GONE, startedMs)));
       }
       time.at(time.now() + back, () -> restart(e));
     }
@@ -329,8 +329,8 @@
       time.at(
           time.now() + within * i / of.size(),
           () -> {
-            announce(new Listed(e.id, DRAINING, list.get(e.id).startedMs));
-            Listed fresh = add(time.now() / ClusterPlan.MILLISECOND);
+            announce(new ListEntry(e.id, DRAINING, list.get(e.id).startedMs));
+            ListEntry fresh = add(time.now() / ClusterPlan.MILLISECOND);
             EngineModel other = engines.get(fresh.id);
             other.restart();
             addedListener.accept(other);
@@ -338,7 +338,7 @@
             time.at(
                 time.now() + DRAIN_TIME,
                 () -> {
-                  announce(new Listed(e.id, GONE, list.get(e.id).startedMs));
+                  announce(new ListEntry(e.id, GONE, list.get(e.id).startedMs));
                   e.setCondition(Condition.DOWN, 0);
                   endedListener.accept(e);
                 });
--- a/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
@@ -46,37 +46,40 @@
   static final FaultSchedule NONE = new FaultSchedule("none", List.of());
 
   /** Thrown for an invalid script; the message names the line and what is wrong there. */
-  public static final class Unusable extends Exception {
+  public static final class InvalidScriptException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unusable(String why) {
-      super(why);
+    InvalidScriptException(String message) {
+      super(message);
     }
   }
 
   /** Returns the bundled script of a name, or reads the script in the file of that name. */
-  public static FaultSchedule of(String nameOrFile) throws Unusable {
+  public static FaultSchedule of(String nameOrFile) throws InvalidScriptException {
     if (NAMED.contains(nameOrFile)) {
       try (InputStream in =
           FaultSchedule.class.getResourceAsStream("script-" + nameOrFile + ".xml")) {
         return read(in, nameOrFile);
       } catch (IOException e) {
-        throw new Unusable(nameOrFile + ": " + e.getMessage());
+        throw new InvalidScriptException(nameOrFile + ": " + e.getMessage());
       }
     }
     Path file = Path.of(nameOrFile);
     if (!Files.isReadable(file)) {
-      throw new Unusable("'" + nameOrFile + "' is neither a file nor one of " + NAMED);
+      throw new InvalidScriptException(
+          "'" + nameOrFile + "' is neither a file nor one of " + NAMED);
     }
     try (InputStream in = Files.newInputStream(file)) {
       return read(in, nameOrFile);
     } catch (IOException e) {
-      throw new Unusable(nameOrFile + ": cannot be read (" + e.getClass().getSimpleName() + ")");
+      throw new InvalidScriptException(
+          nameOrFile + ": cannot be read (" + e.getClass().getSimpleName() + ")");
     }
   }
 
   /** Reads a script; error messages use the given name. */
-  public static FaultSchedule read(InputStream in, String name) throws IOException, Unusable {
+  public static FaultSchedule read(InputStream in, String name)
+      throws IOException, InvalidScriptException {
     try (InputStream schema = FaultSchedule.class.getResourceAsStream("script.xsd")) {
       DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
       factory.setNamespaceAware(true);
@@ -96,18 +99,19 @@
       }
       return new FaultSchedule(name, List.copyOf(faults));
     } catch (SAXParseException e) {
-      throw new Unusable(name + ": line " + e.getLineNumber() + ": " + e.getMessage());
+      throw new InvalidScriptException(
+          name + ": line " + e.getLineNumber() + ": " + e.getMessage());
     } catch (SAXException | ParserConfigurationException e) {
-      throw new Unusable(name + ": " + e.getMessage());
+      throw new InvalidScriptException(name + ": " + e.getMessage());
     }
   }
 
-  private static Fault fault(Element e, String name) throws Unusable {
+  private static Fault fault(Element e, String name) throws InvalidScriptException {
     Fault.Kind kind =
         Fault.Kind.valueOf(e.getAttribute("do").replace('-', '_').toUpperCase(Locale.ROOT));
     Fault.Who who = Fault.Who.valueOf(e.getLocalName().toUpperCase(Locale.ROOT));
     if (kind.who != who) {
-      throw new Unusable(
+      throw new InvalidScriptException(
           name + ": " + e.getLocalName() + ": nothing there can '" + e.getAttribute("do") + "'");
     }
     return new Fault(
--- a/lab/src/main/java/reachloom/lab/cluster/GatewayConfigurations.java
+++ b/lab/src/main/java/reachloom/lab/cluster/GatewayConfigurations.java
@@ -51,7 +51,7 @@
           .put("effect", k.effect())
           .put("dedupScope", "all")
           .put("giveUp", k.deadline())
-          .put("goalTime", k.aim())
+          .put("goalTime", k.goalTime())
           .put("aimStretch", k.stretch())
           .put("worth", k.worth())
           .put("lateValue", 0.1)
@@ -121,7 +121,8 @@
   }
 
   /** Returns the configuration's entry for an engine. */
-  static ObjectNode host(ClusterPlan plan, ClusterModel.Listed engine, InetSocketAddress address) {
+  static ObjectNode host(
+      ClusterPlan plan, ClusterModel.ListEntry engine, InetSocketAddress address) {
     return JSON.createObjectNode()
         .put("host", ClusterModel.name(engine.id()))
         .put("dial", text(address))
--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -80,7 +80,7 @@
 
     boolean inTime() {
       return answer == Answer.SERVED
-          && answeredAt - arrival.at() <= arrival.of().aimFor(arrival.work());
+          && answeredAt - arrival.at() <= arrival.of().goalTimeFor(arrival.work());
     }
 
     double worth() {
@@ -288,7 +288,7 @@
       blockedEvents.get(view.zone).add(event);
       return;
     }
-    ClusterModel.Listed e = event.engine();
+    ClusterModel.ListEntry e = event.engine();
     if (e.state() == ClusterModel.READY) {
       drainDeliveredAt.remove(new Key(view.zone, e.id()));
       readyDeliveredAt.put(new Key(view.zone, e.id()), model.time.now());
--- a/lab/src/main/java/reachloom/lab/cluster/ListServer.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ListServer.java
@@ -177,7 +177,7 @@
   }
 
   private byte[] frame(ClusterModel.Event event, int zone) {
-    ClusterModel.Listed e = event.engine();
+    ClusterModel.ListEntry e = event.engine();
     InetSocketAddress a = engine(e.id(), zone, enginePort);
     return ByteBuffer.allocate(HEADER_BYTES + RECORD_BYTES)
         .putInt(HEADER_BYTES - Integer.BYTES + RECORD_BYTES)
--- a/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
@@ -105,7 +105,7 @@
           log.set(List.copyOf(view.log));
           starts[gateway]++;
         });
-    Map<Integer, ClusterModel.Listed> known = new java.util.LinkedHashMap<>();
+    Map<Integer, ClusterModel.ListEntry> known = new java.util.LinkedHashMap<>();
     log.get().forEach(e -> known.put(e.engine().id(), e.engine()));
     List<ObjectNode> engines = new ArrayList<>();
     known
--- a/lab/src/main/java/reachloom/lab/cluster/Workload.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Workload.java
@@ -21,13 +21,13 @@
       double work,
       int threads,
       double memoryMb,
-      long aim,
+      long goalTime,
       double stretch,
       long deadline,
       double worth) {
     /** Returns the goal time of a query of the class with the given work, in nanoseconds. */
-    long aimFor(double ofWork) {
-      return aim + (long) (stretch * ofWork / threads * SECOND);
+    long goalTimeFor(double ofWork) {
+      return goalTime + (long) (stretch * ofWork / threads * SECOND);
     }
   }
 
--- a/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
@@ -91,7 +91,7 @@
     FaultSchedule script;
     try {
       script = FaultSchedule.of(line.getOptionValue("script", "calm"));
-    } catch (FaultSchedule.Unusable e) {
+    } catch (FaultSchedule.InvalidScriptException e) {
       throw new ParseException("--script: " + e.getMessage());
     }
     if (script.ofInstallation()) {
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -233,7 +233,7 @@
       scheduler = policy.make(this, model, gateway);
       scheduler.onStart(clock(), random.nextLong(), settings);
       ClusterModel.View view = model.views.get(zone);
-      Map<Integer, ClusterModel.Listed> known = new LinkedHashMap<>();
+      Map<Integer, ClusterModel.ListEntry> known = new LinkedHashMap<>();
       view.log.forEach(e -> known.put(e.engine().id(), e.engine()));
       receivedEvents = view.log.size();
       listLines += known.size();
@@ -333,7 +333,7 @@
           heldListEvents);
     }
 
-    private EngineEndpoint info(ClusterModel.Listed l) {
+    private EngineEndpoint info(ClusterModel.ListEntry l) {
       return new EngineEndpoint(
           ClusterModel.name(l.id()),
           EngineState.values()[l.state()],
--- a/lab/src/main/java/reachloom/lab/scale/ControlMain.java
+++ b/lab/src/main/java/reachloom/lab/scale/ControlMain.java
@@ -56,7 +56,7 @@
         log.add(
             new ClusterModel.Event(
                 number,
-                new ClusterModel.Listed(
+                new ClusterModel.ListEntry(
                     Integer.parseInt(words[2]),
                     Integer.parseInt(words[3]),
                     Long.parseLong(words[4]))));
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -104,7 +104,7 @@
     FaultSchedule script;
     try {
       script = FaultSchedule.of(line.getOptionValue("script", "steady"));
-    } catch (FaultSchedule.Unusable e) {
+    } catch (FaultSchedule.InvalidScriptException e) {
       throw new ParseException("--script: " + e.getMessage());
     }
     if (script.faults().stream().anyMatch(t -> t.who() == Fault.Who.LIST)) {
--- a/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
@@ -41,15 +41,18 @@
           "<nodes at=\"5\" do=\"err\"/>",
           "<engines at=\"5\""
         }) {
-      String why = assertThrows(FaultSchedule.Unusable.class, () -> read(bad)).getMessage();
+      String why =
+          assertThrows(FaultSchedule.InvalidScriptException.class, () -> read(bad)).getMessage();
       assertTrue(why.startsWith("x: line 2:") || why.startsWith("x: line 3:"), why);
     }
     assertEquals(
         "x: engines: nothing there can 'kill'",
-        assertThrows(FaultSchedule.Unusable.class, () -> read("<engines at=\"1\" do=\"kill\"/>"))
+        assertThrows(
+                FaultSchedule.InvalidScriptException.class,
+                () -> read("<engines at=\"1\" do=\"kill\"/>"))
             .getMessage());
     assertTrue(
-        assertThrows(FaultSchedule.Unusable.class, () -> FaultSchedule.of("nowhere"))
+        assertThrows(FaultSchedule.InvalidScriptException.class, () -> FaultSchedule.of("nowhere"))
             .getMessage()
             .startsWith("'nowhere' is neither a file nor one of [calm"));
   }
--- a/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
@@ -26,7 +26,7 @@
   }
 
   private static Map<String, Object> play(ClusterPlan plan, String script)
-      throws FaultSchedule.Unusable {
+      throws FaultSchedule.InvalidScriptException {
     return new VirtualFleet(plan, REACHLOOM).play(FaultSchedule.of(script));
   }
 
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void givesSameFiguresForSameSeed() throws FaultSchedule.Unusable {
+  void givesSameFiguresForSameSeed() throws FaultSchedule.InvalidScriptException {
     ClusterPlan plan = plan(20, 10, 0.7);
     assertEquals(play(plan, "kill").toString(), play(plan, "kill").toString());
     ClusterPlan other = new ClusterPlan(20, 10, 3, 14, 0.7, 0.8, 0, 20, 6);
@@ -64,7 +64,8 @@
         "surge",
         "crowd"
       })
-  void keepsRulesAndServiceUnderEachFault(String script) throws FaultSchedule.Unusable {
+  void keepsRulesAndServiceUnderEachFault(String script)
+      throws FaultSchedule.InvalidScriptException {
     Map<String, Object> f = play(plan(60, 24, 0.6), script);
     assertRulesKept(f);
     boolean gatewaysDie = script.equals("kill") || script.equals("restart");
@@ -76,7 +77,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"release", "restart", "zone"})
-  void doesNotOverloadColdEngines(String script) throws FaultSchedule.Unusable {
+  void doesNotOverloadColdEngines(String script) throws FaultSchedule.InvalidScriptException {
     for (int gateways : new int[] {20, 30}) {
       Map<String, Object> f = play(plan(gateways, 12, 0.7), script);
       assertRulesKept(f);
@@ -100,7 +101,7 @@
   })
   void keepsServiceForAllFleetShapes(
       int gateways, int engines, int zones, double skew, double large, int believed)
-      throws FaultSchedule.Unusable {
+      throws FaultSchedule.InvalidScriptException {
     // Gateway counts in the settings that are wrong by a factor of three; no skew and high skew;
     // few engines; few gateways; each gateway alone in its zone; one engine; two of 60 engines
     // with twice the cores.
@@ -112,7 +113,7 @@
   }
 
   @Test
-  void busyGatewaysUseCapacityThatOthersLeave() throws FaultSchedule.Unusable {
+  void busyGatewaysUseCapacityThatOthersLeave() throws FaultSchedule.InvalidScriptException {
     // Half of the engines are cold and traffic is uneven: with an equal limit for each gateway, a
     // twentieth of the queries was refused although engines were idle.
     Map<String, Object> f = play(new ClusterPlan(100, 30, 3, 14, 0.7, 0.8, 0, 100, 5), "release");
@@ -123,7 +124,7 @@
   @ParameterizedTest
   @CsvSource({"500, 0", "0, 1000", "500, 1000"})
   void keepsRulesWithClockOffsetsAndOldReports(int clocksMs, int ageMs)
-      throws FaultSchedule.Unusable {
+      throws FaultSchedule.InvalidScriptException {
     ClusterPlan plan =
         new ClusterPlan(
             60,
@@ -145,14 +146,14 @@
   }
 
   @Test
-  void boundsNumberOfConnections() throws FaultSchedule.Unusable {
+  void boundsNumberOfConnections() throws FaultSchedule.InvalidScriptException {
     // Each gateway uses eight engines, except for those with a large share of the traffic.
     Map<String, Object> f = play(new ClusterPlan(100, 60, 3, 14, 0.6, 0.5, 0, 100, 5), "calm");
     assertTrue(number(f, "connections_max") < 0.4 * 100 * 60, f.toString());
   }
 
   @Test
-  void servesMoreThanBaselinesUnderFaults() throws FaultSchedule.Unusable {
+  void servesMoreThanBaselinesUnderFaults() throws FaultSchedule.InvalidScriptException {
     ClusterPlan plan = plan(60, 24, 0.7);
     Map<String, Object> f = play(plan, "sick");
     for (String name : new String[] {"random", "two", "reported"}) {
--- a/standin/src/main/java/reachloom/standin/GatewayProcess.java
+++ b/standin/src/main/java/reachloom/standin/GatewayProcess.java
@@ -48,61 +48,63 @@
   }
 
   /** Starts a gateway with the given configuration. */
-  public GatewayProcess(Path folder, String text) throws IOException {
-    this(folder, text, List.of());
+  public GatewayProcess(Path folder, String configuration) throws IOException {
+    this(folder, configuration, List.of());
   }
 
   /** Starts a gateway with the given configuration and additional command-line arguments. */
-  public GatewayProcess(Path folder, String text, List<String> words) throws IOException {
-    this(folder, text, List.of(), words);
+  public GatewayProcess(Path folder, String configuration, List<String> arguments)
+      throws IOException {
+    this(folder, configuration, List.of(), arguments);
   }
 
   /** Starts a gateway with the given configuration and additional environment variables. */
-  public GatewayProcess(Path folder, String text, Map<String, String> environment)
+  public GatewayProcess(Path folder, String configuration, Map<String, String> environment)
       throws IOException {
-    this(folder, text, environment, List.of(), List.of());
+    this(folder, configuration, environment, List.of(), List.of());
   }
 
   /**
    * Starts a gateway through a command prefix, for example a shell that replaces itself (exec) with
    * the rest of the command.
    */
-  public GatewayProcess(Path folder, String text, List<String> before, List<String> words)
+  public GatewayProcess(
+      Path folder, String configuration, List<String> commandPrefix, List<String> arguments)
       throws IOException {
-    this(folder, text, Map.of(), before, words);
+    this(folder, configuration, Map.of(), commandPrefix, arguments);
   }
 
   private GatewayProcess(
       Path folder,
-      String text,
+      String configuration,
       Map<String, String> environment,
-      List<String> before,
-      List<String> words)
+      List<String> commandPrefix,
+      List<String> arguments)
       throws IOException {
-    Matcher address = Pattern.compile("\"listen\":\"([0-9.]+):([0-9]+)\"").matcher(text);
+    Matcher address = Pattern.compile("\"listen\":\"([0-9.]+):([0-9]+)\"").matcher(configuration);
     if (!address.find()) {
       throw new IllegalArgumentException("the configuration has no \"listen\" address");
     }
     listen = new InetSocketAddress(address.group(1), Integer.parseInt(address.group(2)));
-    config = Files.writeString(folder.resolve("config.json"), text);
+    config = Files.writeString(folder.resolve("config.json"), configuration);
     log = folder.resolve("log" + System.nanoTime());
     List<String> all = new ArrayList<>(List.of("serve"));
-    all.addAll(words);
-    process = start(config, log, environment, before, all);
+    all.addAll(arguments);
+    process = start(config, log, environment, commandPrefix, all);
   }
 
-  public static Process start(Path config, Path log, String... words) throws IOException {
-    return start(config, log, Map.of(), List.of(), List.of(words));
+  public static Process start(Path config, Path log, String... arguments) throws IOException {
+    return start(config, log, Map.of(), List.of(), List.of(arguments));
   }
 
   private static Process start(
       Path config,
       Path log,
       Map<String, String> environment,
-      List<String> before,
-      List<String> words)
+      List<String> commandPrefix,
+      List<String> arguments)
       throws IOException {
-    List<String> command = new ArrayList<>(before);
+    List<String> command = new ArrayList<>(commandPrefix);
     command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -110,7 +112,7 @@
             "-cp",
             System.getProperty("java.class.path"),
             "reachloom.Main"));
-    command.addAll(words);
+    command.addAll(arguments);
     ProcessBuilder builder =
         new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
     builder.environment().keySet().removeIf(k -> k.startsWith("LB_"));
@@ -176,7 +178,7 @@
       } catch (IOException e) {
         if (!process.isAlive()) {
           throw new IOException(
-              "gateway process exited before it was ready: " + Files.readString(log), e);
+              "gateway process exited commandPrefix it was ready: " + Files.readString(log), e);
         }
       }
       Thread.sleep(50);
