--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -27,6 +27,7 @@
 import reachloom.scheduler.api.SchedulerEvents;
 import reachloom.scheduler.api.SchedulerSettings;
 import reachloom.standin.model.EngineModel;
+import reachloom.standin.model.EngineModel.Condition;
 import reachloom.standin.model.SimulatedScheduler;
 
 /**
@@ -440,7 +441,7 @@
         OpenQuery o, int attempt, OpenAttempt t, ClusterModel.Link link, long delay) {
       Arrival a = o.arrival;
       EngineModel e = t.engine;
-      if (e.condition() == EngineModel.Condition.DOWN) {
+      if (e.condition() == Condition.DOWN) {
         disconnect(e.id);
         answer(link, delay, () -> finish(o, attempt, AttemptOutcome.UNREACHED, 0, 0));
         return;
@@ -492,9 +493,7 @@
       t.recorded = checker.attemptReceived(a.number(), e.id, gateway, time.now(), t.sentAt, runs);
       if (!runs) {
         AttemptOutcome why =
-            e.condition() == EngineModel.Condition.DOWN
-                ? AttemptOutcome.RESET
-                : AttemptOutcome.FULL;
+            e.condition() == Condition.DOWN ? AttemptOutcome.RESET : AttemptOutcome.FULL;
         answer(link, delay, () -> finish(o, attempt, why, 0, 0));
       }
     }
@@ -613,7 +612,7 @@
       long arrives = up + delay;
       if (up == CLOSED
           || !link.healthy() && (link.cutIn || link.cutOut)
-          || e.condition() == EngineModel.Condition.DOWN) {
+          || e.condition() == Condition.DOWN) {
         schedule(
             incarnation,
             () -> scheduler.onHealthCheck(clock(), engine, false, null),
