--- a/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultSchedule.java
@@ -18,9 +18,9 @@
 import org.xml.sax.SAXException;
 import org.xml.sax.SAXParseException;
 
-/** A script of troubles, in XML that {@code script.xsd} describes. */
-public record FaultSchedule(String name, List<Fault> troubles) {
-  /** Scripts that the program brings along. */
+/** A script of faults, read from XML of the schema {@code script.xsd}. */
+public record FaultSchedule(String name, List<Fault> faults) {
+  /** Names of the scripts that are resources of the program. */
   public static final List<String> NAMED =
       List.of(
           "calm",
@@ -45,38 +45,41 @@
 
   static final FaultSchedule NONE = new FaultSchedule("none", List.of());
 
-  /** A script that can't be used: the text names the line, and what is wrong there. */
-  public static final class Unusable extends Exception {
+  /** Thrown for an invalid script; the message names the line and what is wrong there. */
+  public static final class InvalidScriptException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unusable(String why) {
-      super(why);
+    InvalidScriptException(String message) {
+      super(message);
     }
   }
 
-  /** The script of that name, or in the file of that name. */
-  public static FaultSchedule of(String nameOrFile) throws Unusable {
+  /** Returns the bundled script of a name, or reads the script in the file of that name. */
+  public static FaultSchedule of(String nameOrFile) throws InvalidScriptException {
     if (NAMED.contains(nameOrFile)) {
       try (InputStream in =
           FaultSchedule.class.getResourceAsStream("script-" + nameOrFile + ".xml")) {
         return read(in, nameOrFile);
       } catch (IOException e) {
-        throw new Unusable(nameOrFile + ": " + e.getMessage());
+        throw new InvalidScriptException(nameOrFile + ": " + e.getMessage());
       }
     }
     Path file = Path.of(nameOrFile);
     if (!Files.isReadable(file)) {
-      throw new Unusable("'" + nameOrFile + "' is neither a file nor one of " + NAMED);
+      throw new InvalidScriptException(
+          "'" + nameOrFile + "' is neither a file nor one of " + NAMED);
     }
     try (InputStream in = Files.newInputStream(file)) {
       return read(in, nameOrFile);
     } catch (IOException e) {
-      throw new Unusable(nameOrFile + ": cannot be read (" + e.getClass().getSimpleName() + ")");
+      throw new InvalidScriptException(
+          nameOrFile + ": cannot be read (" + e.getClass().getSimpleName() + ")");
     }
   }
 
-  /** Reads a script; the name stands for it in complaints. */
-  public static FaultSchedule read(InputStream in, String name) throws IOException, Unusable {
+  /** Reads a script; error messages use the given name. */
+  public static FaultSchedule read(InputStream in, String name)
+      throws IOException, InvalidScriptException {
     try (InputStream schema = FaultSchedule.class.getResourceAsStream("script.xsd")) {
       DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
       factory.setNamespaceAware(true);
@@ -85,29 +88,30 @@
           SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI)
               .newSchema(new StreamSource(schema)));
       var builder = factory.newDocumentBuilder();
-      builder.setErrorHandler(new Strict());
-      List<Fault> troubles = new ArrayList<>();
+      builder.setErrorHandler(new ThrowingErrorHandler());
+      List<Fault> faults = new ArrayList<>();
       for (Node n = builder.parse(in).getDocumentElement().getFirstChild();
           n != null;
           n = n.getNextSibling()) {
         if (n instanceof Element e) {
-          troubles.add(trouble(e, name));
+          faults.add(fault(e, name));
         }
       }
-      return new FaultSchedule(name, List.copyOf(troubles));
+      return new FaultSchedule(name, List.copyOf(faults));
     } catch (SAXParseException e) {
-      throw new Unusable(name + ": line " + e.getLineNumber() + ": " + e.getMessage());
+      throw new InvalidScriptException(
+          name + ": line " + e.getLineNumber() + ": " + e.getMessage());
     } catch (SAXException | ParserConfigurationException e) {
-      throw new Unusable(name + ": " + e.getMessage());
+      throw new InvalidScriptException(name + ": " + e.getMessage());
     }
   }
 
-  private static Fault trouble(Element e, String name) throws Unusable {
+  private static Fault fault(Element e, String name) throws InvalidScriptException {
     Fault.Kind kind =
         Fault.Kind.valueOf(e.getAttribute("do").replace('-', '_').toUpperCase(Locale.ROOT));
     Fault.Who who = Fault.Who.valueOf(e.getLocalName().toUpperCase(Locale.ROOT));
     if (kind.who != who) {
-      throw new Unusable(
+      throw new InvalidScriptException(
           name + ": " + e.getLocalName() + ": nothing there can '" + e.getAttribute("do") + "'");
     }
     return new Fault(
@@ -122,34 +126,34 @@
         number(e, "within", 0));
   }
 
-  private static double number(Element e, String key, double standard) {
-    return e.hasAttribute(key) ? Double.parseDouble(e.getAttribute(key)) : standard;
+  private static double number(Element e, String key, double defaultValue) {
+    return e.hasAttribute(key) ? Double.parseDouble(e.getAttribute(key)) : defaultValue;
   }
 
-  /** Whether only a whole installation can play it. */
+  /** Returns whether a fault of the script needs a whole installation. */
   public boolean ofInstallation() {
-    return troubles.stream().anyMatch(Fault::ofInstallation);
+    return faults.stream().anyMatch(Fault::ofInstallation);
   }
 
-  /** Whether it steps wall clocks. */
+  /** Returns whether the script steps wall clocks. */
   boolean stepsClocks() {
-    return troubles.stream().anyMatch(Fault::ofClocks);
+    return faults.stream().anyMatch(Fault::ofClocks);
   }
 
-  /** Whether it lets system calls fail. */
+  /** Returns whether the script makes system calls fail. */
   boolean failsCalls() {
-    return troubles.stream().anyMatch(Fault::ofCalls);
+    return faults.stream().anyMatch(Fault::ofCalls);
   }
 
-  /** The last moment at which something happens, in seconds. */
+  /** Returns the time at which the last fault ends, in seconds. */
   double end() {
-    return troubles.stream().mapToDouble(t -> t.at() + t.lasts() + t.within()).max().orElse(0);
+    return faults.stream().mapToDouble(t -> t.at() + t.lasts() + t.within()).max().orElse(0);
   }
 
-  private static final class Strict implements ErrorHandler {
+  private static final class ThrowingErrorHandler implements ErrorHandler {
     @Override
     public void warning(SAXParseException e) {
-      // what is only odd is taken
+      // warnings do not make a script invalid
     }
 
     @Override
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -104,10 +104,10 @@
     FaultSchedule script;
     try {
       script = FaultSchedule.of(line.getOptionValue("script", "steady"));
-    } catch (FaultSchedule.Unusable e) {
+    } catch (FaultSchedule.InvalidScriptException e) {
       throw new ParseException("--script: " + e.getMessage());
     }
-    if (script.troubles().stream().anyMatch(t -> t.who() == Fault.Who.LIST)) {
+    if (script.faults().stream().anyMatch(t -> t.who() == Fault.Who.LIST)) {
       throw new ParseException(
           "--script: "
               + script.name()
--- a/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/FaultScheduleTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Scripts of troubles: what they say, and what is said of those that can't be used. */
+/** Tests the reader of fault scripts and the messages for invalid scripts. */
 class FaultScheduleTest {
   private static FaultSchedule read(String body) throws Exception {
     String text = "<script xmlns=\"urn:reachloom:lab:script:1\">\n" + body + "\n</script>";
@@ -16,23 +16,23 @@
   }
 
   @Test
-  void allThatShipCanBeRead() throws Exception {
+  void readsAllBundledScripts() throws Exception {
     for (String name : FaultSchedule.NAMED) {
       FaultSchedule.of(name);
     }
   }
 
   @Test
-  void aTroubleIsReadWhole() throws Exception {
+  void readsAllAttributesOfFault() throws Exception {
     FaultSchedule s =
         read("<engines at=\"5\" do=\"err\" share=\"0.25\" zone=\"1\" by=\"0.9\" for=\"10\"/>");
     assertEquals(
         new Fault(5, Fault.Who.ENGINES, Fault.Kind.ERR, 0.25, 1, -1, 0.9, 10, 0),
-        s.troubles().get(0));
+        s.faults().get(0));
   }
 
   @Test
-  void whatCantBeUsedNamesItsLine() {
+  void namesLineOfInvalidScript() {
     for (String bad :
         new String[] {
           "<engines do=\"err\"/>",
@@ -41,15 +41,18 @@
           "<nodes at=\"5\" do=\"err\"/>",
           "<engines at=\"5\""
         }) {
-      String why = assertThrows(FaultSchedule.Unusable.class, () -> read(bad)).getMessage();
+      String why =
+          assertThrows(FaultSchedule.InvalidScriptException.class, () -> read(bad)).getMessage();
       assertTrue(why.startsWith("x: line 2:") || why.startsWith("x: line 3:"), why);
     }
     assertEquals(
         "x: engines: nothing there can 'kill'",
-        assertThrows(FaultSchedule.Unusable.class, () -> read("<engines at=\"1\" do=\"kill\"/>"))
+        assertThrows(
+                FaultSchedule.InvalidScriptException.class,
+                () -> read("<engines at=\"1\" do=\"kill\"/>"))
             .getMessage());
     assertTrue(
-        assertThrows(FaultSchedule.Unusable.class, () -> FaultSchedule.of("nowhere"))
+        assertThrows(FaultSchedule.InvalidScriptException.class, () -> FaultSchedule.of("nowhere"))
             .getMessage()
             .startsWith("'nowhere' is neither a file nor one of [calm"));
   }
