--- a/lab/src/main/java/reachloom/lab/command/Figures.java
+++ b/lab/src/main/java/reachloom/lab/command/Figures.java
@@ -15,7 +15,8 @@
   /**
    * Prints the figures, and writes them with what led to them as JSON where the option asks for it.
    */
-  public static int tell(CommandLine line, Map<String, Object> origin, Map<String, Object> figures)
+  public static int report(
+      CommandLine line, Map<String, Object> origin, Map<String, Object> figures)
       throws IOException {
     figures.forEach((name, value) -> System.out.printf("%-22s %s%n", name, value));
     if (line.hasOption("json")) {
--- a/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/reachloom/lab/fleet/FleetCommand.java
@@ -119,7 +119,7 @@
     origin.put("policy", policy);
     origin.put("script", script.name());
     origin.put("plan", plan);
-    return Figures.tell(line, origin, figures);
+    return Figures.report(line, origin, figures);
   }
 
   private static Map<String, Object> sockets(
--- a/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
+++ b/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
@@ -122,6 +122,6 @@
     Map<String, Object> origin = new LinkedHashMap<>();
     origin.put("mode", mode);
     origin.put("plan", plan);
-    return Figures.tell(line, origin, figures);
+    return Figures.report(line, origin, figures);
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -158,7 +158,7 @@
             Arguments.number(line, "document", 2_000, 100, Revision.MAX_DOCUMENT_BYTES),
             trouble);
     origin.put("plan", plan);
-    return Figures.tell(line, origin, new VirtualControl(plan).play());
+    return Figures.report(line, origin, new VirtualControl(plan).play());
   }
 
   private static int sockets(
@@ -184,7 +184,7 @@
         }
       }
     }
-    Figures.tell(line, origin, figures);
+    Figures.report(line, origin, figures);
     List<?> why = (List<?>) figures.get("void");
     if (!why.isEmpty()) {
       System.err.println("void: " + why);
--- a/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
@@ -143,7 +143,7 @@
       origin.put("probe_price", probePrice);
       origin.put("idle_timeout_ms", idle.isPresent() ? idle.getAsLong() : "the gateway's own");
       origin.put("seconds", seconds);
-      return Figures.tell(line, origin, m.figures());
+      return Figures.report(line, origin, m.figures());
     } finally {
       if (!kept) {
         try (var files = Files.walk(folder)) {
