--- a/lab/src/main/java/reachloom/lab/Demo.java
+++ b/lab/src/main/java/reachloom/lab/Demo.java
@@ -15,28 +15,28 @@
 import reachloom.lab.command.Command;
 
 /**
- * A first run to look at: one gateway, six engine stand-ins, a change log and clients, all on
- * loopback. Half-way one engine takes requests and says nothing more.
+ * Demonstration run: one gateway, six engine stand-ins, a change log and clients, all on loopback.
+ * Halfway through the run one engine hangs: it accepts requests and sends no reply.
  */
 final class Demo implements Command {
   private static final int ENGINES = 6;
-  private static final double LOAD = 0.5;
+  private static final double LOAD_SHARE = 0.5;
   private static final int HEAP_MB = 64;
 
   @Override
   public String purpose() {
-    return "a gateway among stand-ins on loopback, one of which hangs half-way";
+    return "one gateway with engine stand-ins on loopback, one of which hangs halfway";
   }
 
   @Override
   public Options options() {
-    return new Options().addOption(null, "seconds", true, "how long to run (20)");
+    return new Options().addOption(null, "seconds", true, "duration of the run in seconds (20)");
   }
 
   @Override
   public int run(CommandLine line) throws Exception {
     int seconds = Arguments.number(line, "seconds", 20, 4, 600);
-    ClusterPlan plan = new ClusterPlan(1, ENGINES, 1, seconds, LOAD, 0, 0, 1, 1);
+    ClusterPlan plan = new ClusterPlan(1, ENGINES, 1, seconds, LOAD_SHARE, 0, 0, 1, 1);
     Fault hang =
         new Fault(
             seconds / 2.0,
@@ -51,7 +51,7 @@
     Path folder = Files.createTempDirectory("reachloom-demo");
     try (ProcessFleet fleet = new ProcessFleet(plan, folder, null, HEAP_MB)) {
       System.err.println(
-          "a gateway starts; after "
+          "starting a gateway; after "
               + seconds / 2
               + " of "
               + seconds
@@ -61,7 +61,7 @@
       fleet.play(new FaultSchedule("demo", List.of(hang)));
       print(fleet.rows(0));
     } finally {
-      clear(folder);
+      deleteRecursively(folder);
     }
     return 0;
   }
@@ -84,7 +84,7 @@
                 r.p99()));
   }
 
-  private static void clear(Path folder) throws IOException {
+  private static void deleteRecursively(Path folder) throws IOException {
     try (var files = Files.walk(folder)) {
       files.sorted(java.util.Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
     }
--- a/lab/src/main/java/reachloom/lab/Lab.java
+++ b/lab/src/main/java/reachloom/lab/Lab.java
@@ -15,10 +15,10 @@
 import reachloom.lab.scale.ScaleCommand;
 import reachloom.lab.slopes.SlopesCommand;
 
-/** Entry point of the laboratory: picks a command by its name. */
+/** Entry point of the laboratory: runs the command that the first argument names. */
 public final class Lab {
-  private static final int BAD_USE = 2;
-  private static final int COLUMNS = 100;
+  private static final int EXIT_USAGE = 2;
+  private static final int HELP_WIDTH_COLUMNS = 100;
   private static final Map<String, Command> COMMANDS = new LinkedHashMap<>();
 
   static {
@@ -31,7 +31,7 @@
 
   private Lab() {}
 
-  /** Runs one command and exits with its status: 2 for a call that can't be understood. */
+  /** Runs one command and exits with its status, or with 2 if the command line is invalid. */
   public static void main(String[] args) throws Exception {
     System.exit(run(args));
   }
@@ -44,7 +44,7 @@
       to.println("usage: reachloom-lab COMMAND [options]; reachloom-lab COMMAND --help");
       COMMANDS.forEach((name, c) -> to.printf("  %-10s %s%n", name, c.purpose()));
       to.flush();
-      return help ? 0 : BAD_USE;
+      return help ? 0 : EXIT_USAGE;
     }
     Options options = command.options().addOption("h", "help", false, "print this text");
     CommandLine line;
@@ -54,19 +54,20 @@
         throw new ParseException("Unrecognized word: " + line.getArgList().get(0));
       }
       if (line.hasOption("help")) {
-        usage(args[0], options, new PrintWriter(System.out));
+        printUsage(args[0], options, new PrintWriter(System.out));
         return 0;
       }
       return command.run(line);
     } catch (ParseException e) {
       System.err.println("reachloom-lab: " + e.getMessage());
-      usage(args[0], options, new PrintWriter(System.err));
-      return BAD_USE;
+      printUsage(args[0], options, new PrintWriter(System.err));
+      return EXIT_USAGE;
     }
   }
 
-  private static void usage(String name, Options options, PrintWriter to) {
-    new HelpFormatter().printHelp(to, COLUMNS, "reachloom-lab " + name, "", options, 1, 2, "");
+  private static void printUsage(String name, Options options, PrintWriter to) {
+    new HelpFormatter()
+        .printHelp(to, HELP_WIDTH_COLUMNS, "reachloom-lab " + name, "", options, 1, 2, "");
     to.flush();
   }
 }
--- a/lab/src/main/java/reachloom/lab/command/Arguments.java
+++ b/lab/src/main/java/reachloom/lab/command/Arguments.java
@@ -5,35 +5,35 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.ParseException;
 
-/** Reads what options give, and says what is wrong with one. */
+/** Parses and validates option values of the command line. */
 public final class Arguments {
   private Arguments() {}
 
-  /** A whole number from {@code least} to {@code most} that an option gives, or the standard. */
-  public static int number(CommandLine line, String option, int standard, int least, int most)
+  /** Returns an option's integer from {@code min} to {@code max}, or the default if it is absent. */
+  public static int number(CommandLine line, String option, int defaultValue, int min, int max)
       throws ParseException {
     String text = line.getOptionValue(option);
     if (text == null) {
-      return standard;
+      return defaultValue;
     }
     try {
       int value = Integer.parseInt(text);
-      if (value >= least && value <= most) {
+      if (value >= min && value <= max) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // told below
+      // reported by the ParseException below
     }
     throw new ParseException(
-        "--" + option + ": '" + text + "' is not a whole number from " + least + " to " + most);
+        "--" + option + ": '" + text + "' is not a whole number from " + min + " to " + max);
   }
 
-  /** A share from 0 to 1 that an option gives, or the standard. */
-  public static double share(CommandLine line, String option, double standard)
+  /** Returns an option's share from 0 to 1, or the default if the option is absent. */
+  public static double share(CommandLine line, String option, double defaultValue)
       throws ParseException {
     String text = line.getOptionValue(option);
     if (text == null) {
-      return standard;
+      return defaultValue;
     }
     try {
       double value = Double.parseDouble(text);
@@ -41,14 +41,15 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // told below
+      // reported by the ParseException below
     }
     throw new ParseException("--" + option + ": '" + text + "' is not a share from 0 to 1");
   }
 
   /**
-   * The program: given, or where the build leaves it beside the laboratory's; null for the class
-   * path.
+   * Returns the gateway's jar: the value of option {@code jar}, otherwise the jar that the build
+   * leaves in {@code gateway/target}. Returns null if there is none; the gateway is then started
+   * from the class path.
    */
   public static Path jar(CommandLine line) throws ParseException {
     if (line.hasOption("jar")) {
--- a/lab/src/main/java/reachloom/lab/command/Command.java
+++ b/lab/src/main/java/reachloom/lab/command/Command.java
@@ -5,12 +5,12 @@
 
 /** One command of the laboratory. */
 public interface Command {
-  /** What it is for, in one line. */
+  /** Returns a one-line description of the command for the help text. */
   String purpose();
 
-  /** What it may be told. */
+  /** Returns the command-line options that the command accepts. */
   Options options();
 
-  /** Runs it; gives the exit status. */
+  /** Runs the command and returns the exit status. */
   int run(CommandLine line) throws Exception;
 }
--- a/lab/src/main/java/reachloom/lab/command/package-info.java
+++ b/lab/src/main/java/reachloom/lab/command/package-info.java
@@ -1,4 +1,2 @@
-/**
- * What every command of the laboratory is, how its options are read and how its figures are told.
- */
+/** Interface of the laboratory's commands, parsing of their options and output of their figures. */
 package reachloom.lab.command;
--- a/lab/src/main/java/reachloom/lab/package-info.java
+++ b/lab/src/main/java/reachloom/lab/package-info.java
@@ -1,2 +1,2 @@
-/** The laboratory's command line: a first run to look at, and measurements. */
+/** The laboratory's command line: a demonstration run and commands for measurements. */
 package reachloom.lab;
