--- a/lab/src/main/java/reachloom/lab/command/Arguments.java
+++ b/lab/src/main/java/reachloom/lab/command/Arguments.java
@@ -9,7 +9,7 @@
 public final class Arguments {
   private Arguments() {}
 
-  /** Returns an option's integer from {@code min} to {@code max}, or the default if it is absent. */
+  /** Returns an option's integer from {@code min} to {@code max}, or the default if absent. */
   public static int number(CommandLine line, String option, int defaultValue, int min, int max)
       throws ParseException {
     String text = line.getOptionValue(option);
--- a/lab/src/main/java/reachloom/lab/scale/ConfigurationSource.java
+++ b/lab/src/main/java/reachloom/lab/scale/ConfigurationSource.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /**
- * How a change of configuration comes from its source to the gateways. What is in force where is
- * told to {@link RolloutTracker} by whoever sees it.
+ * Distributes configuration changes to the gateways. Whether a change is in force at a gateway is
+ * recorded in {@link RolloutTracker} by the component that observes it.
  */
 interface ConfigurationSource {
-  /** Issues the change of that number; off the timeline. */
+  /** Issues the change with the given number; is not called on the timeline. */
   void issue(long number) throws IOException;
 }
--- a/lab/src/main/java/reachloom/lab/scale/ControlMain.java
+++ b/lab/src/main/java/reachloom/lab/scale/ControlMain.java
@@ -14,9 +14,9 @@
 import reachloom.standin.model.RealTimeScheduler;
 
 /**
- * One control machine, a part of the scale run: a change log that gateways follow. It is told
- * {@code event NUMBER ENGINE STATE STARTED} and, once it holds all of the start, {@code listen}; it
- * tells {@code listening}, and each second {@code usage MS LAG BYTES-TO-EACH-FOLLOWER,...
+ * One control machine of a scale run: serves a change log that gateways follow. It reads the lines
+ * {@code event NUMBER ENGINE STATE STARTED} and, after the initial events, {@code listen}. It
+ * prints {@code listening} and each second {@code usage MS LAG BYTES-TO-EACH-FOLLOWER,...
  * BYTES/FRAMES-BY-ZONE,...}.
  */
 final class ControlMain implements HelperMain.Role {
@@ -24,35 +24,35 @@
   private final List<ClusterModel.Event> log = new ArrayList<>();
   private ClusterPlan plan;
   private ListServer server;
-  private int machine;
+  private int machineNumber;
   private int port;
 
   @Override
   public Options options() {
     return new Options()
-        .addOption(null, "machine", true, "its number (0)")
-        .addOption(null, "port", true, "where it listens, for each zone at an address (4000)")
-        .addOption(null, "engine-port", true, "where engines listen (4100)")
-        .addOption(null, "engines", true, "engines of the start (1)")
+        .addOption(null, "machine", true, "number of this control machine (0)")
+        .addOption(null, "port", true, "port to listen on, at one address for each zone (4000)")
+        .addOption(null, "engine-port", true, "port that engines listen on (4100)")
+        .addOption(null, "engines", true, "engines at the start (1)")
         .addOption(null, "zones", true, "zones (1)");
   }
 
   @Override
   public void run(CommandLine line) throws Exception {
-    machine = Arguments.number(line, "machine", 0, 0, 100);
+    machineNumber = Arguments.number(line, "machine", 0, 0, 100);
     port = Arguments.number(line, "port", 4_000, 1, 65_535);
     int engines = Arguments.number(line, "engines", 1, 1, 10_000);
     plan = new ClusterPlan(1, engines, Arguments.number(line, "zones", 1, 1, 16), 1, 0, 0, 0, 1, 1);
     server =
         new ListServer(
             time, plan, Arguments.number(line, "engine-port", 4_100, 1, 65_535), () -> log);
-    HelperProcess.follow(l -> time.at(0, () -> told(l.split(" "))));
+    HelperProcess.readLines(l -> time.at(0, () -> handleLine(l.split(" "))));
   }
 
-  private void told(String[] words) {
+  private void handleLine(String[] words) {
     if (words[0].equals("event")) {
       long number = Long.parseLong(words[1]);
-      if (number == log.size() + 1) { // else told before, to catch up with
+      if (number == log.size() + 1) { // earlier numbers repeat when a machine catches up
         log.add(
             new ClusterModel.Event(
                 number,
@@ -66,17 +66,17 @@
     }
     try {
       for (int z = 0; z < plan.zones(); z++) {
-        InetSocketAddress address = ListServer.machine(machine, z, port);
+        InetSocketAddress address = ListServer.machine(machineNumber, z, port);
         server.bind(address);
       }
-      HelperProcess.say("listening");
-      look(time.now() + ClusterPlan.SECOND);
+      HelperProcess.printLine("listening");
+      scheduleUsageReport(time.now() + ClusterPlan.SECOND);
     } catch (IOException e) {
-      System.err.println("control machine " + machine + ": " + e.getMessage());
+      System.err.println("control machine " + machineNumber + ": " + e.getMessage());
     }
   }
 
-  private void look(long at) {
+  private void scheduleUsageReport(long at) {
     time.at(
         at,
         () -> {
@@ -89,7 +89,7 @@
               server.bytesSinceLooked().stream()
                   .map(String::valueOf)
                   .collect(Collectors.joining(","));
-          HelperProcess.say(
+          HelperProcess.printLine(
               "usage "
                   + MachineTime.millis()
                   + " "
@@ -98,7 +98,7 @@
                   + (each.isEmpty() ? "-" : each)
                   + " "
                   + zones);
-          look(at + ClusterPlan.SECOND);
+          scheduleUsageReport(at + ClusterPlan.SECOND);
         });
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/EndpointListWatcher.java
+++ b/lab/src/main/java/reachloom/lab/scale/EndpointListWatcher.java
@@ -6,100 +6,103 @@
 import java.util.Map;
 
 /**
- * When each change of the list of engines was held by all hollow gateways; of the others nobody can
- * tell from outside. Times in milliseconds.
+ * Records when each change of the endpoint list had reached all synthetic gateways; for gateways
+ * that are processes of the program this can't be observed from outside. Times are in milliseconds.
  */
 final class EndpointListWatcher {
-  private static final class News {
+  private static final class ListChange {
     private final long number;
     private final long at;
-    private final Map<Integer, long[]> byHost = new LinkedHashMap<>();
+    private final Map<Integer, long[]> countAndTimeByProcess = new LinkedHashMap<>();
 
-    News(long number, long at) {
+    ListChange(long number, long at) {
       this.number = number;
       this.at = at;
     }
 
     long count() {
-      return byHost.values().stream().mapToLong(h -> h[0]).sum();
+      return countAndTimeByProcess.values().stream().mapToLong(s -> s[0]).sum();
     }
 
     long latest() {
-      return byHost.values().stream().mapToLong(h -> h[1]).max().orElse(0);
+      return countAndTimeByProcess.values().stream().mapToLong(s -> s[1]).max().orElse(0);
     }
   }
 
-  private final Map<String, News> news = new LinkedHashMap<>();
+  private final Map<String, ListChange> changes = new LinkedHashMap<>();
 
-  /** The event up to which each gateway knew the list at its start. */
-  private final Map<Integer, Long> from = new LinkedHashMap<>();
+  /** The last event that each gateway's list contained at its start. */
+  private final Map<Integer, Long> startEvents = new LinkedHashMap<>();
 
-  private final List<Long> heals = new ArrayList<>();
+  private final List<Long> healTimes = new ArrayList<>();
 
+  /** Records that an event of the list was announced; {@code key} identifies its content. */
   synchronized void announced(long number, String key, long at) {
-    news.putIfAbsent(key, new News(number, at));
+    changes.putIfAbsent(key, new ListChange(number, at));
   }
 
-  /** A gateway has started with the list as it was at that event. */
+  /** Records that a gateway started with the list as of the given event. */
   synchronized void started(int gateway, long event) {
-    from.put(gateway, event);
+    startEvents.put(gateway, event);
   }
 
+  /** Records that a gateway has ended. */
   synchronized void ended(int gateway) {
-    from.remove(gateway);
+    startEvents.remove(gateway);
   }
 
-  private long count(News n) {
-    return n.count() + from.values().stream().filter(f -> f >= n.number).count();
+  private long count(ListChange n) {
+    return n.count() + startEvents.values().stream().filter(f -> f >= n.number).count();
   }
 
-  /** So many on that host hold it by that time. */
-  synchronized void held(int host, String key, int count, long latest) {
-    News n = news.get(key);
+  /** Records how many gateways of a helper process have a change, and when the last got it. */
+  synchronized void recordReceived(int process, String key, int count, long latest) {
+    ListChange n = changes.get(key);
     if (n != null) {
-      n.byHost.put(host, new long[] {count, latest});
+      n.countAndTimeByProcess.put(process, new long[] {count, latest});
     }
   }
 
-  /** What was cut off can be reached again. */
+  /** Records that a partition has healed or that a lost control machine is back. */
   synchronized void healed(long at) {
-    heals.add(at);
+    healTimes.add(at);
   }
 
-  /** How many changes were announced. */
+  /** Returns the number of announced changes. */
   synchronized int count() {
-    return news.size();
+    return changes.size();
   }
 
-  /** Whether some do not hold all. */
-  synchronized boolean open(int gateways) {
-    return news.values().stream().anyMatch(n -> count(n) < gateways);
+  /** Returns whether some change has not reached the given number of gateways. */
+  synchronized boolean hasPending(int gateways) {
+    return changes.values().stream().anyMatch(n -> count(n) < gateways);
   }
 
+  /** Adds the figures for the given number of running synthetic gateways. */
   synchronized void figures(Map<String, Object> to, int gateways) {
     List<Double> times = new ArrayList<>();
     List<Double> primaries = new ArrayList<>();
     List<Double> behind = new ArrayList<>();
-    news.forEach(
+    changes.forEach(
         (key, n) -> {
           if (count(n) >= gateways && gateways > 0) {
             double seconds = Math.max(0, n.latest() - n.at) / 1e3;
             times.add(seconds);
-            if (key.split(" ")[1].equals("0")) { // a new holder, or one that is back
+            if (key.split(" ")[1].equals("0")) { // UP: a new primary, or one that is back
               primaries.add(seconds);
             }
           }
-          heals.stream()
+          healTimes.stream()
               .filter(h -> h >= n.at)
               .mapToLong(h -> h)
               .min()
               .ifPresent(h -> behind.add(Math.max(0, n.latest() - h) / 1e3));
         });
-    to.put("list_changes", news.size());
+    to.put("list_changes", changes.size());
     to.put("list_in_force_s_max", Samples.percentile(times, 1));
     to.put(
         "list_never",
-        gateways == 0 ? null : news.values().stream().filter(n -> count(n) < gateways).count());
+        gateways == 0 ? null : changes.values().stream().filter(n -> count(n) < gateways).count());
     to.put("primary_change_s_max", Samples.percentile(primaries, 1));
     to.put("behind_after_heal_s_max", Samples.percentile(behind, 1));
   }
--- a/lab/src/main/java/reachloom/lab/scale/FileAndSignalSource.java
+++ b/lab/src/main/java/reachloom/lab/scale/FileAndSignalSource.java
@@ -11,21 +11,22 @@
 import java.util.function.IntFunction;
 
 /**
- * What happens today: the file of each gateway is replaced on its machine and SIGHUP is sent there.
- * Whether a process of the program has read it is seen in its log, which has a line for each time.
+ * Distributes configuration as files: replaces the file of each gateway on its machine and sends
+ * SIGHUP there. A reload by a process of the program is detected in its log, which has one line for
+ * each reload.
  */
 final class FileAndSignalSource implements ConfigurationSource {
-  private static final String READ_AGAIN = "the configuration is read again";
+  private static final String RELOAD_LOG_TEXT = "the configuration is read again";
 
-  /** Reaches the gateways. */
+  /** Access to the gateways. */
   interface Gateways {
-    /** Those that run now. */
+    /** Returns the numbers of the gateways that run now. */
     List<Integer> running();
 
-    /** SIGHUP to all that are processes of the program. */
+    /** Sends SIGHUP to all gateways that are processes of the program. */
     void hangUp();
 
-    /** The same for a hollow one. */
+    /** Makes a synthetic gateway reload its configuration. */
     void reload(int gateway, long change);
   }
 
@@ -33,74 +34,73 @@
   private final int real;
   private final IntFunction<String> configuration;
   private final Gateways gateways;
-  private final RolloutTracker inForce;
-  private final long[] read;
+  private final RolloutTracker rollout;
+  private final long[] readBytes;
 
   FileAndSignalSource(
       Path folder,
       int real,
       IntFunction<String> configuration,
       Gateways gateways,
-      RolloutTracker inForce) {
+      RolloutTracker rollout) {
     this.folder = folder;
     this.real = real;
     this.configuration = configuration;
     this.gateways = gateways;
-    this.inForce = inForce;
-    read = new long[real];
+    this.rollout = rollout;
+    readBytes = new long[real];
   }
 
   @Override
   public void issue(long number) throws IOException {
     long at = MachineTime.millis();
-    List<Integer> to = gateways.running();
-    for (int g : to) {
+    List<Integer> targets = gateways.running();
+    for (int g : targets) {
       write(g);
     }
-    inForce.issued(number, at, to);
+    rollout.issued(number, at, targets);
     gateways.hangUp();
-    for (int g : to) {
+    for (int g : targets) {
       if (g >= real) {
         gateways.reload(g, number);
       }
     }
   }
 
-  /** Replaces the configuration file of a gateway by one of now. */
+  /** Replaces the configuration file of a gateway by the current configuration. */
   Path write(int gateway) throws IOException {
     Path file = folder.resolve("g" + gateway + ".json");
-    Path fresh =
+    Path temporary =
         Files.writeString(folder.resolve("g" + gateway + ".new"), configuration.apply(gateway));
     return Files.move(
-        fresh, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        temporary, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /**
-   * Looks for new lines in the logs; the hearer is told of each gateway that has read its file once
-   * more.
-   */
-  void look(IntConsumer heard) {
+  /** Reads new log lines; calls back with the gateway's number once for each reload found. */
+  void readLogs(IntConsumer onReload) {
     for (int g = 0; g < real; g++) {
       Path log = folder.resolve("g" + g + ".log");
       try (RandomAccessFile in = new RandomAccessFile(log.toFile(), "r")) {
         long size = in.length();
-        if (size <= read[g]) {
+        if (size <= readBytes[g]) {
           continue;
         }
-        byte[] more = new byte[(int) Math.min(1 << 20, size - read[g])];
-        in.seek(read[g]);
-        in.readFully(more);
-        int end = more.length;
-        while (end > 0 && more[end - 1] != '\n') {
+        byte[] chunk = new byte[(int) Math.min(1 << 20, size - readBytes[g])];
+        in.seek(readBytes[g]);
+        in.readFully(chunk);
+        int end = chunk.length;
+        while (end > 0 && chunk[end - 1] != '\n') {
           end--;
         }
-        read[g] += end;
-        String text = new String(more, 0, end, StandardCharsets.UTF_8);
-        for (int i = text.indexOf(READ_AGAIN); i >= 0; i = text.indexOf(READ_AGAIN, i + 1)) {
-          heard.accept(g);
+        readBytes[g] += end;
+        String text = new String(chunk, 0, end, StandardCharsets.UTF_8);
+        for (int i = text.indexOf(RELOAD_LOG_TEXT);
+            i >= 0;
+            i = text.indexOf(RELOAD_LOG_TEXT, i + 1)) {
+          onReload.accept(g);
         }
       } catch (IOException e) {
-        // it has not written yet
+        // the gateway has not written its log yet
       }
     }
   }
--- a/lab/src/main/java/reachloom/lab/scale/HelperProcess.java
+++ b/lab/src/main/java/reachloom/lab/scale/HelperProcess.java
@@ -12,12 +12,12 @@
 import java.util.function.Consumer;
 
 /**
- * A process of the laboratory itself that serves the run: it is told lines and tells lines. It ends
- * with its input, and so with the laboratory however that ends.
+ * A helper process of the laboratory that exchanges lines with it over standard input and output.
+ * It ends when its input ends, and so with the laboratory, however the laboratory ends.
  */
 final class HelperProcess implements AutoCloseable {
-  private static final long PATIENCE_S = 10;
-  private static final List<String> FLAGS =
+  private static final long EXIT_TIMEOUT_S = 10;
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -27,79 +27,80 @@
           "-Djava.net.preferIPv4Stack=true");
 
   private final Process process;
-  private final PrintStream to;
+  private final PrintStream input;
 
-  /** Starts a part of the run; its log goes to that file, what it tells to the hearer. */
-  HelperProcess(int heapMb, Path log, Consumer<String> heard, String... words) throws IOException {
+  /** Starts a process whose error output goes to {@code log} and output to {@code lineHandler}. */
+  HelperProcess(int heapMb, Path log, Consumer<String> lineHandler, String... arguments)
+      throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(FLAGS);
+    command.addAll(JVM_FLAGS);
     command.addAll(
         List.of(
             "-Xmx" + heapMb + "m",
             "-cp",
             System.getProperty("java.class.path"),
             HelperMain.class.getName()));
-    command.addAll(List.of(words));
+    command.addAll(List.of(arguments));
     process =
         new ProcessBuilder(command)
             .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
             .start();
-    to = new PrintStream(process.getOutputStream(), false, StandardCharsets.UTF_8);
-    Thread reader = new Thread(() -> read(heard), "heard of " + words[0]);
+    input = new PrintStream(process.getOutputStream(), false, StandardCharsets.UTF_8);
+    Thread reader = new Thread(() -> read(lineHandler), "reader of " + arguments[0]);
     reader.setDaemon(true);
     reader.start();
   }
 
-  private void read(Consumer<String> heard) {
+  private void read(Consumer<String> lineHandler) {
     try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        heard.accept(line);
+        lineHandler.accept(line);
       }
     } catch (IOException e) {
-      // it has ended
+      // the process has ended
     }
   }
 
-  /** In such a process: hears each line that it is told until the input ends. */
-  static void follow(Consumer<String> told) throws IOException {
+  /** In a helper process: passes each line of standard input to the handler until input ends. */
+  static void readLines(Consumer<String> lineHandler) throws IOException {
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      told.accept(line);
+      lineHandler.accept(line);
     }
   }
 
-  /** In such a process: tells a line. */
-  static synchronized void say(String line) {
+  /** In a helper process: writes a line to standard output. */
+  static synchronized void printLine(String line) {
     System.out.println(line);
     System.out.flush();
   }
 
-  /** Tells it a line; nothing where it has ended. */
-  synchronized void tell(String line) {
-    to.println(line);
-    to.flush();
+  /** Sends a line to the process; has no effect if the process has ended. */
+  synchronized void sendLine(String line) {
+    input.println(line);
+    input.flush();
   }
 
   long pid() {
     return process.pid();
   }
 
-  boolean runs() {
+  boolean isRunning() {
     return process.isAlive();
   }
 
-  /** Ends it at once. */
+  /** Kills the process at once. */
   void kill() {
     process.destroyForcibly();
   }
 
   @Override
   public void close() {
-    to.close();
+    input.close();
     try {
-      if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+      if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
         process.destroyForcibly().waitFor();
       }
     } catch (InterruptedException e) {
--- a/lab/src/main/java/reachloom/lab/scale/MachineTime.java
+++ b/lab/src/main/java/reachloom/lab/scale/MachineTime.java
@@ -1,17 +1,17 @@
 package reachloom.lab.scale;
 
 /**
- * The time that the processes of a run on one machine tell each other: that of the machine's
- * monotonic clock, which all of its processes share, so that a step of the wall clock does not show
- * in what is measured.
+ * Time stamps that the processes of a run on one machine exchange. They are read from the machine's
+ * monotonic clock, which all of its processes share, so that a step of the wall clock does not
+ * affect the measurements.
  */
 final class MachineTime {
-  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
   private MachineTime() {}
 
-  /** The present time in milliseconds since a moment that all processes of this machine share. */
+  /** Returns the milliseconds since an origin that all processes of this machine share. */
   static long millis() {
-    return System.nanoTime() / MILLISECOND;
+    return System.nanoTime() / NANOS_PER_MILLISECOND;
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/RolloutTracker.java
+++ b/lab/src/main/java/reachloom/lab/scale/RolloutTracker.java
@@ -8,82 +8,84 @@
 import java.util.TreeMap;
 
 /**
- * Which change of configuration is in force where, and since when. A gateway that takes a later
- * change has taken those before it; one that starts anew reads the newest. Times in milliseconds.
+ * Records which configuration changes are in force at which gateways, and since when. A gateway
+ * that applies a change has all earlier changes in force as well; a gateway that restarts reads the
+ * newest configuration. Times are in milliseconds.
  */
 final class RolloutTracker {
   private static final class Change {
     private final long issuedAt;
-    private int owed;
-    private long lastAt;
+    private int pendingGateways;
+    private long lastAppliedAt;
 
     Change(long issuedAt) {
       this.issuedAt = issuedAt;
-      lastAt = issuedAt;
+      lastAppliedAt = issuedAt;
     }
   }
 
   private final Map<Long, Change> changes = new TreeMap<>();
-  private final Map<Integer, ArrayDeque<Long>> owed = new LinkedHashMap<>();
+  private final Map<Integer, ArrayDeque<Long>> pendingByGateway = new LinkedHashMap<>();
 
-  /** A change was issued, and goes to these gateways. */
+  /** Records that a change was issued to the given gateways. */
   synchronized void issued(long change, long at, Iterable<Integer> gateways) {
     Change c = new Change(at);
     changes.put(change, c);
     for (int g : gateways) {
-      owed.computeIfAbsent(g, x -> new ArrayDeque<>()).add(change);
-      c.owed++;
+      pendingByGateway.computeIfAbsent(g, x -> new ArrayDeque<>()).add(change);
+      c.pendingGateways++;
     }
   }
 
-  /** That change is in force at a gateway, and with it all before. */
+  /** Records that a change, and with it all earlier ones, is in force at a gateway. */
   synchronized void applied(int gateway, long change, long at) {
-    ArrayDeque<Long> mine = owed.getOrDefault(gateway, new ArrayDeque<>());
-    while (!mine.isEmpty() && mine.peek() <= change) {
-      Change c = changes.get(mine.poll());
-      c.owed--;
-      c.lastAt = Math.max(c.lastAt, at);
+    ArrayDeque<Long> pending = pendingByGateway.getOrDefault(gateway, new ArrayDeque<>());
+    while (!pending.isEmpty() && pending.peek() <= change) {
+      Change c = changes.get(pending.poll());
+      c.pendingGateways--;
+      c.lastAppliedAt = Math.max(c.lastAppliedAt, at);
     }
   }
 
   /**
-   * A gateway has read one more time what it was told to read, in the order in which it was told.
+   * Records that a gateway has reloaded its configuration once more; reloads follow the order in
+   * which the changes were issued to it.
    */
   synchronized void appliedNext(int gateway, long at) {
-    ArrayDeque<Long> mine = owed.get(gateway);
-    if (mine != null && !mine.isEmpty()) {
-      applied(gateway, mine.peek(), at);
+    ArrayDeque<Long> pending = pendingByGateway.get(gateway);
+    if (pending != null && !pending.isEmpty()) {
+      applied(gateway, pending.peek(), at);
     }
   }
 
-  /** A gateway started anew with the newest: no older one is owed to it. */
+  /** Records that a gateway started with the newest configuration; no earlier change is pending. */
   synchronized void started(int gateway, long at) {
     applied(gateway, Long.MAX_VALUE, at);
   }
 
-  /** Whether some change is not in force everywhere. */
-  synchronized boolean open() {
-    return changes.values().stream().anyMatch(c -> c.owed > 0);
+  /** Returns whether some change is not yet in force at a gateway that it was issued to. */
+  synchronized boolean hasPending() {
+    return changes.values().stream().anyMatch(c -> c.pendingGateways > 0);
   }
 
-  /** Who lacks a change now. */
-  synchronized List<Integer> lacking() {
-    return owed.entrySet().stream()
+  /** Returns the gateways at which a change is pending. */
+  synchronized List<Integer> lackingGateways() {
+    return pendingByGateway.entrySet().stream()
         .filter(e -> !e.getValue().isEmpty())
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** The figures; a time is null where no change was issued. */
+  /** Adds the figures; a time is null if no change is in force everywhere. */
   synchronized void figures(Map<String, Object> to) {
     List<Double> times = new ArrayList<>();
     changes.values().stream()
-        .filter(c -> c.owed == 0)
-        .forEach(c -> times.add((c.lastAt - c.issuedAt) / 1e3));
+        .filter(c -> c.pendingGateways == 0)
+        .forEach(c -> times.add((c.lastAppliedAt - c.issuedAt) / 1e3));
     to.put("changes", changes.size());
     to.put("config_in_force_s_p50", Samples.percentile(times, 0.5));
     to.put("config_in_force_s_p99", Samples.percentile(times, 0.99));
     to.put("config_in_force_s_max", Samples.percentile(times, 1));
-    to.put("config_never", changes.values().stream().filter(c -> c.owed > 0).count());
+    to.put("config_never", changes.values().stream().filter(c -> c.pendingGateways > 0).count());
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/Samples.java
+++ b/lab/src/main/java/reachloom/lab/scale/Samples.java
@@ -3,21 +3,24 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Figures of samples. */
+/** Statistics of measured samples. */
 final class Samples {
   private Samples() {}
 
-  /** The smallest value that this share of all does not pass; null of none. */
-  static Double percentile(Collection<Double> of, double share) {
-    List<Double> sorted = of.stream().sorted().toList();
+  /**
+   * Returns the smallest sample that at least the given share of all samples does not exceed, or
+   * null if there are no samples.
+   */
+  static Double percentile(Collection<Double> samples, double share) {
+    List<Double> sorted = samples.stream().sorted().toList();
     return sorted.isEmpty()
         ? null
         : sorted.get(Math.max(0, (int) Math.ceil(share * sorted.size() - 1e-9) - 1));
   }
 
-  /** Rounded to so many decimals; null stays. */
+  /** Rounds the value to the given number of decimals; null stays null. */
   static Double round(Double value, int decimals) {
-    double times = Math.pow(10, decimals);
-    return value == null ? null : Math.round(value * times) / times;
+    double scale = Math.pow(10, decimals);
+    return value == null ? null : Math.round(value * scale) / scale;
   }
 }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -19,63 +19,62 @@
 import reachloom.lab.command.Figures;
 import reachloom.revision.Revision;
 
-/** Plays the installation at the size that is planned for, or smaller. */
+/** Runs an installation of the planned size, or a smaller one. */
 public final class ScaleCommand implements Command {
-  /** The exit status of a run that the machine could not bear. */
-  static final int VOID = 3;
+  /** Exit status of a void run, one that the machine had too little capacity for. */
+  static final int EXIT_VOID = 3;
 
-  private static final int PLANNED_RATE = 724;
+  /** Statements a second at each real gateway. */
+  private static final int PLANNED_GATEWAY_RATE = 724;
 
-  /**
-   * Statements a second in all that are taken for bearable beside the rest, where nothing is said.
-   */
-  private static final int BEARABLE = 600;
+  /** Default limit of the statements a second at all real gateways together. */
+  private static final int MAX_TOTAL_RATE = 600;
 
   @Override
   public String purpose() {
-    return "the whole installation: real and hollow gateways, control machines, a source of configuration";
+    return "an installation of real and synthetic gateways, control machines, configuration source";
   }
 
   @Override
   public Options options() {
     return new Options()
         .addOption(null, "gateways", true, "gateways in all (20)")
-        .addOption(null, "real", true, "of these, processes of the program, which clients ask (4)")
+        .addOption(null, "real", true, "of these, processes of the program, with clients (4)")
         .addOption(null, "engines", true, "engines at the start (24)")
         .addOption(null, "regions", true, "regions (3)")
-        .addOption(null, "zones", true, "zones, which lie in the regions in turn (10)")
+        .addOption(null, "zones", true, "zones, assigned to the regions in turn (10)")
         .addOption(null, "control", true, "control machines (5)")
-        .addOption(null, "seconds", true, "how long it lasts (30)")
+        .addOption(null, "seconds", true, "duration of the run in seconds (30)")
         .addOption(null, "settle", true, "seconds between the last start and the first query (5)")
         .addOption(
             null,
             "rate",
             true,
-            "statements a second at each real gateway (724, as far as "
-                + BEARABLE
-                + " a second in all hold that)")
-        .addOption(null, "a-process", true, "hollow gateways in a process (30)")
-        .addOption(null, "no-gossip", false, "gossip stays off")
-        .addOption(null, "period-ms", true, "gossip's time between two probes (1000)")
-        .addOption(null, "cap", true, "gossip's bytes a second of each gateway (4096)")
+            "statements a second at each real gateway (724, or less if the total exceeds "
+                + MAX_TOTAL_RATE
+                + ")")
+        .addOption(null, "a-process", true, "synthetic gateways in each process (30)")
+        .addOption(null, "no-gossip", false, "turns gossip off")
+        .addOption(null, "period-ms", true, "milliseconds between two gossip probes (1000)")
+        .addOption(null, "cap", true, "bytes a second of each gateway's gossip (4096)")
         .addOption(null, "script", true, "a file, or one of " + FaultSchedule.NAMED + " (steady)")
         .addOption(
             null,
             "mode",
             true,
-            "sockets (the default) or virtual: the control part in simulated time")
-        .addOption(null, "changes", true, "simulated: revisions that are issued (20)")
-        .addOption(null, "loss", true, "simulated: share of datagrams that are lost (0.02)")
+            "sockets (the default), or virtual: only the control part, in simulated time")
+        .addOption(null, "changes", true, "simulated: number of revisions issued (20)")
+        .addOption(null, "loss", true, "simulated: share of datagrams lost (0.02)")
         .addOption(
             null,
             "control-cap",
             true,
             "simulated: bytes a second of each control machine (1048576)")
-        .addOption(null, "document", true, "simulated: bytes of the configuration (2000)")
-        .addOption(null, "jar", true, "the program (the one built beside the laboratory)")
-        .addOption(null, "heap-mb", true, "heap of each real gateway (24)")
-        .addOption(null, "seed", true, "for all that is drawn (1)")
-        .addOption(null, "json", true, "file for the figures")
+        .addOption(null, "document", true, "simulated: size of the configuration in bytes (2000)")
+        .addOption(null, "jar", true, "the gateway's jar (the one built beside the laboratory)")
+        .addOption(null, "heap-mb", true, "heap of each real gateway in MB (24)")
+        .addOption(null, "seed", true, "seed of the random numbers (1)")
+        .addOption(null, "json", true, "file for the figures as JSON")
         .addOption(null, "logs", true, "folder for all logs");
   }
 
@@ -83,7 +82,7 @@
   public int run(CommandLine line) throws Exception {
     int gateways = Arguments.number(line, "gateways", 20, 1, 1_000);
     int real = Arguments.number(line, "real", Math.min(4, gateways), 1, Math.min(100, gateways));
-    int planned = Math.min(PLANNED_RATE, Math.max(1, BEARABLE / real));
+    int defaultRate = Math.min(PLANNED_GATEWAY_RATE, Math.max(1, MAX_TOTAL_RATE / real));
     ScaleRun.Size size =
         new ScaleRun.Size(
             gateways,
@@ -93,7 +92,7 @@
             Arguments.number(line, "zones", 10, 1, 16),
             Arguments.number(line, "control", 5, 1, 20),
             Arguments.number(line, "seconds", 30, 4, 3_600),
-            Arguments.number(line, "rate", planned, 1, 5_000),
+            Arguments.number(line, "rate", defaultRate, 1, 5_000),
             Arguments.number(line, "settle", 5, 0, 600),
             Arguments.number(line, "a-process", 30, 1, 500),
             Arguments.number(line, "heap-mb", 24, 8, 512),
@@ -111,24 +110,24 @@
       throw new ParseException(
           "--script: "
               + script.name()
-              + " speaks of list, which fleet has; control "
-              + "machines are what scale has");
+              + " has faults of list, which only the fleet command plays; "
+              + "scale has control machines");
     }
     Map<String, Object> origin = new LinkedHashMap<>();
     origin.put("script", script.name());
     origin.put("size", size);
-    origin.put("rate_planned", PLANNED_RATE);
+    origin.put("rate_planned", PLANNED_GATEWAY_RATE);
     String mode = line.getOptionValue("mode", "sockets");
     origin.put("mode", mode);
     return switch (mode) {
-      case "sockets" -> sockets(line, size, script, origin);
-      case "virtual" -> virtual(line, size, script.name(), origin);
+      case "sockets" -> runOnSockets(line, size, script, origin);
+      case "virtual" -> runVirtual(line, size, script.name(), origin);
       default -> throw new ParseException("--mode: '" + mode + "' is neither virtual nor sockets");
     };
   }
 
-  /** The control part alone, in simulated time; its scripts are those of the same names. */
-  private static int virtual(
+  /** Runs only the control part in simulated time; its troubles have the names of the scripts. */
+  private static int runVirtual(
       CommandLine line, ScaleRun.Size size, String script, Map<String, Object> origin)
       throws Exception {
     VirtualControl.Trouble trouble;
@@ -138,7 +137,7 @@
       throw new ParseException(
           "--script: "
               + script
-              + " is not played in simulated time; "
+              + " is not available in simulated time; available: "
               + Arrays.toString(VirtualControl.Trouble.values())
                   .toLowerCase(Locale.ROOT)
                   .replace('_', '-'));
@@ -161,34 +160,34 @@
     return Figures.report(line, origin, new VirtualControl(plan).play());
   }
 
-  private static int sockets(
+  private static int runOnSockets(
       CommandLine line, ScaleRun.Size size, FaultSchedule script, Map<String, Object> origin)
       throws Exception {
-    if (size.rate() < PLANNED_RATE) {
+    if (size.rate() < PLANNED_GATEWAY_RATE) {
       System.err.printf(
-          "clients ask each real gateway %.0f times a second; %d are planned%n",
-          size.rate(), PLANNED_RATE);
+          "clients send each real gateway %.0f statements a second; %d are planned%n",
+          size.rate(), PLANNED_GATEWAY_RATE);
     }
-    boolean kept = line.hasOption("logs");
+    boolean keepLogs = line.hasOption("logs");
     Path folder =
-        kept
+        keepLogs
             ? Files.createDirectories(Path.of(line.getOptionValue("logs"))).toAbsolutePath()
             : Files.createTempDirectory("reachloom-scale");
     Map<String, Object> figures;
     try (ScaleRun run = new ScaleRun(size, folder, Arguments.jar(line))) {
       figures = run.play(script);
     } finally {
-      if (!kept) {
+      if (!keepLogs) {
         try (var files = Files.walk(folder)) {
           files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
         }
       }
     }
     Figures.report(line, origin, figures);
-    List<?> why = (List<?>) figures.get("void");
-    if (!why.isEmpty()) {
-      System.err.println("void: " + why);
-      return VOID;
+    List<?> reasons = (List<?>) figures.get("void");
+    if (!reasons.isEmpty()) {
+      System.err.println("void: " + reasons);
+      return EXIT_VOID;
     }
     return 0;
   }
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -33,33 +33,36 @@
 import reachloom.lab.cluster.Workload;
 import reachloom.lab.gossip.Installation;
 
-/** The installation at its planned size, or smaller, played under a script on real sockets. */
+/** Runs an installation of the planned size, or smaller, on real sockets under a fault script. */
 final class ScaleRun implements SideProcesses, FileAndSignalSource.Gateways, AutoCloseable {
-  private static final int SEEDS = 3;
+  private static final int MAX_SEEDS = 3;
   private static final String OPERATOR = "operator";
 
-  /** Among more than so many an answer to an operator is too long to be asked for in a run. */
-  private static final int MAX_ASKED = 8;
+  /** In installations with more gateways a gossip status reply is too long to request in a run. */
+  private static final int MAX_GATEWAYS_FOR_STATUS = 8;
 
-  private static final Pattern TRAFFIC =
+  private static final Pattern STATUS_TRAFFIC =
       Pattern.compile("bytes sent (\\d+) .* sent (\\d+), received (\\d+) of (\\d+) bytes");
   private static final int CONTROL_HEAP_MB = 64;
-  private static final int HOLLOW_HEAP_MB = 64; // and as much again for each gateway as measured
-  private static final int HEAP_A_GATEWAY_MB = 10;
-  private static final int READY_S = 120;
-  private static final long LAUNCH_GAP_MS =
-      20; // a process of so many has one machine's share to start with
-  private static final long LOG_LOOK_MS = 50;
+  private static final int SYNTHETIC_PROCESS_HEAP_MB = 64; // without its gateways
+  private static final int HEAP_PER_GATEWAY_MB = 10;
+  private static final int READY_TIMEOUT_S = 120;
+
+  /** Spaces out starts: a process with many gateways has one machine's share of processor time. */
+  private static final long LAUNCH_INTERVAL_MS = 20;
+
+  private static final long LOG_POLL_MS = 50;
 
   /**
-   * The longest wait for a change log, its dial and the list, with as much again on a busy machine.
+   * Maximum time that a gateway needs to wait for a change log, connect to it and receive the list;
+   * doubled for a busy machine.
    */
-  private static final long REDIAL =
+  private static final long RECONNECT_TIME_NANOS =
       2 * (EndpointWatch.MAX_SILENCE_NANOS / 2 + EndpointWatch.CONNECT_TIMEOUT_NANOS);
 
-  private static final long PATIENCE_MS = 20_000;
+  private static final long COMPLETION_TIMEOUT_MS = 20_000;
 
-  /** What is played; {@code rate} is in statements a second at each real gateway. */
+  /** Size of the installation; {@code rate} is in statements a second at each real gateway. */
   record Size(
       int gateways,
       int real,
@@ -76,7 +79,7 @@
       long period,
       int cap,
       long seed) {
-    int hollow() {
+    int synthetic() {
       return gateways - real;
     }
 
@@ -84,11 +87,13 @@
       return zone % regions;
     }
 
-    /** The control machine that a gateway follows: one of its region where there is one. */
+    /** Returns the control machine that a gateway follows: one of its region if there is one. */
     int machineOf(int gateway) {
       int region = regionOf(gateway % zones);
-      int there = (control - region + regions - 1) / regions;
-      return there <= 0 ? gateway % control : region + gateway / zones % there * regions;
+      int machinesInRegion = (control - region + regions - 1) / regions;
+      return machinesInRegion <= 0
+          ? gateway % control
+          : region + gateway / zones % machinesInRegion * regions;
     }
   }
 
@@ -96,33 +101,34 @@
   private final Path folder;
   private final ProcessFleet fleet;
   private final FileAndSignalSource source;
-  private final RolloutTracker inForce = new RolloutTracker();
-  private final EndpointListWatcher lists;
-  private final ResourceMonitor meters;
-  private final List<HelperProcess> hosts = new ArrayList<>();
-  private final HelperProcess[] machines;
-  private final boolean[] apart;
-  private final boolean[] lost;
-  private final List<InetSocketAddress> ports = new ArrayList<>();
-  private final Map<Integer, Path> settings = new ConcurrentHashMap<>();
-  private final BitSet up = new BitSet();
-  private final ScheduledExecutorService work =
+  private final RolloutTracker rollout = new RolloutTracker();
+  private final EndpointListWatcher endpointLists;
+  private final ResourceMonitor resourceMonitor;
+  private final List<HelperProcess> syntheticProcesses = new ArrayList<>();
+  private final HelperProcess[] controlMachines;
+  private final boolean[] partitioned;
+  private final boolean[] lostMachines;
+  private final List<InetSocketAddress> gossipAddresses = new ArrayList<>();
+  private final Map<Integer, Path> settingsFiles = new ConcurrentHashMap<>();
+  private final BitSet runningGateways = new BitSet();
+  private final ScheduledExecutorService issueExecutor =
       Executors.newSingleThreadScheduledExecutor(daemon("source"));
-  private final ScheduledExecutorService looks =
-      Executors.newSingleThreadScheduledExecutor(daemon("looks"));
-  private final ExecutorService asks = Executors.newSingleThreadExecutor(daemon("asks"));
-  private final ExecutorService starts = Executors.newCachedThreadPool(daemon("starts"));
+  private final ScheduledExecutorService samplingExecutor =
+      Executors.newSingleThreadScheduledExecutor(daemon("sampling"));
+  private final ExecutorService statusExecutor =
+      Executors.newSingleThreadExecutor(daemon("status"));
+  private final ExecutorService startExecutor = Executors.newCachedThreadPool(daemon("starts"));
   private final CountDownLatch ready;
   private Installation installation;
-  private ClusterModel world;
+  private ClusterModel clusterModel;
   private EngineHosts engines;
-  private HistoryChecker truth;
-  private int port;
+  private HistoryChecker history;
+  private int changeLogPort;
   private volatile boolean failed;
   private final Map<Integer, ResourceMonitor.Count> gossipFirst = new ConcurrentHashMap<>();
   private final Map<Integer, ResourceMonitor.Count> gossipLast = new ConcurrentHashMap<>();
-  private long issued;
-  private long halts;
+  private long issuedChanges;
+  private long haltsNotPlayed;
   private boolean closing;
 
   ScaleRun(Size size, Path folder, Path jar) throws IOException {
@@ -144,12 +150,12 @@
             0,
             size.gateways,
             size.seed);
-    machines = new HelperProcess[size.control];
-    apart = new boolean[size.control];
-    lost = new boolean[size.control];
-    ready = new CountDownLatch(size.hollow());
-    lists = new EndpointListWatcher();
-    meters = new ResourceMonitor(size);
+    controlMachines = new HelperProcess[size.control];
+    partitioned = new boolean[size.control];
+    lostMachines = new boolean[size.control];
+    ready = new CountDownLatch(size.synthetic());
+    endpointLists = new EndpointListWatcher();
+    resourceMonitor = new ResourceMonitor(size);
     fleet =
         new ProcessFleet(
             plan,
@@ -157,11 +163,11 @@
             jar,
             size.heapMb,
             g ->
-                settings.containsKey(g)
-                    ? List.of("--settings", settings.get(g).toString())
+                settingsFiles.containsKey(g)
+                    ? List.of("--settings", settingsFiles.get(g).toString())
                     : List.of(),
             this);
-    source = new FileAndSignalSource(folder, size.real, fleet::configuration, this, inForce);
+    source = new FileAndSignalSource(folder, size.real, fleet::configuration, this, rollout);
   }
 
   private static java.util.concurrent.ThreadFactory daemon(String name) {
@@ -173,90 +179,91 @@
   }
 
   Map<String, Object> play(FaultSchedule script) throws IOException, InterruptedException {
-    Map<String, Object> of = fleet.play(script, this::finish);
+    Map<String, Object> fleetFigures = fleet.play(script, this::awaitCompletion);
     Map<String, Object> f = new LinkedHashMap<>();
-    f.put("gateways_ready", of.get("gateways_ready"));
-    meters.figures(f);
-    inForce.figures(f);
-    lists.figures(f, hollowUp());
+    f.put("gateways_ready", fleetFigures.get("gateways_ready"));
+    resourceMonitor.figures(f);
+    rollout.figures(f);
+    endpointLists.figures(f, runningSyntheticCount());
     for (String name : List.of("rules_broken", "broken", "unanswered", "service", "asked")) {
       if (size.real > 0) {
-        f.put(name, of.get(name));
+        f.put(name, fleetFigures.get(name));
       }
     }
     f.put("rate_a_gateway", size.rate);
-    f.put("rss_mb_max", size.real == 0 ? null : of.get("rss_mb_max"));
-    f.put("ready_s", of.get("ready_s"));
-    f.put("probes_per_s", of.get("probes_per_s"));
-    f.put("engine_connections_max", of.get("connections_max"));
-    f.put("crashed", of.get("crashed"));
-    f.put("clients_late_ms", of.get("clients_late_ms"));
-    f.put("halts_not_played", halts);
+    f.put("rss_mb_max", size.real == 0 ? null : fleetFigures.get("rss_mb_max"));
+    f.put("ready_s", fleetFigures.get("ready_s"));
+    f.put("probes_per_s", fleetFigures.get("probes_per_s"));
+    f.put("engine_connections_max", fleetFigures.get("connections_max"));
+    f.put("crashed", fleetFigures.get("crashed"));
+    f.put("clients_late_ms", fleetFigures.get("clients_late_ms"));
+    f.put("halts_not_played", haltsNotPlayed);
     f.put("gossip_cut", false);
-    f.put("rig_defects", ((Number) of.get("rig_defects")).intValue() + (failed ? 1 : 0));
-    f.put("machine_idle_share", meters.idleShare());
-    f.put("void", meters.unbearable(f));
+    f.put("rig_defects", ((Number) fleetFigures.get("rig_defects")).intValue() + (failed ? 1 : 0));
+    f.put("machine_idle_share", resourceMonitor.idleShare());
+    f.put("void", resourceMonitor.voidReasons(f));
     return f;
   }
 
-  // ---- What the gateways need ----
+  // ---- Preparation and start of the gateways ----
 
   @Override
   public int gateways() {
-    return size.hollow();
+    return size.synthetic();
   }
 
   @Override
   public InetSocketAddress changeLog(int gateway) {
-    return ListServer.machine(size.machineOf(gateway), gateway % size.zones, port);
+    return ListServer.machine(size.machineOf(gateway), gateway % size.zones, changeLogPort);
   }
 
   @Override
-  public void open(ClusterModel of, EngineHosts listening)
+  public void open(ClusterModel model, EngineHosts listening)
       throws IOException, InterruptedException {
-    world = of;
+    clusterModel = model;
     engines = listening;
     if (size.gossip) {
-      identities();
+      createIdentities();
     }
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
+      changeLogPort = free.getLocalPort();
     }
     for (int m = 0; m < size.control; m++) {
-      machine(m);
+      startControlMachine(m);
     }
-    fleet.onWorld(() -> world.views.get(0).hear(this::announce));
+    fleet.onWorld(() -> clusterModel.views.get(0).hear(this::sendListEvent));
   }
 
-  private void identities() throws IOException {
+  private void createIdentities() throws IOException {
     installation = new Installation(folder);
     installation.instance(OPERATOR, "ca", 30);
-    List<DatagramSocket> taken = new ArrayList<>(); // all at once, so that no two are the same
+    // All sockets are open at once, so that no two ports are the same.
+    List<DatagramSocket> taken = new ArrayList<>();
     for (int g = 0; g < size.gateways; g++) {
       DatagramSocket s = new DatagramSocket(0, InetAddress.getLoopbackAddress());
       taken.add(s);
-      ports.add((InetSocketAddress) s.getLocalSocketAddress());
+      gossipAddresses.add((InetSocketAddress) s.getLocalSocketAddress());
     }
     taken.forEach(DatagramSocket::close);
     for (int g = 0; g < size.gateways; g++) {
       String name = "g" + g;
       installation.instance(name, "ca", 30);
-      settings.put(
+      settingsFiles.put(
           g,
           installation.file(
               installation.settings(
                   name,
-                  ports.get(g),
+                  gossipAddresses.get(g),
                   size.period,
                   size.cap,
-                  ports.subList(0, Math.min(g, SEEDS)),
+                  gossipAddresses.subList(0, Math.min(g, MAX_SEEDS)),
                   "ca"),
               name));
     }
   }
 
-  /** Starts a control machine, tells it all of the list, and waits until it listens. */
-  private void machine(int m) throws IOException, InterruptedException {
+  /** Starts a control machine, sends it the whole list and waits until it listens. */
+  private void startControlMachine(int m) throws IOException, InterruptedException {
     CountDownLatch listening = new CountDownLatch(1);
     HelperProcess child =
         new HelperProcess(
@@ -266,33 +273,34 @@
               if (line.equals("listening")) {
                 listening.countDown();
               } else {
-                meters.control(m, line);
+                resourceMonitor.onControlUsage(m, line);
               }
             },
             HelperMain.CONTROL,
             "--machine",
             Integer.toString(m),
             "--port",
-            Integer.toString(port),
+            Integer.toString(changeLogPort),
             "--engine-port",
             Integer.toString(engines.port()),
             "--engines",
             Integer.toString(size.engines),
             "--zones",
             Integer.toString(size.zones));
-    meters.controlStarts(m, child.pid());
+    resourceMonitor.controlMachineStarted(m, child.pid());
     fleet.onWorld(
         () -> {
-          world.views.get(0).log.forEach(e -> child.tell(words(e)));
-          machines[m] = child;
+          clusterModel.views.get(0).log.forEach(e -> child.sendLine(eventLine(e)));
+          controlMachines[m] = child;
         });
-    child.tell("listen");
-    if (!listening.await(READY_S, TimeUnit.SECONDS)) {
-      throw new IOException("control machine " + m + " does not listen");
+    child.sendLine("listen");
+    if (!listening.await(READY_TIMEOUT_S, TimeUnit.SECONDS)) {
+      throw new IOException(
+          "control machine " + m + " did not listen within " + READY_TIMEOUT_S + " s");
     }
   }
 
-  private static String words(ClusterModel.Event e) {
+  private static String eventLine(ClusterModel.Event e) {
     return "event "
         + e.number()
         + " "
@@ -303,8 +311,8 @@
         + e.engine().startedMs();
   }
 
-  private void announce(ClusterModel.Event e) {
-    lists.announced(
+  private void sendListEvent(ClusterModel.Event e) {
+    endpointLists.announced(
         e.number(),
         ClusterModel.name(e.engine().id())
             + " "
@@ -312,127 +320,130 @@
             + " "
             + e.engine().startedMs(),
         MachineTime.millis());
-    for (int m = 0; m < machines.length; m++) {
-      if (!apart[m] && !lost[m]) {
-        machines[m].tell(words(e));
+    for (int m = 0; m < controlMachines.length; m++) {
+      if (!partitioned[m] && !lostMachines[m]) {
+        controlMachines[m].sendLine(eventLine(e));
       }
     }
   }
 
   @Override
   public int join() throws IOException, InterruptedException {
-    int count = (size.hollow() + size.aHost - 1) / size.aHost;
+    int count = (size.synthetic() + size.aHost - 1) / size.aHost;
     for (int h = 0; h < count; h++) {
-      int host = h;
-      int on = Math.min(size.aHost, size.hollow() - h * size.aHost);
+      int process = h;
+      int on = Math.min(size.aHost, size.synthetic() - h * size.aHost);
       HelperProcess child =
           new HelperProcess(
-              HOLLOW_HEAP_MB + on * HEAP_A_GATEWAY_MB,
+              SYNTHETIC_PROCESS_HEAP_MB + on * HEAP_PER_GATEWAY_MB,
               folder.resolve("hollow" + h + ".log"),
-              line -> heard(host, line),
-              HelperMain.HOLLOW);
-      meters.hollowStarts(h, child.pid());
-      hosts.add(child);
+              line -> handleLine(process, line),
+              HelperMain.SYNTHETIC_GATEWAYS);
+      resourceMonitor.syntheticProcessStarted(h, child.pid());
+      syntheticProcesses.add(child);
     }
-    synchronized (up) {
-      up.set(0, size.real);
+    synchronized (runningGateways) {
+      runningGateways.set(0, size.real);
     }
     for (int g = size.real; g < size.gateways; g++) {
-      launch(g);
-      Thread.sleep(LAUNCH_GAP_MS);
+      startSyntheticGateway(g);
+      Thread.sleep(LAUNCH_INTERVAL_MS);
     }
-    ready.await(READY_S, TimeUnit.SECONDS);
-    int joined = size.hollow() - (int) ready.getCount();
+    ready.await(READY_TIMEOUT_S, TimeUnit.SECONDS);
+    int joined = size.synthetic() - (int) ready.getCount();
     Thread.sleep(size.settle * 1_000L);
     return joined;
   }
 
-  private HelperProcess host(int gateway) {
-    return hosts.get((gateway - size.real) / size.aHost);
+  private HelperProcess processOf(int gateway) {
+    return syntheticProcesses.get((gateway - size.real) / size.aHost);
   }
 
-  private void launch(int gateway) throws IOException {
+  private void startSyntheticGateway(int gateway) throws IOException {
     Path file = source.write(gateway);
-    host(gateway)
-        .tell(
+    processOf(gateway)
+        .sendLine(
             "start "
                 + gateway
                 + " "
                 + size.rate
                 + " "
                 + file
-                + (size.gossip ? " " + settings.get(gateway) : ""));
+                + (size.gossip ? " " + settingsFiles.get(gateway) : ""));
   }
 
-  private void heard(int host, String line) {
+  private void handleLine(int process, String line) {
     String[] words = line.split(" ");
     switch (words[0]) {
       case "ready" -> {
         int g = Integer.parseInt(words[1]);
-        synchronized (up) {
-          up.set(g);
+        synchronized (runningGateways) {
+          runningGateways.set(g);
         }
-        inForce.started(g, Long.parseLong(words[2]));
-        lists.started(g, Long.parseLong(words[3]));
+        rollout.started(g, Long.parseLong(words[2]));
+        endpointLists.started(g, Long.parseLong(words[3]));
         ready.countDown();
       }
       case "applied" ->
-          inForce.applied(
+          rollout.applied(
               Integer.parseInt(words[1]), Long.parseLong(words[2]), Long.parseLong(words[3]));
       case "lacks" ->
           System.err.println(
               "gateway "
                   + words[1]
-                  + " was told "
+                  + " has received "
                   + words[2]
                   + " of "
-                  + lists.count()
-                  + " changes of the list since its start");
+                  + endpointLists.count()
+                  + " list changes since its start");
       case "list" ->
-          lists.held(
-              host,
+          endpointLists.recordReceived(
+              process,
               words[1] + " " + words[2] + " " + words[3],
               Integer.parseInt(words[4]),
               Long.parseLong(words[5]));
-      default -> meters.hollow(host, words);
+      default -> resourceMonitor.onSyntheticUsage(process, words);
     }
   }
 
   @Override
-  public void begin(HistoryChecker of, long start, long end) {
-    truth = of;
-    world.time.at(
+  public void begin(HistoryChecker checker, long start, long end) {
+    history = checker;
+    clusterModel.time.at(
         start,
         () -> {
-          meters.begin(fleet::pids);
-          asks.execute(() -> askAll(gossipFirst));
+          resourceMonitor.begin(fleet::pids);
+          statusExecutor.execute(() -> readGossipTraffic(gossipFirst));
         });
-    world.time.at(end, () -> asks.execute(() -> askAll(gossipLast)));
-    world.time.at(end, meters::end);
-    looks.scheduleAtFixedRate(meters::look, 1, 1, TimeUnit.SECONDS);
-    looks.scheduleAtFixedRate(
-        () -> source.look(g -> inForce.appliedNext(g, MachineTime.millis())),
+    clusterModel.time.at(end, () -> statusExecutor.execute(() -> readGossipTraffic(gossipLast)));
+    clusterModel.time.at(end, resourceMonitor::end);
+    samplingExecutor.scheduleAtFixedRate(resourceMonitor::sample, 1, 1, TimeUnit.SECONDS);
+    samplingExecutor.scheduleAtFixedRate(
+        () -> source.readLogs(g -> rollout.appliedNext(g, MachineTime.millis())),
         0,
-        LOG_LOOK_MS,
+        LOG_POLL_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  /** What was issued last has its time, too. */
-  private void finish() {
+  /** Waits until the last changes are in force and lost control machines are back. */
+  private void awaitCompletion() {
     try {
-      work.submit(() -> {})
-          .get(PATIENCE_MS, TimeUnit.MILLISECONDS); // what is to be issued is issued
-      asks.submit(() -> {}).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-      long until = MachineTime.millis() + PATIENCE_MS;
-      while ((inForce.open() || anyLost() || lists.open(hollowUp()))
+      // Waits until all changes are issued and all status requests are answered.
+      issueExecutor.submit(() -> {}).get(COMPLETION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      statusExecutor.submit(() -> {}).get(COMPLETION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      long until = MachineTime.millis() + COMPLETION_TIMEOUT_MS;
+      while ((rollout.hasPending()
+              || hasLostMachine()
+              || endpointLists.hasPending(runningSyntheticCount()))
           && MachineTime.millis() < until) {
-        Thread.sleep(LOG_LOOK_MS);
+        Thread.sleep(LOG_POLL_MS);
       }
-      if (inForce.open()) {
-        System.err.println("these lack a change of configuration: " + inForce.lacking());
+      if (rollout.hasPending()) {
+        System.err.println(
+            "gateways with a pending configuration change: " + rollout.lackingGateways());
       }
-      if (lists.open(hollowUp())) {
-        hosts.forEach(h -> h.tell("lacking " + lists.count()));
+      if (endpointLists.hasPending(runningSyntheticCount())) {
+        syntheticProcesses.forEach(h -> h.sendLine("lacking " + endpointLists.count()));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -441,16 +452,18 @@
     }
   }
 
-  /** What each gateway tells an operator of its gossip, real or hollow. */
-  private void askAll(Map<Integer, ResourceMonitor.Count> to) {
-    for (int g = 0; g < size.gateways && size.gossip && size.gateways <= MAX_ASKED; g++) {
+  /** Reads the gossip traffic of each gateway, real or synthetic, as an operator does. */
+  private void readGossipTraffic(Map<Integer, ResourceMonitor.Count> to) {
+    for (int g = 0;
+        g < size.gateways && size.gossip && size.gateways <= MAX_GATEWAYS_FOR_STATUS;
+        g++) {
       try {
         Matcher m =
-            TRAFFIC.matcher(
+            STATUS_TRAFFIC.matcher(
                 Installation.tool(
                     "status",
                     "--address",
-                    "127.0.0.1:" + ports.get(g).getPort(),
+                    "127.0.0.1:" + gossipAddresses.get(g).getPort(),
                     "--cluster",
                     Installation.CLUSTER,
                     "--key",
@@ -468,52 +481,53 @@
                   Long.parseLong(m.group(1)) + Long.parseLong(m.group(4))));
         }
       } catch (IOException e) {
-        System.err.println("gateway " + g + " does not tell its status: " + e.getMessage());
+        System.err.println("gateway " + g + ": gossip status failed: " + e.getMessage());
       }
     }
   }
 
   /**
-   * Gossip of a gateway, real or hollow, in datagrams and bytes a second; in a small installation.
+   * Returns the gossip traffic of a gateway, real or synthetic, in datagrams and bytes a second;
+   * available in a small installation only.
    */
   double[] gossip(int gateway) {
     return gossipLast.get(gateway).since(gossipFirst.get(gateway));
   }
 
-  /** The change log's frames and bytes a second to the gateways of a zone, by one machine. */
+  /** Returns the change log frames and bytes a second from one machine to a zone's gateways. */
   double[] changeLog(int machine, int zone) {
-    return meters.changeLog(machine, zone);
+    return resourceMonitor.changeLog(machine, zone);
   }
 
-  private boolean anyLost() {
+  private boolean hasLostMachine() {
     boolean[] any = {false};
     fleet.onWorld(
         () -> {
-          for (boolean l : lost) {
+          for (boolean l : lostMachines) {
             any[0] |= l;
           }
         });
     return any[0];
   }
 
-  private int hollowUp() {
-    synchronized (up) {
-      return up.get(size.real, size.gateways).cardinality();
+  private int runningSyntheticCount() {
+    synchronized (runningGateways) {
+      return runningGateways.get(size.real, size.gateways).cardinality();
     }
   }
 
-  // ---- Troubles ----
+  // ---- Faults ----
 
-  private interface Attempted {
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  /** Does that off the timeline: on the source's thread in order, or beside all else. */
-  private void attempt(Executor on, Attempted what) {
-    on.execute(
+  /** Runs a task off the timeline on the given executor; a failure is a defect of the run. */
+  private void runOffTimeline(Executor executor, Task task) {
+    executor.execute(
         () -> {
           try {
-            what.run();
+            task.run();
           } catch (IOException | RuntimeException e) {
             if (!closing) {
               failed = true;
@@ -530,74 +544,76 @@
     switch (t.kind()) {
       case ISSUE -> {
         for (int i = 0; i < (int) t.by(); i++) {
-          world.time.at(
-              world.time.now() + t.spread() * i / (int) t.by(),
-              () -> attempt(work, () -> source.issue(++issued)));
+          clusterModel.time.at(
+              clusterModel.time.now() + t.spread() * i / (int) t.by(),
+              () -> runOffTimeline(issueExecutor, () -> source.issue(++issuedChanges)));
         }
       }
       case LOSE -> {
         for (int m = 0; m < Math.min((int) t.by(), size.control); m++) {
-          lose(m, t.length());
+          loseControlMachine(m, t.length());
         }
       }
       default -> {
-        part(true);
-        world.time.at(world.time.now() + t.length(), () -> part(false));
+        setPartitioned(true);
+        clusterModel.time.at(clusterModel.time.now() + t.length(), () -> setPartitioned(false));
       }
     }
   }
 
-  private void lose(int m, long length) {
-    if (lost[m]) {
+  private void loseControlMachine(int m, long length) {
+    if (lostMachines[m]) {
       return;
     }
-    lost[m] = true;
-    cutOff();
-    machines[m].kill();
-    world.time.at(
-        world.time.now() + length,
+    lostMachines[m] = true;
+    exemptCutOffZones();
+    controlMachines[m].kill();
+    clusterModel.time.at(
+        clusterModel.time.now() + length,
         () ->
-            attempt(
-                starts,
+            runOffTimeline(
+                startExecutor,
                 () -> {
-                  fleet.onWorld(() -> lost[m] = false);
-                  machine(m);
-                  lists.healed(MachineTime.millis());
-                  fleet.onWorld(this::hearAgain);
+                  fleet.onWorld(() -> lostMachines[m] = false);
+                  startControlMachine(m);
+                  endpointLists.healed(MachineTime.millis());
+                  fleet.onWorld(this::endExemptionAfterReconnect);
                 }));
   }
 
   /**
-   * Regions lose each other, or meet again: engines' ways, and the list beyond the first region.
+   * Partitions the regions or ends the partition: cuts the links to engines of other regions, and
+   * the list's way to control machines outside the first region.
    */
-  private void part(boolean now) {
+  private void setPartitioned(boolean now) {
     for (int g = 0; g < size.zones; g++) {
       for (int e = 0; e < size.zones; e++) {
         if (size.regionOf(g) != size.regionOf(e)) {
-          world.link(g, e).cutOut = now;
-          world.link(g, e).cutIn = now;
-          truth.impaired(g, e, now);
+          clusterModel.link(g, e).cutOut = now;
+          clusterModel.link(g, e).cutIn = now;
+          history.impaired(g, e, now);
         }
       }
     }
     for (int m = 0; m < size.control; m++) {
       if (size.regionOf(m) != 0) {
-        apart[m] = now;
-        cutOff();
-        if (!now && !lost[m]) {
-          catchUp(m);
+        partitioned[m] = now;
+        exemptCutOffZones();
+        if (!now && !lostMachines[m]) {
+          sendWholeList(m);
         }
       }
     }
     if (!now) {
-      lists.healed(MachineTime.millis());
-      hearAgain();
+      endpointLists.healed(MachineTime.millis());
+      endExemptionAfterReconnect();
     }
   }
 
-  private boolean follows(int zone, boolean[] machinesThat) {
+  /** Returns whether a real gateway of the zone follows one of the flagged machines. */
+  private boolean followsAny(int zone, boolean[] flaggedMachines) {
     for (int g = zone; g < size.real; g += size.zones) {
-      if (machinesThat[size.machineOf(g)]) {
+      if (flaggedMachines[size.machineOf(g)]) {
         return true;
       }
     }
@@ -605,78 +621,81 @@
   }
 
   /**
-   * Whoever follows a machine that can't be reached, or learns nothing, is not bound by what it
-   * missed.
+   * Tells the checker which zones have a gateway that follows a lost or partitioned control
+   * machine: the checker does not hold it to list changes that it missed.
    */
-  private void cutOff() {
+  private void exemptCutOffZones() {
     for (int z = 0; z < size.zones; z++) {
-      if (follows(z, lost) || follows(z, apart)) {
-        truth.cutOff(z, true);
+      if (followsAny(z, lostMachines) || followsAny(z, partitioned)) {
+        history.cutOff(z, true);
       }
     }
   }
 
-  /** They have dialled and heard all by then, where they can. */
-  private void hearAgain() {
-    world.time.at(
-        world.time.now() + REDIAL,
+  /**
+   * Ends the exemption of zones whose control machines can be reached, once their gateways had time
+   * to reconnect and receive the list.
+   */
+  private void endExemptionAfterReconnect() {
+    clusterModel.time.at(
+        clusterModel.time.now() + RECONNECT_TIME_NANOS,
         () -> {
           for (int z = 0; z < size.zones; z++) {
-            if (!follows(z, lost) && !follows(z, apart)) {
-              truth.cutOff(z, false);
+            if (!followsAny(z, lostMachines) && !followsAny(z, partitioned)) {
+              history.cutOff(z, false);
             }
           }
         });
   }
 
-  /** A machine that could not be reached is told all again; it skips what it has. */
-  private void catchUp(int m) {
-    world.views.get(0).log.forEach(e -> machines[m].tell(words(e)));
+  /** Sends a machine that could not be reached the whole list again; it skips known events. */
+  private void sendWholeList(int m) {
+    clusterModel.views.get(0).log.forEach(e -> controlMachines[m].sendLine(eventLine(e)));
   }
 
   @Override
   public void kill(int gateway) {
-    gone(gateway, "kill ");
+    stopGateway(gateway, "kill ");
   }
 
   @Override
   public void terminate(int gateway) {
-    gone(gateway, "terminate ");
+    stopGateway(gateway, "terminate ");
   }
 
-  private void gone(int gateway, String how) {
-    synchronized (up) {
-      up.clear(gateway);
+  private void stopGateway(int gateway, String how) {
+    synchronized (runningGateways) {
+      runningGateways.clear(gateway);
     }
-    inForce.started(gateway, 0); // none is owed to one that does not run
-    lists.ended(gateway);
-    host(gateway).tell(how + gateway);
+    rollout.started(gateway, 0); // a stopped gateway has no pending changes
+    endpointLists.ended(gateway);
+    processOf(gateway).sendLine(how + gateway);
   }
 
   @Override
   public void halt(int gateway, boolean now) {
-    halts += now ? 1 : 0; // its process holds others, too
+    haltsNotPlayed += now ? 1 : 0; // not played: its process runs other gateways, too
   }
 
   @Override
   public void start(int gateway) {
-    attempt(starts, () -> launch(gateway));
+    runOffTimeline(startExecutor, () -> startSyntheticGateway(gateway));
   }
 
   @Override
   public void runs(int gateway, boolean now) {
-    synchronized (up) {
-      up.set(gateway, now);
+    synchronized (runningGateways) {
+      runningGateways.set(gateway, now);
     }
-    inForce.started(gateway, now ? MachineTime.millis() : 0);
+    rollout.started(gateway, now ? MachineTime.millis() : 0);
   }
 
-  // ---- The source's way to the gateways ----
+  // ---- Access of the configuration source to the gateways ----
 
   @Override
   public List<Integer> running() {
-    synchronized (up) {
-      return up.stream().boxed().toList();
+    synchronized (runningGateways) {
+      return runningGateways.stream().boxed().toList();
     }
   }
 
@@ -687,19 +706,19 @@
 
   @Override
   public void reload(int gateway, long change) {
-    host(gateway).tell("reload " + gateway + " " + change);
+    processOf(gateway).sendLine("reload " + gateway + " " + change);
   }
 
   @Override
   public void close() throws InterruptedException {
     closing = true;
-    looks.shutdownNow();
-    asks.shutdownNow();
-    starts.shutdownNow();
-    work.shutdownNow();
+    samplingExecutor.shutdownNow();
+    statusExecutor.shutdownNow();
+    startExecutor.shutdownNow();
+    issueExecutor.shutdownNow();
     fleet.close();
-    hosts.forEach(HelperProcess::close);
-    for (HelperProcess m : machines) {
+    syntheticProcesses.forEach(HelperProcess::close);
+    for (HelperProcess m : controlMachines) {
       if (m != null) {
         m.close();
       }
--- a/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
@@ -27,26 +27,27 @@
 import reachloom.scheduler.api.EngineState;
 
 /**
- * A gateway without clients and without a process of its own: loop, gateway, change log, gossip and
- * decisions are those of the program, put together as its server does; only the door for clients
- * stays shut. What clients would let it see of engines rides on gossip, so gossip is told of as
- * many attempts, all served, at the engines that come first in this gateway's own order.
+ * A gateway without clients and without a process of its own: event loop, gateway, change log,
+ * gossip and decisions are those of the program, assembled as its server does, but no listener for
+ * clients is opened. Gossip carries what a gateway observes of engines through client requests, so
+ * gossip receives as many attempts as clients would cause, all served, at the engines that come
+ * first in this gateway's order of the engines ({@link EngineSubset}).
  */
 final class SyntheticGateway {
-  /** Hears, on the gateway's loop, what it does. */
+  /** Receives events of the gateway, on its event loop. */
   interface Watcher {
-    /** It would let clients in now; its configuration told the list up to that event. */
+    /** The gateway would accept clients now; its configuration has the list up to that event. */
     void ready(int gateway, long lastEvent);
 
-    /** It has been told this of the list since. */
-    void holds(int gateway, EngineMember member);
+    /** The gateway has received this list event since its start. */
+    void onListEvent(int gateway, EngineMember member);
 
-    /** A configuration read again is in force. */
+    /** A reloaded configuration is in force at the gateway. */
     void applied(int gateway, String issue);
   }
 
-  private static final long SEE = 100_000_000; // nanoseconds
-  private static final int KEPT_TO = 16;
+  private static final long ATTEMPT_INTERVAL_NANOS = 100_000_000;
+  private static final int MAX_USED_ENGINES = 16;
 
   private final int number;
   private final Path configFile;
@@ -56,16 +57,16 @@
   private final SplittableRandom random;
   private final ThreadGroup threads;
   private final EventLoop loop = new EventLoop();
-  private final Set<String> held = ConcurrentHashMap.newKeySet();
-  private final Map<Long, Long> spent = new LinkedHashMap<>();
+  private final Set<String> receivedEvents = ConcurrentHashMap.newKeySet();
+  private final Map<Long, Long> cpuNanosByThread = new LinkedHashMap<>();
   private GatewayService gateway;
   private GossipNode gossip;
-  private final Set<String> inUse = new TreeSet<>();
-  private List<String> first = List.of();
-  private double due;
-  private boolean begun;
+  private final Set<String> upEngines = new TreeSet<>();
+  private List<String> usedEngines = List.of();
+  private double dueAttempts;
+  private boolean initialListReceived;
 
-  /** One that sees so many attempts end a second. */
+  /** Creates a gateway that observes {@code rate} ended attempts a second. */
   SyntheticGateway(int number, Path configFile, String settingsFile, double rate, Watcher watcher) {
     this.rate = rate;
     random = new SplittableRandom(number);
@@ -73,10 +74,10 @@
     this.configFile = configFile;
     this.settingsFile = settingsFile;
     this.watcher = watcher;
-    threads = new ThreadGroup("gateway " + number); // its threads' time is told by it
+    threads = new ThreadGroup("gateway " + number); // identifies the threads whose CPU time counts
   }
 
-  /** Starts it on threads of its own. */
+  /** Starts the gateway on threads of its own. */
   void start() {
     Thread t =
         new Thread(
@@ -102,25 +103,25 @@
       GossipSettings s = local.gossip().get();
       gossip = new GossipNode(loop, s, NodeIdentity.read(s), config.seed(), gateway::onPeerReport);
       loop.post(0, gossip::start);
-      loop.post(0, this::see);
+      loop.post(0, this::reportAttempts);
     }
-    gateway.setEngineOutcomeListener(new Heard());
+    gateway.setEngineOutcomeListener(new OutcomeForwarder());
     loop.post(0, () -> gateway.start(() -> watcher.ready(number, config.lastEventNumber())));
   }
 
-  private final class Heard implements EngineOutcomeListener {
+  private final class OutcomeForwarder implements EngineOutcomeListener {
     @Override
-    public void onEndpoints(boolean whole, List<EngineMember> members) {
+    public void onEndpoints(boolean fullList, List<EngineMember> members) {
       if (gossip != null) {
-        gossip.onEndpoints(whole, members);
+        gossip.onEndpoints(fullList, members);
       }
       for (EngineMember m : members) {
-        if (begun && held.add(key(m))) {
-          watcher.holds(number, m);
+        if (initialListReceived && receivedEvents.add(eventKey(m))) {
+          watcher.onListEvent(number, m);
         }
       }
-      begun = true;
-      keepTo(whole, members);
+      initialListReceived = true;
+      selectUsedEngines(fullList, members);
     }
 
     @Override
@@ -131,43 +132,44 @@
     }
   }
 
-  private void keepTo(boolean whole, List<EngineMember> members) {
-    if (whole) {
-      inUse.clear();
+  private void selectUsedEngines(boolean fullList, List<EngineMember> members) {
+    if (fullList) {
+      upEngines.clear();
     }
     for (EngineMember m : members) {
       if (m.endpoint().state() == EngineState.UP) {
-        inUse.add(m.endpoint().name());
+        upEngines.add(m.endpoint().name());
       } else {
-        inUse.remove(m.endpoint().name());
+        upEngines.remove(m.endpoint().name());
       }
     }
-    first =
+    usedEngines =
         new EngineSubset(number)
-            .order(inUse.stream().map(e -> new EngineSubset.WeightedEngine(e, 1)).toList())
+            .order(upEngines.stream().map(e -> new EngineSubset.WeightedEngine(e, 1)).toList())
             .keySet()
             .stream()
-                .limit(KEPT_TO)
+                .limit(MAX_USED_ENGINES)
                 .toList();
   }
 
-  /** What its clients would have let it see since the last time. */
-  private void see() {
-    for (due += rate * SEE / 1e9; due >= 1; due--) {
-      if (!first.isEmpty()) {
-        gossip.onAttemptEnded(first.get(random.nextInt(first.size())), AttemptOutcome.SERVED, true);
+  /** Reports to gossip the attempts that clients would have caused since the last call. */
+  private void reportAttempts() {
+    for (dueAttempts += rate * ATTEMPT_INTERVAL_NANOS / 1e9; dueAttempts >= 1; dueAttempts--) {
+      if (!usedEngines.isEmpty()) {
+        gossip.onAttemptEnded(
+            usedEngines.get(random.nextInt(usedEngines.size())), AttemptOutcome.SERVED, true);
       }
     }
-    loop.deadlines().add(loop.now() + SEE, this::see);
+    loop.deadlines().add(loop.now() + ATTEMPT_INTERVAL_NANOS, this::reportAttempts);
   }
 
-  /** Which events of the list it has been told since its start. */
-  Set<String> held() {
-    return held;
+  /** Returns the keys of the list events that the gateway has received since its start. */
+  Set<String> receivedEvents() {
+    return receivedEvents;
   }
 
-  /** What one event of the list said. */
-  static String key(EngineMember m) {
+  /** Returns a key of a list event: the engine's name, state and start in milliseconds. */
+  static String eventKey(EngineMember m) {
     return m.endpoint().name()
         + " "
         + m.endpoint().state().ordinal()
@@ -175,7 +177,7 @@
         + m.endpoint().incarnation() / 1_000_000;
   }
 
-  /** Reads the configuration again, as the program does on SIGHUP, on a thread of its own. */
+  /** Reloads the configuration, as the program does on SIGHUP, on a thread of its own. */
   void reload(String issue) {
     Thread t =
         new Thread(
@@ -195,7 +197,10 @@
                     });
               } catch (ConfigException e) {
                 System.err.println(
-                    "gateway " + number + ": the configuration stays as it is: " + e.getMessage());
+                    "gateway "
+                        + number
+                        + ": reload failed, the configuration stays in force: "
+                        + e.getMessage());
               }
             },
             "reload");
@@ -203,13 +208,13 @@
     t.start();
   }
 
-  /** Ends it; with a word to the others, as SIGTERM does, or without one, as SIGKILL. */
-  void end(boolean kindly) {
+  /** Ends the gateway: with notice to its peers, as SIGTERM does, or without, as SIGKILL does. */
+  void end(boolean gracefully) {
     loop.post(
         0,
         () -> {
           if (gossip != null) {
-            if (kindly) {
+            if (gracefully) {
               gossip.stop();
             } else {
               gossip.abandon();
@@ -221,23 +226,23 @@
   }
 
   /**
-   * Processor time of its threads so far, in nanoseconds, but for what a thread spent in its last
-   * second.
+   * Returns the processor time of the gateway's threads so far in nanoseconds; of a thread that has
+   * ended, without its last second.
    */
-  long processor() {
+  long cpuNanos() {
     ThreadMXBean bean = ManagementFactory.getThreadMXBean();
-    Thread[] some = new Thread[threads.activeCount() + 8];
-    int count = threads.enumerate(some);
+    Thread[] active = new Thread[threads.activeCount() + 8];
+    int count = threads.enumerate(active);
     for (int i = 0; i < count; i++) {
-      long time = bean.getThreadCpuTime(some[i].getId());
+      long time = bean.getThreadCpuTime(active[i].getId());
       if (time > 0) {
-        spent.put(some[i].getId(), time);
+        cpuNanosByThread.put(active[i].getId(), time);
       }
     }
-    return spent.values().stream().mapToLong(Long::longValue).sum();
+    return cpuNanosByThread.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  /** What went through its gossip port, or nothing. */
+  /** Returns the traffic of the gossip port; all zero if gossip is off. */
   GossipNode.Traffic traffic() {
     return gossip == null ? new GossipNode.Traffic(0, 0, 0, 0) : gossip.traffic();
   }
--- a/lab/src/main/java/reachloom/lab/scale/SyntheticGatewayMain.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGatewayMain.java
@@ -13,27 +13,27 @@
 import reachloom.gossip.net.GossipNode;
 
 /**
- * Many hollow gateways in one process, a part of the scale run. It is told {@code start N RATE
- * CONFIG SETTINGS}, {@code kill N}, {@code terminate N}, {@code reload N ISSUE} and {@code lacking
- * COUNT}. It tells {@code ready N MS EVENT}, {@code applied N ISSUE MS}, {@code list ENGINE STATE
- * STARTED COUNT MS} for what so many have been told by that time, {@code lacks N HAS} for those
- * that were told fewer changes, and each second {@code usage MS LAG N:CPU:SENT:BYTES:RECEIVED:BYTES
- * ...}.
+ * Runs many synthetic gateways in one process of a scale run. It reads the lines {@code start N
+ * RATE CONFIG SETTINGS}, {@code kill N}, {@code terminate N}, {@code reload N ISSUE} and {@code
+ * lacking COUNT}. It prints {@code ready N MS EVENT}, {@code applied N ISSUE MS}, {@code list
+ * ENGINE STATE STARTED COUNT MS} when COUNT gateways have received a list event by time MS, {@code
+ * lacks N HAS} for each gateway that has received fewer than COUNT changes, and each second {@code
+ * usage MS LAG N:CPU:SENT:BYTES:RECEIVED:BYTES ...}.
  */
 final class SyntheticGatewayMain implements HelperMain.Role, SyntheticGateway.Watcher {
   private static final long LIST_MS = 100;
   private static final long USAGE_MS = 1_000;
 
-  private static final class Held {
+  private static final class EventStatus {
     private int count;
-    private long latest;
-    private boolean told = true;
+    private long latestMs;
+    private boolean reported = true;
   }
 
   private final Map<Integer, SyntheticGateway> gateways = new ConcurrentHashMap<>();
-  private final Map<String, Held> held = new LinkedHashMap<>();
-  private long due;
-  private long lag;
+  private final Map<String, EventStatus> statusByEvent = new LinkedHashMap<>();
+  private long nextDueMs;
+  private long maxLagMs;
 
   @Override
   public Options options() {
@@ -42,42 +42,42 @@
 
   @Override
   public void run(CommandLine line) throws Exception {
-    ScheduledExecutorService looks =
+    ScheduledExecutorService reports =
         Executors.newSingleThreadScheduledExecutor(
             r -> {
-              Thread t = new Thread(r, "looks");
+              Thread t = new Thread(r, "reports");
               t.setDaemon(true);
               return t;
             });
-    due = MachineTime.millis() + LIST_MS;
-    looks.scheduleAtFixedRate(this::lists, LIST_MS, LIST_MS, TimeUnit.MILLISECONDS);
-    looks.scheduleAtFixedRate(this::usage, USAGE_MS, USAGE_MS, TimeUnit.MILLISECONDS);
-    HelperProcess.follow(this::told);
+    nextDueMs = MachineTime.millis() + LIST_MS;
+    reports.scheduleAtFixedRate(this::reportLists, LIST_MS, LIST_MS, TimeUnit.MILLISECONDS);
+    reports.scheduleAtFixedRate(this::reportUsage, USAGE_MS, USAGE_MS, TimeUnit.MILLISECONDS);
+    HelperProcess.readLines(this::handleLine);
   }
 
-  private void told(String line) {
+  private void handleLine(String line) {
     String[] words = line.split(" ");
     int number = Integer.parseInt(words[1]);
     SyntheticGateway g = gateways.get(number);
     switch (words[0]) {
       case "start" -> {
-        if (g == null) { // else it runs
-          SyntheticGateway fresh =
+        if (g == null) { // else the gateway already runs
+          SyntheticGateway created =
               new SyntheticGateway(
                   number,
                   Path.of(words[3]),
                   words.length > 4 ? words[4] : null,
                   Double.parseDouble(words[2]),
                   this);
-          gateways.put(number, fresh);
-          fresh.start();
+          gateways.put(number, created);
+          created.start();
         }
       }
       case "lacking" ->
           gateways.forEach(
               (n, of) -> {
-                if (of.held().size() < number) {
-                  HelperProcess.say("lacks " + n + " " + of.held().size());
+                if (of.receivedEvents().size() < number) {
+                  HelperProcess.printLine("lacks " + n + " " + of.receivedEvents().size());
                 }
               });
       case "reload" -> {
@@ -89,12 +89,12 @@
         if (g != null) {
           gateways.remove(number);
           g.end(words[0].equals("terminate"));
-          synchronized (held) {
-            g.held()
+          synchronized (statusByEvent) {
+            g.receivedEvents()
                 .forEach(
                     k -> {
-                      held.get(k).count--;
-                      held.get(k).told = false;
+                      statusByEvent.get(k).count--;
+                      statusByEvent.get(k).reported = false;
                     });
           }
         }
@@ -104,49 +104,50 @@
 
   @Override
   public void ready(int gateway, long lastEvent) {
-    HelperProcess.say("ready " + gateway + " " + MachineTime.millis() + " " + lastEvent);
+    HelperProcess.printLine("ready " + gateway + " " + MachineTime.millis() + " " + lastEvent);
   }
 
   @Override
   public void applied(int gateway, String issue) {
-    HelperProcess.say("applied " + gateway + " " + issue + " " + MachineTime.millis());
+    HelperProcess.printLine("applied " + gateway + " " + issue + " " + MachineTime.millis());
   }
 
   @Override
-  public void holds(int gateway, EngineMember member) {
-    synchronized (held) {
-      Held h = held.computeIfAbsent(SyntheticGateway.key(member), k -> new Held());
-      h.count++;
-      h.latest = MachineTime.millis();
-      h.told = false;
+  public void onListEvent(int gateway, EngineMember member) {
+    synchronized (statusByEvent) {
+      EventStatus status =
+          statusByEvent.computeIfAbsent(SyntheticGateway.eventKey(member), k -> new EventStatus());
+      status.count++;
+      status.latestMs = MachineTime.millis();
+      status.reported = false;
     }
   }
 
-  private void lists() {
+  private void reportLists() {
     long now = MachineTime.millis();
-    lag = Math.max(lag, now - due);
-    due = Math.max(due + LIST_MS, now);
-    synchronized (held) {
-      held.forEach(
-          (key, h) -> {
-            if (!h.told) {
-              h.told = true;
-              HelperProcess.say("list " + key + " " + h.count + " " + h.latest);
+    maxLagMs = Math.max(maxLagMs, now - nextDueMs);
+    nextDueMs = Math.max(nextDueMs + LIST_MS, now);
+    synchronized (statusByEvent) {
+      statusByEvent.forEach(
+          (key, status) -> {
+            if (!status.reported) {
+              status.reported = true;
+              HelperProcess.printLine("list " + key + " " + status.count + " " + status.latestMs);
             }
           });
     }
   }
 
-  private void usage() {
-    StringBuilder line = new StringBuilder("usage " + MachineTime.millis() + " " + lag);
-    lag = 0;
+  private void reportUsage() {
+    StringBuilder line = new StringBuilder("usage " + MachineTime.millis() + " " + maxLagMs);
+    maxLagMs = 0;
     gateways.forEach(
         (number, g) -> {
           GossipNode.Traffic t = g.traffic();
           line.append(' ')
               .append(number)
               .append(':')
-              .append(g.processor())
+              .append(g.cpuNanos())
               .append(':')
               .append(t.sent())
               .append(':')
@@ -156,6 +157,6 @@
               .append(':')
               .append(t.receivedBytes());
         });
-    HelperProcess.say(line.toString());
+    HelperProcess.printLine(line.toString());
   }
 }
--- a/lab/src/test/java/reachloom/lab/scale/RolloutTrackerTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/RolloutTrackerTest.java
@@ -30,12 +30,12 @@
   void aChangeIsInForceOnceTheLastHasIt() {
     inForce.issued(1, 1_000, List.of(1, 2));
     inForce.applied(1, 1, 1_500);
-    assertTrue(inForce.open());
-    assertEquals(List.of(2), inForce.lacking());
+    assertTrue(inForce.hasPending());
+    assertEquals(List.of(2), inForce.lackingGateways());
     assertEquals(1L, figures().get("config_never"));
     assertNull(figures().get("config_in_force_s_max"), "what is not in force has no time");
     inForce.applied(2, 1, 4_000);
-    assertFalse(inForce.open());
+    assertFalse(inForce.hasPending());
     assertEquals(3.0, figures().get("config_in_force_s_max"));
     assertEquals(0L, figures().get("config_never"));
   }
@@ -46,7 +46,7 @@
     inForce.issued(2, 1_000, List.of(1, 2));
     inForce.applied(1, 2, 1_200);
     inForce.appliedNext(2, 500);
-    assertEquals(List.of(2), inForce.lacking());
+    assertEquals(List.of(2), inForce.lackingGateways());
     assertEquals(1.2, figures().get("config_in_force_s_max"));
     inForce.appliedNext(2, 3_000);
     assertEquals(2.0, figures().get("config_in_force_s_max"));
