--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -28,49 +28,54 @@
 import reachloom.revision.SignatureScheme;
 
 /**
- * The control part alone in simulated time: gossip, dissemination and the issuers' council of every
- * gateway and control machine, with the real codec, in regions and zones, under a script of
- * troubles. The same seed gives the same run, byte for byte. Signatures are weighed and not
- * computed; putting a configuration in force takes a fixed time, and a restart, too.
+ * Simulates only the control part: gossip, dissemination and the issuers' consensus of every
+ * gateway and control machine, with the real codec, in regions and zones, under a fault script. The
+ * same seed gives the same run, byte for byte. Signatures have the size of real ones but are not
+ * computed; applying a configuration and restarting take fixed times.
  */
 public final class VirtualControl {
   private static final long SECOND = VirtualCluster.SECOND;
   private static final long MILLISECOND = SECOND / 1_000;
-  private static final long STEP = SECOND / 10;
-  private static final long ACROSS = 30 * MILLISECOND; // one way between regions
-  private static final long PERIOD = SECOND; // of gossip
-  private static final long APPLY = 50 * MILLISECOND; // to put a configuration in force
-  private static final long START = 1_600 * MILLISECOND; // of a process
-  private static final long REPLACED = 20 * SECOND; // of a machine
-  private static final long LONGEST_START = 180 * SECOND;
-  private static final long LONGEST = 30 * SECOND; // without a revision: never
-  private static final double DAY = 86_400; // seconds
-  private static final double DAYS_CHANGES = 990;
-  private static final double DAYS_RESTARTS = 480;
-  private static final double DAYS_FAILURES = 5;
-  private static final int LINE = 64; // bytes of a setting
-  private static final int FAR_CHANGES = 10; // one change of so many alters settings far apart
-
-  /** What goes wrong. */
+  private static final long STEP_NANOS = SECOND / 10;
+  private static final long INTER_REGION_DELAY_NANOS = 30 * MILLISECOND; // one way
+  private static final long GOSSIP_PERIOD_NANOS = SECOND;
+  private static final long APPLY_NANOS = 50 * MILLISECOND; // of a configuration
+  private static final long PROCESS_RESTART_NANOS = 1_600 * MILLISECOND;
+  private static final long MACHINE_REPLACEMENT_NANOS = 20 * SECOND;
+  private static final long MAX_SETTLE_NANOS = 180 * SECOND;
+
+  /** Base of the waits for a rollout; a revision not in force after them counts as never. */
+  private static final long MAX_ROLLOUT_NANOS = 30 * SECOND;
+
+  private static final double SECONDS_PER_DAY = 86_400;
+  private static final double CHANGES_PER_DAY = 990;
+  private static final double RESTARTS_PER_DAY = 480;
+  private static final double FAILURES_PER_DAY = 5;
+  private static final int SETTING_BYTES = 64;
+
+  /** One change of this number, on average, alters two settings far apart. */
+  private static final int FAR_CHANGE_INTERVAL = 10;
+
+  /** Faults of a run. */
   public enum Trouble {
-    /** Nothing. */
+    /** No faults. */
     STEADY,
-    /** Restarts and failures, as many to each change as on an ordinary day. */
+    /** Restarts and failures in the ratio to changes of an ordinary day. */
     ORDINARY_DAY,
-    /** All of a zone are lost in a quarter of the time, and come back together. */
+    /** All members of a zone are lost after a quarter of the time and restart at half of it. */
     ZONE,
-    /** One region is apart from the others between a quarter and the half of the time. */
+    /** One region is partitioned from the others between a quarter and half of the time. */
     REGIONS_APART,
-    /** One, two, then all control machines are lost, and come back. */
+    /** One, then two, then all control machines are lost, and come back together. */
     CONTROL_LOST
   }
 
   /**
-   * What is asked for.
+   * Parameters of a run.
    *
-   * @param changes how many changes are issued, evenly over the time
-   * @param cap bytes a second of a gateway, in all
-   * @param controlCap the same of a control machine
+   * @param changes number of changes issued, spread evenly over the time
+   * @param cap bytes a second that a gateway may send in total
+   * @param controlCap bytes a second that a control machine may send in total
    */
   public record Plan(
       int gateways,
@@ -88,24 +93,24 @@
 
   /** A change that was issued. */
   private static final class Change {
-    private final long at;
+    private final long issuedAt;
     private long knownAt;
 
-    Change(long at) {
-      this.at = at;
+    Change(long issuedAt) {
+      this.issuedAt = issuedAt;
     }
   }
 
-  /** What one instance remembers over a restart is its store alone. */
+  /** A gateway or a control machine; only its store survives a restart. */
   private final class Member implements PiggybackPayload, RevisionDissemination.Host {
     private final Node node;
-    private final Disk disk = new Disk();
+    private final DurableStore store = new DurableStore();
     private final boolean issuer;
     private RevisionDissemination dissemination;
-    private ConsensusNode council;
-    private long upSince;
-    private long newest;
-    private long counted;
+    private ConsensusNode consensus;
+    private long startedAt;
+    private long newestInForce;
+    private long countedSent;
     private long countedReceived;
 
     Member(Node node, boolean issuer) {
@@ -115,23 +120,23 @@
 
     void start() {
       long now = cluster.agenda.now();
-      upSince = now;
-      newest = 0;
-      SignatureScheme seal = new Stamp(node.name);
+      startedAt = now;
+      newestInForce = 0;
+      SignatureScheme signatures = new SimulatedSignatures(node.name);
       dissemination =
           new RevisionDissemination(
               new DisseminationMember(
-                  node.name, place(node), issuers, ConsensusNode.quorum(plan.control), seal),
+                  node.name, place(node), issuers, ConsensusNode.quorum(plan.control), signatures),
               random.split(),
               node.gossip,
               this,
               now);
-      council =
+      consensus =
           issuer
               ? new ConsensusNode(
                   node.name,
                   issuers,
-                  new ConsensusEnvironment(seal, disk, dissemination, node.gossip),
+                  new ConsensusEnvironment(signatures, store, dissemination, node.gossip),
                   random.split(),
                   now)
               : null;
@@ -144,10 +149,10 @@
     }
 
     @Override
-    public void onMessages(long now, Peer sender, List<RevisionMessage> words) {
-      dissemination.receive(now, sender, words);
-      if (council != null) {
-        council.receive(now, sender, words);
+    public void onMessages(long now, Peer sender, List<RevisionMessage> messages) {
+      dissemination.receive(now, sender, messages);
+      if (consensus != null) {
+        consensus.receive(now, sender, messages);
       }
     }
 
@@ -159,20 +164,20 @@
     @Override
     public void tick(long now) {
       dissemination.tick(now);
-      if (council != null) {
-        council.tick(now);
+      if (consensus != null) {
+        consensus.tick(now);
       }
     }
 
     @Override
     public void apply(long now, Revision revision, byte[] document) {
-      long since = upSince;
+      long since = startedAt;
       cluster.agenda.at(
-          cluster.agenda.now() + APPLY,
+          cluster.agenda.now() + APPLY_NANOS,
           () -> {
-            if (node.up && since == upSince) {
+            if (node.up && since == startedAt) {
               dissemination.onInForce(node.clock(), revision.number());
-              inForce(this, revision.number());
+              onInForce(this, revision.number());
             }
           });
     }
@@ -183,8 +188,8 @@
     }
   }
 
-  /** A store that outlives its process. */
-  private static final class Disk implements ConsensusStore {
+  /** A store that survives restarts of its process. */
+  private static final class DurableStore implements ConsensusStore {
     private ConsensusState state = ConsensusState.initial();
 
     @Override
@@ -199,8 +204,8 @@
     }
   }
 
-  /** Signatures of the right size that nobody forges here. */
-  private record Stamp(String name) implements SignatureScheme {
+  /** Stand-in for signatures, of the real size; the simulation has no forgers. */
+  private record SimulatedSignatures(String name) implements SignatureScheme {
     @Override
     public byte[] sign(byte[] chain) {
       try {
@@ -208,13 +213,13 @@
         d.update(name.getBytes(StandardCharsets.UTF_8));
         return d.digest(chain);
       } catch (NoSuchAlgorithmException e) {
-        throw new IllegalStateException("each Java platform has SHA-512", e);
+        throw new IllegalStateException("SHA-512 is not available", e);
       }
     }
 
     @Override
     public boolean verify(String issuer, byte[] chain, byte[] signature) {
-      return Arrays.equals(new Stamp(issuer).sign(chain), signature);
+      return Arrays.equals(new SimulatedSignatures(issuer).sign(chain), signature);
     }
   }
 
@@ -224,27 +229,27 @@
   private final List<Peer> issuers = new ArrayList<>();
   private final Map<Node, Member> members = new LinkedHashMap<>();
   private final TreeMap<Long, Change> changes = new TreeMap<>(); // by number
-  private final List<Double> inForce = new ArrayList<>();
-  private final List<Double> afterRestart = new ArrayList<>();
-  private final List<Double> afterHeal = new ArrayList<>();
-  private final List<Double> sent = new ArrayList<>();
-  private final List<Double> received = new ArrayList<>();
-  private final List<Double> controlBytes = new ArrayList<>();
+  private final List<Double> inForceSeconds = new ArrayList<>();
+  private final List<Double> afterRestartSeconds = new ArrayList<>();
+  private final List<Double> afterHealSeconds = new ArrayList<>();
+  private final List<Double> sentPerSecond = new ArrayList<>();
+  private final List<Double> receivedPerSecond = new ArrayList<>();
+  private final List<Double> controlBytesPerSecond = new ArrayList<>();
   private byte[] document;
   private long healedAt = -1;
-  private boolean apart;
-  private int proposed;
-  private int notIssued;
+  private boolean partitioned;
+  private int proposedChanges;
+  private int refusedChanges;
   private int restarts;
   private int failures;
   private long alarms;
 
-  /** A run that has not been played. */
+  /** Prepares a run. */
   public VirtualControl(Plan plan) {
     this.plan = plan;
     random = new SplittableRandom(plan.seed);
-    cluster = new VirtualCluster(plan.seed, PERIOD, plan.cap, plan.loss);
-    cluster.way = (from, to) -> region(from) == region(to) ? 0 : ACROSS;
+    cluster = new VirtualCluster(plan.seed, GOSSIP_PERIOD_NANOS, plan.cap, plan.loss);
+    cluster.way = (from, to) -> region(from) == region(to) ? 0 : INTER_REGION_DELAY_NANOS;
     cluster.capOf = n -> index(n) < plan.control ? plan.controlCap : plan.cap;
     cluster.starts =
         n -> members.computeIfAbsent(n, k -> new Member(n, index(n) < plan.control)).start();
@@ -274,11 +279,11 @@
     return members.values().stream().filter(m -> !m.issuer).toList();
   }
 
-  private List<Member> control() {
+  private List<Member> controlMachines() {
     return members.values().stream().filter(m -> m.issuer).toList();
   }
 
-  /** Plays it; gives its figures by name, in order. */
+  /** Runs the simulation and returns its figures by name, in order. */
   public Map<String, Object> play() {
     for (int i = 0; i < plan.control; i++) {
       String name = "g" + i;
@@ -288,108 +293,110 @@
     }
     cluster.add(plan.control + plan.gateways, plan.control);
     long begin = cluster.agenda.now();
-    while (!cluster.agreed() && cluster.agenda.now() - begin < LONGEST_START) {
+    while (!cluster.agreed() && cluster.agenda.now() - begin < MAX_SETTLE_NANOS) {
       cluster.agenda.runUntil(cluster.agenda.now() + SECOND);
     }
     long settled = cluster.agenda.now();
-    issue();
-    run(settled + LONGEST / 3, false);
+    proposeChange();
+    run(settled + MAX_ROLLOUT_NANOS / 3, false);
     changes.clear();
-    inForce.clear();
-    afterRestart.clear();
-    proposed = 0;
-    notIssued = 0;
+    inForceSeconds.clear();
+    afterRestartSeconds.clear();
+    proposedChanges = 0;
+    refusedChanges = 0;
     alarms = 0;
     long start = cluster.agenda.now();
     long end = start + plan.seconds * SECOND;
     for (int i = 0; i < plan.changes; i++) {
-      cluster.agenda.at(start + (end - start) * (2L * i + 1) / (2L * plan.changes), this::issue);
+      cluster.agenda.at(
+          start + (end - start) * (2L * i + 1) / (2L * plan.changes), this::proposeChange);
     }
-    trouble(start, end - start);
+    scheduleTrouble(start, end - start);
     run(end, true);
-    run(end + LONGEST / 2, true);
+    run(end + MAX_ROLLOUT_NANOS / 2, true);
     return figures((settled - begin) / SECOND);
   }
 
   private void run(long until, boolean counts) {
     while (cluster.agenda.now() < until) {
-      for (int i = 0; i < SECOND / STEP; i++) {
-        cluster.agenda.runUntil(cluster.agenda.now() + STEP);
-        known();
+      for (int i = 0; i < SECOND / STEP_NANOS; i++) {
+        cluster.agenda.runUntil(cluster.agenda.now() + STEP_NANOS);
+        recordKnownChange();
       }
-      members.values().forEach(m -> count(m, counts));
+      members.values().forEach(m -> sampleBytes(m, counts));
     }
   }
 
-  /** The bytes of the last second. */
-  private void count(Member m, boolean counts) {
-    double out = m.node.bytes - m.counted;
+  /** Samples the bytes that a member sent and received in the last second. */
+  private void sampleBytes(Member m, boolean counts) {
+    double out = m.node.bytes - m.countedSent;
     double in = m.node.receivedBytes - m.countedReceived;
-    m.counted = m.node.bytes;
+    m.countedSent = m.node.bytes;
     m.countedReceived = m.node.receivedBytes;
     if (counts && m.issuer) {
-      controlBytes.add(out + in);
+      controlBytesPerSecond.add(out + in);
     } else if (counts && m.node.up) {
-      sent.add(out);
-      received.add(in);
+      sentPerSecond.add(out);
+      receivedPerSecond.add(in);
     }
   }
 
   // ---- Changes ----
 
-  private void issue() {
-    for (int i = 0; i < (random.nextInt(FAR_CHANGES) == 0 ? 2 : 1); i++) {
-      int at = random.nextInt(document.length / LINE) * LINE;
-      for (int k = at; k < at + LINE / 2; k++) {
+  private void proposeChange() {
+    for (int i = 0; i < (random.nextInt(FAR_CHANGE_INTERVAL) == 0 ? 2 : 1); i++) {
+      int at = random.nextInt(document.length / SETTING_BYTES) * SETTING_BYTES;
+      for (int k = at; k < at + SETTING_BYTES / 2; k++) {
         document[k] = (byte) (' ' + random.nextInt('~' - ' '));
       }
     }
-    // Who issues goes to an issuer that has the others at hand.
+    // An operator uses an issuer that can reach the others.
     List<Member> up =
-        control().stream()
-            .filter(m -> m.node.up && !(apart && region(m.node) == plan.regions - 1))
+        controlMachines().stream()
+            .filter(m -> m.node.up && !(partitioned && region(m.node) == plan.regions - 1))
             .toList();
-    proposed++;
+    proposedChanges++;
     if (up.isEmpty()) {
-      notIssued++;
+      refusedChanges++;
       return;
     }
     Member by = up.get(random.nextInt(up.size()));
     long now = cluster.agenda.now();
-    by.council.propose(by.node.clock(), document.clone(), r -> decided(now, r));
+    by.consensus.propose(by.node.clock(), document.clone(), r -> onProposalResult(now, r));
   }
 
-  private void decided(long at, ProposalResult r) {
+  private void onProposalResult(long issuedAt, ProposalResult r) {
     if (r.kind() == ProposalResult.Kind.ISSUED) {
-      changes.putIfAbsent(r.number(), new Change(at));
+      changes.putIfAbsent(r.number(), new Change(issuedAt));
     } else if (r.isFinal()) {
-      notIssued++;
+      refusedChanges++;
     }
   }
 
-  /** A gateway has that revision, and with it all before, in force. */
-  private void inForce(Member m, long number) {
+  /** Records that a gateway has a revision, and with it all earlier ones, in force. */
+  private void onInForce(Member m, long number) {
     if (m.issuer) {
       return;
     }
     long now = cluster.agenda.now();
-    boolean first = m.newest == 0;
-    for (Change c : changes.subMap(m.newest, false, number, true).values()) {
-      double after = (now - c.at) / (double) SECOND;
-      if (c.at < healedAt && now >= healedAt) {
-        afterHeal.add((now - Math.max(healedAt, m.upSince)) / (double) SECOND);
-      } else if (c.at >= m.upSince && !(apart && region(m.node) == plan.regions - 1)) {
-        inForce.add(after);
+    boolean first = m.newestInForce == 0;
+    for (Change c : changes.subMap(m.newestInForce, false, number, true).values()) {
+      double after = (now - c.issuedAt) / (double) SECOND;
+      if (c.issuedAt < healedAt && now >= healedAt) {
+        afterHealSeconds.add((now - Math.max(healedAt, m.startedAt)) / (double) SECOND);
+      } else if (c.issuedAt >= m.startedAt
+          && !(partitioned && region(m.node) == plan.regions - 1)) {
+        inForceSeconds.add(after);
       }
     }
-    if (first && m.upSince > 0) {
-      afterRestart.add((now - m.upSince) / (double) SECOND);
+    if (first && m.startedAt > 0) {
+      afterRestartSeconds.add((now - m.startedAt) / (double) SECOND);
     }
-    m.newest = number;
+    m.newestInForce = number;
   }
 
-  /** Looks whether an issuer knows the newest change to be in force at all that are up. */
-  private void known() {
+  /** Records when an issuer knows that the newest change is in force at all running gateways. */
+  private void recordKnownChange() {
     if (changes.isEmpty()) {
       return;
     }
@@ -398,7 +405,7 @@
     Change c = changes.get(number);
     boolean known =
         c.knownAt == 0
-            && control().stream()
+            && controlMachines().stream()
                 .filter(m -> m.node.up)
                 .anyMatch(
                     m ->
@@ -412,11 +419,11 @@
     }
   }
 
-  // ---- Troubles ----
+  // ---- Faults ----
 
-  private void trouble(long start, long time) {
+  private void scheduleTrouble(long start, long time) {
     if (plan.trouble == Trouble.ORDINARY_DAY) {
-      ordinary(start, time);
+      scheduleOrdinaryDay(start, time);
     } else if (plan.trouble == Trouble.ZONE) {
       List<Member> zone =
           members.values().stream().filter(m -> zone(m.node) == plan.zones - 1).toList();
@@ -431,7 +438,7 @@
       cluster.agenda.at(
           start + time / 4,
           () -> {
-            apart = true;
+            partitioned = true;
             cluster.cut =
                 (from, to) ->
                     region(from) != region(to)
@@ -440,31 +447,31 @@
       cluster.agenda.at(
           start + time / 2,
           () -> {
-            apart = false;
+            partitioned = false;
             healedAt = cluster.agenda.now();
             cluster.cut = (from, to) -> false;
           });
     } else if (plan.trouble == Trouble.CONTROL_LOST) {
-      List<Member> control = control();
-      for (int i = 0; i < control.size(); i++) {
-        Member m = control.get(i);
+      List<Member> controlMachines = controlMachines();
+      for (int i = 0; i < controlMachines.size(); i++) {
+        Member m = controlMachines.get(i);
         cluster.agenda.at(start + time * Math.min(i + 1, 3) / 6, () -> stop(m));
         cluster.agenda.at(start + time * 4 / 6, () -> start(m));
       }
     }
   }
 
-  private void ordinary(long start, long time) {
-    double days = plan.changes / DAYS_CHANGES;
-    restarts = (int) Math.round(DAYS_RESTARTS * days);
-    failures = (int) Math.max(1, Math.round(DAYS_FAILURES * days));
+  private void scheduleOrdinaryDay(long start, long time) {
+    double days = plan.changes / CHANGES_PER_DAY;
+    restarts = (int) Math.round(RESTARTS_PER_DAY * days);
+    failures = (int) Math.max(1, Math.round(FAILURES_PER_DAY * days));
     List<Member> all = gateways();
     for (int i = 0; i < restarts + failures; i++) {
       Member m = all.get(random.nextInt(all.size()));
       long at = start + random.nextLong(time);
-      long away = i < restarts ? START : REPLACED;
+      long downtime = i < restarts ? PROCESS_RESTART_NANOS : MACHINE_REPLACEMENT_NANOS;
       cluster.agenda.at(at, () -> stop(m));
-      cluster.agenda.at(at + away, () -> start(m));
+      cluster.agenda.at(at + downtime, () -> start(m));
     }
   }
 
@@ -485,43 +492,47 @@
     long newest = changes.isEmpty() ? 0 : changes.lastKey();
     f.put("gateways", plan.gateways);
     f.put("settled_s", settled);
-    f.put("changes", proposed);
+    f.put("changes", proposedChanges);
     f.put("changes_issued", changes.size());
-    f.put("changes_refused", notIssued);
-    f.put("compression", Math.round(plan.changes * DAY / DAYS_CHANGES / plan.seconds * 10) / 10.0);
+    f.put("changes_refused", refusedChanges);
+    f.put(
+        "compression",
+        Math.round(plan.changes * SECONDS_PER_DAY / CHANGES_PER_DAY / plan.seconds * 10) / 10.0);
     f.put("restarts", restarts);
     f.put("failures", failures);
-    f.put("config_in_force_s_p50", share(inForce, 0.5));
-    f.put("config_in_force_s_p99", share(inForce, 0.99));
-    f.put("config_in_force_s_max", share(inForce, 1));
-    f.put("config_never", gateways().stream().filter(m -> m.node.up && m.newest < newest).count());
+    f.put("config_in_force_s_p50", percentile(inForceSeconds, 0.5));
+    f.put("config_in_force_s_p99", percentile(inForceSeconds, 0.99));
+    f.put("config_in_force_s_max", percentile(inForceSeconds, 1));
+    f.put(
+        "config_never",
+        gateways().stream().filter(m -> m.node.up && m.newestInForce < newest).count());
     List<Double> knownAfter =
         changes.values().stream()
             .filter(c -> c.knownAt > 0)
-            .map(c -> (c.knownAt - c.at) / (double) SECOND)
+            .map(c -> (c.knownAt - c.issuedAt) / (double) SECOND)
             .toList();
     f.put("config_known", knownAfter.size());
-    f.put("config_known_s_p50", share(knownAfter, 0.5));
-    f.put("config_known_s_max", share(knownAfter, 1));
+    f.put("config_known_s_p50", percentile(knownAfter, 0.5));
+    f.put("config_known_s_max", percentile(knownAfter, 1));
     Change last = changes.isEmpty() ? null : changes.lastEntry().getValue();
     boolean known = last != null && last.knownAt > 0;
-    f.put("newest_known_s", known ? (last.knownAt - last.at) / (double) SECOND : -1);
-    f.put("restarted_in_force_s_max", share(afterRestart, 1));
-    f.put("behind_after_heal_s_max", share(afterHeal, 1));
-    f.put("control_bytes_per_s_p99", share(sent, 0.99));
-    f.put("control_bytes_per_s_max", share(sent, 1));
-    f.put("control_received_bytes_per_s_p99", share(received, 0.99));
-    f.put("control_machine_bytes_per_s_p99", share(controlBytes, 0.99));
-    f.put("control_machine_bytes_per_s_max", share(controlBytes, 1));
+    f.put("newest_known_s", known ? (last.knownAt - last.issuedAt) / (double) SECOND : -1);
+    f.put("restarted_in_force_s_max", percentile(afterRestartSeconds, 1));
+    f.put("behind_after_heal_s_max", percentile(afterHealSeconds, 1));
+    f.put("control_bytes_per_s_p99", percentile(sentPerSecond, 0.99));
+    f.put("control_bytes_per_s_max", percentile(sentPerSecond, 1));
+    f.put("control_received_bytes_per_s_p99", percentile(receivedPerSecond, 0.99));
+    f.put("control_machine_bytes_per_s_p99", percentile(controlBytesPerSecond, 0.99));
+    f.put("control_machine_bytes_per_s_max", percentile(controlBytesPerSecond, 1));
     f.put("alarms", alarms);
     return f;
   }
 
-  private static double share(List<Double> of, double share) {
-    if (of.isEmpty()) {
+  private static double percentile(List<Double> samples, double share) {
+    if (samples.isEmpty()) {
       return -1;
     }
-    List<Double> sorted = of.stream().sorted().toList();
+    List<Double> sorted = samples.stream().sorted().toList();
     double value = sorted.get((int) Math.min(sorted.size() - 1, Math.floor(sorted.size() * share)));
     return Math.round(value * 100) / 100.0;
   }
--- a/lab/src/test/java/reachloom/lab/LabShapeTest.java
+++ b/lab/src/test/java/reachloom/lab/LabShapeTest.java
@@ -18,52 +18,59 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The shape of the laboratory: its packages depend one way, the entry point on all and none on it.
+ * Tests the dependencies of the laboratory's packages: they have no cycles, and no package depends
+ * on the entry point.
  */
 class LabShapeTest {
-  private static final Path MAIN = Path.of("src/main/java/reachloom/lab");
-  private static final Pattern USE = Pattern.compile("\\breachloom\\.lab\\.([a-z]\\w*|[A-Z]\\w*)");
+  private static final Path SOURCE_FOLDER = Path.of("src/main/java/reachloom/lab");
+  private static final Pattern PACKAGE_USE =
+      Pattern.compile("\\breachloom\\.lab\\.([a-z]\\w*|[A-Z]\\w*)");
 
   /**
-   * Each package under the laboratory's, with what it names of the others; "" is the laboratory's
-   * own.
+   * Returns the laboratory's packages with the other packages that each names; "" is the root
+   * package, which has the entry point.
    */
-  private static Map<String, Set<String>> uses() throws IOException {
-    Map<String, Set<String>> uses = new TreeMap<>();
-    try (Stream<Path> files = Files.walk(MAIN)) {
+  private static Map<String, Set<String>> dependencies() throws IOException {
+    Map<String, Set<String>> dependencies = new TreeMap<>();
+    try (Stream<Path> files = Files.walk(SOURCE_FOLDER)) {
       for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-        String own = MAIN.relativize(file.getParent()).toString();
-        Set<String> of = uses.computeIfAbsent(own, p -> new TreeSet<>());
-        Matcher m = USE.matcher(Files.readString(file));
+        String ownPackage = SOURCE_FOLDER.relativize(file.getParent()).toString();
+        Set<String> used = dependencies.computeIfAbsent(ownPackage, p -> new TreeSet<>());
+        Matcher m = PACKAGE_USE.matcher(Files.readString(file));
         while (m.find()) {
           String other = Character.isUpperCase(m.group(1).charAt(0)) ? "" : m.group(1);
-          if (!other.equals(own)) {
-            of.add(other);
+          if (!other.equals(ownPackage)) {
+            used.add(other);
           }
         }
       }
     }
-    return uses;
+    return dependencies;
   }
 
   @Test
-  void nothingDependsOnTheEntryPoint() throws IOException {
+  void noPackageDependsOnEntryPoint() throws IOException {
     assertEquals(
-        List.of(), uses().entrySet().stream().filter(e -> e.getValue().contains("")).toList());
+        List.of(),
+        dependencies().entrySet().stream().filter(e -> e.getValue().contains("")).toList());
   }
 
   @Test
-  void packagesDependOneWay() throws IOException {
-    Map<String, Set<String>> left = uses();
-    assertTrue(left.containsKey("command") && left.containsKey("cluster"), left.toString());
+  void packageDependenciesHaveNoCycles() throws IOException {
+    Map<String, Set<String>> remaining = dependencies();
+    assertTrue(
+        remaining.containsKey("command") && remaining.containsKey("cluster"),
+        remaining.toString());
     assertEquals(
-        Set.of(), left.get("command"), "options and figures need nothing else of the laboratory");
-    for (boolean some = true; some; ) { // whoever needs nobody that is left goes
-      List<String> free = new ArrayList<>(left.keySet());
-      free.removeIf(p -> left.get(p).stream().anyMatch(left::containsKey));
-      free.forEach(left::remove);
-      some = !free.isEmpty();
+        Set.of(),
+        remaining.get("command"),
+        "package command depends on no other package of the laboratory");
+    for (boolean progress = true; progress; ) { // removes packages that depend on no remaining one
+      List<String> independent = new ArrayList<>(remaining.keySet());
+      independent.removeIf(p -> remaining.get(p).stream().anyMatch(remaining::containsKey));
+      independent.forEach(remaining::remove);
+      progress = !independent.isEmpty();
     }
-    assertEquals(Map.of(), left, "these go round in a circle");
+    assertEquals(Map.of(), remaining, "these packages depend on each other in a cycle");
   }
 }
--- a/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/RevisionProcessesTest.java
@@ -28,12 +28,12 @@
 import reachloom.standin.ThriftClient;
 import reachloom.tools.RevisionTool;
 
-/** Three issuers and six gateways, each a process of the program, with faults between them. */
+/** Runs three issuers and six gateways as processes of the program and injects faults. */
 class RevisionProcessesTest {
-  private static final long PERIOD = 100_000_000; // nanoseconds
-  private static final int CAP = 131_072;
+  private static final long GOSSIP_PERIOD_NANOS = 100_000_000;
+  private static final int GOSSIP_BYTES_PER_SECOND = 131_072;
   private static final int GATEWAYS = 6;
-  private static final long LONG = TimeUnit.SECONDS.toNanos(60);
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
   private static final List<String> ISSUERS = List.of("c1", "c2", "c3");
 
   @TempDir Path folder;
@@ -42,8 +42,8 @@
   private final Map<String, Process> issuers = new LinkedHashMap<>();
   private final Map<String, GatewayProcess> gateways = new LinkedHashMap<>();
   private Installation installation;
-  private FakeChangeLog before;
-  private FakeChangeLog after;
+  private FakeChangeLog initialChangeLog;
+  private FakeChangeLog newChangeLog;
   private FakeEngine engine;
 
   private interface Condition {
@@ -51,7 +51,7 @@
   }
 
   private static void await(String what, Condition condition) throws Exception {
-    long until = System.nanoTime() + LONG;
+    long until = System.nanoTime() + TIMEOUT_NANOS;
     while (!condition.holds()) {
       assertTrue(System.nanoTime() < until, what);
       Thread.sleep(50);
@@ -60,27 +60,29 @@
 
   @BeforeEach
   void start() throws Exception {
-    before = new FakeChangeLog(1);
-    after = new FakeChangeLog(1);
+    initialChangeLog = new FakeChangeLog(1);
+    newChangeLog = new FakeChangeLog(1);
     engine = new FakeEngine();
     installation = new Installation(Files.createDirectory(folder.resolve("all")));
-    List<Issuer> named = new ArrayList<>();
+    List<Issuer> issuerSettings = new ArrayList<>();
     for (String name : ISSUERS) {
       installation.instance(name, "ca", 1);
-      named.add(new Issuer(name, Installation.freeAddress(), installation.path(name + ".crt")));
+      issuerSettings.add(
+          new Issuer(name, Installation.freeAddress(), installation.path(name + ".crt")));
     }
-    List<InetSocketAddress> seeds = named.stream().map(Issuer::address).toList();
+    List<InetSocketAddress> seeds = issuerSettings.stream().map(Issuer::address).toList();
     for (int i = 0; i < ISSUERS.size() + GATEWAYS; i++) {
       boolean issuer = i < ISSUERS.size();
       String name = issuer ? ISSUERS.get(i) : "g" + (i - ISSUERS.size());
       if (!issuer) {
         installation.instance(name, "ca", 1);
       }
-      InetSocketAddress listen = issuer ? named.get(i).address() : Installation.freeAddress();
+      InetSocketAddress listen =
+          issuer ? issuerSettings.get(i).address() : Installation.freeAddress();
       GossipSettings s =
           installation
-              .settings(name, listen, PERIOD, CAP, seeds, "ca")
-              .withConfiguration(new ConfigurationSettings(1 << Byte.SIZE | i % 2, named));
+              .settings(name, listen, GOSSIP_PERIOD_NANOS, GOSSIP_BYTES_PER_SECOND, seeds, "ca")
+              .withConfiguration(new ConfigurationSettings(1 << Byte.SIZE | i % 2, issuerSettings));
       settings.put(name, s);
       installation.file(s, name);
     }
@@ -104,8 +106,8 @@
     for (Process p : issuers.values()) {
       p.destroyForcibly().waitFor();
     }
-    before.close();
-    after.close();
+    initialChangeLog.close();
+    newChangeLog.close();
     engine.close();
   }
 
@@ -136,26 +138,26 @@
   }
 
   private void startGateway(String name) throws IOException {
-    Path own = Files.createDirectories(folder.resolve(name));
+    Path gatewayFolder = Files.createDirectories(folder.resolve(name));
     gateways.put(
         name,
         new GatewayProcess(
-            own,
-            GatewayProcess.config(GatewayProcess.freeAddress(), before, engine)
+            gatewayFolder,
+            GatewayProcess.config(GatewayProcess.freeAddress(), initialChangeLog, engine)
                 .replace("\"g1\"", '"' + name + '"'),
             List.of("--settings", file(name))));
   }
 
-  private String moved(InetSocketAddress to) {
+  private String changeLogDocument(InetSocketAddress to) {
     return "{\"changelog\":\"127.0.0.1:" + to.getPort() + "\"}";
   }
 
-  /** Issues at that issuer, as an operator does on its machine; gives the number. */
+  /** Issues a revision at an issuer, as an operator does on its machine; returns its number. */
   private long issue(String issuer, String document) throws Exception {
     Path text = Files.writeString(folder.resolve("document.json"), document);
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    PrintStream to = new PrintStream(said, true);
-    for (long until = System.nanoTime() + LONG; ; ) {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    PrintStream to = new PrintStream(output, true);
+    for (long until = System.nanoTime() + TIMEOUT_NANOS; ; ) {
       int status =
           RevisionTool.run(
               new String[] {"issue", "--store", store(issuer), "--document", text.toString()},
@@ -163,9 +165,10 @@
               to);
       if (status == 0) {
         return Long.parseLong(
-            said.toString().replaceFirst("(?s).*issued as revision (\\d+).*", "$1"));
+            output.toString().replaceFirst("(?s).*issued as revision (\\d+).*", "$1"));
       }
-      assertTrue(System.nanoTime() < until, said::toString); // a majority may still be on its way
+      // Retries: the issuer may not have a majority yet.
+      assertTrue(System.nanoTime() < until, output::toString);
       Thread.sleep(200);
     }
   }
@@ -183,40 +186,39 @@
   }
 
   @Test
-  void aChangeIsInForceEverywhereThroughAKilledIssuerAStandstillAndARestartOfAll()
-      throws Exception {
+  void appliesRevisionsDespiteKilledIssuerHaltedGatewayAndRestart() throws Exception {
     try (ThriftClient client = gateways.get("g0").ready()) {
-      // All follow the change log to its new address, and requests go on.
-      long first = issue("c1", moved(after.address()));
+      // All gateways follow the change log to its new address and still serve requests.
+      long first = issue("c1", changeLogDocument(newChangeLog.address()));
       awaitInForce(first);
-      await("all watch the new log", () -> after.hellos.size() >= GATEWAYS);
+      await("all gateways watch the new change log", () -> newChangeLog.hellos.size() >= GATEWAYS);
       assertEquals("ANSWER", client.run("select 1", "limit", "20000").kind());
 
-      // One stands still over three issues, and the first issuer is killed meanwhile: the rest goes
-      // on.
-      GatewayProcess still = gateways.get("g1");
-      still.standStill();
+      // One gateway is halted while three revisions are issued, and an issuer is killed: the other
+      // gateways and issuers continue.
+      GatewayProcess halted = gateways.get("g1");
+      halted.standStill();
       issuers.get("c1").destroyForcibly().waitFor();
-      issue("c2", moved(before.address()));
-      issue("c3", moved(after.address()));
-      long newest = issue("c2", moved(before.address()));
+      issue("c2", changeLogDocument(initialChangeLog.address()));
+      issue("c3", changeLogDocument(newChangeLog.address()));
+      long newest = issue("c2", changeLogDocument(initialChangeLog.address()));
       assertEquals(first + 3, newest);
       for (Map.Entry<String, GatewayProcess> g : gateways.entrySet()) {
-        if (g.getValue() != still) {
-          await("at " + g.getKey(), () -> inForce(g.getValue(), newest));
+        if (g.getValue() != halted) {
+          await("revision " + newest + " at " + g.getKey(), () -> inForce(g.getValue(), newest));
         }
       }
-      still.goOn();
+      halted.goOn();
       awaitInForce(newest);
       assertEquals("ANSWER", client.run("select 1", "limit", "20000").kind());
     }
-    // A killed issuer that is back has kept the log, and goes on with it.
+    // A killed issuer that restarts has kept its log and issues the next revision.
     startIssuer("c1");
-    long next = issue("c1", moved(after.address()));
+    long next = issue("c1", changeLogDocument(newChangeLog.address()));
     awaitInForce(next);
 
-    // All gateways at once, none of which keeps anything: each has the newest again, and none an
-    // older one.
+    // All gateways restart at once; they store nothing. Each applies the newest revision again and
+    // no older one.
     for (GatewayProcess g : gateways.values()) {
       g.kill();
     }
@@ -226,18 +228,20 @@
     awaitInForce(next);
     for (GatewayProcess g : gateways.values()) {
       assertEquals(
-          1, Files.readString(g.log).split("is in force", -1).length - 1, "only the newest");
+          1,
+          Files.readString(g.log).split("is in force", -1).length - 1,
+          "only the newest revision is applied after the restart");
     }
   }
 
   @Test
-  void whatDoesNotCheckAtAGatewayIsRefusedThereAndTheOneInForceStays() throws Exception {
-    long good = issue("c1", moved(after.address()));
+  void refusesInvalidRevisionAndKeepsRevisionInForce() throws Exception {
+    long good = issue("c1", changeLogDocument(newChangeLog.address()));
     awaitInForce(good);
     long bad = issue("c2", "{\"changelog\":\"nowhere\"}");
     for (GatewayProcess g : gateways.values()) {
       await(
-          "refused",
+          "revision " + bad + " is refused",
           () ->
               Files.readString(g.log)
                   .contains(
@@ -247,7 +251,7 @@
                           + good
                           + " stays in force: changelog: 'nowhere' is not an address"));
     }
-    long next = issue("c3", moved(before.address()));
+    long next = issue("c3", changeLogDocument(initialChangeLog.address()));
     awaitInForce(next);
   }
 }
--- a/lab/src/test/java/reachloom/lab/scale/ScaleEndsTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleEndsTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whatever ends the laboratory, all that the scale run started ends with it. */
+/** All processes of a scale run end with the laboratory, whether it is killed or terminated. */
 class ScaleEndsTest {
   @TempDir Path folder;
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void allEndsWithTheLaboratory(boolean killed) throws Exception {
+  void processesEndWithLaboratory(boolean killed) throws Exception {
     Process lab =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -50,15 +50,19 @@
             .redirectOutput(folder.resolve("out").toFile())
             .start();
     List<ProcessHandle> started = List.of();
-    try (BufferedReader said = new BufferedReader(new InputStreamReader(lab.getErrorStream()))) {
-      String line = said.readLine();
+    try (BufferedReader errorOutput =
+        new BufferedReader(new InputStreamReader(lab.getErrorStream()))) {
+      String line = errorOutput.readLine();
       while (line != null && !line.contains("gateways are ready")) {
-        line = said.readLine();
+        line = errorOutput.readLine();
       }
       assertTrue(line != null && line.startsWith("3 of 3"), line);
       started =
           lab.descendants().filter(p -> p.info().command().orElse("").endsWith("java")).toList();
-      assertEquals(3, started.size(), "a gateway, a process with two, a control machine");
+      assertEquals(
+          3,
+          started.size(),
+          "a gateway, a process with two synthetic gateways, a control machine");
       if (killed) {
         lab.destroyForcibly();
       } else {
--- a/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
@@ -13,13 +13,13 @@
 import reachloom.lab.cluster.FaultSchedule;
 
 /**
- * Small installations on real sockets: real and hollow gateways, control machines, changes,
- * troubles.
+ * Runs small installations on real sockets: real and synthetic gateways, control machines, changes
+ * and faults.
  */
 class ScaleRunTest {
-  private static final double AGREE = 0.1;
-  private static final long PERIOD = 250_000_000; // nanoseconds: many in a short run
-  private static final int CAP = 16_384;
+  private static final double MAX_RELATIVE_DIFFERENCE = 0.1;
+  private static final long PERIOD_NANOS = 250_000_000; // many periods in a short run
+  private static final int MAX_BYTES_PER_S = 16_384;
 
   @TempDir Path folder;
 
@@ -30,7 +30,7 @@
         new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), "test");
   }
 
-  private static void whole(Map<String, Object> f, int gateways) {
+  private static void assertRunSound(Map<String, Object> f, int gateways) {
     assertEquals(gateways, f.get("gateways_ready"), f.toString());
     assertEquals(0, f.get("rig_defects"), f.toString());
     assertEquals(0, f.get("crashed"), f.toString());
@@ -38,15 +38,16 @@
     assertEquals(0, f.get("unanswered"), f.toString());
   }
 
-  private static void agree(String what, double[] real, double[] hollow, Map<String, Object> f) {
+  private static void assertRatesAgree(
+      String what, double[] real, double[] synthetic, Map<String, Object> f) {
     for (int i = 0; i < real.length; i++) {
       assertTrue(
-          Math.abs(real[i] - hollow[i]) <= AGREE * real[i],
+          Math.abs(real[i] - synthetic[i]) <= MAX_RELATIVE_DIFFERENCE * real[i],
           what
               + (i == 0 ? " messages: " : " bytes: ")
               + real[i]
               + " and "
-              + hollow[i]
+              + synthetic[i]
               + " a second; "
               + f);
     }
@@ -56,38 +57,42 @@
     return new double[] {(a[0] + b[0]) / 2, (a[1] + b[1]) / 2};
   }
 
-  /**
-   * Each gateway has a zone of its own, so that the control machine's counts by zone are by
-   * gateway.
-   */
+  /** Each gateway has a zone of its own, so the control machine's counts by zone are by gateway. */
   @Test
-  void aHollowGatewayCausesTheControlTrafficOfARealOne() throws Exception {
+  void syntheticGatewayCausesControlTrafficOfRealGateway() throws Exception {
     ScaleRun.Size size =
-        new ScaleRun.Size(4, 2, 8, 1, 4, 1, 16, 20, 3, 4, 24, true, PERIOD, CAP, 1);
+        new ScaleRun.Size(
+            4, 2, 8, 1, 4, 1, 16, 20, 3, 4, 24, true, PERIOD_NANOS, MAX_BYTES_PER_S, 1);
     try (ScaleRun run = new ScaleRun(size, folder, null)) {
       Map<String, Object> f =
           run.play(
               script(
                   "<engines at='3' do='replace' share='0.5' within='4'/>",
                   "<configuration at='5' do='issue' by='2' within='4'/>"));
-      whole(f, 4);
-      agree(
+      assertRunSound(f, 4);
+      assertRatesAgree(
           "change log",
           mean(run.changeLog(0, 0), run.changeLog(0, 1)),
           mean(run.changeLog(0, 2), run.changeLog(0, 3)),
           f);
-      agree("gossip", mean(run.gossip(0), run.gossip(1)), mean(run.gossip(2), run.gossip(3)), f);
+      assertRatesAgree(
+          "gossip",
+          mean(run.gossip(0), run.gossip(1)),
+          mean(run.gossip(2), run.gossip(3)),
+          f);
       assertEquals(2, f.get("changes"), f.toString());
       assertEquals(0L, f.get("config_never"), f.toString());
       assertEquals(0L, f.get("list_never"), f.toString());
-      assertEquals(12, f.get("list_changes"), "four drain, four begin, four are gone: " + f);
+      assertEquals(
+          12, f.get("list_changes"), "four engines drain, four start, four are removed: " + f);
     }
   }
 
   @Test
-  void restartsLostControlMachinesAndRegionsApartAreBorneAndMadeUpFor() throws Exception {
+  void recoversFromRestartsLostControlMachinesAndPartition() throws Exception {
     ScaleRun.Size size =
-        new ScaleRun.Size(14, 2, 12, 3, 6, 3, 12, 10, 1, 5, 24, true, PERIOD, CAP, 2);
+        new ScaleRun.Size(
+            14, 2, 12, 3, 6, 3, 12, 10, 1, 5, 24, true, PERIOD_NANOS, MAX_BYTES_PER_S, 2);
     try (ScaleRun run = new ScaleRun(size, folder, null)) {
       Map<String, Object> f =
           run.play(
@@ -99,7 +104,7 @@
                   "<regions at='6' do='part' for='2'/>",
                   "<engines at='6.5' do='replace' share='0.1'/>",
                   "<configuration at='6.2' do='issue'/>"));
-      whole(f, 14);
+      assertRunSound(f, 14);
       assertEquals(0L, f.get("config_never"), f.toString());
       assertEquals(0L, f.get("list_never"), f.toString());
       double behind = ((Number) f.get("behind_after_heal_s_max")).doubleValue();
@@ -108,9 +113,10 @@
   }
 
   @Test
-  void gatewaysFollowControlMachinesOfTheirRegionEvenly() {
+  void gatewaysFollowControlMachinesOfRegionEvenly() {
     ScaleRun.Size size =
-        new ScaleRun.Size(580, 40, 630, 3, 10, 5, 120, 10, 5, 100, 24, true, PERIOD, CAP, 1);
+        new ScaleRun.Size(
+            580, 40, 630, 3, 10, 5, 120, 10, 5, 100, 24, true, PERIOD_NANOS, MAX_BYTES_PER_S, 1);
     int[] followers = new int[5];
     for (int g = 0; g < 580; g++) {
       int m = size.machineOf(g);
--- a/lab/src/test/java/reachloom/lab/scale/VirtualControlTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/VirtualControlTest.java
@@ -11,15 +11,17 @@
 import reachloom.lab.scale.VirtualControl.Trouble;
 
 /**
- * The control part as a whole, with real gossip, codec and council, at a size that a build bears.
+ * Simulates the control part as a whole, with real gossip, codec and consensus, at a size that a
+ * build has time for.
  */
 class VirtualControlTest {
-  private static final int CAP = 17_000;
-  private static final double AIM = 10;
+  private static final int MAX_BYTES_PER_S = 17_000;
+  private static final double MAX_ROLLOUT_S = 10;
 
-  private static Map<String, Object> play(Trouble trouble, long seed) {
+  private static Map<String, Object> run(Trouble trouble, long seed) {
     return new VirtualControl(
-            new VirtualControl.Plan(40, 3, 10, 5, 24, 12, seed, 0.02, CAP, 400_000, 4_096, trouble))
+            new VirtualControl.Plan(
+                40, 3, 10, 5, 24, 12, seed, 0.02, MAX_BYTES_PER_S, 400_000, 4_096, trouble))
         .play();
   }
 
@@ -29,24 +31,25 @@
 
   @ParameterizedTest
   @EnumSource(Trouble.class)
-  void changesAreInForceWithinTheAims(Trouble trouble) {
-    Map<String, Object> f = play(trouble, 1);
+  void changesAreInForceWithinLimits(Trouble trouble) {
+    Map<String, Object> f = run(trouble, 1);
     assertEquals(0, figure(f, "config_never"), f.toString());
     assertEquals(0, figure(f, "alarms"), f.toString());
-    assertTrue(figure(f, "config_in_force_s_max") <= AIM, f.toString());
-    assertTrue(figure(f, "behind_after_heal_s_max") <= AIM, f.toString());
-    assertTrue(figure(f, "restarted_in_force_s_max") <= AIM, f.toString());
+    assertTrue(figure(f, "config_in_force_s_max") <= MAX_ROLLOUT_S, f.toString());
+    assertTrue(figure(f, "behind_after_heal_s_max") <= MAX_ROLLOUT_S, f.toString());
+    assertTrue(figure(f, "restarted_in_force_s_max") <= MAX_ROLLOUT_S, f.toString());
     assertTrue(
-        figure(f, "newest_known_s") >= 0 && figure(f, "newest_known_s") <= AIM, f.toString());
-    assertTrue(figure(f, "control_bytes_per_s_max") <= CAP, f.toString());
+        figure(f, "newest_known_s") >= 0 && figure(f, "newest_known_s") <= MAX_ROLLOUT_S,
+        f.toString());
+    assertTrue(figure(f, "control_bytes_per_s_max") <= MAX_BYTES_PER_S, f.toString());
     assertTrue(
         figure(f, "changes_issued") >= (trouble == Trouble.CONTROL_LOST ? 7 : 12), f.toString());
   }
 
   @Test
-  void theSeedDecidesEverything() {
-    Map<String, Object> once = play(Trouble.ORDINARY_DAY, 2);
-    assertEquals(once, play(Trouble.ORDINARY_DAY, 2));
-    assertNotEquals(once, play(Trouble.ORDINARY_DAY, 3));
+  void sameSeedGivesSameRun() {
+    Map<String, Object> first = run(Trouble.ORDINARY_DAY, 2);
+    assertEquals(first, run(Trouble.ORDINARY_DAY, 2));
+    assertNotEquals(first, run(Trouble.ORDINARY_DAY, 3));
   }
 }
