--- a/lab/src/main/java/reachloom/lab/scale/SyntheticGatewayMain.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGatewayMain.java
@@ -75,9 +75,9 @@
       }
       case "lacking" ->
           gateways.forEach(
-              (n, of) -> {
-                if (of.receivedEvents().size() < number) {
-                  HelperProcess.printLine("lacks " + n + " " + of.receivedEvents().size());
+              (n, gateway) -> {
+                if (gateway.receivedEvents().size() < number) {
+                  HelperProcess.printLine("lacks " + n + " " + gateway.receivedEvents().size());
                 }
               });
       case "reload" -> {
