--- a/lab/src/test/java/reachloom/lab/scale/ScaleEndsTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleEndsTest.java
@@ -56,19 +56,20 @@
       while (line != null && !line.contains("gateways are ready")) {
         line = errorOutput.readLine();
       }
-      assertTrue(line != null && line.startsWith("3 of 3"), line);
+      assertTrue(
+          line != null && line.startsWith("3 of 3"), "not all gateways were ready: " + line);
       started =
           lab.descendants().filter(p -> p.info().command().orElse("").endsWith("java")).toList();
       assertEquals(
           3,
           started.size(),
-          "a gateway, a process with two synthetic gateways, a control machine");
+          "expected a gateway, a process with two synthetic gateways, a control machine");
       if (killed) {
         lab.destroyForcibly();
       } else {
         lab.destroy();
       }
-      assertTrue(lab.waitFor(20, TimeUnit.SECONDS));
+      assertTrue(lab.waitFor(20, TimeUnit.SECONDS), "the laboratory did not end within 20 s");
       for (ProcessHandle p : started) {
         p.onExit().get(20, TimeUnit.SECONDS);
       }
--- a/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
@@ -6,7 +6,7 @@
 import java.io.ByteArrayInputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.List;
+import java.util.Arrays;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -124,7 +124,7 @@
       assertEquals(size.regionOf(g % 10), m % 3, "gateway " + g);
     }
     for (int f : followers) {
-      assertTrue(f >= 70 && f <= 180, List.of(followers[0], followers[1], followers[2]).toString());
+      assertTrue(f >= 70 && f <= 180, "followers by machine: " + Arrays.toString(followers));
     }
   }
 }
