--- a/lab/src/main/java/reachloom/lab/scale/EndpointListWatcher.java
+++ b/lab/src/main/java/reachloom/lab/scale/EndpointListWatcher.java
@@ -12,12 +12,12 @@
 final class EndpointListWatcher {
   private static final class ListChange {
     private final long number;
-    private final long at;
+    private final long announcedAt;
     private final Map<Integer, long[]> countAndTimeByProcess = new LinkedHashMap<>();
 
-    ListChange(long number, long at) {
+    ListChange(long number, long announcedAt) {
       this.number = number;
-      this.at = at;
+      this.announcedAt = announcedAt;
     }
 
     long count() {
@@ -36,7 +36,10 @@
 
   private final List<Long> healTimes = new ArrayList<>();
 
-  /** Records that an event of the list was announced; {@code key} identifies its content. */
+  /**
+   * Records that an event of the list was announced. The key is the engine's name, state and start,
+   * as in {@link SyntheticGateway#eventKey}.
+   */
   synchronized void announced(long number, String key, long at) {
     changes.putIfAbsent(key, new ListChange(number, at));
   }
@@ -51,15 +54,19 @@
     startEvents.remove(gateway);
   }
 
-  private long count(ListChange n) {
-    return n.count() + startEvents.values().stream().filter(f -> f >= n.number).count();
+  /** Returns how many gateways received the change or started with a list that contained it. */
+  private long count(ListChange change) {
+    return change.count() + startEvents.values().stream().filter(f -> f >= change.number).count();
   }
 
-  /** Records how many gateways of a helper process have a change, and when the last got it. */
+  /**
+   * Records how many gateways of a helper process have received a change since their initial list,
+   * and when the last of them did.
+   */
   synchronized void recordReceived(int process, String key, int count, long latest) {
-    ListChange n = changes.get(key);
-    if (n != null) {
-      n.countAndTimeByProcess.put(process, new long[] {count, latest});
+    ListChange change = changes.get(key);
+    if (change != null) {
+      change.countAndTimeByProcess.put(process, new long[] {count, latest});
     }
   }
 
@@ -75,7 +82,7 @@
 
   /** Returns whether some change has not reached the given number of gateways. */
   synchronized boolean hasPending(int gateways) {
-    return changes.values().stream().anyMatch(n -> count(n) < gateways);
+    return changes.values().stream().anyMatch(change -> count(change) < gateways);
   }
 
   /** Adds the figures for the given number of running synthetic gateways. */
@@ -84,25 +91,27 @@
     List<Double> primaries = new ArrayList<>();
     List<Double> behind = new ArrayList<>();
     changes.forEach(
-        (key, n) -> {
-          if (count(n) >= gateways && gateways > 0) {
-            double seconds = Math.max(0, n.latest() - n.at) / 1e3;
+        (key, change) -> {
+          if (count(change) >= gateways && gateways > 0) {
+            double seconds = Math.max(0, change.latest() - change.announcedAt) / 1e3;
             times.add(seconds);
-            if (key.split(" ")[1].equals("0")) { // UP: a new primary, or one that is back
+            if (key.split(" ")[1].equals("0")) { // state UP: a new primary, or one that is back
               primaries.add(seconds);
             }
           }
           healTimes.stream()
-              .filter(h -> h >= n.at)
+              .filter(h -> h >= change.announcedAt)
               .mapToLong(h -> h)
               .min()
-              .ifPresent(h -> behind.add(Math.max(0, n.latest() - h) / 1e3));
+              .ifPresent(h -> behind.add(Math.max(0, change.latest() - h) / 1e3));
         });
     to.put("list_changes", changes.size());
     to.put("list_in_force_s_max", Samples.percentile(times, 1));
     to.put(
         "list_never",
-        gateways == 0 ? null : changes.values().stream().filter(n -> count(n) < gateways).count());
+        gateways == 0
+            ? null
+            : changes.values().stream().filter(change -> count(change) < gateways).count());
     to.put("primary_change_s_max", Samples.percentile(primaries, 1));
     to.put("behind_after_heal_s_max", Samples.percentile(behind, 1));
   }
