--- a/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleCommand.java
@@ -39,7 +39,7 @@
   public Options options() {
     return new Options()
         .addOption(null, "gateways", true, "gateways in all (20)")
-        .addOption(null, "real", true, "of these, processes of the program, with clients (4)")
+        .addOption(null, "real", true, "of these, gateway processes that serve clients (4)")
         .addOption(null, "engines", true, "engines at the start (24)")
         .addOption(null, "regions", true, "regions (3)")
         .addOption(null, "zones", true, "zones, assigned to the regions in turn (10)")
@@ -50,13 +50,17 @@
             null,
             "rate",
             true,
-            "statements a second at each real gateway (724, or less if the total exceeds "
+            "statements a second at each real gateway (724, or less so that all receive at most "
                 + MAX_TOTAL_RATE
-                + ")")
+                + " in total)")
         .addOption(null, "a-process", true, "synthetic gateways in each process (30)")
         .addOption(null, "no-gossip", false, "turns gossip off")
         .addOption(null, "period-ms", true, "milliseconds between two gossip probes (1000)")
-        .addOption(null, "cap", true, "bytes a second of each gateway's gossip (4096)")
+        .addOption(
+            null,
+            "cap",
+            true,
+            "gossip of each gateway in bytes a second (4096); simulated: all it sends (17000)")
         .addOption(null, "script", true, "a file, or one of " + FaultSchedule.NAMED + " (steady)")
         .addOption(
             null,
@@ -75,7 +79,7 @@
         .addOption(null, "heap-mb", true, "heap of each real gateway in MB (24)")
         .addOption(null, "seed", true, "seed of the random numbers (1)")
         .addOption(null, "json", true, "file for the figures as JSON")
-        .addOption(null, "logs", true, "folder for all logs");
+        .addOption(null, "logs", true, "folder that keeps all logs (else deleted after the run)");
   }
 
   @Override
@@ -110,8 +114,8 @@
       throw new ParseException(
           "--script: "
               + script.name()
-              + " has faults of list, which only the fleet command plays; "
-              + "scale has control machines");
+              + " has faults of 'list', which only the fleet command plays; "
+              + "the scale command plays faults of 'control'");
     }
     Map<String, Object> origin = new LinkedHashMap<>();
     origin.put("script", script.name());
@@ -126,7 +130,7 @@
     };
   }
 
-  /** Runs only the control part in simulated time; its troubles have the names of the scripts. */
+  /** Runs only the control part in simulated time, with the trouble that has the script's name. */
   private static int runVirtual(
       CommandLine line, ScaleRun.Size size, String script, Map<String, Object> origin)
       throws Exception {
