--- a/lab/src/main/java/reachloom/lab/scale/ControlMain.java
+++ b/lab/src/main/java/reachloom/lab/scale/ControlMain.java
@@ -17,7 +17,8 @@
  * One control machine of a scale run: serves a change log that gateways follow. It reads the lines
  * {@code event NUMBER ENGINE STATE STARTED} and, after the initial events, {@code listen}. It
  * prints {@code listening} and each second {@code usage MS LAG BYTES-TO-EACH-FOLLOWER,...
- * BYTES/FRAMES-BY-ZONE,...}.
+ * BYTES/FRAMES-BY-ZONE,...}: bytes to each follower since the last line, or {@code -} without
+ * followers, and sums by zone since the process started.
  */
 final class ControlMain implements HelperMain.Role {
   private final RealTimeScheduler time = new RealTimeScheduler("control");
--- a/lab/src/main/java/reachloom/lab/scale/FileAndSignalSource.java
+++ b/lab/src/main/java/reachloom/lab/scale/FileAndSignalSource.java
@@ -76,7 +76,10 @@
         temporary, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Reads new log lines; calls back with the gateway's number once for each reload found. */
+  /**
+   * Reads new log lines, up to 1 MiB of each log; calls back with the gateway's number once for
+   * each reload found.
+   */
   void readLogs(IntConsumer onReload) {
     for (int g = 0; g < real; g++) {
       Path log = folder.resolve("g" + g + ".log");
--- a/lab/src/main/java/reachloom/lab/scale/HelperProcess.java
+++ b/lab/src/main/java/reachloom/lab/scale/HelperProcess.java
@@ -29,7 +29,10 @@
   private final Process process;
   private final PrintStream input;
 
-  /** Starts a process whose error output goes to {@code log} and output to {@code lineHandler}. */
+  /**
+   * Starts a process whose error output is appended to {@code log} and each line of whose output is
+   * passed to {@code lineHandler}.
+   */
   HelperProcess(int heapMb, Path log, Consumer<String> lineHandler, String... arguments)
       throws IOException {
     List<String> command = new ArrayList<>();
--- a/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
+++ b/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
@@ -8,8 +8,9 @@
 
 /**
  * Measures the cost of control for each gateway and each control machine, and the load of the run
- * on the machine it runs on. Samples last one second and count between the first query and the
- * last.
+ * on the machine it runs on. Processor time, traffic and delays are sampled each second and count
+ * between the first query and the last. Memory and the number of processes are maxima until the end
+ * of the run; those of real gateways count from the first query on.
  */
 final class ResourceMonitor {
   private static final double MAX_MEMORY_MB = 12 * 1024;
@@ -80,8 +81,8 @@
     this.size = size;
   }
 
-  synchronized void syntheticProcessStarted(int host, long pid) {
-    processesByNumber.computeIfAbsent(host, h -> new SyntheticProcess()).pid = pid;
+  synchronized void syntheticProcessStarted(int process, long pid) {
+    processesByNumber.computeIfAbsent(process, p -> new SyntheticProcess()).pid = pid;
   }
 
   synchronized void controlMachineStarted(int machine, long pid) {
@@ -103,9 +104,12 @@
     ownCpuNanos = Usage.cpuNanos(ProcessHandle.current().pid()) - ownCpuAtBegin;
   }
 
-  /** Handles {@code usage MS LAG N:CPU:SENT:BYTES:RECEIVED:BYTES ...}. */
-  synchronized void onSyntheticUsage(int host, String[] words) {
-    SyntheticProcess h = processesByNumber.get(host);
+  /**
+   * Handles {@code usage MS LAG N:CPU:SENT:BYTES:RECEIVED:BYTES ...}: LAG in milliseconds, and per
+   * gateway N the CPU time in nanoseconds and the messages and bytes of gossip so far.
+   */
+  synchronized void onSyntheticUsage(int process, String[] words) {
+    SyntheticProcess h = processesByNumber.get(process);
     long at = Long.parseLong(words[1]);
     long cpuNanos = Usage.cpuNanos(h.pid);
     double seconds = (at - h.atMs) / 1e3;
@@ -140,7 +144,10 @@
     h.cpuNanos = cpuNanos;
   }
 
-  /** Handles {@code usage MS LAG BYTES,... BYTES/FRAMES,...}. */
+  /**
+   * Handles {@code usage MS LAG BYTES,... BYTES/FRAMES,...}: the bytes sent to each follower since
+   * the last line, or {@code -} without followers, and the bytes and frames so far by zone.
+   */
   synchronized void onControlUsage(int machine, String line) {
     String[] words = line.split(" ");
     ControlMachine m = machines.get(machine);
@@ -191,12 +198,15 @@
       all += Usage.residentMegabytes(m.pid);
     }
     totalMemoryMb = Math.max(totalMemoryMb, all);
-    // The other two processes are the laboratory and its watcher.
+    // The other two are the laboratory and the watcher, which ends the gateways if it is killed.
     processes =
         Math.max(processes, real.size() + processesByNumber.size() + machines.size() + 2);
   }
 
-  /** Returns the frames and bytes a second that a control machine sent to a zone's gateways. */
+  /**
+   * Returns the frames and bytes a second that a control machine sent to a zone's gateways between
+   * the first query and the last.
+   */
   synchronized double[] changeLog(int machine, int zone) {
     ControlMachine m = machines.get(machine);
     return m.last.get(zone).since(m.first.get(zone));
--- a/lab/src/main/java/reachloom/lab/scale/RolloutTracker.java
+++ b/lab/src/main/java/reachloom/lab/scale/RolloutTracker.java
@@ -58,7 +58,11 @@
     }
   }
 
-  /** Records that a gateway started with the newest configuration; no earlier change is pending. */
+  /**
+   * Records that a gateway started with the newest configuration, so that no earlier change is
+   * pending there. For a gateway that stopped, {@code at} is 0: its pending changes are removed and
+   * no change gets a later time.
+   */
   synchronized void started(int gateway, long at) {
     applied(gateway, Long.MAX_VALUE, at);
   }
@@ -76,7 +80,7 @@
         .toList();
   }
 
-  /** Adds the figures; a time is null if no change is in force everywhere. */
+  /** Adds the figures; times in seconds, null if no change is in force at all its gateways. */
   synchronized void figures(Map<String, Object> to) {
     List<Double> times = new ArrayList<>();
     changes.values().stream()
--- a/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/reachloom/lab/scale/ScaleRun.java
@@ -425,7 +425,10 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Waits until the last changes are in force and lost control machines are back. */
+  /**
+   * Waits until the last changes are in force and lost control machines are back, at most {@link
+   * #COMPLETION_TIMEOUT_MS} for each of issuing, status requests and changes.
+   */
   private void awaitCompletion() {
     try {
       // Waits until all changes are issued and all status requests are answered.
@@ -621,8 +624,8 @@
   }
 
   /**
-   * Tells the checker which zones have a gateway that follows a lost or partitioned control
-   * machine: the checker does not hold it to list changes that it missed.
+   * Tells the checker which zones have a real gateway that follows a lost or partitioned control
+   * machine: the checker does not hold the zone to list changes that it missed.
    */
   private void exemptCutOffZones() {
     for (int z = 0; z < size.zones; z++) {
--- a/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
@@ -30,19 +30,19 @@
  * A gateway without clients and without a process of its own: event loop, gateway, change log,
  * gossip and decisions are those of the program, assembled as its server does, but no listener for
  * clients is opened. Gossip carries what a gateway observes of engines through client requests, so
- * gossip receives as many attempts as clients would cause, all served, at the engines that come
- * first in this gateway's order of the engines ({@link EngineSubset}).
+ * gossip receives as many attempts as clients would cause, all served, at random among the engines
+ * that are up and come first in this gateway's order of the engines ({@link EngineSubset}).
  */
 final class SyntheticGateway {
   /** Receives events of the gateway, on its event loop. */
   interface Watcher {
-    /** The gateway would accept clients now; its configuration has the list up to that event. */
+    /** Reports that a gateway would accept clients, with the last event of its configured list. */
     void ready(int gateway, long lastEvent);
 
-    /** The gateway has received this list event since its start. */
+    /** Reports that a gateway received a list event for the first time since its initial list. */
     void onListEvent(int gateway, EngineMember member);
 
-    /** A reloaded configuration is in force at the gateway. */
+    /** Reports that the configuration reloaded for an issue is in force at a gateway. */
     void applied(int gateway, String issue);
   }
 
@@ -87,7 +87,7 @@
                 open();
                 loop.run();
               } catch (ConfigException | IOException e) {
-                System.err.println("gateway " + number + ": " + e.getMessage());
+                System.err.println("gateway " + number + ": start failed: " + e.getMessage());
               }
             },
             "loop");
@@ -163,7 +163,7 @@
     loop.deadlines().add(loop.now() + ATTEMPT_INTERVAL_NANOS, this::reportAttempts);
   }
 
-  /** Returns the keys of the list events that the gateway has received since its start. */
+  /** Returns the keys of the list events that the gateway has received since its initial list. */
   Set<String> receivedEvents() {
     return receivedEvents;
   }
@@ -226,8 +226,8 @@
   }
 
   /**
-   * Returns the processor time of the gateway's threads so far in nanoseconds; of a thread that has
-   * ended, without its last second.
+   * Returns the processor time of the gateway's threads so far in nanoseconds. A thread that has
+   * ended counts as of the last call before its end; the process calls this each second.
    */
   long cpuNanos() {
     ThreadMXBean bean = ManagementFactory.getThreadMXBean();
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -44,7 +44,10 @@
   private static final long MACHINE_REPLACEMENT_NANOS = 20 * SECOND;
   private static final long MAX_SETTLE_NANOS = 180 * SECOND;
 
-  /** Base of the waits for a rollout; a revision not in force after them counts as never. */
+  /**
+   * Base of the waits for a rollout: a third of it for the first revision, half of it after the
+   * planned time. A gateway that then lacks the newest revision counts as never having it.
+   */
   private static final long MAX_ROLLOUT_NANOS = 30 * SECOND;
 
   private static final double SECONDS_PER_DAY = 86_400;
@@ -53,7 +56,7 @@
   private static final double FAILURES_PER_DAY = 5;
   private static final int SETTING_BYTES = 64;
 
-  /** One change of this number, on average, alters two settings far apart. */
+  /** One change in this many, on average, alters a second setting, far from the first. */
   private static final int FAR_CHANGE_INTERVAL = 10;
 
   /** Faults of a run. */
