--- a/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
+++ b/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
@@ -109,22 +109,22 @@
    * gateway N the CPU time in nanoseconds and the messages and bytes of gossip so far.
    */
   synchronized void onSyntheticUsage(int process, String[] words) {
-    SyntheticProcess h = processesByNumber.get(process);
+    SyntheticProcess last = processesByNumber.get(process);
     long at = Long.parseLong(words[1]);
-    long cpuNanos = Usage.cpuNanos(h.pid);
-    double seconds = (at - h.atMs) / 1e3;
-    boolean counts = measuring && h.atMs > 0 && seconds > 0.5;
+    long cpuNanos = Usage.cpuNanos(last.pid);
+    double seconds = (at - last.atMs) / 1e3;
+    boolean counts = measuring && last.atMs > 0 && seconds > 0.5;
     if (measuring) {
       maxDelayMs = Math.max(maxDelayMs, Long.parseLong(words[2]));
     }
     double threadCores = 0;
     List<Double> shares = new ArrayList<>();
     for (int i = 3; i < words.length; i++) {
-      String[] w = words[i].split(":");
-      long spent = Long.parseLong(w[1]);
-      long bytes = Long.parseLong(w[3]) + Long.parseLong(w[5]);
+      String[] fields = words[i].split(":");
+      long spent = Long.parseLong(fields[1]);
+      long bytes = Long.parseLong(fields[3]) + Long.parseLong(fields[5]);
       GatewayCounters before =
-          h.gateways.computeIfAbsent(Integer.parseInt(w[0]), g -> new GatewayCounters());
+          last.gateways.computeIfAbsent(Integer.parseInt(fields[0]), g -> new GatewayCounters());
       if (counts && bytes >= before.bytes && spent >= before.cpuNanos) {
         shares.add((spent - before.cpuNanos) / 1e9 / seconds);
         threadCores += (spent - before.cpuNanos) / 1e9 / seconds;
@@ -134,14 +134,14 @@
       before.bytes = bytes;
     }
     if (counts && !shares.isEmpty()) {
-      double all = (cpuNanos - h.cpuNanos) / 1e9 / seconds;
-      syntheticCpuNanos += cpuNanos - h.cpuNanos;
+      double all = (cpuNanos - last.cpuNanos) / 1e9 / seconds;
+      syntheticCpuNanos += cpuNanos - last.cpuNanos;
       // The time of garbage collector and compiler is shared evenly among the gateways.
       double each = Math.max(0, all - threadCores) / shares.size();
       shares.forEach(s -> cpuShares.add(s + each));
     }
-    h.atMs = at;
-    h.cpuNanos = cpuNanos;
+    last.atMs = at;
+    last.cpuNanos = cpuNanos;
   }
 
   /**
@@ -156,12 +156,12 @@
     long bytes = 0;
     int zone = 0;
     for (String sent : words[4].split(",")) {
-      String[] w = sent.split("/");
-      bytes += Long.parseLong(w[0]);
+      String[] fields = sent.split("/");
+      bytes += Long.parseLong(fields[0]);
       if (measuring) {
-        Count c = new Count(at, Long.parseLong(w[1]), Long.parseLong(w[0]));
-        m.first.putIfAbsent(zone, c);
-        m.last.put(zone, c);
+        Count count = new Count(at, Long.parseLong(fields[1]), Long.parseLong(fields[0]));
+        m.first.putIfAbsent(zone, count);
+        m.last.put(zone, count);
       }
       zone++;
     }
@@ -198,7 +198,7 @@
       all += Usage.residentMegabytes(m.pid);
     }
     totalMemoryMb = Math.max(totalMemoryMb, all);
-    // The other two are the laboratory and the watcher, which ends the gateways if it is killed.
+    // The other two: the laboratory, and the shell that kills the gateways once it has ended.
     processes =
         Math.max(processes, real.size() + processesByNumber.size() + machines.size() + 2);
   }
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -56,7 +56,7 @@
   private static final double FAILURES_PER_DAY = 5;
   private static final int SETTING_BYTES = 64;
 
-  /** One change in this many, on average, alters a second setting, far from the first. */
+  /** One change in this many, on average, alters two settings, as a rule far apart. */
   private static final int FAR_CHANGE_INTERVAL = 10;
 
   /** Faults of a run. */
