--- a/lab/src/test/java/reachloom/lab/scale/ScaleEndsTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleEndsTest.java
@@ -56,8 +56,7 @@
       while (line != null && !line.contains("gateways are ready")) {
         line = errorOutput.readLine();
       }
-      assertTrue(
-          line != null && line.startsWith("3 of 3"), "not all gateways were ready: " + line);
+      assertTrue(line != null && line.startsWith("3 of 3"), "not all gateways were ready: " + line);
       started =
           lab.descendants().filter(p -> p.info().command().orElse("").endsWith("java")).toList();
       assertEquals(
