--- a/lab/src/main/java/reachloom/lab/slopes/Fit.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Fit.java
@@ -4,84 +4,89 @@
 import java.util.List;
 
 /**
- * A straight line a + b n through figures taken at several sizes, by least squares. {@code
- * residual} is the most that a figure lies off it, as a share of the line's value there, {@code
- * rms} the root of the mean square of what figures lie off, {@code r2} the share of their variance
- * that the line explains; {@code knee} is the first size past the line, or 0: sizes from there on
- * are left out of it.
+ * A straight line a + b n fitted by least squares to values measured at several sizes n. {@code
+ * residual} is the largest deviation of a value from the line, as a share of the line's value at
+ * that size, {@code rms} the root mean square of the deviations, {@code r2} the share of the
+ * variance that the line explains. {@code knee} is the first size whose value departs from the
+ * line, or 0 if there is none; that size and all larger ones are excluded from the fit. {@code
+ * sizes} is the number of values in the fit.
  */
 record Fit(double a, double b, double residual, double rms, double r2, double knee, int sizes) {
-  /** A figure this far above the line through the sizes before it has left it. */
-  private static final double OFF = 0.25;
+  /** A value is a knee if it exceeds the line through the smaller sizes by more than this share. */
+  private static final double KNEE_DEVIATION = 0.25;
 
-  /** A line through fewer proves nothing. */
-  private static final int LEAST = 3;
+  /** The fewest points that a knee can be detected from: a line through fewer proves nothing. */
+  private static final int MIN_POINTS = 3;
 
-  private static final double LITTLE = 1e-12;
-  private static final double BEND = 2; // times the slope before, or less than its inverse
+  private static final double MIN_DIVISOR = 1e-12;
+
+  /** The least ratio of the slopes on both sides of a bend, or of its inverse. */
+  private static final double BEND_RATIO = 2;
 
   /**
-   * One figure at one size; {@code full} where the process could no more, so that no line holds
-   * there.
+   * The value measured at one size; {@code saturated} if the process was at its limit, so that the
+   * line does not hold there.
    */
-  record Point(double size, double value, boolean full) {
+  record Point(double size, double value, boolean saturated) {
     Point(double size, double value) {
       this(size, value, false);
     }
   }
 
   /**
-   * The line through the figures, in order of size, up to the first that leaves it; two sizes at
-   * least.
+   * Returns the line through the points up to the knee. The points are in order of size and have at
+   * least two different sizes.
    */
   static Fit of(List<Point> points) {
     if (points.stream().mapToDouble(Point::size).distinct().count() < 2) {
-      throw new IllegalArgumentException("a line needs figures at two different sizes");
+      throw new IllegalArgumentException("a line needs points at two or more different sizes");
     }
-    List<Point> on = new ArrayList<>();
+    List<Point> fitted = new ArrayList<>();
     for (Point p : points) {
-      Fit before = on.size() >= LEAST ? line(on, 0) : null;
-      if (p.full || before != null && p.value > (1 + OFF) * before.at(p.size)) {
-        return line(on, p.size);
+      Fit before = fitted.size() >= MIN_POINTS ? line(fitted, 0) : null;
+      if (p.saturated || before != null && p.value > (1 + KNEE_DEVIATION) * before.at(p.size)) {
+        return line(fitted, p.size);
       }
-      on.add(p);
+      fitted.add(p);
     }
-    return line(on, 0);
+    return line(fitted, 0);
   }
 
   private static Fit line(List<Point> points, double knee) {
     int n = points.size();
     double meanSize = points.stream().mapToDouble(Point::size).average().orElse(0);
     double mean = points.stream().mapToDouble(Point::value).average().orElse(0);
-    double across = 0;
-    double along = 0;
+    double covarianceSum = 0;
+    double sizeVarianceSum = 0;
     for (Point p : points) {
-      across += (p.size - meanSize) * (p.value - mean);
-      along += (p.size - meanSize) * (p.size - meanSize);
+      covarianceSum += (p.size - meanSize) * (p.value - mean);
+      sizeVarianceSum += (p.size - meanSize) * (p.size - meanSize);
     }
-    double b = along > 0 ? across / along : 0;
+    double b = sizeVarianceSum > 0 ? covarianceSum / sizeVarianceSum : 0;
     Fit fit = new Fit(mean - b * meanSize, b, 0, 0, 0, knee, n);
     double residual =
         points.stream()
             .mapToDouble(
                 p ->
-                    Math.abs(p.value - fit.at(p.size)) / Math.max(LITTLE, Math.abs(fit.at(p.size))))
+                    Math.abs(p.value - fit.at(p.size))
+                        / Math.max(MIN_DIVISOR, Math.abs(fit.at(p.size))))
             .max()
             .orElse(0);
-    double off = points.stream().mapToDouble(p -> square(p.value - fit.at(p.size))).sum();
+    double squaredDeviations =
+        points.stream().mapToDouble(p -> square(p.value - fit.at(p.size))).sum();
     double variance = points.stream().mapToDouble(p -> square(p.value - mean)).sum();
-    double r2 = variance == 0 ? 1 : 1 - off / variance;
-    return new Fit(fit.a, fit.b, residual, Math.sqrt(off / n), r2, knee, n);
+    double r2 = variance == 0 ? 1 : 1 - squaredDeviations / variance;
+    return new Fit(fit.a, fit.b, residual, Math.sqrt(squaredDeviations / n), r2, knee, n);
   }
 
   /**
-   * The size at which figures bend most, whether or not they leave the line: where the slope behind
-   * it is at least twice, or at most half, of the one before it. NaN where none does. In order of
-   * size, each once.
+   * Returns the size at which the curve through the points bends most, whether or not it is a knee:
+   * where the slope after the size is at least twice, or at most half, the slope before it. Returns
+   * NaN if there is no such size. The points are in order of size, each size once.
    */
   static double bend(List<Point> points) {
     double at = Double.NaN;
-    double strongest = Math.log(BEND);
+    double strongest = Math.log(BEND_RATIO);
     for (int i = 1; i + 1 < points.size(); i++) {
       double before = slope(points.get(i - 1), points.get(i));
       double after = slope(points.get(i), points.get(i + 1));
@@ -105,6 +110,7 @@
     return x * x;
   }
 
+  /** Returns the line's value at a size. */
   double at(double size) {
     return a + b * size;
   }
@@ -112,7 +118,7 @@
   @Override
   public String toString() {
     return String.format(
-        "%.5g + %.5g n, most off %.1f%% of %d sizes, %s",
+        "%.5g + %.5g n, largest deviation %.1f%%, %d sizes, %s",
         a, b, residual * 100, sizes, knee > 0 ? "knee at " + Math.round(knee) : "no knee");
   }
 }
--- a/lab/src/main/java/reachloom/lab/slopes/GatewayRig.java
+++ b/lab/src/main/java/reachloom/lab/slopes/GatewayRig.java
@@ -14,16 +14,17 @@
 import reachloom.standin.FakeChangeLog;
 import reachloom.standin.GatewayProcess;
 
-/** One gateway as a process of the program, with engines, a change log and clients around it. */
+/** One gateway process with stand-ins for its engines, its change log and its clients. */
 final class GatewayRig implements AutoCloseable {
-  private static final int SOCKETS = 15_000; // a third of them may be clients
-  private static final int TOOL_S = 20;
+  private static final int MAX_SOCKETS = 15_000; // a third of them may be clients
+  private static final int TOOL_TIMEOUT_S = 20;
 
   /**
-   * What the gateway is given; {@code believed} is how many gateways its settings name, {@code
-   * probePrice} what they say a probe costs, against the worth of queries.
+   * The configuration of the gateway and its rig. {@code believed} is the number of gateways that
+   * the settings name, {@code probePrice} the cost of a probe in the settings, relative to the
+   * worth of queries.
    */
-  record Given(
+  record RigOptions(
       Path folder,
       Path jar,
       int heapMb,
@@ -39,38 +40,39 @@
   private final PacedClients clients;
   private final long pid;
 
-  GatewayRig(Given given) throws IOException, InterruptedException {
-    engines = new SyntheticEngines(given.engines);
+  GatewayRig(RigOptions options) throws IOException, InterruptedException {
+    engines = new SyntheticEngines(options.engines);
     changeLog = new FakeChangeLog(1);
     InetSocketAddress[] listen = new InetSocketAddress[1];
-    List<String> words =
-        given.idleTimeoutMs.isEmpty()
+    List<String> arguments =
+        options.idleTimeoutMs.isEmpty()
             ? List.of()
-            : List.of("--settings", settings(given).toString());
+            : List.of("--settings", settings(options).toString());
     processes =
         new Processes(
-            given.folder,
-            given.jar,
+            options.folder,
+            options.jar,
             1,
-            given.heapMb,
+            options.heapMb,
             g ->
                 GatewayProcess.config(listen[0], changeLog.address(), engines.addresses())
-                    .replace("\"balancers\":1", "\"balancers\":" + given.believed)
+                    .replace("\"balancers\":1", "\"balancers\":" + options.believed)
                     .replace(
                         "\"limits\":{\"dialTimeout\"",
                         "\"deductions\":{\"probe\":"
-                            + given.probePrice
+                            + options.probePrice
                             + "},\"limits\":{\"dialTimeout\"")
-                    .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS)
+                    .replace("\"sockets\":1024", "\"sockets\":" + MAX_SOCKETS)
                     .replace("\"quotaPerS\":1000", "\"quotaPerS\":0"),
-            g -> words);
+            g -> arguments);
     listen[0] = processes.addresses().get(0);
-    clients = new PacedClients(listen[0], given.seed);
+    clients = new PacedClients(listen[0], options.seed);
     try {
       processes.archive();
       if (processes.startAll() != 1) {
         throw new IOException(
-            "the gateway was not ready in time: " + given.folder.resolve("g0.log"));
+            "the gateway did not become ready in time; see its log "
+                + options.folder.resolve("g0.log"));
       }
     } catch (IOException | InterruptedException e) {
       close();
@@ -79,11 +81,11 @@
     pid = processes.pid(0);
   }
 
-  private static Path settings(Given given) throws IOException {
+  private static Path settings(RigOptions options) throws IOException {
     return Files.writeString(
-        given.folder.resolve("settings.xml"),
+        options.folder.resolve("settings.xml"),
         "<reachloom xmlns=\"urn:reachloom:settings:1\"><clients idleTimeoutMs=\""
-            + given.idleTimeoutMs.getAsLong()
+            + options.idleTimeoutMs.getAsLong()
             + "\"/></reachloom>");
   }
 
@@ -95,22 +97,23 @@
     return engines;
   }
 
-  ProcessStatistics counted() throws IOException {
+  /** Reads the counters of the gateway process. */
+  ProcessStatistics statistics() throws IOException {
     return ProcessStatistics.of(pid);
   }
 
   /**
-   * Heap in use after a full collection, in MB, as the virtual machine's tool tells it; -1 without
-   * it.
+   * Returns the heap in use after a full collection in MB, as {@code jcmd} reports it, or -1 if
+   * {@code jcmd} is not installed.
    */
   double liveHeapMb() throws IOException, InterruptedException {
-    Path tool = Path.of(System.getProperty("java.home"), "bin", "jcmd");
-    if (!Files.isExecutable(tool)) {
+    Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
+    if (!Files.isExecutable(jcmd)) {
       return -1;
     }
-    tool(tool, "GC.run");
+    run(jcmd, "GC.run");
     double used = 0;
-    for (String line : tool(tool, "GC.heap_info").split("\n")) {
+    for (String line : run(jcmd, "GC.heap_info").split("\n")) {
       String text = line.trim();
       if (text.startsWith("def new generation") || text.startsWith("tenured generation")) {
         used += Double.parseDouble(text.replaceAll(".*used (\\d+)K.*", "$1")) / 1024;
@@ -119,41 +122,41 @@
     return used;
   }
 
-  private String tool(Path tool, String command) throws IOException, InterruptedException {
-    Process p =
+  private String run(Path tool, String command) throws IOException, InterruptedException {
+    Process process =
         new ProcessBuilder(tool.toString(), Long.toString(pid), command)
             .redirectErrorStream(true)
             .start();
-    String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    if (!p.waitFor(TOOL_S, TimeUnit.SECONDS)) {
-      p.destroyForcibly();
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    if (!process.waitFor(TOOL_TIMEOUT_S, TimeUnit.SECONDS)) {
+      process.destroyForcibly();
     }
-    return said;
+    return output;
   }
 
-  /** The processor's load of the whole machine in the last minute: how busy others keep it. */
+  /** Returns the load average of the whole machine in the last minute, other processes included. */
   static double machineLoad() throws IOException {
     return Double.parseDouble(Files.readString(Path.of("/proc/loadavg")).split(" ")[0]);
   }
 
-  /** Looks at the gateway for so long; gives what was counted, by name. */
-  Map<String, Object> watch(double seconds) throws IOException, InterruptedException {
+  /** Measures the gateway for the given seconds; returns the figures by name. */
+  Map<String, Object> measure(double seconds) throws IOException, InterruptedException {
     clients.outcome();
     SyntheticEngines.Traffic trafficBefore = engines.traffic();
-    ProcessStatistics before = counted();
+    ProcessStatistics before = statistics();
     Thread.sleep((long) (seconds * 1_000));
-    ProcessStatistics after = counted();
-    SyntheticEngines.Traffic t = engines.traffic().since(trafficBefore);
-    PacedClients.Outcome o = clients.outcome();
+    ProcessStatistics after = statistics();
+    SyntheticEngines.Traffic traffic = engines.traffic().since(trafficBefore);
+    PacedClients.Outcome outcome = clients.outcome();
     double span = after.seconds(before);
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("seconds", rounded(span, 3));
-    row.put("sent_per_s", rounded(o.sent() / span, 1));
-    row.put("answered_per_s", rounded(o.answered() / span, 1));
-    row.put("refused", o.refused());
-    row.put("failed", o.failed());
-    row.put("lost", o.lost());
-    row.put("unsent", o.unsent());
+    row.put("sent_per_s", rounded(outcome.sent() / span, 1));
+    row.put("answered_per_s", rounded(outcome.answered() / span, 1));
+    row.put("refused", outcome.refused());
+    row.put("failed", outcome.failed());
+    row.put("lost", outcome.lost());
+    row.put("unsent", outcome.unsent());
     row.put("cores", rounded(after.fineCores(before), 5));
     row.put("cores_by_stat", rounded(after.cores(before), 4));
     for (String kind : ProcessStatistics.KINDS) {
@@ -161,28 +164,33 @@
     }
     row.put("loop_waited", rounded(after.waited(before, "loop"), 4));
     row.put("sockets_waited", rounded(after.waited(before, "sockets"), 4));
-    row.put("p50_ms", rounded(o.p50(), 2));
-    row.put("p99_ms", rounded(o.p99(), 2));
-    row.put("clients_late_ms", o.latestMs());
-    row.put("connects_per_s", rounded(o.connects() / span, 1));
-    row.put("ended_per_s", rounded(o.ended() / span, 1));
+    row.put("p50_ms", rounded(outcome.p50(), 2));
+    row.put("p99_ms", rounded(outcome.p99(), 2));
+    row.put("clients_late_ms", outcome.maxDelayMs());
+    row.put("connects_per_s", rounded(outcome.connects() / span, 1));
+    row.put("ended_per_s", rounded(outcome.ended() / span, 1));
     row.put("rss_mb", rounded(after.rssMb(), 2));
     row.put("descriptors", after.descriptors());
     row.put("engine_connections", engines.connections());
-    row.put("engine_dials_per_s", rounded(t.accepted() / span, 2));
-    row.put("probes_per_s", rounded(t.probes() / span, 2));
-    row.put("probe_bytes", t.probes() == 0 ? 0 : rounded((double) t.probeBytes() / t.probes(), 1));
+    row.put("engine_dials_per_s", rounded(traffic.accepted() / span, 2));
+    row.put("probes_per_s", rounded(traffic.probes() / span, 2));
     row.put(
-        "report_bytes", t.probes() == 0 ? 0 : rounded((double) t.reportBytes() / t.probes(), 1));
+        "probe_bytes",
+        traffic.probes() == 0 ? 0 : rounded((double) traffic.probeBytes() / traffic.probes(), 1));
+    row.put(
+        "report_bytes",
+        traffic.probes() == 0 ? 0 : rounded((double) traffic.reportBytes() / traffic.probes(), 1));
     row.put("machine_load", machineLoad());
     return row;
   }
 
+  /** Returns a value rounded to a number of decimal places. */
   static double rounded(double value, int digits) {
     double scale = Math.pow(10, digits);
     return Math.round(value * scale) / scale;
   }
 
+  /** Returns the number of scheduled tasks of the stand-ins that failed. */
   int defects() {
     return engines.defects() + clients.defects();
   }
--- a/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
+++ b/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
@@ -22,33 +22,36 @@
 import reachloom.standin.model.RealTimeScheduler;
 
 /**
- * Connections of clients, each with a clock of its own: a statement after each gap, whatever has
- * become of those before. One whose connection has been ended connects anew when its next statement
- * is due.
+ * Client connections that send statements at a fixed pace: each connection sends a statement after
+ * each gap, whether or not its earlier statements have been answered. A client whose connection was
+ * closed reconnects when its next statement is due.
  */
 final class PacedClients implements AutoCloseable {
-  private static final long SECOND = 1_000_000_000L; // nanoseconds
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final int SOCKET_THREADS = 1;
-  private static final int MAX_OPEN = 32; // on one connection, as the protocol says
-  private static final int MAX_FRAME = 64 * 1024;
+  private static final int MAX_OUTSTANDING = 32; // on one connection, by the protocol
+  private static final int MAX_FRAME_BYTES = 64 * 1024;
   private static final String STATEMENT = "select a, b, c from lab_1.t where a = 1";
-  private static final int PATIENCE_S = 60;
-  private static final int AT_ONCE = 100; // connects on their way: more than wait would be dropped
-  private static final int HIGHEST_MS = 60_000;
-  private static final AttributeKey OF = new AttributeKey(PacedClients.class, "of");
+  private static final int TIMEOUT_S = 60;
+  private static final int MAX_CONCURRENT_CONNECTS =
+      100; // connects beyond the listen backlog would be dropped
+  private static final int MAX_LATENCY_MS = 60_000;
+  private static final AttributeKey CONNECTION = new AttributeKey(PacedClients.class, "of");
 
-  /** How the gaps between statements of one connection are drawn. */
+  /** The distribution of the gaps between statements of one connection. */
   enum Gaps {
-    /** All alike. */
+    /** All gaps are equal. */
     EVEN,
-    /** Exponential: most shorter, some several times the mean. */
+    /** Exponential: most gaps are shorter than the mean, some are several times the mean. */
     RANDOM
   }
 
   /**
-   * What has become of statements, and how often clients connected; latencies in milliseconds. Lost
-   * are those whose connection ended, unsent those that came while theirs had as many open as the
-   * protocol allows.
+   * Numbers of statements by outcome, of connects and of closed connections; latencies in
+   * milliseconds. {@code lost} counts statements whose connection closed, and failed connects;
+   * {@code unsent} statements that were due while their connection had as many outstanding as the
+   * protocol allows; {@code ended} connections that were closed. {@code maxDelayMs} is the longest
+   * delay of a statement behind its schedule.
    */
   record Outcome(
       long sent,
@@ -61,23 +64,23 @@
       long ended,
       double p50,
       double p99,
-      long latestMs) {}
+      long maxDelayMs) {}
 
-  private final class Conn {
+  private final class Connection {
     private final Map<Integer, Long> open = new LinkedHashMap<>();
     private IoSession session;
     private boolean connecting;
-    private Runnable onceUp;
+    private Runnable onConnected;
     private int seq;
-    private long plan; // only the newest plan of this connection is followed
+    private long schedule; // statements of an older schedule are not sent
   }
 
   private final InetSocketAddress gateway;
   private final RealTimeScheduler time = new RealTimeScheduler("clients");
   private final NioSocketConnector connector = new NioSocketConnector(SOCKET_THREADS);
-  private final List<Conn> conns = new ArrayList<>();
+  private final List<Connection> connections = new ArrayList<>();
   private final SplittableRandom random;
-  private final Histogram latencies = new Histogram(HIGHEST_MS * 1_000L, 3);
+  private final Histogram latencies = new Histogram(MAX_LATENCY_MS * 1_000L, 3);
   private String queryClass = "quick";
   private long sent;
   private long answered;
@@ -87,7 +90,7 @@
   private long unsent;
   private long connects;
   private long ended;
-  private long latest;
+  private long maxDelayNanos;
   private boolean closing;
 
   PacedClients(InetSocketAddress gateway, long seed) {
@@ -95,10 +98,11 @@
     random = new SplittableRandom(seed);
     connector.getSessionConfig().setTcpNoDelay(true);
     connector.setHandler(
-        new DecodingHandler<>("gateway", () -> new FrameDecoder(1, MAX_FRAME), new Heard()));
+        new DecodingHandler<>(
+            "gateway", () -> new FrameDecoder(1, MAX_FRAME_BYTES), new ReplyListener()));
   }
 
-  private <T> T on(Supplier<T> work) throws InterruptedException {
+  private <T> T runOnTimer(Supplier<T> work) throws InterruptedException {
     CompletableFuture<T> done = new CompletableFuture<>();
     time.at(
         0,
@@ -110,66 +114,68 @@
           }
         });
     try {
-      return done.get(PATIENCE_S, TimeUnit.SECONDS);
+      return done.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-      throw new IllegalStateException("the clients stand still", e);
+      throw new IllegalStateException(
+          "a task of the paced clients failed or did not finish within " + TIMEOUT_S + " s", e);
     }
   }
 
   /**
-   * Opens so many connections in all; each asks once whether the gateway is ready. Gives how many
-   * are up.
+   * Opens connections until there are {@code count} in total; each new connection sends one
+   * readiness check. Returns the number of open connections.
    */
   int open(int count) throws InterruptedException {
     CompletableFuture<Void> all = new CompletableFuture<>();
-    on(
+    runOnTimer(
         () -> {
-          int[] left = {count - conns.size()};
-          List<Conn> fresh = new ArrayList<>();
-          for (int i = left[0]; i > 0; i--) {
-            fresh.add(new Conn());
+          int[] remaining = {count - connections.size()};
+          List<Connection> added = new ArrayList<>();
+          for (int i = remaining[0]; i > 0; i--) {
+            added.add(new Connection());
           }
-          conns.addAll(fresh);
-          if (fresh.isEmpty()) {
+          connections.addAll(added);
+          if (added.isEmpty()) {
             all.complete(null);
           }
-          java.util.ArrayDeque<Conn> waiting = new java.util.ArrayDeque<>(fresh);
-          for (int i = 0; i < AT_ONCE; i++) {
-            nextOf(waiting, left, all);
+          java.util.ArrayDeque<Connection> waiting = new java.util.ArrayDeque<>(added);
+          for (int i = 0; i < MAX_CONCURRENT_CONNECTS; i++) {
+            connectNext(waiting, remaining, all);
           }
           return 0;
         });
     try {
-      all.get(PATIENCE_S, TimeUnit.SECONDS);
+      all.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-      // told by the count
+      // the returned number shows that connections are missing
     }
-    return on(() -> (int) conns.stream().filter(c -> c.session != null).count());
+    return runOnTimer(() -> (int) connections.stream().filter(c -> c.session != null).count());
   }
 
-  private void nextOf(java.util.ArrayDeque<Conn> waiting, int[] left, CompletableFuture<Void> all) {
-    Conn c = waiting.poll();
+  private void connectNext(
+      java.util.ArrayDeque<Connection> waiting, int[] remaining, CompletableFuture<Void> all) {
+    Connection c = waiting.poll();
     if (c != null) {
       connect(
           c,
           () -> {
             c.session.write(IoBuffer.wrap(ThriftMessages.check(++c.seq)));
-            if (--left[0] == 0) {
+            if (--remaining[0] == 0) {
               all.complete(null);
             }
-            nextOf(waiting, left, all);
+            connectNext(waiting, remaining, all);
           });
     }
   }
 
-  private void connect(Conn c, Runnable onceUp) {
-    c.onceUp = onceUp;
+  private void connect(Connection c, Runnable onConnected) {
+    c.onConnected = onConnected;
     if (c.connecting) {
       return;
     }
     c.connecting = true;
     connects++;
-    ConnectFuture future = connector.connect(gateway, (s, f) -> s.setAttribute(OF, c));
+    ConnectFuture future = connector.connect(gateway, (s, f) -> s.setAttribute(CONNECTION, c));
     future.addListener(
         f -> {
           if (!future.isConnected()) {
@@ -183,43 +189,47 @@
         });
   }
 
-  /** From now on all together ask so often a second, statements of that class; 0: not at all. */
-  void pace(double rate, String ofClass, Gaps gaps) throws InterruptedException {
-    on(
+  /**
+   * Sends statements of a query class at the given total rate per second, spread over all
+   * connections, until the pace is set again; a rate of 0 stops them.
+   */
+  void pace(double rate, String statementClass, Gaps gaps) throws InterruptedException {
+    runOnTimer(
         () -> {
-          queryClass = ofClass;
-          for (Conn c : conns) {
-            long mine = ++c.plan;
+          queryClass = statementClass;
+          for (Connection c : connections) {
+            long schedule = ++c.schedule;
             if (rate > 0) {
-              double gap = conns.size() / rate * SECOND;
-              due(c, mine, time.now() + (long) (random.nextDouble() * gap), gap, gaps);
+              double gap = connections.size() / rate * NANOS_PER_SECOND;
+              long first = time.now() + (long) (random.nextDouble() * gap);
+              scheduleStatement(c, schedule, first, gap, gaps);
             }
           }
           return 0;
         });
   }
 
-  private void due(Conn c, long plan, long at, double gap, Gaps gaps) {
+  private void scheduleStatement(Connection c, long schedule, long at, double gap, Gaps gaps) {
     time.at(
         at,
         () -> {
-          if (c.plan != plan || closing) {
+          if (c.schedule != schedule || closing) {
             return;
           }
-          latest = Math.max(latest, time.now() - at);
+          maxDelayNanos = Math.max(maxDelayNanos, time.now() - at);
           if (c.session != null && !c.session.isClosing()) {
-            ask(c, at);
+            sendStatement(c, at);
           } else {
-            connect(c, () -> ask(c, at));
+            connect(c, () -> sendStatement(c, at));
           }
           double next = gaps == Gaps.EVEN ? gap : -Math.log(1 - random.nextDouble()) * gap;
-          due(c, plan, at + (long) next, gap, gaps);
+          scheduleStatement(c, schedule, at + (long) next, gap, gaps);
         });
   }
 
-  private void ask(Conn c, long at) {
+  private void sendStatement(Connection c, long at) {
     sent++;
-    if (c.open.size() >= MAX_OPEN) {
+    if (c.open.size() >= MAX_OUTSTANDING) {
       unsent++;
       return;
     }
@@ -236,52 +246,52 @@
   }
 
   /**
-   * Connects so often a second, asks on each whether the gateway is ready, and ends it with the
-   * answer.
+   * Opens connections at the given rate per second; each sends a readiness check and is closed when
+   * the reply arrives.
    */
-  void connectsOnly(double rate) throws InterruptedException {
-    on(
+  void paceConnects(double rate) throws InterruptedException {
+    runOnTimer(
         () -> {
-          conns.forEach(c -> c.plan++);
-          Conn clock = new Conn();
-          conns.add(clock); // so that the next pace ends it
-          oneConnect(clock, clock.plan, time.now(), SECOND / rate);
+          connections.forEach(c -> c.schedule++);
+          Connection clock = new Connection();
+          connections.add(clock); // so that the next call of pace or closeAll stops it
+          scheduleConnect(clock, clock.schedule, time.now(), NANOS_PER_SECOND / rate);
           return 0;
         });
   }
 
-  private void oneConnect(Conn clock, long plan, long at, double gap) {
+  private void scheduleConnect(Connection clock, long schedule, long at, double gap) {
     time.at(
         at,
         () -> {
-          if (clock.plan == plan && !closing) {
-            Conn c = new Conn();
-            c.seq = -1; // its one answer ends it
+          if (clock.schedule == schedule && !closing) {
+            Connection c = new Connection();
+            c.seq = -1; // marks a connection that is closed after its first reply
             connect(c, () -> c.session.write(IoBuffer.wrap(ThriftMessages.check(0))));
-            oneConnect(clock, plan, at + (long) gap, gap);
+            scheduleConnect(clock, schedule, at + (long) gap, gap);
           }
         });
   }
 
-  /** Ends all connections from this side. */
-  void hangUp() throws InterruptedException {
-    on(
+  /** Closes all connections. */
+  void closeAll() throws InterruptedException {
+    runOnTimer(
         () -> {
-          conns.forEach(
+          connections.forEach(
               c -> {
-                c.plan++;
+                c.schedule++;
                 if (c.session != null) {
                   c.session.closeNow();
                 }
               });
-          conns.clear();
+          connections.clear();
           return 0;
         });
   }
 
-  /** What has come of it since this was asked last. */
+  /** Returns the outcome since the previous call and resets the counters. */
   Outcome outcome() throws InterruptedException {
-    return on(
+    return runOnTimer(
         () -> {
           Outcome o =
               new Outcome(
@@ -295,38 +305,39 @@
                   ended,
                   latencies.getValueAtPercentile(50) / 1e3,
                   latencies.getValueAtPercentile(99) / 1e3,
-                  latest / 1_000_000);
-          sent = answered = refused = failed = lost = unsent = connects = ended = latest = 0;
+                  maxDelayNanos / 1_000_000);
+          sent = answered = refused = failed = lost = unsent = connects = ended = maxDelayNanos = 0;
           latencies.reset();
           return o;
         });
   }
 
-  /** How many statements have no answer yet. */
+  /** Returns the number of statements that have not been answered yet. */
   int outstanding() throws InterruptedException {
-    return on(() -> conns.stream().mapToInt(c -> c.open.size()).sum());
+    return runOnTimer(() -> connections.stream().mapToInt(c -> c.open.size()).sum());
   }
 
+  /** Returns the number of scheduled tasks that failed. */
   int defects() {
     return time.defects();
   }
 
-  private final class Heard implements Listener<byte[]> {
+  private final class ReplyListener implements Listener<byte[]> {
     @Override
     public void opened(IoSession session) {
-      Conn c = (Conn) session.getAttribute(OF);
+      Connection c = (Connection) session.getAttribute(CONNECTION);
       time.at(
           0,
           () -> {
             c.session = session;
             c.connecting = false;
-            c.onceUp.run();
+            c.onConnected.run();
           });
     }
 
     @Override
     public void received(IoSession session, byte[] frame, int bytes) {
-      Conn c = (Conn) session.getAttribute(OF);
+      Connection c = (Connection) session.getAttribute(CONNECTION);
       long now = time.now();
       if (c.seq < 0) {
         session.closeNow();
@@ -338,9 +349,10 @@
           () -> {
             Long at = c.open.remove(reply.seq());
             if (at == null) {
-              return; // an answer to check
+              return; // the reply to a readiness check
             }
-            latencies.recordValue(Math.max(0, Math.min(HIGHEST_MS * 1_000L, (now - at) / 1_000)));
+            latencies.recordValue(
+                Math.max(0, Math.min(MAX_LATENCY_MS * 1_000L, (now - at) / 1_000)));
             switch (reply.kind()) {
               case "ANSWER" -> answered++;
               case "BUSY" -> refused++;
@@ -351,7 +363,7 @@
 
     @Override
     public void closed(IoSession session) {
-      Conn c = (Conn) session.getAttribute(OF);
+      Connection c = (Connection) session.getAttribute(CONNECTION);
       time.at(
           0,
           () -> {
@@ -365,7 +377,7 @@
 
   @Override
   public void close() throws InterruptedException {
-    on(() -> closing = true);
+    runOnTimer(() -> closing = true);
     time.close();
     connector.dispose();
   }
--- a/lab/src/main/java/reachloom/lab/slopes/ProcessStatistics.java
+++ b/lab/src/main/java/reachloom/lab/slopes/ProcessStatistics.java
@@ -9,32 +9,34 @@
 import java.util.Map;
 
 /**
- * What the system has counted of a process: processor seconds of all of it (user and system, in
- * hundredths) and of each thread, resident memory, descriptors.
+ * Counters of a process from {@code /proc}: processor seconds of the whole process (user and
+ * system, with a resolution of a hundredth of a second) and of each thread, resident memory in MB,
+ * open file descriptors. {@code at} is the time of the reading in nanoseconds.
  */
 record ProcessStatistics(
-    long at, double cpu, Map<String, Ran> threads, double rssMb, int descriptors) {
-  private static final double TICKS = 100; // a second, on every Linux
-  private static final double SECOND = 1e9;
-  private static final double KILOBYTES = 1_024; // a megabyte
-  private static final int USER = 11; // fields behind the name in parentheses
-  private static final int SYSTEM = 12;
+    long at, double cpu, Map<String, ThreadTimes> threads, double rssMb, int descriptors) {
+  private static final double TICKS_PER_SECOND = 100; // on every Linux
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double KILOBYTES_PER_MEGABYTE = 1_024;
+  private static final int USER_TICKS = 11; // index of the field after the name in parentheses
+  private static final int SYSTEM_TICKS = 12;
 
   static final List<String> KINDS =
       List.of("loop", "sockets", "accept_connect", "compiler", "collector", "other");
 
   /**
-   * Of one thread: what kind it is, how long it ran, and how long it waited for a processor to run
-   * on.
+   * The kind of one thread, the seconds that it ran, and the seconds that it was runnable but
+   * waited for a processor.
    */
-  record Ran(String kind, double seconds, double waited) {
-    private static final Ran NOT_YET = new Ran("", 0, 0);
+  record ThreadTimes(String kind, double seconds, double waited) {
+    private static final ThreadTimes ZERO = new ThreadTimes("", 0, 0);
   }
 
+  /** Reads the counters of a process. */
   static ProcessStatistics of(long pid) throws IOException {
     Path process = Path.of("/proc", Long.toString(pid));
-    String[] stat = behindName(Files.readString(process.resolve("stat")));
-    Map<String, Ran> threads = new LinkedHashMap<>();
+    String[] stat = fieldsAfterName(Files.readString(process.resolve("stat")));
+    Map<String, ThreadTimes> threads = new LinkedHashMap<>();
     try (DirectoryStream<Path> tasks = Files.newDirectoryStream(process.resolve("task"))) {
       for (Path task : tasks) {
         try {
@@ -42,12 +44,12 @@
           String[] counts = Files.readString(task.resolve("schedstat")).split(" ");
           threads.put(
               task.getFileName().toString(),
-              new Ran(
+              new ThreadTimes(
                   kind(text.substring(text.indexOf('(') + 1, text.lastIndexOf(')'))),
-                  Double.parseDouble(counts[0]) / SECOND,
-                  Double.parseDouble(counts[1]) / SECOND));
+                  Double.parseDouble(counts[0]) / NANOS_PER_SECOND,
+                  Double.parseDouble(counts[1]) / NANOS_PER_SECOND));
         } catch (IOException e) {
-          // the thread has just ended
+          // the thread ended after the folder was listed
         }
       }
     }
@@ -65,19 +67,21 @@
     }
     return new ProcessStatistics(
         System.nanoTime(),
-        (Double.parseDouble(stat[USER]) + Double.parseDouble(stat[SYSTEM])) / TICKS,
+        (Double.parseDouble(stat[USER_TICKS]) + Double.parseDouble(stat[SYSTEM_TICKS]))
+            / TICKS_PER_SECOND,
         threads,
-        Double.parseDouble(rss) / KILOBYTES,
+        Double.parseDouble(rss) / KILOBYTES_PER_MEGABYTE,
         descriptors);
   }
 
-  private static String[] behindName(String stat) {
+  private static String[] fieldsAfterName(String stat) {
     return stat.substring(stat.lastIndexOf(')') + 2).split(" ");
   }
 
   /**
-   * The loop is the virtual machine's main thread, which the system calls by the program's name;
-   * MINA names its threads after the classes of processor, acceptor and connector.
+   * Returns the kind of a thread by its name. The event loop runs in the virtual machine's main
+   * thread, which the system lists under the program's name; MINA names its threads after the
+   * classes of processor, acceptor and connector.
    */
   private static String kind(String name) {
     if (name.equals("java")) {
@@ -94,41 +98,49 @@
         : name.startsWith("VM Thread") ? "collector" : "other";
   }
 
-  /** Processor seconds a second between an earlier count and this one. */
+  /** Returns the processor seconds per second between an earlier reading and this one. */
   double cores(ProcessStatistics before) {
     return (cpu - before.cpu) / seconds(before);
   }
 
   /**
-   * The same of one kind of thread, counted finer than in hundredths; those that ended are not in.
+   * Returns the processor seconds per second of one kind of thread, with a finer resolution than a
+   * hundredth of a second. Threads that have ended are not included.
    */
   double cores(ProcessStatistics before, String kind) {
     return threads.entrySet().stream()
             .filter(t -> t.getValue().kind.equals(kind))
-            .mapToDouble(t -> t.getValue().seconds - before.ran(t.getKey()).seconds)
+            .mapToDouble(t -> t.getValue().seconds - before.times(t.getKey()).seconds)
             .sum()
         / seconds(before);
   }
 
-  /** How much of the time one kind of thread waited for a processor, since the machine was busy. */
+  /**
+   * Returns the seconds per second that one kind of thread waited for a processor because the
+   * machine was busy.
+   */
   double waited(ProcessStatistics before, String kind) {
     return threads.entrySet().stream()
             .filter(t -> t.getValue().kind.equals(kind))
-            .mapToDouble(t -> t.getValue().waited - before.ran(t.getKey()).waited)
+            .mapToDouble(t -> t.getValue().waited - before.times(t.getKey()).waited)
             .sum()
         / seconds(before);
   }
 
-  /** The same as {@link #cores(ProcessStatistics)}, of all threads that did not end in between. */
+  /**
+   * Returns the same as {@link #cores(ProcessStatistics)} at the finer resolution, for the threads
+   * that had not ended by this reading.
+   */
   double fineCores(ProcessStatistics before) {
     return KINDS.stream().mapToDouble(k -> cores(before, k)).sum();
   }
 
-  private Ran ran(String thread) {
-    return threads.getOrDefault(thread, Ran.NOT_YET);
+  private ThreadTimes times(String thread) {
+    return threads.getOrDefault(thread, ThreadTimes.ZERO);
   }
 
+  /** Returns the seconds between an earlier reading and this one. */
   double seconds(ProcessStatistics before) {
-    return (at - before.at) / SECOND;
+    return (at - before.at) / NANOS_PER_SECOND;
   }
 }
--- a/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
@@ -15,7 +15,7 @@
 import reachloom.lab.command.Command;
 import reachloom.lab.command.Figures;
 
-/** Measures what statements, connections and engines cost one gateway, a process of the program. */
+/** Measures what statements, connections and engines cost one gateway process. */
 public final class SlopesCommand implements Command {
   static final List<String> CLASSES = List.of("quick", "keyed", "once");
   private static final List<String> PATTERNS = List.of("idle", "even", "random");
@@ -47,28 +47,31 @@
             null,
             "patterns",
             true,
-            "what connections do: idle; a statement in 5 s, even or random " + "(idle,even)")
-        .addOption(null, "seconds", true, "how long each size is looked at (6)")
-        .addOption(null, "settle", true, "seconds before that (2)")
+            "connections: idle, or a statement every 5 s at even or random gaps (idle,even)")
+        .addOption(null, "seconds", true, "seconds that each size is measured (6)")
+        .addOption(null, "settle", true, "seconds before each measurement (2)")
         .addOption(
-            null, "rounds", true, "of all rates, one after another; the middle one counts (1)")
-        .addOption(null, "warm", true, "seconds of statements before all (9)")
+            null, "rounds", true, "rounds over all rates; the median round is reported (1)")
+        .addOption(null, "warm", true, "seconds of warm-up statements (9)")
         .addOption(
-            null, "warm-rate", true, "statements a second then; less than the gateway bears (1000)")
+            null,
+            "warm-rate",
+            true,
+            "warm-up statements a second; below the gateway's capacity (1000)")
         .addOption(
             null,
             "believed",
             true,
-            "how many gateways the settings name; 0: 580 for 630 engines (1)")
-        .addOption(null, "probe-price", true, "what the settings say a probe costs (0)")
+            "number of gateways in the settings; 0: 580 for 630 engines (1)")
+        .addOption(null, "probe-price", true, "cost of a probe in the settings (0)")
         .addOption(
             null,
             "idle-timeout-ms",
             true,
-            "the settings' bound on idle clients (none: the gateway's)")
-        .addOption(null, "jar", true, "the program (the one built beside the laboratory)")
-        .addOption(null, "heap-mb", true, "heap of the gateway (64)")
-        .addOption(null, "seed", true, "for all that is drawn (1)")
+            "idle timeout of clients in the settings (the gateway's default)")
+        .addOption(null, "jar", true, "jar of the gateway (the one built beside the laboratory)")
+        .addOption(null, "heap-mb", true, "heap of the gateway in MB (64)")
+        .addOption(null, "seed", true, "seed of all random draws (1)")
         .addOption(null, "json", true, "file for the figures")
         .addOption(null, "logs", true, "folder for the gateway's files");
   }
@@ -79,20 +82,23 @@
     if (!KINDS.contains(what)) {
       throw new ParseException("--what: '" + what + "' is not one of " + String.join(", ", KINDS));
     }
-    boolean ofEngines = what.equals("engines");
+    boolean measuresEngines = what.equals("engines");
     int[] rates =
         numbers(
             line,
             "rates",
-            ofEngines ? "724" : what.equals("connects") ? "100,200,400,800" : "200,500,1000,2000",
+            measuresEngines
+                ? "724"
+                : what.equals("connects") ? "100,200,400,800" : "200,500,1000,2000",
             20_000);
-    int[] engines = numbers(line, "engines", ofEngines ? "12,60,150,300,630" : "12", MAX_ENGINES);
+    int[] engines =
+        numbers(line, "engines", measuresEngines ? "12,60,150,300,630" : "12", MAX_ENGINES);
     int[] connections = numbers(line, "connections", "500,1000,2000,4000", 4_900);
     OptionalLong idle =
         line.hasOption("idle-timeout-ms")
             ? OptionalLong.of(Arguments.number(line, "idle-timeout-ms", 0, 1_000, 86_400_000))
             : OptionalLong.empty();
-    boolean kept = line.hasOption("logs");
+    boolean keepsFiles = line.hasOption("logs");
     Path jar = Arguments.jar(line);
     int heapMb = Arguments.number(line, "heap-mb", 64, 16, 2_048);
     int warmS = Arguments.number(line, "warm", 9, 0, 60);
@@ -106,13 +112,13 @@
     double probePrice = Arguments.share(line, "probe-price", 0);
     int seed = Arguments.number(line, "seed", 1, 0, Integer.MAX_VALUE);
     Path folder =
-        kept
+        keepsFiles
             ? Files.createDirectories(Path.of(line.getOptionValue("logs")))
             : Files.createTempDirectory("reachloom-slopes");
     try {
-      Measurement m =
+      Measurement measurement =
           new Measurement(
-              new Measurement.Wanted(
+              new Measurement.Parameters(
                   folder,
                   jar,
                   heapMb,
@@ -131,10 +137,10 @@
                   idle,
                   seed));
       switch (what) {
-        case "statements" -> m.statements();
-        case "engines" -> m.engines();
-        case "connects" -> m.connects();
-        default -> m.connections();
+        case "statements" -> measurement.statements();
+        case "engines" -> measurement.engines();
+        case "connects" -> measurement.connects();
+        default -> measurement.connections();
       }
       Map<String, Object> origin = new LinkedHashMap<>();
       origin.put("what", what);
@@ -143,9 +149,9 @@
       origin.put("probe_price", probePrice);
       origin.put("idle_timeout_ms", idle.isPresent() ? idle.getAsLong() : "the gateway's own");
       origin.put("seconds", seconds);
-      return Figures.tell(line, origin, m.figures());
+      return Figures.tell(line, origin, measurement.figures());
     } finally {
-      if (!kept) {
+      if (!keepsFiles) {
         try (var files = Files.walk(folder)) {
           files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
         }
@@ -153,39 +159,38 @@
     }
   }
 
-  private static int[] numbers(CommandLine line, String option, String standard, int most)
+  private static int[] numbers(CommandLine line, String option, String defaults, int max)
       throws ParseException {
-    String text = line.getOptionValue(option, standard);
+    String text = line.getOptionValue(option, defaults);
     try {
       int[] read = Arrays.stream(text.split(",", -1)).mapToInt(Integer::parseInt).toArray();
       boolean rising = true;
       for (int i = 1; i < read.length; i++) {
         rising &= read[i] > read[i - 1];
       }
-      if (rising && read.length <= MAX_SIZES && read[0] >= 1 && read[read.length - 1] <= most) {
+      if (rising && read.length <= MAX_SIZES && read[0] >= 1 && read[read.length - 1] <= max) {
         return read;
       }
     } catch (NumberFormatException e) {
-      // told below
+      // reported below
     }
     throw new ParseException(
         "--"
             + option
             + ": '"
             + text
-            + "' is not a rising list of whole numbers from 1"
-            + " to "
-            + most
+            + "' is not an ascending list of whole numbers from 1 to "
+            + max
             + ", "
             + MAX_SIZES
-            + " at most");
+            + " values at most");
   }
 
   private static List<String> words(
-      CommandLine line, String option, List<String> standard, List<String> allowed)
+      CommandLine line, String option, List<String> defaults, List<String> allowed)
       throws ParseException {
     if (!line.hasOption(option)) {
-      return standard;
+      return defaults;
     }
     List<String> read = List.of(line.getOptionValue(option).split(",", -1));
     if (!allowed.containsAll(read)) {
@@ -194,7 +199,7 @@
               + option
               + ": '"
               + line.getOptionValue(option)
-              + "' is not of "
+              + "' has a value that is not one of "
               + String.join(", ", allowed));
     }
     return read;
--- a/lab/src/main/java/reachloom/lab/slopes/SyntheticEngines.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SyntheticEngines.java
@@ -21,14 +21,14 @@
 import reachloom.standin.model.EngineModel;
 import reachloom.standin.model.RealTimeScheduler;
 
-/** Engines that are listening sockets of this process, each with the model of one behind it. */
+/** Engine stand-ins: listening sockets in this process, each backed by an engine model. */
 final class SyntheticEngines implements AutoCloseable {
-  private static final int FIRST_OCTET = 45; // of 127.x
-  private static final int HOSTS = 200;
+  private static final int SECOND_OCTET = 45; // engines listen in 127.45.0.0/16
+  private static final int HOSTS_PER_SUBNET = 200;
   private static final int SOCKET_THREADS = 1;
   private static final int BACKLOG = 1_024;
-  private static final double WORK = 0.004; // core-seconds a statement
-  private static final double MEMORY_MB = 4;
+  private static final double STATEMENT_CORE_SECONDS = 0.004;
+  private static final double STATEMENT_MEMORY_MB = 4;
   private static final AttributeKey MODEL = new AttributeKey(SyntheticEngines.class, "model");
   private static final EngineModel.Spec SPEC =
       new EngineModel.Spec(
@@ -42,12 +42,13 @@
           1_000_000_000L,
           250_000_000L,
           50_000_000L,
-          WORK,
+          STATEMENT_CORE_SECONDS,
           0);
 
-  /** What came and went, in bytes without heads of packets. */
+  /** Numbers of connections and commands; bytes do not include packet headers. */
   record Traffic(
       long accepted, long statements, long probes, long probeBytes, long reportBytes, long others) {
+    /** Returns the difference to an earlier reading. */
     Traffic since(Traffic before) {
       return new Traffic(
           accepted - before.accepted,
@@ -76,7 +77,9 @@
       port = free.getLocalPort();
     }
     for (int e = 0; e < count; e++) {
-      byte[] host = {127, FIRST_OCTET, (byte) (e / HOSTS), (byte) (e % HOSTS + 1)};
+      byte[] host = {
+        127, SECOND_OCTET, (byte) (e / HOSTS_PER_SUBNET), (byte) (e % HOSTS_PER_SUBNET + 1)
+      };
       InetSocketAddress address = new InetSocketAddress(InetAddress.getByAddress(host), port);
       addresses.add(address);
       models.put(address, new EngineModel(e + 1, SPEC, time, e));
@@ -84,7 +87,8 @@
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
-    acceptor.setHandler(new DecodingHandler<>("gateway", EngineCommandDecoder::new, new Asked()));
+    acceptor.setHandler(
+        new DecodingHandler<>("gateway", EngineCommandDecoder::new, new CommandListener()));
     acceptor.bind(addresses);
   }
 
@@ -92,11 +96,12 @@
     return addresses.toArray(InetSocketAddress[]::new);
   }
 
-  /** Connections of the gateway that are up. */
+  /** Returns the number of open connections. */
   int connections() {
     return acceptor.getManagedSessionCount();
   }
 
+  /** Returns the counters since the start. */
   Traffic traffic() {
     return new Traffic(
         accepted.sum(),
@@ -107,11 +112,12 @@
         others.sum());
   }
 
+  /** Returns the number of scheduled tasks that failed. */
   int defects() {
     return time.defects();
   }
 
-  private final class Asked implements Listener<EngineCommand> {
+  private final class CommandListener implements Listener<EngineCommand> {
     @Override
     public void opened(IoSession session) {
       session.setAttribute(MODEL, models.get((InetSocketAddress) session.getLocalAddress()));
@@ -124,7 +130,7 @@
       switch (command.word()) {
         case "ASK" -> {
           statements.increment();
-          time.at(0, () -> ask(session, model, command.id()));
+          time.at(0, () -> startQuery(session, model, command.id()));
         }
         case "INFO", "NOOP" -> {
           probes.increment();
@@ -132,17 +138,17 @@
           time.at(
               0,
               () -> {
-                EngineModel.Load l = model.load();
+                EngineModel.Load load = model.load();
                 reportBytes.add(
-                    say(
+                    write(
                         session,
                         command.id()
                             + " UP use=util:"
-                            + round(l.util())
+                            + round(load.util())
                             + ";queue:"
-                            + round(l.queue())
+                            + round(load.queue())
                             + ";x0:"
-                            + round(l.memory())
+                            + round(load.memory())
                             + ";x1:0.0",
                         ""));
               });
@@ -153,21 +159,21 @@
 
     @Override
     public void closed(IoSession session) {
-      // its queries run to their end; nobody waits for them
+      // queries of the connection run to completion; their results are discarded
     }
   }
 
-  private static void ask(IoSession session, EngineModel model, String id) {
+  private static void startQuery(IoSession session, EngineModel model, String id) {
     boolean runs =
         model.ask(
             id,
-            WORK,
+            STATEMENT_CORE_SECONDS,
             1,
-            MEMORY_MB,
+            STATEMENT_MEMORY_MB,
             new EngineModel.Asker() {
               @Override
               public void served(double work, double memoryMb) {
-                say(
+                write(
                     session,
                     id
                         + " OK fetches=1,effort="
@@ -179,21 +185,21 @@
 
               @Override
               public void error() {
-                say(session, id + " ERR -", "");
+                write(session, id + " ERR -", "");
               }
 
               @Override
               public void progress(double share) {
-                // no notes are asked for
+                // progress reports are not requested
               }
 
               @Override
               public void died() {
-                // none of these dies
+                // these engines do not crash
               }
             });
     if (!runs) {
-      say(session, id + " BUSY -", "");
+      write(session, id + " BUSY -", "");
     }
   }
 
@@ -201,9 +207,9 @@
     return Math.round(value * 1e4) / 1e4;
   }
 
-  private static int say(IoSession session, String head, String body) {
+  private static int write(IoSession session, String header, String body) {
     byte[] bytes =
-        (head + " " + body.length() + "\r\n" + body + "\r\n").getBytes(StandardCharsets.UTF_8);
+        (header + " " + body.length() + "\r\n" + body + "\r\n").getBytes(StandardCharsets.UTF_8);
     session.write(IoBuffer.wrap(bytes));
     return bytes.length;
   }
--- a/lab/src/main/java/reachloom/lab/slopes/package-info.java
+++ b/lab/src/main/java/reachloom/lab/slopes/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Slopes of one gateway process: what a statement, a connection, an engine costs it, each from
- * several sizes in one run, with a straight line through them and what does not lie on it.
- * Processor time is counted, not the clock: other work on the machine changes it less.
+ * Measures the marginal cost of a statement, a connection and an engine for one gateway process:
+ * each is measured at several sizes in one run, and a straight line is fitted with its deviations.
+ * Cost is processor time instead of wall-clock time, because other load on the machine affects it
+ * less.
  */
 package reachloom.lab.slopes;
--- a/lab/src/test/java/reachloom/lab/slopes/MeasurementTest.java
+++ b/lab/src/test/java/reachloom/lab/slopes/MeasurementTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which sizes count: a gateway that had enough, and a rig that could not ask. */
+/** Tells a saturated gateway from a rig that was starved by the machine. */
 class MeasurementTest {
   private static Map<String, Object> row(Object... changes) {
     Map<String, Object> row =
@@ -34,32 +34,32 @@
   }
 
   @Test
-  void answersThatKeepUpAreNeitherFullNorStarved() {
-    assertFalse(full());
+  void isNeitherSaturatedNorStarvedWhenAnswersKeepUp() {
+    assertFalse(saturated());
     assertFalse(Measurement.starved(row()));
-    assertFalse(full("answered_per_s", 960.0));
-    assertFalse(full("refused", 200L));
+    assertFalse(saturated("answered_per_s", 960.0));
+    assertFalse(saturated("refused", 200L));
   }
 
   @Test
-  void aThreadWithoutTimeOrStatementsTurnedAwayAreFull() {
-    assertTrue(full("cores_loop", 0.95));
-    assertTrue(full("cores_sockets", 0.95));
-    assertTrue(full("answered_per_s", 900.0, "refused", 500L));
-    assertTrue(full("answered_per_s", 900.0, "failed", 500L));
-    assertTrue(full("answered_per_s", 900.0, "unsent", 500L));
-    assertTrue(full("answered_per_s", 700.0, "cores_loop", 0.6, "loop_waited", 0.35));
+  void isSaturatedWhenThreadIsBusyOrStatementsAreRejected() {
+    assertTrue(saturated("cores_loop", 0.95));
+    assertTrue(saturated("cores_sockets", 0.95));
+    assertTrue(saturated("answered_per_s", 900.0, "refused", 500L));
+    assertTrue(saturated("answered_per_s", 900.0, "failed", 500L));
+    assertTrue(saturated("answered_per_s", 900.0, "unsent", 500L));
+    assertTrue(saturated("answered_per_s", 700.0, "cores_loop", 0.6, "loop_waited", 0.35));
   }
 
   @Test
-  void answersThatLagWhileBothThreadsHadTimeAreTheRigsFault() {
-    Map<String, Object> late = row("answered_per_s", 700.0);
-    assertTrue(Measurement.starved(late));
-    assertFalse(Measurement.full(late));
+  void isStarvedWhenAnswersLagWithoutBusyThreads() {
+    Map<String, Object> lagging = row("answered_per_s", 700.0);
+    assertTrue(Measurement.starved(lagging));
+    assertFalse(Measurement.saturated(lagging));
     assertFalse(Measurement.starved(row("answered_per_s", 700.0, "refused", 1_500L)));
   }
 
-  private static boolean full(Object... changes) {
-    return Measurement.full(row(changes));
+  private static boolean saturated(Object... changes) {
+    return Measurement.saturated(row(changes));
   }
 }
