--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -68,7 +68,7 @@
     /** Hears of engines that others speak against. */
     public BiConsumer<String, Double> peerReports = (engine, level) -> {};
 
-    public long mostBytes;
+    public long maxBytesPerSecond;
 
     /** All that it sent so far, headers of UDP and IP counted, and in how many datagrams. */
     public long bytes;
@@ -126,7 +126,7 @@
       while (lately.peekFirst()[0] < now - SECOND) {
         latelyBytes -= lately.removeFirst()[1];
       }
-      mostBytes = Math.max(mostBytes, latelyBytes);
+      maxBytesPerSecond = Math.max(maxBytesPerSecond, latelyBytes);
       bytes += size;
       datagrams++;
     }
@@ -150,16 +150,16 @@
   /**
    * How much longer than within a site a packet takes from one instance to another, in nanoseconds.
    */
-  public ToLongBiFunction<Node, Node> way = (from, to) -> 0;
+  public ToLongBiFunction<Node, Node> extraDelay = (from, to) -> 0;
 
   /** The bytes that an instance may send in a second. */
   public ToIntFunction<Node> capOf;
 
   /** Is told of each instance that starts, before it does anything. */
-  public Consumer<Node> starts = n -> {};
+  public Consumer<Node> onStart = n -> {};
 
   /** Live instances that somebody declared dead; restarts and real crashes are not among them. */
-  public long falseDead;
+  public long falseDeaths;
 
   /** An empty cluster. */
   public VirtualCluster(long seed, long period, int cap, double loss) {
@@ -203,7 +203,7 @@
             random.nextLong(),
             n,
             (engine, level) -> n.peerReports.accept(engine, level));
-    starts.accept(n);
+    onStart.accept(n);
     tick(n, life);
   }
 
@@ -229,7 +229,7 @@
     }
     int times = random.nextDouble() < copies ? 2 : 1;
     for (int i = 0; i < times; i++) {
-      long delay = DELAY + random.nextLong(DELAY) + way.applyAsLong(from, to);
+      long delay = DELAY + random.nextLong(DELAY) + extraDelay.applyAsLong(from, to);
       delay += from.slow ? random.nextLong(period / 2) : 0;
       delay += to.slow ? random.nextLong(period / 2) : 0;
       delay += random.nextDouble() < delayed ? random.nextLong(SECOND) : 0;
@@ -289,7 +289,7 @@
         Node of = byAddress.get(m.address());
         long pair = n.address << Integer.SIZE ^ m.address();
         if (m.state() == MemberState.DEAD && of != null && of.up) {
-          falseDead += dead.add(pair) ? 1 : 0;
+          falseDeaths += dead.add(pair) ? 1 : 0;
         } else if (!dead.isEmpty()) {
           dead.remove(pair);
         }
@@ -298,7 +298,7 @@
   }
 
   /** How many live instances hold that one in the given state or worse. */
-  public int holding(Node of, MemberState state) {
+  public int countHolding(Node of, MemberState state) {
     int count = 0;
     for (Node n : nodes) {
       boolean holds =
@@ -320,7 +320,11 @@
   }
 
   /** The most bytes that any instance sent in any second, of the honest ones or of the liars. */
-  public long mostBytes(boolean liars) {
-    return nodes.stream().filter(n -> n.liar == liars).mapToLong(n -> n.mostBytes).max().orElse(0);
+  public long maxBytesPerSecond(boolean liars) {
+    return nodes.stream()
+        .filter(n -> n.liar == liars)
+        .mapToLong(n -> n.maxBytesPerSecond)
+        .max()
+        .orElse(0);
   }
 }
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
@@ -69,16 +69,16 @@
             : null;
     lie(cluster, service);
     spoil(cluster);
-    long falseBefore = cluster.falseDead;
+    long falseBefore = cluster.falseDeaths;
     cluster.run(plan.seconds * SECOND / 4);
     sicken(service);
     crashes(cluster);
     joins(cluster);
     cluster.run(plan.seconds * SECOND);
-    result.put("false_dead", cluster.falseDead - falseBefore);
-    result.put("bytes_per_s_max", cluster.mostBytes(false));
+    result.put("false_dead", cluster.falseDeaths - falseBefore);
+    result.put("bytes_per_s_max", cluster.maxBytesPerSecond(false));
     if (plan.liars > 0) {
-      result.put("bytes_per_s_max_liars", cluster.mostBytes(true));
+      result.put("bytes_per_s_max_liars", cluster.maxBytesPerSecond(true));
     }
     result.put("refused_by_reason", Map.of());
     result.put("accepted_forged", 0);
@@ -176,9 +176,9 @@
       long first = -1;
       long live = c.nodes.stream().filter(x -> x.up).count();
       while (c.agenda.now() < at + LONGEST_START * plan.period
-          && c.holding(n, MemberState.DEAD) < KNOWN * live) {
+          && c.countHolding(n, MemberState.DEAD) < KNOWN * live) {
         c.run(STEP);
-        first = first < 0 && c.holding(n, MemberState.SUSPECT) > 0 ? c.agenda.now() : first;
+        first = first < 0 && c.countHolding(n, MemberState.SUSPECT) > 0 ? c.agenda.now() : first;
       }
       seen.add((first - at) / (double) plan.period);
       spread.add((c.agenda.now() - first) / (double) plan.period);
--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -244,9 +244,9 @@
     this.plan = plan;
     random = new SplittableRandom(plan.seed);
     cluster = new VirtualCluster(plan.seed, PERIOD, plan.cap, plan.loss);
-    cluster.way = (from, to) -> region(from) == region(to) ? 0 : ACROSS;
+    cluster.extraDelay = (from, to) -> region(from) == region(to) ? 0 : ACROSS;
     cluster.capOf = n -> index(n) < plan.control ? plan.controlCap : plan.cap;
-    cluster.starts =
+    cluster.onStart =
         n -> members.computeIfAbsent(n, k -> new Member(n, index(n) < plan.control)).start();
     document = new byte[plan.document];
     for (int i = 0; i < document.length; i++) {
--- a/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
@@ -30,7 +30,7 @@
       c.run(SECOND);
     }
     assertTrue(c.agreed(), "all know each other");
-    assertEquals(0, c.falseDead);
+    assertEquals(0, c.falseDeaths);
     return c;
   }
 
@@ -50,9 +50,9 @@
     Node crashed = c.nodes.get(20);
     crashed.up = false;
     c.run(40 * SECOND);
-    assertEquals(39, c.holding(crashed, MemberState.DEAD));
-    assertEquals(0, c.falseDead);
-    assertTrue(c.mostBytes(false) <= CAP, c.mostBytes(false) + " bytes");
+    assertEquals(39, c.countHolding(crashed, MemberState.DEAD));
+    assertEquals(0, c.falseDeaths);
+    assertTrue(c.maxBytesPerSecond(false) <= CAP, c.maxBytesPerSecond(false) + " bytes");
   }
 
   @Test
@@ -90,7 +90,7 @@
     c.copies = 0.2;
     c.delayed = 0.05;
     c.run(120 * SECOND);
-    assertEquals(0, c.falseDead);
+    assertEquals(0, c.falseDeaths);
     assertTrue(c.agreed());
   }
 
@@ -101,7 +101,7 @@
       c.nodes.get(i).stalledUntil = c.agenda.now() + 2 * SECOND;
       c.run(4 * SECOND);
     }
-    assertEquals(0, c.falseDead);
+    assertEquals(0, c.falseDeaths);
     assertTrue(c.agreed());
   }
 
@@ -112,7 +112,7 @@
     c.nodes.get(4).skew = 10 * SECOND;
     c.nodes.get(5).skew = -10 * SECOND;
     c.run(60 * SECOND);
-    assertEquals(0, c.falseDead);
+    assertEquals(0, c.falseDeaths);
     assertTrue(c.agreed());
   }
 
@@ -122,7 +122,7 @@
     Node n = c.nodes.get(6);
     n.up = false;
     c.run(60 * SECOND);
-    assertEquals(11, c.holding(n, MemberState.DEAD));
+    assertEquals(11, c.countHolding(n, MemberState.DEAD));
     n.skew = -20 * SECOND; // its new incarnation is an old one
     c.start(n, 3);
     awaitAgreement(c, 60);
@@ -149,8 +149,8 @@
     VirtualCluster c = settled(20, 9, 0.01);
     c.add(80, 3);
     awaitAgreement(c, 60);
-    assertEquals(0, c.falseDead);
-    assertTrue(c.mostBytes(false) <= CAP, c.mostBytes(false) + " bytes");
+    assertEquals(0, c.falseDeaths);
+    assertTrue(c.maxBytesPerSecond(false) <= CAP, c.maxBytesPerSecond(false) + " bytes");
   }
 
   @Test
@@ -161,8 +161,8 @@
     Node n = c.nodes.get(7);
     n.up = false;
     c.run(60 * SECOND);
-    assertEquals(9, c.holding(n, MemberState.DEAD));
-    assertTrue(c.mostBytes(false) <= 1_024, c.mostBytes(false) + " bytes");
+    assertEquals(9, c.countHolding(n, MemberState.DEAD));
+    assertTrue(c.maxBytesPerSecond(false) <= 1_024, c.maxBytesPerSecond(false) + " bytes");
   }
 
   private static Map<String, Object> play(int sick, int liars, boolean collude, Lie lie, int rate) {
--- a/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
@@ -170,7 +170,7 @@
     figures.put(
         "settled_periods", s.cluster.agreed() ? (s.cluster.agenda.now() - from) / s.period : -1);
     figures.putAll(s.counted());
-    figures.put("any_second_most_bytes", s.cluster.mostBytes(false));
+    figures.put("any_second_most_bytes", s.cluster.maxBytesPerSecond(false));
     return figures;
   }
 
@@ -197,11 +197,11 @@
     down.up = false;
     long at = s.cluster.agenda.now();
     long first = -1;
-    while (s.cluster.holding(down, MemberState.DEAD) < MAX_SHARE * (s.instances - 1)
+    while (s.cluster.countHolding(down, MemberState.DEAD) < MAX_SHARE * (s.instances - 1)
         && s.cluster.agenda.now() < at + LONGEST_NEWS * s.period) {
       s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS);
       first =
-          first < 0 && s.cluster.holding(down, MemberState.SUSPECT) > 0
+          first < 0 && s.cluster.countHolding(down, MemberState.SUSPECT) > 0
               ? s.cluster.agenda.now()
               : first;
     }
