--- a/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
+++ b/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
@@ -16,11 +16,13 @@
 import reachloom.lab.gossip.VirtualRun.Lie;
 import reachloom.lab.gossip.VirtualRun.Plan;
 
-/** Measures gossip: crashes, joins, loss, liars and sick engines. */
+/** Measures gossip under crashes, joins, packet loss, lying instances and sick engines. */
 public final class GossipCommand implements Command {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final int MAX_VIRTUAL_ENGINES = 1_000;
-  private static final int MAX_ENGINES = 200; // on sockets: each is a listener in this process
+  /** The most engines in mode sockets, where each engine is a listener in this process. */
+  private static final int MAX_ENGINES = 200;
+
 
   @Override
   public String purpose() {
@@ -36,22 +38,22 @@
             true,
             "virtual: simulated time and network (the default); "
                 + "sockets: real gateways on loopback, with --sick and --junk")
-        .addOption(null, "junk", true, "datagrams a second of junk at one instance, on sockets (0)")
+        .addOption(null, "junk", true, "junk datagrams a second to one instance, on sockets (0)")
         .addOption(null, "instances", true, "instances that start together (8)")
-        .addOption(null, "engines", true, "engines; 0 plays membership alone (0)")
+        .addOption(null, "engines", true, "engines; 0 simulates membership alone (0)")
         .addOption(null, "gateways-down", true, "instances that crash, one after another (1)")
         .addOption(null, "sick", true, "engines that hang after a quarter of the time (0)")
         .addOption(null, "liars", true, "instances that lie about engines (0)")
         .addOption(null, "lie", true, "one, all, friend, flap or praise (all)")
-        .addOption(null, "collude", false, "liars tell the same")
+        .addOption(null, "collude", false, "liars lie about the same engine")
         .addOption(null, "loss", true, "share of datagrams lost (0)")
-        .addOption(null, "slow", true, "share of instances up to half a period late (0)")
+        .addOption(null, "slow", true, "share of instances delayed by up to half a period (0)")
         .addOption(null, "join", true, "instances that join at once (0)")
-        .addOption(null, "seconds", true, "time after the crashes (60)")
+        .addOption(null, "seconds", true, "seconds after the crashes (60)")
         .addOption(null, "rate", true, "queries a second at each instance (20)")
-        .addOption(null, "cap", true, "bytes a second of each instance (4096)")
-        .addOption(null, "period-ms", true, "time between two probes (1000)")
-        .addOption(null, "seed", true, "for all that is drawn (1)")
+        .addOption(null, "cap", true, "bytes a second that each instance may send (4096)")
+        .addOption(null, "period-ms", true, "milliseconds between two probes (1000)")
+        .addOption(null, "seed", true, "seed of all random draws (1)")
         .addOption(null, "json", true, "file for the figures");
   }
 
@@ -90,26 +92,26 @@
             Arguments.number(line, "cap", 4_096, 1_024, 1 << 20),
             Arguments.number(line, "period-ms", 1_000, 100, 60_000) * MILLISECOND,
             Arguments.number(line, "rate", 20, 1, 2_000));
-    return tell(line, mode, plan, new VirtualRun(plan).play());
+    return report(line, mode, plan, new VirtualRun(plan).play());
   }
 
   /**
-   * Real gateways on loopback: sick engines and junk; the other troubles are played in simulated
-   * time.
+   * Runs real gateways on loopback with sick engines and junk; the other failures are available
+   * only in simulated time.
    */
   private static int sockets(CommandLine line, int engines) throws Exception {
-    int some = Math.max(1, engines);
+    int engineCount = Math.max(1, engines);
     SocketRun.Plan plan =
         new SocketRun.Plan(
             Arguments.number(line, "instances", 8, 1, 32),
-            some,
-            Arguments.number(line, "sick", 0, 0, some),
+            engineCount,
+            Arguments.number(line, "sick", 0, 0, engineCount),
             Arguments.number(line, "junk", 0, 0, 50_000),
             Arguments.number(line, "seconds", 60, 4, 600),
             Arguments.number(line, "seed", 1, 0, Integer.MAX_VALUE));
     Path folder = Files.createTempDirectory("reachloom-gossip");
     try {
-      return tell(line, "sockets", plan, new SocketRun(plan, folder).play());
+      return report(line, "sockets", plan, new SocketRun(plan, folder).play());
     } finally {
       try (var files = Files.walk(folder)) {
         files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
@@ -117,8 +119,8 @@
     }
   }
 
-  private static int tell(CommandLine line, String mode, Object plan, Map<String, Object> figures)
-      throws IOException {
+  private static int report(
+      CommandLine line, String mode, Object plan, Map<String, Object> figures) throws IOException {
     Map<String, Object> origin = new LinkedHashMap<>();
     origin.put("mode", mode);
     origin.put("plan", plan);
--- a/lab/src/main/java/reachloom/lab/gossip/Installation.java
+++ b/lab/src/main/java/reachloom/lab/gossip/Installation.java
@@ -13,35 +13,39 @@
 import reachloom.tools.GossipTool;
 
 /**
- * The files of an installation on loopback: an authority, and a key and certificate for each
- * instance.
+ * Creates the files of an installation on loopback: a certificate authority, and a key and a
+ * certificate for each instance.
  */
 public final class Installation {
-  /** The name of its cluster. */
+  /** The cluster name of the installation. */
   public static final String CLUSTER = "lab";
 
   private final Path folder;
 
-  /** Makes an authority named {@code ca} in that folder. */
+  /** Creates an authority named {@code ca} in the folder. */
   public Installation(Path folder) throws IOException {
     this.folder = folder;
     tool("ca", "--name", "ca", "--out", folder.resolve("ca").toString());
   }
 
   /**
-   * Runs a command of the operators' tool; gives what it printed, or throws with what it complained
-   * of.
+   * Runs a command of the operators' tool and returns its output.
+   *
+   * @throws IOException with the tool's error output if the command fails
    */
-  public static String tool(String... words) throws IOException {
+  public static String tool(String... arguments) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
-    if (GossipTool.run(words, new PrintStream(out, true), new PrintStream(err, true)) != 0) {
+    if (GossipTool.run(arguments, new PrintStream(out, true), new PrintStream(err, true)) != 0) {
       throw new IOException(err.toString());
     }
     return out.toString();
   }
 
-  /** A key and a certificate by that authority, valid for so many days. */
+  /**
+   * Creates an instance's key, if it has none, and a certificate signed by an authority and valid
+   * for a number of days.
+   */
   public void instance(String name, String authority, int days) throws IOException {
     if (!Files.exists(path(name + ".key"))) {
       tool("key", "--out", path(name).toString());
@@ -61,12 +65,12 @@
         path(name + ".crt").toString());
   }
 
-  /** A file of the installation. */
+  /** Returns the path of a file of the installation. */
   public Path path(String file) {
     return folder.resolve(file);
   }
 
-  /** Settings of an instance; authorities by name. */
+  /** Returns the settings of an instance that trusts the named authorities. */
   public GossipSettings settings(
       String name,
       InetSocketAddress listen,
@@ -86,25 +90,32 @@
         seeds);
   }
 
-  /** The same as a settings file. */
-  public Path file(GossipSettings s, String name) throws IOException {
+  /** Writes settings of an instance to its settings file. */
+  public Path file(GossipSettings settings, String name) throws IOException {
     StringBuilder text =
         new StringBuilder(
             "<?xml version=\"1.0\"?>\n" + "<reachloom xmlns=\"urn:reachloom:settings:1\">\n");
     text.append(
-        String.format("  <gossip cluster=\"%s\" listen=\"%s\" ", s.cluster(), words(s.listen())));
+        String.format(
+            "  <gossip cluster=\"%s\" listen=\"%s\" ",
+            settings.cluster(), format(settings.listen())));
     text.append(
         String.format(
             "bytesPerSecond=\"%d\" periodMs=\"%d\">%n",
-            s.bytesPerSecond(), s.periodNanos() / 1_000_000));
+            settings.bytesPerSecond(), settings.periodNanos() / 1_000_000));
     text.append(
         String.format(
-            "    <identity key=\"%s\" certificate=\"%s\"/>%n", s.keyFile(), s.certificateFile()));
-    s.authorityFiles()
+            "    <identity key=\"%s\" certificate=\"%s\"/>%n",
+            settings.keyFile(), settings.certificateFile()));
+    settings
+        .authorityFiles()
         .forEach(a -> text.append(String.format("    <authority file=\"%s\"/>%n", a)));
-    text.append(String.format("    <revoked file=\"%s\"/>%n", s.revocationFile()));
-    s.seeds().forEach(a -> text.append(String.format("    <seed address=\"%s\"/>%n", words(a))));
-    s.configuration()
+    text.append(String.format("    <revoked file=\"%s\"/>%n", settings.revocationFile()));
+    settings
+        .seeds()
+        .forEach(a -> text.append(String.format("    <seed address=\"%s\"/>%n", format(a))));
+    settings
+        .configuration()
         .ifPresent(
             c -> {
               text.append(
@@ -117,17 +128,17 @@
                           text.append(
                               String.format(
                                   "      <issuer name=\"%s\" address=\"%s\" certificate=\"%s\"/>%n",
-                                  i.name(), words(i.address()), i.certificateFile())));
+                                  i.name(), format(i.address()), i.certificateFile())));
               text.append("    </configuration>\n");
             });
     return Files.writeString(path(name + ".xml"), text + "  </gossip>\n</reachloom>\n");
   }
 
-  private static String words(InetSocketAddress a) {
-    return a.getAddress().getHostAddress() + ":" + a.getPort();
+  private static String format(InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** A UDP address that nobody listens at. */
+  /** Returns a UDP address on loopback that is not in use. */
   public static InetSocketAddress freeAddress() throws IOException {
     try (DatagramSocket s = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       return (InetSocketAddress) s.getLocalSocketAddress();
--- a/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
@@ -25,62 +25,73 @@
 import reachloom.time.WallClock;
 
 /**
- * Gossip among real gateways, each a process of its own on loopback, with engine stand-ins and real
- * queries; beside it the same with gossip off. Some engines hang, junk may come at one gateway's
- * gossip port.
+ * Runs gossip among real gateways, each in a process of its own on loopback, with engine stand-ins
+ * and real queries, and repeats the run with gossip off. Some engines hang; junk datagrams may be
+ * sent to one gateway's gossip port.
  */
 final class SocketRun {
-  private static final long PERIOD = 500_000_000; // nanoseconds
-  private static final int CAP = 4_096;
-  private static final double LOAD =
-      0.3; // of all cores: most is lost to the sick, little to queues
+  private static final long PERIOD_NANOS = 500_000_000;
+  private static final int CAP_BYTES_PER_SECOND = 4_096;
+
+  /**
+   * The load as a share of all cores: low enough that queries are lost to sick engines and hardly
+   * to queueing.
+   */
+  private static final double LOAD = 0.3;
+
   private static final int HEAP_MB = 64;
   private static final int SETTLE_MS = 5_000;
   private static final int JUNK_KINDS = 3;
 
-  /** What is asked for; {@code junk} is in datagrams a second. */
+  /** The parameters of a run; {@code junk} is in datagrams a second. */
   record Plan(int instances, int engines, int sick, int junk, int seconds, long seed) {}
 
   private final Plan plan;
   private final Path folder;
-  private volatile boolean over;
+  private volatile boolean stopped;
 
   SocketRun(Plan plan, Path folder) {
     this.plan = plan;
     this.folder = folder;
   }
 
+  /** Executes the runs; returns their figures by name, in order. */
   Map<String, Object> play() throws Exception {
     Map<String, Object> figures = new LinkedHashMap<>();
-    Map<String, Object> seen = new LinkedHashMap<>();
-    tell(figures, "", run(true, plan.junk, seen));
-    tell(figures, "_alone", run(false, 0, new LinkedHashMap<>()));
+    Map<String, Object> statusFigures = new LinkedHashMap<>();
+    addFigures(figures, "", run(true, plan.junk, statusFigures));
+    addFigures(figures, "_alone", run(false, 0, new LinkedHashMap<>()));
     if (plan.junk > 0) {
-      tell(figures, "_without_junk", run(true, 0, new LinkedHashMap<>()));
+      addFigures(figures, "_without_junk", run(true, 0, new LinkedHashMap<>()));
     }
-    figures.putAll(seen);
+    figures.putAll(statusFigures);
     return figures;
   }
 
-  private static void tell(Map<String, Object> figures, String suffix, Told told) {
-    long asked = told.all.stream().mapToLong(HistoryChecker.Row::asked).sum();
-    long inTime = told.all.stream().mapToLong(HistoryChecker.Row::inTime).sum();
+  private static void addFigures(Map<String, Object> figures, String suffix, Outcome outcome) {
+    long asked = outcome.all.stream().mapToLong(HistoryChecker.Row::asked).sum();
+    long inTime = outcome.all.stream().mapToLong(HistoryChecker.Row::inTime).sum();
     figures.put("asked" + suffix, asked);
     figures.put("service" + suffix, Math.round(1e4 * inTime / Math.max(1, asked)) / 1e4);
-    // Engines that are well answer nearly all in time: what is late has met one that is not.
+    // Healthy engines answer nearly all queries in time, so a late query met a sick engine.
     figures.put(
-        "lost_to_sick" + suffix, told.sick.stream().mapToLong(r -> r.asked() - r.inTime()).sum());
-    figures.put("p99_ms" + suffix, told.all.get(0).p99());
-    figures.put("rules_broken" + suffix, told.broken);
+        "lost_to_sick" + suffix,
+        outcome.withSickEngines.stream().mapToLong(r -> r.asked() - r.inTime()).sum());
+    figures.put("p99_ms" + suffix, outcome.all.get(0).p99());
+    figures.put("rules_broken" + suffix, outcome.rulesBroken);
   }
 
-  /** What became of all queries, and of those that came once some engines hung. */
-  private record Told(List<HistoryChecker.Row> all, List<HistoryChecker.Row> sick, Object broken) {}
+  /** The results of all queries, of the queries after engines hung, and the broken rules. */
+  private record Outcome(
+      List<HistoryChecker.Row> all,
+      List<HistoryChecker.Row> withSickEngines,
+      Object rulesBroken) {}
 
-  private Told run(boolean gossip, int junk, Map<String, Object> seen) throws Exception {
-    over = false;
-    Path here = Files.createTempDirectory(folder, gossip ? "with" : "alone");
-    Installation installation = new Installation(here);
+  private Outcome run(boolean gossip, int junk, Map<String, Object> statusFigures)
+      throws Exception {
+    stopped = false;
+    Path runFolder = Files.createTempDirectory(folder, gossip ? "with" : "alone");
+    Installation installation = new Installation(runFolder);
     installation.instance("operator", "ca", 30);
     List<InetSocketAddress> ports = new ArrayList<>();
     List<Path> settings = new ArrayList<>();
@@ -93,54 +104,62 @@
       settings.add(
           installation.file(
               installation.settings(
-                  name, ports.get(i), PERIOD, CAP, i == 0 ? List.of() : ports.subList(0, 1), "ca"),
+                  name,
+                  ports.get(i),
+                  PERIOD_NANOS,
+                  CAP_BYTES_PER_SECOND,
+                  i == 0 ? List.of() : ports.subList(0, 1),
+                  "ca"),
               name));
     }
-    double quarter = SETTLE_MS / 1e3 + plan.seconds * 0.25;
-    double all = SETTLE_MS / 1e3 + plan.seconds;
+    double sickFromS = SETTLE_MS / 1e3 + plan.seconds * 0.25;
+    double endS = SETTLE_MS / 1e3 + plan.seconds;
     ClusterPlan fleetPlan =
         new ClusterPlan(
-            plan.instances, plan.engines, 1, (int) all, LOAD, 0, 0, plan.instances, plan.seed);
+            plan.instances, plan.engines, 1, (int) endS, LOAD, 0, 0, plan.instances, plan.seed);
     Fault hang =
         new Fault(
-            quarter,
+            sickFromS,
             Fault.Who.ENGINES,
             Fault.Kind.HANG,
             (double) plan.sick / plan.engines,
             -1,
             -1,
             1,
-            all,
+            endS,
             0);
     Thread flood = null;
     try (ProcessFleet fleet =
         new ProcessFleet(
             fleetPlan,
-            here,
+            runFolder,
             null,
             HEAP_MB,
             g -> gossip ? List.of("--settings", settings.get(g).toString()) : List.of())) {
       flood = junk > 0 ? flood(ports.get(0), junk) : null;
-      Object broken =
+      Object rulesBroken =
           fleet
               .play(
                   new FaultSchedule("sick", plan.sick == 0 ? List.of() : List.of(hang)),
                   () -> {
                     if (gossip) {
-                      status(installation, ports, seen);
+                      status(installation, ports, statusFigures);
                     }
                   })
               .get("rules_broken");
-      return new Told(fleet.rows(SETTLE_MS / 1e3), fleet.rows(quarter), broken);
+      return new Outcome(fleet.rows(SETTLE_MS / 1e3), fleet.rows(sickFromS), rulesBroken);
     } finally {
-      over = true;
+      stopped = true;
       if (flood != null) {
         flood.join();
       }
     }
   }
 
-  /** Junk at one port: noise, well-formed datagrams of nobody, and forged ones of a member. */
+  /**
+   * Sends junk to one port: random bytes, well-formed datagrams of an unknown sender, and forged
+   * datagrams of a member.
+   */
   private Thread flood(InetSocketAddress to, int rate) {
     Thread t =
         new Thread(
@@ -150,7 +169,7 @@
               random.nextBytes(noise);
               try (DatagramSocket socket = new DatagramSocket()) {
                 long start = System.nanoTime();
-                for (long sent = 0; !over; sent++) {
+                for (long sent = 0; !stopped; sent++) {
                   byte[] junk =
                       switch ((int) (sent % JUNK_KINDS)) {
                         case 0 -> noise;
@@ -159,12 +178,13 @@
                       };
                   socket.send(new DatagramPacket(junk, junk.length, to));
                   long due = start + sent * 1_000_000_000L / rate;
-                  while (System.nanoTime() < due && !over) {
+                  while (System.nanoTime() < due && !stopped) {
                     Thread.sleep(0, 200_000);
                   }
                 }
               } catch (IOException e) {
-                System.err.println("the flood ended: " + e.getMessage());
+                System.err.println(
+                    "sending junk datagrams failed, no more are sent: " + e.getMessage());
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -187,11 +207,11 @@
     return Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
   }
 
-  /** What the first gateway tells an operator: refusals, members, and what it sent. */
+  /** Adds figures from the status of the first gateway: refusals, members and bytes sent. */
   private void status(
       Installation installation, List<InetSocketAddress> ports, Map<String, Object> figures) {
     String text =
-        ask(
+        statusOrError(
             "status",
             "--address",
             "127.0.0.1:" + ports.get(0).getPort(),
@@ -219,9 +239,9 @@
         "bytes", text.lines().filter(l -> l.startsWith("bytes ")).findFirst().orElse(""));
   }
 
-  private static String ask(String... words) {
+  private static String statusOrError(String... arguments) {
     try {
-      return Installation.tool(words);
+      return Installation.tool(arguments);
     } catch (IOException e) {
       return "refused " + e.getMessage();
     }
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -28,66 +28,69 @@
 import reachloom.standin.model.SimulatedScheduler;
 
 /**
- * Many instances of the real gossip modules and the real codec under a simulated clock and network:
- * loss, delay, slow instances, cuts, standstills, copies. The same seed gives the same run, byte
- * for byte. Signatures are not computed, only weighed.
+ * Runs many instances of the real gossip modules and the real codec under a simulated clock and
+ * network with loss, delay, slow instances, network cuts, stalled instances and duplicates. The
+ * same seed gives the same run, byte for byte. Signatures are not computed; only their size is
+ * counted.
  */
 public final class VirtualCluster {
-  /** Nanoseconds. */
+  /** One second in nanoseconds. */
   public static final long SECOND = 1_000_000_000;
 
-  private static final long MILLISECOND = 1_000_000;
+  private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long START = 1_700_000_000 * SECOND;
-  private static final int CERTIFICATE = 215; // bytes, as made for names of some ten characters
-  private static final long DELAY = 2 * MILLISECOND;
+  private static final int CERTIFICATE_BYTES = 215; // for names of about ten characters
+  private static final long MIN_DELAY = 2 * MILLISECOND;
 
-  /** One instance. */
+  /** An instance of the cluster. */
   public final class Node extends EncodingTransport {
     public final String name;
     public final long address;
-    private final Set<String> knowsMe = new LinkedHashSet<>();
+    private final Set<String> knowsCertificate = new LinkedHashSet<>();
     private final Set<String> known = new LinkedHashSet<>();
-    private final ArrayDeque<long[]> lately = new ArrayDeque<>();
+    private final ArrayDeque<long[]> lastSecond = new ArrayDeque<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private long latelyBytes;
+    private long lastSecondBytes;
     public GossipProtocol gossip;
     public boolean up = true;
     public boolean slow;
 
-    /** Added to the clock as this instance sees it. */
+    /** Nanoseconds by which the clock of this instance differs from the simulated time. */
     public long skew;
 
     public long stalledUntil;
 
-    /** What a liar does to what it sends. */
+    /** Changes each packet before it is sent; lets a liar send false reports. */
     public UnaryOperator<Packet> lie = p -> p;
 
-    /** Whether it does anything to it: what it adds then is no longer within any cap. */
+    /** Whether {@code lie} changes packets; the bytes that it adds are not limited by the cap. */
     public boolean liar;
 
-    /** Hears of engines that others speak against. */
+    /** Receives the level of peer reports against an engine. */
     public BiConsumer<String, Double> peerReports = (engine, level) -> {};
 
+    /** The most bytes that this instance sent in any second. */
     public long maxBytesPerSecond;
 
-    /** All that it sent so far, headers of UDP and IP counted, and in how many datagrams. */
+    /** Bytes sent so far, including UDP and IP headers. */
     public long bytes;
 
+    /** Datagrams sent so far. */
     public long datagrams;
 
-    /** What it took; what was lost on the way, or while it stood still, is not counted. */
+    /** Bytes received; datagrams lost in the network or while it was stalled are not counted. */
     public long receivedBytes;
 
     public long receivedDatagrams;
     private long seq;
-    private int life;
+    private int runNumber;
 
     Node(String name, long address) {
       this.name = name;
       this.address = address;
     }
 
-    /** The time as this instance sees it. */
+    /** Returns the time of this instance's clock. */
     public long clock() {
       return agenda.now() + skew;
     }
@@ -99,14 +102,14 @@
 
     @Override
     protected int certificateBytes(String receiver) {
-      return knowsMe.contains(receiver) ? 0 : CERTIFICATE;
+      return knowsCertificate.contains(receiver) ? 0 : CERTIFICATE_BYTES;
     }
 
     @Override
     public void send(String to, long at, Packet packet) {
-      Packet told = lie.apply(packet);
-      byte[] certificate = knowsMe.contains(to) ? null : new byte[CERTIFICATE];
-      byte[] bytesOut =
+      Packet sentPacket = lie.apply(packet);
+      byte[] certificate = knowsCertificate.contains(to) ? null : new byte[CERTIFICATE_BYTES];
+      byte[] encoded =
           GossipCodec.encode(
               new DatagramEnvelope(
                   0,
@@ -114,19 +117,19 @@
                   clock() / MILLISECOND,
                   Optional.ofNullable(certificate),
                   known.contains(to) ? 1 : 0),
-              told);
-      count(bytesOut.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES);
-      deliver(this, at, bytesOut);
+              sentPacket);
+      count(encoded.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES);
+      deliver(this, at, encoded);
     }
 
     private void count(int size) {
       long now = agenda.now();
-      lately.addLast(new long[] {now, size});
-      latelyBytes += size;
-      while (lately.peekFirst()[0] < now - SECOND) {
-        latelyBytes -= lately.removeFirst()[1];
+      lastSecond.addLast(new long[] {now, size});
+      lastSecondBytes += size;
+      while (lastSecond.peekFirst()[0] < now - SECOND) {
+        lastSecondBytes -= lastSecond.removeFirst()[1];
       }
-      maxBytesPerSecond = Math.max(maxBytesPerSecond, latelyBytes);
+      maxBytesPerSecond = Math.max(maxBytesPerSecond, lastSecondBytes);
       bytes += size;
       datagrams++;
     }
@@ -139,29 +142,31 @@
   private final long period;
   private final double loss;
 
-  /** Whether a packet from one instance to another is cut off. */
+  /** Returns whether packets from one instance to another are dropped by a network cut. */
   public BiPredicate<Node, Node> cut = (from, to) -> false;
 
-  /** The share of packets that come twice, and of those that come late by up to a second. */
+  /** The share of packets that are delivered twice. */
   public double copies;
 
+  /** The share of packets that are delayed by up to a second. */
   public double delayed;
 
   /**
-   * How much longer than within a site a packet takes from one instance to another, in nanoseconds.
+   * Returns the nanoseconds that a packet takes from one instance to another beyond the delay
+   * within a site.
    */
   public ToLongBiFunction<Node, Node> extraDelay = (from, to) -> 0;
 
-  /** The bytes that an instance may send in a second. */
+  /** Returns the bytes per second that an instance may send. */
   public ToIntFunction<Node> capOf;
 
-  /** Is told of each instance that starts, before it does anything. */
+  /** Called for each instance that starts, before its first tick. */
   public Consumer<Node> onStart = n -> {};
 
-  /** Live instances that somebody declared dead; restarts and real crashes are not among them. */
+  /** Live instances that an instance declared dead; restarts and real crashes are not counted. */
   public long falseDeaths;
 
-  /** An empty cluster. */
+  /** Creates an empty cluster. */
   public VirtualCluster(long seed, long period, int cap, double loss) {
     random = new SplittableRandom(seed);
     this.period = period;
@@ -169,12 +174,12 @@
     this.loss = loss;
   }
 
-  /** Where the instance of that number listens. */
+  /** Returns the address of the instance with the given number. */
   public static long address(int number) {
     return 0x7f000001L << 16 | 10_000 + number;
   }
 
-  /** Adds instances that start now; the first ones of all are the seeds of the others. */
+  /** Adds and starts instances; the first {@code seeds} instances are the seeds of the others. */
   public List<Node> add(int count, int seeds) {
     List<Node> added = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -188,38 +193,39 @@
     return added;
   }
 
-  /** Starts an instance, anew where it has run before. */
+  /** Starts an instance, or restarts it if it has run before. */
   public void start(Node n, int seeds) {
-    List<Long> of = nodes.stream().limit(seeds).filter(s -> s != n).map(s -> s.address).toList();
+    List<Long> seedAddresses =
+        nodes.stream().limit(seeds).filter(s -> s != n).map(s -> s.address).toList();
     n.up = true;
-    n.knowsMe.clear();
+    n.knowsCertificate.clear();
     n.known.clear();
     n.waiting.clear();
-    int life = ++n.life;
+    int runNumber = ++n.runNumber;
     n.gossip =
         new GossipProtocol(
-            new MembershipSettings(n.name, n.address, of, period, capOf.applyAsInt(n)),
+            new MembershipSettings(n.name, n.address, seedAddresses, period, capOf.applyAsInt(n)),
             n.clock(),
             random.nextLong(),
             n,
             (engine, level) -> n.peerReports.accept(engine, level));
     onStart.accept(n);
-    tick(n, life);
+    tick(n, runNumber);
   }
 
-  private void tick(Node n, int life) {
-    if (!n.up || n.life != life) {
+  private void tick(Node n, int runNumber) {
+    if (!n.up || n.runNumber != runNumber) {
       return;
     }
     if (agenda.now() < n.stalledUntil) {
-      agenda.at(n.stalledUntil, () -> tick(n, life));
+      agenda.at(n.stalledUntil, () -> tick(n, runNumber));
       return;
     }
-    while (!n.waiting.isEmpty()) { // after a standstill the sockets are read first
+    while (!n.waiting.isEmpty()) { // a stalled instance reads its socket first
       n.waiting.poll().run();
     }
     n.gossip.tick(n.clock());
-    agenda.at(agenda.now() + n.gossip.membership().tickIntervalNanos(), () -> tick(n, life));
+    agenda.at(agenda.now() + n.gossip.membership().tickIntervalNanos(), () -> tick(n, runNumber));
   }
 
   private void deliver(Node from, long at, byte[] bytes) {
@@ -229,7 +235,7 @@
     }
     int times = random.nextDouble() < copies ? 2 : 1;
     for (int i = 0; i < times; i++) {
-      long delay = DELAY + random.nextLong(DELAY) + extraDelay.applyAsLong(from, to);
+      long delay = MIN_DELAY + random.nextLong(MIN_DELAY) + extraDelay.applyAsLong(from, to);
       delay += from.slow ? random.nextLong(period / 2) : 0;
       delay += to.slow ? random.nextLong(period / 2) : 0;
       delay += random.nextDouble() < delayed ? random.nextLong(SECOND) : 0;
@@ -242,7 +248,7 @@
       return;
     }
     if (agenda.now() < to.stalledUntil) {
-      if (to.waiting.size() < 64) { // what a socket's buffer holds
+      if (to.waiting.size() < 64) { // datagrams in a socket's receive buffer
         to.waiting.add(() -> arrive(from, to, bytes));
       }
       return;
@@ -250,37 +256,38 @@
     to.receivedBytes += bytes.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES;
     to.receivedDatagrams++;
     try {
-      byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + GossipCodec.SIGNATURE_BYTES);
-      var head = GossipCodec.decodeHeader(whole);
-      Packet p = GossipCodec.decodeContent(whole, head);
-      if (head.envelope().certificate().isEmpty() && !to.known.contains(p.sender())) {
-        return; // its sender can't be proved
+      byte[] datagram = java.util.Arrays.copyOf(bytes, bytes.length + GossipCodec.SIGNATURE_BYTES);
+      var header = GossipCodec.decodeHeader(datagram);
+      Packet p = GossipCodec.decodeContent(datagram, header);
+      if (header.envelope().certificate().isEmpty() && !to.known.contains(p.sender())) {
+        return; // the sender's certificate is unknown, so the signature can't be verified
       }
       to.known.add(p.sender());
-      if (head.envelope().knownCertificate() != 0) {
-        to.knowsMe.add(p.sender());
+      if (header.envelope().knownCertificate() != 0) {
+        to.knowsCertificate.add(p.sender());
       } else {
-        to.knowsMe.remove(p.sender());
+        to.knowsCertificate.remove(p.sender());
       }
       to.gossip.receive(to.clock(), p);
     } catch (RejectedDatagramException e) {
-      throw new IllegalStateException("an honest datagram can't be read: " + e.reason(), e);
+      throw new IllegalStateException(
+          "the codec rejected a well-formed datagram: " + e.reason(), e);
     }
   }
 
-  /** Plays on for that long. */
-  public void run(long time) {
-    long until = agenda.now() + time;
+  /** Runs the simulation for the given nanoseconds. */
+  public void run(long duration) {
+    long until = agenda.now() + duration;
     while (agenda.now() < until) {
       agenda.runUntil(Math.min(until, agenda.now() + period / 2));
-      look();
+      countFalseDeaths();
     }
   }
 
-  private final Set<Long> dead = new HashSet<>();
+  private final Set<Long> heldDead = new HashSet<>();
 
-  /** Counts each time that somebody holds a live instance for dead, once until it is taken back. */
-  private void look() {
+  /** Counts each live instance that an instance holds dead, once until it is refuted. */
+  private void countFalseDeaths() {
     for (Node n : nodes) {
       if (!n.up) {
         continue;
@@ -289,23 +296,23 @@
         Node of = byAddress.get(m.address());
         long pair = n.address << Integer.SIZE ^ m.address();
         if (m.state() == MemberState.DEAD && of != null && of.up) {
-          falseDeaths += dead.add(pair) ? 1 : 0;
-        } else if (!dead.isEmpty()) {
-          dead.remove(pair);
+          falseDeaths += heldDead.add(pair) ? 1 : 0;
+        } else if (!heldDead.isEmpty()) {
+          heldDead.remove(pair);
         }
       }
     }
   }
 
-  /** How many live instances hold that one in the given state or worse. */
-  public int countHolding(Node of, MemberState state) {
+  /** Returns how many live instances hold an instance in the given state or a worse one. */
+  public int countHolding(Node subject, MemberState state) {
     int count = 0;
     for (Node n : nodes) {
       boolean holds =
           n.up
               && n.gossip
                   .membership()
-                  .member(of.name)
+                  .member(subject.name)
                   .filter(m -> m.state().ordinal() >= state.ordinal())
                   .isPresent();
       count += holds ? 1 : 0;
@@ -313,13 +320,13 @@
     return count;
   }
 
-  /** Whether each live instance holds exactly the live ones for present. */
+  /** Returns whether each live instance's members are exactly as many as the live instances. */
   public boolean agreed() {
     long live = nodes.stream().filter(n -> n.up).count();
     return nodes.stream().filter(n -> n.up).allMatch(n -> n.gossip.membership().size() == live);
   }
 
-  /** The most bytes that any instance sent in any second, of the honest ones or of the liars. */
+  /** Returns the most bytes that an honest instance, or a liar, sent in any second. */
   public long maxBytesPerSecond(boolean liars) {
     return nodes.stream()
         .filter(n -> n.liar == liars)
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
@@ -12,29 +12,34 @@
 import reachloom.membership.MemberState;
 import reachloom.peerreport.PeerReport;
 
-/** One run of the gossip experiment in simulated time: what was asked for, and what came of it. */
+/** Runs the gossip experiment once in simulated time and collects its figures. */
 public final class VirtualRun {
   private static final long SECOND = VirtualCluster.SECOND;
   private static final long STEP = SECOND / 10;
   private static final int SEEDS = 3;
-  private static final int LONGEST_START = 180; // periods until all know each other
-  private static final double KNOWN = 0.99; // share of the members that must hold a crash for known
+  private static final int MAX_SETTLE_PERIODS = 180; // until all instances know each other
+  /** A crash is known when this share of the live members holds the instance dead. */
+  private static final double KNOWN_SHARE = 0.99;
 
-  /** How a peer lies about engines. */
+
+  /** The false reports that a lying instance sends about engines. */
   public enum Lie {
-    /** One healthy engine is bad. */
+    /** Reports one healthy engine as bad. */
     ONE,
-    /** All engines are bad. */
+    /** Reports all engines as bad. */
     ALL,
-    /** All but one are bad. */
+    /** Reports all engines but one as bad. */
     FRIEND,
-    /** One is bad, and well again, in turns of two seconds. */
+    /** Reports one engine as bad in every other interval of two seconds. */
     FLAP,
-    /** The sick ones are well. */
+    /** Reports sick engines as healthy. */
     PRAISE
   }
 
-  /** What is asked for; shares are from 0 to 1, the rate in queries a second at each. */
+  /**
+   * The parameters of a run. Shares are from 0 to 1, {@code period} is in nanoseconds, {@code cap}
+   * in bytes a second and {@code rate} in queries a second at each instance.
+   */
   public record Plan(
       int instances,
       int engines,
@@ -55,25 +60,25 @@
   private final Plan plan;
   private final Map<String, Object> result = new LinkedHashMap<>();
 
-  /** A run that has not been played. */
+  /** Creates a run that has not started. */
   public VirtualRun(Plan plan) {
     this.plan = plan;
   }
 
-  /** Plays it; gives its figures by name, in order. */
+  /** Executes the run; returns its figures by name, in order. */
   public Map<String, Object> play() {
     VirtualCluster cluster = settled();
     VirtualService service =
         plan.engines > 0
             ? new VirtualService(cluster, plan.engines, true, plan.seed, plan.rate)
             : null;
-    lie(cluster, service);
-    spoil(cluster);
+    makeLiars(cluster, service);
+    slowInstances(cluster);
     long falseBefore = cluster.falseDeaths;
     cluster.run(plan.seconds * SECOND / 4);
-    sicken(service);
-    crashes(cluster);
-    joins(cluster);
+    makeEnginesSick(service);
+    crashInstances(cluster);
+    joinInstances(cluster);
     cluster.run(plan.seconds * SECOND);
     result.put("false_dead", cluster.falseDeaths - falseBefore);
     result.put("bytes_per_s_max", cluster.maxBytesPerSecond(false));
@@ -88,27 +93,27 @@
     return result;
   }
 
-  /** A cluster in which all know each other, and the time that this took. */
+  /** Returns a cluster in which all instances know each other, and records how long it took. */
   private VirtualCluster settled() {
     VirtualCluster c = new VirtualCluster(plan.seed, plan.period, plan.cap, plan.loss);
     c.add(plan.instances, SEEDS);
     int periods = 0;
-    while (!c.agreed() && periods++ < LONGEST_START) {
+    while (!c.agreed() && periods++ < MAX_SETTLE_PERIODS) {
       c.run(plan.period);
     }
     result.put("settled_periods", c.agreed() ? periods : -1);
     return c;
   }
 
-  private void spoil(VirtualCluster c) {
+  private void slowInstances(VirtualCluster c) {
     int slow = (int) Math.round(plan.slow * plan.instances);
     for (int i = 0; i < slow; i++) {
       c.nodes.get(plan.instances - 1 - i).slow = true;
     }
   }
 
-  /** Liars speak of engines as they like; with collusion all of the same one. */
-  private void lie(VirtualCluster c, VirtualService service) {
+  /** Makes instances lie about engines; with collusion all lie about the same engine. */
+  private void makeLiars(VirtualCluster c, VirtualService service) {
     if (service == null) {
       return;
     }
@@ -127,43 +132,46 @@
                   p.incarnation(),
                   p.message(),
                   p.updates(),
-                  claims(engines, engines.get(target), c.agenda.now()),
+                  falseReports(engines, engines.get(target), c.agenda.now()),
                   p.revisionMessages());
     }
   }
 
-  private List<PeerReport> claims(List<String> engines, String target, long now) {
-    List<PeerReport> told = new ArrayList<>();
-    boolean odd = now / (2 * SECOND) % 2 == 1;
-    for (String e : engines.subList(0, Math.min(engines.size(), MAX_CLAIMS))) {
+  private List<PeerReport> falseReports(List<String> engines, String target, long now) {
+    List<PeerReport> reports = new ArrayList<>();
+    boolean oddInterval = now / (2 * SECOND) % 2 == 1;
+    for (String e : engines.subList(0, Math.min(engines.size(), MAX_FALSE_REPORTS))) {
       boolean bad =
           switch (plan.lie) {
             case ONE -> e.equals(target);
             case ALL -> true;
             case FRIEND -> !e.equals(target);
-            case FLAP -> e.equals(target) && odd;
+            case FLAP -> e.equals(target) && oddInterval;
             case PRAISE -> false;
           };
-      boolean spoken = bad || plan.lie == Lie.PRAISE || plan.lie == Lie.FRIEND;
-      if (spoken) {
-        told.add(new PeerReport(e, 0, bad ? 0 : 50, 0, bad ? 50 : 0, 0));
+      boolean reported = bad || plan.lie == Lie.PRAISE || plan.lie == Lie.FRIEND;
+      if (reported) {
+        reports.add(new PeerReport(e, 0, bad ? 0 : 50, 0, bad ? 50 : 0, 0));
       }
     }
-    return told;
+    return reports;
   }
 
-  private static final int MAX_CLAIMS = 16;
+  private static final int MAX_FALSE_REPORTS = 16;
 
-  private void sicken(VirtualService service) {
+  private void makeEnginesSick(VirtualService service) {
     for (int i = 0; service != null && i < plan.sick; i++) {
       service.sick(service.names().get(i), true);
     }
   }
 
-  /** Instances crash one after another; how soon it is seen, and how soon known. */
-  private void crashes(VirtualCluster c) {
-    List<Double> seen = new ArrayList<>();
-    List<Double> spread = new ArrayList<>();
+  /**
+   * Crashes instances one after another; measures the time until the first suspicion and until the
+   * crash is known.
+   */
+  private void crashInstances(VirtualCluster c) {
+    List<Double> detectPeriods = new ArrayList<>();
+    List<Double> spreadPeriods = new ArrayList<>();
     SplittableRandom random = new SplittableRandom(plan.seed + 1);
     Set<Node> down = new LinkedHashSet<>();
     for (int i = 0; i < plan.down; i++) {
@@ -175,49 +183,52 @@
       long at = c.agenda.now();
       long first = -1;
       long live = c.nodes.stream().filter(x -> x.up).count();
-      while (c.agenda.now() < at + LONGEST_START * plan.period
-          && c.countHolding(n, MemberState.DEAD) < KNOWN * live) {
+      while (c.agenda.now() < at + MAX_SETTLE_PERIODS * plan.period
+          && c.countHolding(n, MemberState.DEAD) < KNOWN_SHARE * live) {
         c.run(STEP);
         first = first < 0 && c.countHolding(n, MemberState.SUSPECT) > 0 ? c.agenda.now() : first;
       }
-      seen.add((first - at) / (double) plan.period);
-      spread.add((c.agenda.now() - first) / (double) plan.period);
+      detectPeriods.add((first - at) / (double) plan.period);
+      spreadPeriods.add((c.agenda.now() - first) / (double) plan.period);
     }
-    result.put("detect_periods_mean", round(seen.stream().mapToDouble(x -> x).average().orElse(0)));
-    result.put("detect_periods_p99", round(highest(seen)));
-    result.put("spread_periods_p99", round(highest(spread)));
+    result.put(
+        "detect_periods_mean",
+        round(detectPeriods.stream().mapToDouble(x -> x).average().orElse(0)));
+    result.put("detect_periods_p99", round(highest(detectPeriods)));
+    result.put("spread_periods_p99", round(highest(spreadPeriods)));
   }
 
-  /** Of so few values the 99th percentile is the largest. */
+  /** Returns the largest value, which is the 99th percentile of so few values. */
   private static double highest(List<Double> values) {
     return values.stream().mapToDouble(x -> x).max().orElse(0);
   }
 
-  private void joins(VirtualCluster c) {
+  /** Lets instances join at once; measures the periods until all instances agree. */
+  private void joinInstances(VirtualCluster c) {
     if (plan.join == 0) {
       return;
     }
     c.add(plan.join, SEEDS);
     int periods = 0;
-    while (!c.agreed() && periods++ < LONGEST_START) {
+    while (!c.agreed() && periods++ < MAX_SETTLE_PERIODS) {
       c.run(plan.period);
     }
     result.put("join_periods", c.agreed() ? periods : -1);
   }
 
-  /** The same arrivals with gossip off, and with all honest. */
+  /** Repeats the run with gossip off, and without liars, with the same arrivals. */
   private void compare(VirtualService service) {
     result.put("asked", service.asked());
     result.put("service", round(service.service()));
     result.put("lost_to_sick", service.lostToSick());
-    VirtualService alone = other(false, 0);
-    result.put("service_alone", round(alone.service()));
-    result.put("lost_to_sick_alone", alone.lostToSick());
+    VirtualService withoutGossip = repeat(false, 0);
+    result.put("service_alone", round(withoutGossip.service()));
+    result.put("lost_to_sick_alone", withoutGossip.lostToSick());
     result.put(
-        "service_honest", round(plan.liars == 0 ? service.service() : other(true, 0).service()));
+        "service_honest", round(plan.liars == 0 ? service.service() : repeat(true, 0).service()));
   }
 
-  private VirtualService other(boolean gossip, int liars) {
+  private VirtualService repeat(boolean gossip, int liars) {
     Plan p =
         new Plan(
             plan.instances,
@@ -238,11 +249,11 @@
     VirtualRun run = new VirtualRun(p);
     VirtualCluster c = run.settled();
     VirtualService s = new VirtualService(c, p.engines, gossip, p.seed, p.rate);
-    run.spoil(c);
+    run.slowInstances(c);
     c.run(p.seconds * SECOND / 4);
-    run.sicken(s);
-    run.crashes(c);
-    run.joins(c);
+    run.makeEnginesSick(s);
+    run.crashInstances(c);
+    run.joinInstances(c);
     c.run(p.seconds * SECOND);
     return s;
   }
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -27,20 +27,19 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * Engines and queries beside the gossip of a {@link VirtualCluster}: each instance hosts the real
- * decision module and gets queries of its own. Engines share their cores among what runs; a sick
- * one takes queries and says nothing more. With gossip off, the same arrivals meet the same
- * engines.
+ * Adds engines and queries to a {@link VirtualCluster}: each instance hosts the real scheduler and
+ * receives its own queries. An engine shares its cores among the running queries; a sick engine
+ * accepts queries and never answers. With gossip off, the arrivals and the engines are the same.
  */
 final class VirtualService {
   private static final long SECOND = VirtualCluster.SECOND;
-  private static final long MILLISECOND = 1_000_000;
-  private static final long AIM = SECOND / 2;
+  private static final long MILLISECOND = 1_000_000; // nanoseconds
+  private static final long GOAL_TIME = SECOND / 2;
   private static final long DEADLINE = 2 * SECOND;
   private static final int CORES = 8;
-  private static final double MEAN_SECONDS = 0.05;
-  private static final long NOTES = 500 * MILLISECOND;
-  private static final double LONGEST = 6; // means
+  private static final double MEAN_RUN_SECONDS = 0.05;
+  private static final long PROGRESS_PERIOD = 500 * MILLISECOND;
+  private static final double MAX_RUN_TIME = 6; // multiples of the mean
 
   private static final class Engine {
     private final String name;
@@ -53,25 +52,25 @@
   }
 
   /** One attempt of a query. */
-  private static final class Try {
+  private static final class Attempt {
     private final Engine engine;
     private final long sentAt;
-    private boolean over;
+    private boolean ended;
 
-    Try(Engine engine, long sentAt) {
+    Attempt(Engine engine, long sentAt) {
       this.engine = engine;
       this.sentAt = sentAt;
     }
   }
 
-  private static final class Open {
+  private static final class OpenQuery {
     private final String id;
     private final long arrivedAt;
-    private final List<Try> tries = new ArrayList<>();
-    private boolean over;
-    private boolean metSick;
+    private final List<Attempt> attempts = new ArrayList<>();
+    private boolean ended;
+    private boolean sentToSick;
 
-    Open(String id, long arrivedAt) {
+    OpenQuery(String id, long arrivedAt) {
       this.id = id;
       this.arrivedAt = arrivedAt;
     }
@@ -81,62 +80,63 @@
   private final boolean gossip;
   private final double rate;
   private final Map<String, Engine> engines = new LinkedHashMap<>();
-  private final List<Front> fronts = new ArrayList<>();
-  private int gateways;
+  private final List<Gateway> gateways = new ArrayList<>();
+  private int gatewayCount;
   private long asked;
   private long servedInTime;
   private long lostToSick;
 
-  /** Engines and queries for all instances of the cluster; they start now. */
+  /** Adds engines and queries to all instances of the cluster and starts them. */
   VirtualService(VirtualCluster cluster, int engineCount, boolean gossip, long seed, int rate) {
     this.cluster = cluster;
     this.gossip = gossip;
     this.rate = rate;
-    gateways = cluster.nodes.size();
+    gatewayCount = cluster.nodes.size();
     for (int i = 0; i < engineCount; i++) {
       engines.put(
           "s-" + String.format("%08x", i + 1), new Engine("s-" + String.format("%08x", i + 1)));
     }
     SplittableRandom seeds = new SplittableRandom(seed);
     for (VirtualCluster.Node n : cluster.nodes) {
-      Front f = new Front(n, seeds.nextLong());
-      fronts.add(f);
+      Gateway gateway = new Gateway(n, seeds.nextLong());
+      gateways.add(gateway);
       n.peerReports =
           gossip
-              ? (e, level) -> f.choice.onPeerReport(cluster.agenda.now(), e, level)
+              ? (e, level) -> gateway.scheduler.onPeerReport(cluster.agenda.now(), e, level)
               : (e, level) -> {};
     }
-    fronts.forEach(Front::start);
+    gateways.forEach(Gateway::start);
   }
 
-  /** The names of the engines, in order. */
+  /** Returns the names of the engines, in order. */
   List<String> names() {
     return List.copyOf(engines.keySet());
   }
 
-  /** An engine takes queries and says nothing more, or is well again. */
-  void sick(String engine, boolean now) {
-    engines.get(engine).sick = now;
+  /** Makes an engine accept queries without answering them, or makes it healthy again. */
+  void sick(String engine, boolean sick) {
+    engines.get(engine).sick = sick;
   }
 
-  /** The share of queries served within the time wanted. */
+  /** Returns the share of queries that were served within the goal time. */
   double service() {
     return asked == 0 ? 1 : (double) servedInTime / asked;
   }
 
-  /** Queries that were sent to a sick engine, and not served within the time wanted. */
+  /** Returns the queries that were sent to a sick engine and not served within the goal time. */
   long lostToSick() {
     return lostToSick;
   }
 
+  /** Returns the number of queries that arrived. */
   long asked() {
     return asked;
   }
 
   private SchedulerSettings settings(int self) {
-    QueryClass one =
+    QueryClass queryClass =
         new QueryClass(
-            AIM,
+            GOAL_TIME,
             0,
             DEADLINE,
             1,
@@ -152,7 +152,7 @@
             false,
             false);
     return new SchedulerSettings(
-        gateways,
+        gatewayCount,
         self,
         0,
         false,
@@ -161,24 +161,24 @@
         0,
         0,
         0.1,
-        List.of(one),
+        List.of(queryClass),
         List.of(new EngineKind(CORES, 0)),
         List.of(new TenantQuota(0)),
         new SchedulerLimits(4, true, false, false, true, SECOND),
         new SchedulingRules(20 * MILLISECOND, 0.3, 0, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
-        new EngineCapabilities(false, false, false, NOTES, 0.5, OvercommitPolicy.WAIT));
+        new EngineCapabilities(false, false, false, PROGRESS_PERIOD, 0.5, OvercommitPolicy.WAIT));
   }
 
-  /** One gateway's decisions, and what they act on. */
-  private final class Front implements SchedulerActions {
+  /** One gateway's scheduler, and the queries and engines that it acts on. */
+  private final class Gateway implements SchedulerActions {
     private final VirtualCluster.Node node;
-    private final QueryScheduler choice = new QueryScheduler(this);
-    private final Map<String, Open> open = new LinkedHashMap<>();
+    private final QueryScheduler scheduler = new QueryScheduler(this);
+    private final Map<String, OpenQuery> open = new LinkedHashMap<>();
     private final SplittableRandom arrivals;
     private final SplittableRandom times;
     private long count;
 
-    Front(VirtualCluster.Node node, long seed) {
+    Gateway(VirtualCluster.Node node, long seed) {
       this.node = node;
       arrivals = new SplittableRandom(seed);
       times = arrivals.split();
@@ -189,8 +189,8 @@
     }
 
     void start() {
-      choice.onStart(now(), times.nextLong(), settings(fronts.indexOf(this)));
-      choice.onEndpoints(
+      scheduler.onStart(now(), times.nextLong(), settings(gateways.indexOf(this)));
+      scheduler.onEndpoints(
           now(),
           true,
           engines.values().stream()
@@ -199,62 +199,64 @@
       if (gossip) {
         engines.keySet().forEach(e -> node.gossip.addEngine(e, 0));
       }
-      next();
+      scheduleArrival();
     }
 
-    private void next() {
+    private void scheduleArrival() {
       long gap = (long) (-Math.log(1 - arrivals.nextDouble()) / rate * SECOND);
       cluster.agenda.at(
           now() + gap,
           () -> {
             if (node.up) {
-              Open o = new Open(node.name + "-" + count++, now());
+              OpenQuery o = new OpenQuery(node.name + "-" + count++, now());
               open.put(o.id, o);
               asked++;
-              choice.onQuery(now(), new Query(o.id, 0, 0, null, DEADLINE, 0, 0, -1, false));
+              scheduler.onQuery(now(), new Query(o.id, 0, 0, null, DEADLINE, 0, 0, -1, false));
             }
-            next();
+            scheduleArrival();
           });
     }
 
-    private void settle(Open o, boolean served) {
-      o.over = true;
-      boolean inTime = served && now() - o.arrivedAt <= AIM;
+    private void endQuery(OpenQuery o, boolean served) {
+      o.ended = true;
+      boolean inTime = served && now() - o.arrivedAt <= GOAL_TIME;
       servedInTime += inTime ? 1 : 0;
-      lostToSick += o.metSick && !inTime ? 1 : 0;
-      drop(o);
+      lostToSick += o.sentToSick && !inTime ? 1 : 0;
+      removeIfEnded(o);
     }
 
-    private void drop(Open o) {
-      if (o.over && o.tries.stream().allMatch(t -> t.over)) {
+    private void removeIfEnded(OpenQuery o) {
+      if (o.ended && o.attempts.stream().allMatch(t -> t.ended)) {
         open.remove(o.id);
       }
     }
 
     @Override
     public void forward(String query, String engine, long timeout) {
-      Open o = open.get(query);
+      OpenQuery o = open.get(query);
       Engine e = engines.get(engine);
-      int number = o.tries.size();
-      Try t = new Try(e, now());
-      o.tries.add(t);
-      o.metSick |= e.sick;
+      int number = o.attempts.size();
+      Attempt t = new Attempt(e, now());
+      o.attempts.add(t);
+      o.sentToSick |= e.sick;
       cluster.agenda.at(
-          o.arrivedAt + DEADLINE - DEADLINE / 20, () -> end(o, number, AttemptOutcome.TIMEOUT));
+          o.arrivedAt + DEADLINE - DEADLINE / 20,
+          () -> endAttempt(o, number, AttemptOutcome.TIMEOUT));
       if (e.sick) {
         return;
       }
       e.running++;
       double slow = Math.max(1, (double) e.running / CORES);
-      double time = Math.min(-Math.log(1 - times.nextDouble()), LONGEST) * MEAN_SECONDS * slow;
+      double multiple = Math.min(-Math.log(1 - times.nextDouble()), MAX_RUN_TIME);
+      double time = multiple * MEAN_RUN_SECONDS * slow;
       long until = now() + (long) (time * SECOND);
-      for (long at = now() + NOTES; at < until; at += NOTES) {
+      for (long at = now() + PROGRESS_PERIOD; at < until; at += PROGRESS_PERIOD) {
         double done = (double) (at - t.sentAt) / (until - t.sentAt);
         cluster.agenda.at(
             at,
             () -> {
-              if (!t.over) {
-                choice.onProgress(
+              if (!t.ended) {
+                scheduler.onProgress(
                     now(), new ProgressReport(o.id, number, engine, ProgressKind.PROGRESS, done));
               }
             });
@@ -264,18 +266,18 @@
           () -> {
             e.running--;
             if (!e.sick) {
-              end(o, number, AttemptOutcome.SERVED);
+              endAttempt(o, number, AttemptOutcome.SERVED);
             }
           });
     }
 
-    private void end(Open o, int number, AttemptOutcome outcome) {
-      Try t = o.tries.get(number);
-      if (t.over) {
+    private void endAttempt(OpenQuery o, int number, AttemptOutcome outcome) {
+      Attempt t = o.attempts.get(number);
+      if (t.ended) {
         return;
       }
-      t.over = true;
-      if (gossip && (!o.over || outcome == AttemptOutcome.SERVED)) {
+      t.ended = true;
+      if (gossip && (!o.ended || outcome == AttemptOutcome.SERVED)) {
         node.gossip.recordOutcome(
             node.clock(),
             t.engine.name,
@@ -283,21 +285,21 @@
                 ? OutcomeWindow.Observation.SERVED
                 : OutcomeWindow.Observation.TIMED_OUT);
       }
-      if (outcome == AttemptOutcome.SERVED && !o.over) {
-        settle(o, true);
+      if (outcome == AttemptOutcome.SERVED && !o.ended) {
+        endQuery(o, true);
       }
-      choice.onAttemptEnded(
+      scheduler.onAttemptEnded(
           now(),
           new AttemptResult(
-              o.id, number, t.engine.name, outcome, now() - t.sentAt, o.over, 0, 0, null));
-      drop(o);
+              o.id, number, t.engine.name, outcome, now() - t.sentAt, o.ended, 0, 0, null));
+      removeIfEnded(o);
     }
 
     @Override
     public void cancelAttempt(String query, int attempt) {
-      Open o = open.get(query);
+      OpenQuery o = open.get(query);
       if (o != null) {
-        cluster.agenda.at(now(), () -> end(o, attempt, AttemptOutcome.CANCELLED));
+        cluster.agenda.at(now(), () -> endAttempt(o, attempt, AttemptOutcome.CANCELLED));
       }
     }
 
@@ -308,20 +310,20 @@
 
     @Override
     public void fail(String query) {
-      Open o = open.get(query);
-      if (o != null && !o.over) {
-        settle(o, false);
+      OpenQuery o = open.get(query);
+      if (o != null && !o.ended) {
+        endQuery(o, false);
       }
     }
 
     @Override
     public void setTimer(long delay, long token) {
-      cluster.agenda.at(now() + delay, () -> choice.onTimer(now(), token));
+      cluster.agenda.at(now() + delay, () -> scheduler.onTimer(now(), token));
     }
 
     @Override
     public void setResources(String query, double grantMb, int priority) {
-      // These engines heed neither.
+      // These engines use neither value.
     }
 
     @Override
@@ -336,7 +338,7 @@
 
     @Override
     public void log(String line) {
-      // Nothing is read from it.
+      // The log is not read.
     }
   }
 }
--- a/lab/src/main/java/reachloom/lab/gossip/package-info.java
+++ b/lab/src/main/java/reachloom/lab/gossip/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Gossip under a simulated clock and network, and on loopback sockets: what failures do to it,
- * measured.
+ * Measures gossip under failures, with a simulated clock and network and on loopback sockets.
  */
 package reachloom.lab.gossip;
