--- a/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/GossipSocketsTest.java
@@ -39,10 +39,10 @@
 import reachloom.scheduler.api.EngineEndpoint;
 import reachloom.scheduler.api.EngineState;
 
-/** Gossip on real sockets, keys and certificates, all on loopback. */
+/** Tests gossip with real sockets, keys and certificates on loopback. */
 class GossipSocketsTest {
-  private static final long PERIOD = 100_000_000; // nanoseconds
-  private static final int CAP = 65_536;
+  private static final long PERIOD_NANOS = 100_000_000;
+  private static final int CAP = 65_536; // bytes a second
   private static final String ENGINE = "s-00000001";
 
   @TempDir Path folder;
@@ -51,18 +51,19 @@
     private final EventLoop loop = new EventLoop();
     private final InetSocketAddress listen;
     private final GossipNode node;
-    private final ConcurrentLinkedQueue<Double> hearsay = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Double> peerReportLevels = new ConcurrentLinkedQueue<>();
 
     Instance(String name, String... authorities) throws Exception {
       this(
           installation.settings(
-              name, Installation.freeAddress(), PERIOD, CAP, seeds(), authorities));
+              name, Installation.freeAddress(), PERIOD_NANOS, CAP, seeds(), authorities));
     }
 
     Instance(GossipSettings s) throws Exception {
       listen = s.listen();
       node =
-          new GossipNode(loop, s, NodeIdentity.read(s), 7, (engine, level) -> hearsay.add(level));
+          new GossipNode(
+              loop, s, NodeIdentity.read(s), 7, (engine, level) -> peerReportLevels.add(level));
       Thread t = new Thread(loop);
       t.setDaemon(true);
       t.start();
@@ -83,12 +84,12 @@
       instances.add(this);
     }
 
-    void reload(GossipSettings again) throws Exception {
+    void reload(GossipSettings settings) throws Exception {
       CompletableFuture<Boolean> done = new CompletableFuture<>();
       loop.post(
           0,
           () -> {
-            node.reload(again);
+            node.reload(settings);
             done.complete(true);
           });
       done.get(10, TimeUnit.SECONDS);
@@ -152,11 +153,11 @@
                 }));
   }
 
-  private static void await(Predicate<Void> wanted) throws InterruptedException {
-    for (int i = 0; i < 400 && !wanted.test(null); i++) {
+  private static void await(Predicate<Void> condition) throws InterruptedException {
+    for (int i = 0; i < 400 && !condition.test(null); i++) {
       Thread.sleep(25);
     }
-    assertTrue(wanted.test(null));
+    assertTrue(condition.test(null));
   }
 
   private void awaitMembers(int count, Instance... of) throws InterruptedException {
@@ -179,11 +180,11 @@
     }
   }
 
-  /** A ping as that instance would sign it, at that time. */
+  /** Returns a ping signed by an instance, with the given time in its envelope. */
   private byte[] ping(String name, String cluster, long seq, long time, boolean certified)
       throws Exception {
     GossipSettings s =
-        installation.settings(name, Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
+        installation.settings(name, Installation.freeAddress(), PERIOD_NANOS, CAP, List.of(), "ca");
     NodeIdentity id = NodeIdentity.read(s);
     byte[] unsigned =
         GossipCodec.encode(
@@ -204,7 +205,7 @@
   }
 
   @Test
-  void instancesFindEachOtherShareWhatTheySawAndSayGoodBye() throws Exception {
+  void instancesJoinExchangePeerReportsAndLeave() throws Exception {
     Instance one = new Instance("g1", "ca");
     Instance two = new Instance("g2", "ca");
     Instance three = new Instance("g3", "ca");
@@ -214,22 +215,22 @@
         i.loop.post(0, () -> i.node.onAttemptEnded(ENGINE, AttemptOutcome.TIMEOUT, true));
       }
     }
-    await(x -> one.hearsay.stream().anyMatch(l -> l >= 0.5));
+    await(x -> one.peerReportLevels.stream().anyMatch(l -> l >= 0.5));
     String status = one.status("asker");
     assertTrue(status.contains("engine " + ENGINE) && status.contains("accused by g2,g3"), status);
     assertTrue(status.contains("member g2 127.0.0.1:" + two.listen.getPort() + " ALIVE"), status);
-    assertFalse(status.contains("member asker"), "who asks is no member");
+    assertFalse(status.contains("member asker"), "the status client is not a member");
     for (int k = 0; k < 3; k++) {
       one.loop.post(0, () -> one.node.onAttemptEnded(ENGINE, AttemptOutcome.SERVED, true));
     }
-    await(x -> one.hearsay.stream().reduce((a, b) -> b).orElse(1.0) == 0.0);
+    await(x -> one.peerReportLevels.stream().reduce((a, b) -> b).orElse(1.0) == 0.0);
     three.loop.post(0, three.node::stop);
     awaitMembers(2, one, two);
     assertTrue(one.status("asker").contains(" LEFT "));
   }
 
   @Test
-  void whatIsUnsignedForgedReplayedOldOrOfAnotherClusterIsRefusedAndCounted() throws Exception {
+  void rejectsAndCountsInvalidDatagramsByReason() throws Exception {
     Instance one = new Instance("g1", "ca");
     long now = System.currentTimeMillis();
     byte[] good = ping("g2", Installation.CLUSTER, 1, now, true);
@@ -255,9 +256,9 @@
     send(one.listen, new byte[GossipCodec.MAX_DATAGRAM_BYTES + 1]);
     send(one.listen, new byte[] {1, 2, 3});
     await(x -> refused(one, "FORM") == 2);
-    assertEquals(2, one.members(), "nothing of it made a member");
+    assertEquals(2, one.members(), "no rejected datagram added a member");
     send(one.listen, ping("g3", Installation.CLUSTER, 7, now - 10_000, true));
-    awaitMembers(3, one); // a clock ten seconds off is borne
+    awaitMembers(3, one); // a clock difference of ten seconds is accepted
   }
 
   private static long refused(Instance i, String reason) {
@@ -269,12 +270,12 @@
   }
 
   @Test
-  void nonsenseUnderAValidSignatureIsCountedAndHarmsNothing() throws Exception {
+  void rejectsUndecodableContentWithValidSignature() throws Exception {
     Instance one = new Instance("g1", "ca");
     GossipSettings s =
-        installation.settings("g2", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
+        installation.settings("g2", Installation.freeAddress(), PERIOD_NANOS, CAP, List.of(), "ca");
     NodeIdentity id = NodeIdentity.read(s);
-    byte[] signed =
+    byte[] unsigned =
         GossipCodec.encode(
             new DatagramEnvelope(
                 GossipCodec.clusterChecksum(Installation.CLUSTER),
@@ -283,15 +284,15 @@
                 Optional.ofNullable(id.encodedCertificate()),
                 0),
             new Packet("g2", 1, 1, new MembershipMessage.PayloadOnly(), List.of(), List.of()));
-    signed[signed.length - 7] = 77; // the kind of its message
-    byte[] whole = id.appendSignature(signed);
-    send(one.listen, whole);
+    unsigned[unsigned.length - 7] = 77; // an unknown kind of message
+    byte[] datagram = id.appendSignature(unsigned);
+    send(one.listen, datagram);
     await(x -> refused(one, "NONSENSE") == 1);
     assertEquals(1, one.members());
   }
 
   @Test
-  void aCertificateOfAnotherAuthorityOrTakenBackIsRefused() throws Exception {
+  void rejectsCertificateOfUnknownAuthorityAndRevokedCertificate() throws Exception {
     Installation.tool("ca", "--name", "other", "--out", installation.path("other").toString());
     installation.instance("g3", "other", 30);
     Instance one = new Instance("g1", "ca");
@@ -305,37 +306,38 @@
         installation.path("g2.crt").toString(),
         "--list",
         installation.path("revoked.txt").toString());
-    GossipSettings again =
-        installation.settings("g1", one.listen, PERIOD, CAP, List.of(), "ca", "other");
-    one.reload(again);
+    GossipSettings updated =
+        installation.settings("g1", one.listen, PERIOD_NANOS, CAP, List.of(), "ca", "other");
+    one.reload(updated);
     send(one.listen, ping("g3", Installation.CLUSTER, 2, System.currentTimeMillis(), true));
-    awaitMembers(3, one); // two authorities are trusted now: how one is replaced by another
+    awaitMembers(3, one); // both authorities are trusted while one replaces the other
     send(one.listen, ping("g2", Installation.CLUSTER, 2, System.currentTimeMillis(), true));
     await(x -> refused(one, "REVOKED") == 1);
   }
 
   @Test
-  void keysAreReplacedWithoutARestart() throws Exception {
+  void replacesKeyWithoutRestart() throws Exception {
     Instance one = new Instance("g1", "ca");
     Instance two = new Instance("g2", "ca");
     awaitMembers(2, one, two);
     Files.delete(installation.path("g2.key"));
     Files.delete(installation.path("g2.pub"));
     installation.instance("g2", "ca", 30);
-    GossipSettings again = installation.settings("g2", two.listen, PERIOD, CAP, seeds(), "ca");
-    two.reload(again);
-    Thread.sleep(2_500); // longer than it takes to give up one that can't be understood
+    GossipSettings updated =
+        installation.settings("g2", two.listen, PERIOD_NANOS, CAP, seeds(), "ca");
+    two.reload(updated);
+    Thread.sleep(2_500); // longer than it takes to remove a member whose datagrams are rejected
     assertEquals(2, one.members());
     assertTrue(
         one.status("asker").contains("member g2 127.0.0.1:" + two.listen.getPort() + " ALIVE"));
   }
 
   @Test
-  void aKeyThatOthersMayReadOrThatIsAnothersIsRefused() throws Exception {
+  void rejectsKeyReadableByOthersOrNotOfCertificate() throws Exception {
     Files.setPosixFilePermissions(
         installation.path("g1.key"), PosixFilePermissions.fromString("rw-r--r--"));
     GossipSettings s =
-        installation.settings("g1", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
+        installation.settings("g1", Installation.freeAddress(), PERIOD_NANOS, CAP, List.of(), "ca");
     assertTrue(
         assertThrows(ConfigException.class, () -> NodeIdentity.read(s))
             .getMessage()
@@ -343,7 +345,7 @@
     Files.copy(installation.path("g2.crt"), installation.path("x.crt"));
     Files.copy(installation.path("g3.key"), installation.path("x.key"));
     GossipSettings mixed =
-        installation.settings("x", Installation.freeAddress(), PERIOD, CAP, List.of(), "ca");
+        installation.settings("x", Installation.freeAddress(), PERIOD_NANOS, CAP, List.of(), "ca");
     assertTrue(
         assertThrows(ConfigException.class, () -> NodeIdentity.read(mixed))
             .getMessage()
@@ -351,7 +353,7 @@
   }
 
   @Test
-  void theToolRefusesToWriteOverKeysAndTellsWhatIsMissing() throws Exception {
+  void toolRejectsOverwritingKeysAndNamesMissingArguments() throws Exception {
     assertTrue(
         assertThrows(
                 IOException.class,
@@ -373,6 +375,6 @@
                 .findFirst()
                 .orElseThrow()
                 .replaceAll("\\D", ""));
-    assertTrue(bytes < 260, bytes + " bytes go with each first datagram");
+    assertTrue(bytes < 260, bytes + " bytes of certificate in each first datagram");
   }
 }
--- a/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
@@ -12,16 +12,16 @@
 import reachloom.lab.gossip.VirtualRun.Plan;
 import reachloom.membership.MemberState;
 
-/** The failures that membership and evidence are for, brought about in simulated time. */
+/** Tests membership and peer reports under failures in simulated time. */
 class VirtualClusterTest {
   private static final long SECOND = VirtualCluster.SECOND;
-  private static final int CAP = 4_096;
+  private static final int CAP = 4_096; // bytes a second
 
   /**
-   * Queries a second at each gateway that keep engines six tenths busy: then it matters where they
-   * go.
+   * Queries a second at each gateway that keep engines 60% busy, so that the choice of an engine
+   * matters.
    */
-  private static final int LOADED = 200;
+  private static final int LOADED_RATE = 200;
 
   private static VirtualCluster settled(int instances, long seed, double loss) {
     VirtualCluster c = new VirtualCluster(seed, SECOND, CAP, loss);
@@ -29,7 +29,7 @@
     for (int i = 0; i < 90 && !c.agreed(); i++) {
       c.run(SECOND);
     }
-    assertTrue(c.agreed(), "all know each other");
+    assertTrue(c.agreed(), "all instances know each other");
     assertEquals(0, c.falseDeaths);
     return c;
   }
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void withLossAndSlowInstancesNobodyAliveIsGivenUpAndACrashIsFound() {
+  void detectsOnlyRealCrashUnderLossAndSlowInstances() {
     VirtualCluster c = settled(40, 1, 0.05);
     c.nodes.get(38).slow = true;
     c.nodes.get(39).slow = true;
@@ -56,18 +56,19 @@
   }
 
   @Test
-  void halvesThatLostEachOtherFindTogetherAgain() {
+  void mergesHalvesAfterNetworkCutHeals() {
     VirtualCluster c = settled(20, 2, 0);
     c.cut = (a, b) -> c.nodes.indexOf(a) < 10 != c.nodes.indexOf(b) < 10;
     c.run(60 * SECOND);
     assertTrue(
-        c.nodes.get(0).gossip.membership().size() <= 10, "each half holds the other for gone");
+        c.nodes.get(0).gossip.membership().size() <= 10,
+        "each half removes the members of the other half");
     c.cut = (a, b) -> false;
     awaitAgreement(c, 60);
   }
 
   @Test
-  void whoCanSpeakButNotHearDoesNotBringTheOthersDown() {
+  void refutesFalseSuspicionsOfInstanceThatReceivesNothing() {
     VirtualCluster c = settled(12, 3, 0);
     Node deaf = c.nodes.get(5);
     c.cut = (a, b) -> b == deaf;
@@ -80,12 +81,12 @@
                     n.gossip.membership().members().stream()
                         .allMatch(m -> m.name().equals(deaf.name) || m.state().present()))
             .count();
-    assertEquals(11, present, "what it says of the others is refuted");
-    assertTrue(deaf.gossip.membership().healthScore() > 0, "and it looks to itself");
+    assertEquals(11, present, "its suspicions of the other instances are refuted");
+    assertTrue(deaf.gossip.membership().healthScore() > 0, "its health score is raised");
   }
 
   @Test
-  void copiesAndLateDatagramsChangeNothing() {
+  void toleratesDuplicatedAndDelayedDatagrams() {
     VirtualCluster c = settled(20, 4, 0);
     c.copies = 0.2;
     c.delayed = 0.05;
@@ -95,7 +96,7 @@
   }
 
   @Test
-  void aGatewayThatStoodStillDeclaresNobodyDeadNorIsItself() {
+  void stalledInstanceCausesNoFalseDeath() {
     VirtualCluster c = settled(12, 5, 0);
     for (int i = 0; i < 10; i++) {
       c.nodes.get(i).stalledUntil = c.agenda.now() + 2 * SECOND;
@@ -106,7 +107,7 @@
   }
 
   @Test
-  void clocksApartDoNotMatterToMembership() {
+  void membershipIgnoresClockDifferences() {
     VirtualCluster c = new VirtualCluster(6, SECOND, CAP, 0);
     c.add(8, 3);
     c.nodes.get(4).skew = 10 * SECOND;
@@ -117,13 +118,13 @@
   }
 
   @Test
-  void aRestartUnderTheSameNameComesBackAlsoWithAClockSetBack() {
+  void rejoinsAfterRestartWithClockSetBack() {
     VirtualCluster c = settled(12, 7, 0);
     Node n = c.nodes.get(6);
     n.up = false;
     c.run(60 * SECOND);
     assertEquals(11, c.countHolding(n, MemberState.DEAD));
-    n.skew = -20 * SECOND; // its new incarnation is an old one
+    n.skew = -20 * SECOND; // its new incarnation is lower than its previous one
     c.start(n, 3);
     awaitAgreement(c, 60);
     assertEquals(
@@ -131,7 +132,7 @@
   }
 
   @Test
-  void aFarewellIsNoDeath() {
+  void removesLeavingMemberWithoutDeath() {
     VirtualCluster c = settled(12, 8, 0);
     Node n = c.nodes.get(6);
     n.gossip.leave(c.agenda.now());
@@ -145,7 +146,7 @@
   }
 
   @Test
-  void manyJoinAtOnceWithinTheCapAndWithoutAFalseDeath() {
+  void manyJoinAtOnceWithinCapWithoutFalseDeath() {
     VirtualCluster c = settled(20, 9, 0.01);
     c.add(80, 3);
     awaitAgreement(c, 60);
@@ -154,7 +155,7 @@
   }
 
   @Test
-  void atTheLeastCapTheFailureDetectorStillWorks() {
+  void detectsCrashAtMinimumCap() {
     VirtualCluster c = new VirtualCluster(10, SECOND, 1_024, 0);
     c.add(10, 3);
     awaitAgreement(c, 120);
@@ -175,36 +176,37 @@
   }
 
   @Test
-  void sharedEvidenceSavesQueriesFromSickEngines() {
+  void peerReportsReduceQueriesLostToSickEngines() {
     double lost = 0;
-    double alone = 0;
-    for (int seed = 1;
-        seed <= 6;
-        seed++) { // some twenty are lost in each: one run alone tells little
+    double lostWithoutGossip = 0;
+    // About twenty queries are lost in each run, too few for a comparison of single runs.
+    for (int seed = 1; seed <= 6; seed++) {
       Plan plan = new Plan(8, 16, 0, 2, 0, false, Lie.ALL, 0.01, 0, 0, 40, seed, CAP, SECOND, 20);
       Map<String, Object> figures = new VirtualRun(plan).play();
       lost += figure(figures, "lost_to_sick");
-      alone += figure(figures, "lost_to_sick_alone");
+      lostWithoutGossip += figure(figures, "lost_to_sick_alone");
       assertTrue(
           figure(figures, "service") >= figure(figures, "service_alone"), figures.toString());
     }
-    assertTrue(lost < 0.75 * alone, lost + " against " + alone);
+    assertTrue(lost < 0.75 * lostWithoutGossip, lost + " against " + lostWithoutGossip);
   }
 
   @Test
-  void liarsDoNextToNoHarm() {
+  void liarsHardlyReduceService() {
     for (Lie lie : Lie.values()) {
-      Map<String, Object> one = play(1, 1, false, lie, LOADED);
+      Map<String, Object> one = play(1, 1, false, lie, LOADED_RATE);
       assertTrue(figure(one, "service") >= figure(one, "service_alone") - 0.02, lie + " " + one);
-      Map<String, Object> three = play(1, 3, true, lie, LOADED);
+      Map<String, Object> three = play(1, 3, true, lie, LOADED_RATE);
       assertTrue(
           figure(three, "service") >= figure(three, "service_alone") - 0.05, lie + " " + three);
-      assertTrue(figure(three, "bytes_per_s_max") <= CAP, "the honest keep to the cap: " + three);
+      assertTrue(
+          figure(three, "bytes_per_s_max") <= CAP,
+          "honest instances stay within the cap: " + three);
     }
   }
 
   @Test
-  void theSameSeedGivesTheSameFigures() {
+  void sameSeedGivesSameFigures() {
     Plan plan = new Plan(10, 8, 1, 1, 1, false, Lie.FLAP, 0.05, 0.1, 5, 20, 4, CAP, SECOND, 20);
     assertEquals(
         List.copyOf(new VirtualRun(plan).play().entrySet()),
--- a/lab/src/test/java/reachloom/lab/slopes/Benchmarks.java
+++ b/lab/src/test/java/reachloom/lab/slopes/Benchmarks.java
@@ -13,9 +13,9 @@
 import javax.tools.ToolProvider;
 
 /**
- * Runs JMH's benchmarks: what its annotation processor writes goes to a folder of its own, which is
- * removed afterwards, so that no sources that nobody wrote lie in the tree. The arguments are
- * JMH's; the working directory is the module's.
+ * Runs the JMH benchmarks. The sources that JMH's annotation processor generates go to a temporary
+ * folder, which is deleted afterwards, so that the source tree contains no generated files. The
+ * arguments are those of JMH; the working directory is the module's.
  */
 public final class Benchmarks {
   private static final Path SOURCES = Path.of("src/test/java/reachloom/lab/slopes");
@@ -51,7 +51,7 @@
     }
     JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
     try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
-      boolean done =
+      boolean compiled =
           compiler
               .getTask(
                   null,
@@ -67,8 +67,8 @@
                   null,
                   files.getJavaFileObjectsFromPaths(benchmarks))
               .call();
-      if (!done) {
-        throw new IOException("the benchmarks in " + SOURCES + " can't be compiled");
+      if (!compiled) {
+        throw new IOException("the benchmarks in " + SOURCES + " do not compile");
       }
     }
   }
--- a/lab/src/test/java/reachloom/lab/slopes/ConfigurationSteps.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ConfigurationSteps.java
@@ -15,32 +15,32 @@
 import reachloom.standin.GatewayProcess;
 
 /**
- * How long a changed configuration takes into one process of the gateway, step by step: from the
- * signal (or, where that is ignored, from the file) to the log line that tells it was read, and to
- * the first word at the change log that it names. Wall-clock milliseconds; the file names one of
- * two change logs in turns.
+ * Measures how long one gateway process takes to apply a changed configuration, step by step: from
+ * the signal (or, if signals are ignored, from writing the file) to the log line that reports the
+ * reload, and to the first message at the change log that the configuration names. Times are
+ * wall-clock milliseconds; the file alternates between two change logs.
  */
 public final class ConfigurationSteps {
   private static final int[] SIZES = {60, 150, 300, 630};
-  private static final int TIMES = 20;
-  private static final int TIMES_BY_FILE = 8;
-  private static final long LONGEST = 30_000_000_000L; // nanoseconds
-  private static final String READ = "the configuration is read again";
+  private static final int REPETITIONS = 20;
+  private static final int REPETITIONS_WITHOUT_SIGNAL = 8;
+  private static final long TIMEOUT_NANOS = 30_000_000_000L;
+  private static final String RELOADED = "the configuration is read again";
 
   private ConfigurationSteps() {}
 
   public static void main(String[] args) throws Exception {
     Path folder = Files.createTempDirectory("reachloom-steps");
     try {
-      settings(folder);
+      measureSettings(folder);
       for (int engines : SIZES) {
-        play(folder, engines, List.of(), TIMES);
+        measure(folder, engines, List.of(), REPETITIONS);
       }
-      play(
+      measure(
           folder,
           SIZES[SIZES.length - 1],
           List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"),
-          TIMES_BY_FILE);
+          REPETITIONS_WITHOUT_SIGNAL);
     } finally {
       try (var files = Files.walk(folder)) {
         files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
@@ -48,11 +48,11 @@
     }
     System.out.printf(
         "load average %.1f%n", ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
-    System.exit(0); // the stand-ins' threads
+    System.exit(0); // the stand-ins' threads would keep the process alive
   }
 
-  /** The installation's settings alone: XML against the schema, in this process. */
-  private static void settings(Path folder) throws Exception {
+  /** Measures reading the settings file, which is validated against its schema, in this process. */
+  private static void measureSettings(Path folder) throws Exception {
     Installation installation = new Installation(folder);
     installation.instance("g1", "ca", 3);
     Path file =
@@ -61,79 +61,79 @@
                 "g1", Installation.freeAddress(), 1_000_000_000L, 4_096, List.of(), "ca"),
             "g1");
     var threads = ManagementFactory.getThreadMXBean();
-    double[] taken = new double[TIMES];
-    for (int i = 0; i < TIMES; i++) {
+    double[] millis = new double[REPETITIONS];
+    for (int i = 0; i < REPETITIONS; i++) {
       long before = threads.getCurrentThreadCpuTime();
       LocalSettings.read(file.toString(), Map.of());
-      taken[i] = (threads.getCurrentThreadCpuTime() - before) / 1e6;
+      millis[i] = (threads.getCurrentThreadCpuTime() - before) / 1e6;
     }
     System.out.printf(
         "settings file read, processor ms: first %.1f, then median %.1f%n",
-        taken[0], median(Arrays.copyOfRange(taken, 1, TIMES)));
+        millis[0], median(Arrays.copyOfRange(millis, 1, REPETITIONS)));
   }
 
-  private static void play(Path folder, int engines, List<String> before, int times)
+  private static void measure(Path folder, int engines, List<String> prefix, int times)
       throws Exception {
     InetSocketAddress[] addresses = new InetSocketAddress[engines];
-    Arrays.fill(addresses, new InetSocketAddress("127.0.0.1", 9)); // nobody is asked anything there
-    Path own = Files.createTempDirectory(folder, "gateway");
+    Arrays.fill(addresses, new InetSocketAddress("127.0.0.1", 9)); // receives no requests
+    Path gatewayFolder = Files.createTempDirectory(folder, "gateway");
     try (FakeChangeLog one = new FakeChangeLog(1);
         FakeChangeLog two = new FakeChangeLog(1)) {
       List<FakeChangeLog> logs = List.of(one, two);
       String text =
           GatewayProcess.config(GatewayProcess.freeAddress(), one.address(), addresses)
               .replace("\"probes\":true", "\"probes\":false");
-      try (GatewayProcess gateway = new GatewayProcess(own, text, before, List.of())) {
+      try (GatewayProcess gateway = new GatewayProcess(gatewayFolder, text, prefix, List.of())) {
         gateway.ready().close();
-        double[] read = new double[times];
-        double[] heard = new double[times];
+        double[] reloaded = new double[times];
+        double[] greeted = new double[times];
         for (int i = 0; i < times; i++) {
           FakeChangeLog next = logs.get((i + 1) % 2);
           int hellos = next.hellos.size();
-          long lines = lines(gateway.log);
-          long from = System.nanoTime();
+          long lines = countReloads(gateway.log);
+          long written = System.nanoTime();
           gateway.configure(
               text.replace(
                   ":" + one.address().getPort() + "\"", ":" + next.address().getPort() + "\""));
-          long begun = before.isEmpty() ? System.nanoTime() : from;
-          if (before.isEmpty()) {
+          long start = prefix.isEmpty() ? System.nanoTime() : written;
+          if (prefix.isEmpty()) {
             gateway.hangUp();
           }
-          await(() -> lines(gateway.log) > lines);
-          read[i] = (System.nanoTime() - begun) / 1e6;
+          await(() -> countReloads(gateway.log) > lines);
+          reloaded[i] = (System.nanoTime() - start) / 1e6;
           await(() -> next.hellos.size() > hellos);
-          heard[i] = (System.nanoTime() - begun) / 1e6;
-          Thread.sleep(137); // so that it does not stay in step with a clock that looks at the file
+          greeted[i] = (System.nanoTime() - start) / 1e6;
+          Thread.sleep(137); // avoids staying in step with the timer that polls the file
         }
         System.out.printf(
             "%s, %d engines, %d times, ms: read first %.0f, median %.0f, most %.0f; "
                 + "new change log greeted first %.0f, median %.0f, most %.0f%n",
-            before.isEmpty() ? "signal" : "file alone",
+            prefix.isEmpty() ? "signal" : "file alone",
             engines,
             times,
-            read[0],
-            median(read),
-            most(read),
-            heard[0],
-            median(heard),
-            most(heard));
+            reloaded[0],
+            median(reloaded),
+            max(reloaded),
+            greeted[0],
+            median(greeted),
+            max(greeted));
       }
     }
   }
 
-  private static long lines(Path log) {
+  private static long countReloads(Path log) {
     try {
-      return Files.readAllLines(log).stream().filter(l -> l.contains(READ)).count();
+      return Files.readAllLines(log).stream().filter(l -> l.contains(RELOADED)).count();
     } catch (java.io.IOException e) {
       return 0;
     }
   }
 
-  private static void await(BooleanSupplier wanted) throws InterruptedException {
-    long until = System.nanoTime() + LONGEST;
-    while (!wanted.getAsBoolean()) {
+  private static void await(BooleanSupplier condition) throws InterruptedException {
+    long until = System.nanoTime() + TIMEOUT_NANOS;
+    while (!condition.getAsBoolean()) {
       if (System.nanoTime() > until) {
-        throw new IllegalStateException("not within 30 s");
+        throw new IllegalStateException("the gateway did not apply the configuration within 30 s");
       }
       Thread.sleep(1);
     }
@@ -145,7 +145,7 @@
     return sorted[sorted.length / 2];
   }
 
-  private static double most(double[] values) {
+  private static double max(double[] values) {
     return Arrays.stream(values).max().orElse(0);
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/DatagramBenchmark.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DatagramBenchmark.java
@@ -31,7 +31,10 @@
 import reachloom.membership.MembershipMessage;
 import reachloom.membership.MembershipUpdate;
 
-/** What a datagram of gossip takes: written, signed, checked, read; by the news that ride on it. */
+/**
+ * Measures encoding, signing, verifying and decoding a gossip datagram, by the number of membership
+ * updates in it.
+ */
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Fork(
@@ -41,7 +44,7 @@
 @Measurement(iterations = 4, time = 700, timeUnit = TimeUnit.MILLISECONDS)
 @Threads(1)
 public class DatagramBenchmark {
-  /** One sender with its key and certificate. */
+  /** A sender with its key and certificate; {@code news} is the number of membership updates. */
   @State(Scope.Benchmark)
   public static class Sender {
     @Param({"0", "5", "10", "30"})
@@ -52,7 +55,7 @@
     private Packet packet;
     private byte[] unsigned;
     private byte[] signature;
-    private byte[] whole;
+    private byte[] signed;
 
     @Setup(Level.Trial)
     public void make() throws Exception {
@@ -62,18 +65,18 @@
       identity =
           NodeIdentity.read(
               installation.settings("g1", Installation.freeAddress(), 1, 1, List.of(), "ca"));
-      List<MembershipUpdate> told = new ArrayList<>();
+      List<MembershipUpdate> updates = new ArrayList<>();
       for (int i = 0; i < news; i++) {
-        told.add(new MembershipUpdate("g" + (100 + i), i, i, MemberState.ALIVE, ""));
+        updates.add(new MembershipUpdate("g" + (100 + i), i, i, MemberState.ALIVE, ""));
       }
-      packet = new Packet("g1", 1, 1, new MembershipMessage.Ping(1, "g2"), told, List.of());
-      unsigned = write();
+      packet = new Packet("g1", 1, 1, new MembershipMessage.Ping(1, "g2"), updates, List.of());
+      unsigned = encode();
       signature = identity.sign(unsigned);
-      whole = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
-      System.arraycopy(signature, 0, whole, unsigned.length, GossipCodec.SIGNATURE_BYTES);
+      signed = Arrays.copyOf(unsigned, unsigned.length + GossipCodec.SIGNATURE_BYTES);
+      System.arraycopy(signature, 0, signed, unsigned.length, GossipCodec.SIGNATURE_BYTES);
     }
 
-    byte[] write() {
+    byte[] encode() {
       return GossipCodec.encode(new DatagramEnvelope(1, 1, 1, Optional.empty(), 1), packet);
     }
 
@@ -87,7 +90,7 @@
 
   @Benchmark
   public byte[] write(Sender s) {
-    return s.write();
+    return s.encode();
   }
 
   @Benchmark
@@ -98,11 +101,11 @@
   @Benchmark
   public boolean verify(Sender s) {
     return NodeIdentity.verify(
-        s.identity.x509Certificate().getPublicKey(), s.whole, s.unsigned.length, s.signature);
+        s.identity.x509Certificate().getPublicKey(), s.signed, s.unsigned.length, s.signature);
   }
 
   @Benchmark
   public Packet read(Sender s) throws Exception {
-    return GossipCodec.decodeContent(s.whole, GossipCodec.decodeHeader(s.whole));
+    return GossipCodec.decodeContent(s.signed, GossipCodec.decodeHeader(s.signed));
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionAllocation.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionAllocation.java
@@ -7,29 +7,29 @@
 import reachloom.lab.slopes.Fit.Point;
 
 /**
- * Bytes allocated and processor time of a call of the decisions, by the number of engines: counted
- * by the virtual machine for the thread, call by call, the sizes in turns. Allocation is the same
- * each time; times are of the thread's processor, so that other load does not count but for what it
- * takes from the caches.
+ * Measures the allocated bytes and the processor time of a call of the scheduler, by the number of
+ * engines. The virtual machine counts both for the thread, call by call; the sizes are measured in
+ * turns. Allocation is the same each time. Time is the thread's processor time, which other load on
+ * the machine affects only through the processor caches.
  */
 public final class DecisionAllocation {
   private static final int[] SIZES = {60, 150, 300, 630};
   private static final int BATCH = 16;
-  private static final int WARM_BATCHES = 1_500;
+  private static final int WARM_UP_BATCHES = 1_500;
   private static final int ROUNDS = 8;
-  private static final int BATCHES = 150; // in a round
+  private static final int BATCHES_PER_ROUND = 150;
   private static final String[] CALLS = {"arrive", "note", "end", "wake", "probed"};
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   private static final class Size {
-    private final SchedulerBenchmarkHarness desk;
+    private final SchedulerBenchmarkHarness harness;
     private final String[] ids = new String[BATCH];
     private final long[] bytes = new long[CALLS.length];
     private final long[] cpu = new long[CALLS.length];
     private final long[] calls = new long[CALLS.length];
 
     Size(int engines, boolean reports) {
-      desk = new SchedulerBenchmarkHarness(engines, reports);
+      harness = new SchedulerBenchmarkHarness(engines, reports);
     }
 
     private void count(int call, int times, Runnable work) {
@@ -47,16 +47,16 @@
           BATCH,
           () -> {
             for (int i = 0; i < BATCH; i++) {
-              ids[i] = desk.arrive();
+              ids[i] = harness.arrive();
             }
           });
-      desk.answerProbes();
+      harness.answerHealthChecks();
       count(
           1,
           BATCH,
           () -> {
             for (int i = 0; i < BATCH; i++) {
-              desk.note(ids[i]);
+              harness.note(ids[i]);
             }
           });
       count(
@@ -64,20 +64,20 @@
           BATCH,
           () -> {
             for (int i = 0; i < BATCH; i++) {
-              desk.end(ids[i]);
+              harness.end(ids[i]);
             }
           });
       for (int i = 0; i < BATCH; i++) {
-        desk.step();
+        harness.step();
       }
-      count(3, 1, desk::wake);
-      desk.answerProbes();
+      count(3, 1, harness::wake);
+      harness.answerHealthChecks();
       count(
           4,
           BATCH,
           () -> {
             for (int i = 0; i < BATCH; i++) {
-              desk.report();
+              harness.report();
             }
           });
     }
@@ -90,7 +90,7 @@
       List<Size> sizes = new ArrayList<>();
       for (int engines : SIZES) {
         Size s = new Size(engines, reports);
-        for (int i = 0; i < WARM_BATCHES; i++) {
+        for (int i = 0; i < WARM_UP_BATCHES; i++) {
           s.batch();
         }
         java.util.Arrays.fill(s.bytes, 0);
@@ -100,7 +100,7 @@
       }
       for (int r = 0; r < ROUNDS; r++) {
         for (Size s : sizes) {
-          for (int i = 0; i < BATCHES; i++) {
+          for (int i = 0; i < BATCHES_PER_ROUND; i++) {
             s.batch();
           }
         }
@@ -113,21 +113,21 @@
           bytes.add(new Point(SIZES[i], (double) s.bytes[c] / s.calls[c]));
           cpu.add(new Point(SIZES[i], s.cpu[c] / 1e3 / s.calls[c]));
         }
-        tell(reports, CALLS[c] + " bytes", bytes);
-        tell(reports, CALLS[c] + " cpu us", cpu);
+        print(reports, CALLS[c] + " bytes", bytes);
+        print(reports, CALLS[c] + " cpu us", cpu);
       }
       for (int i = 0; i < SIZES.length; i++) {
-        SchedulerBenchmarkHarness d = sizes.get(i).desk;
+        SchedulerBenchmarkHarness d = sizes.get(i).harness;
         System.out.printf(
             "reports=%b engines=%d probes asked %d answered %d refused %d%n",
-            reports, SIZES[i], d.asked, d.answered, d.refused);
+            reports, SIZES[i], d.probesRequested, d.probesAnswered, d.refused);
       }
     }
     System.out.printf(
         "load average %.1f%n", ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
   }
 
-  private static void tell(boolean reports, String what, List<Point> points) {
+  private static void print(boolean reports, String what, List<Point> points) {
     Fit fit = Fit.of(points);
     System.out.printf("reports=%b %-14s", reports, what);
     points.forEach(p -> System.out.printf(" %6.0f: %10.2f", p.size(), p.value()));
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionBenchmark.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionBenchmark.java
@@ -18,9 +18,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a call of the decisions takes, by the number of engines. Sampled, since the median of
- * samples is not moved by what else the machine does; calls are taken {@link #BATCH} together, so
- * that setting the stage for each of them does not count.
+ * Measures the time of a call of the scheduler, by the number of engines. Times are sampled,
+ * because the median of samples is not affected by other load on the machine. {@link #BATCH} calls
+ * form one sample, so that the setup of each call is not counted.
  */
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -33,7 +33,7 @@
 public class DecisionBenchmark {
   private static final int BATCH = 16;
 
-  /** A gateway whose latest batch of queries is not yet served. */
+  /** A gateway whose latest batch of queries has not been served yet. */
   @State(Scope.Thread)
   public static class Gateway {
     @Param({"60", "150", "300", "630"})
@@ -42,114 +42,111 @@
     @Param({"false", "true"})
     public boolean reports;
 
-    SchedulerBenchmarkHarness desk;
+    SchedulerBenchmarkHarness harness;
     final String[] ids = new String[BATCH];
 
     @Setup(Level.Trial)
     public void start() {
-      desk = new SchedulerBenchmarkHarness(engines, reports);
+      harness = new SchedulerBenchmarkHarness(engines, reports);
     }
 
-    void arrivals() {
+    void arriveBatch() {
       for (int i = 0; i < BATCH; i++) {
-        desk.step();
-        ids[i] = desk.arrive();
-        desk.answerProbes();
+        harness.step();
+        ids[i] = harness.arrive();
+        harness.answerHealthChecks();
       }
     }
 
-    /** A benchmark of a gateway that refuses is worth nothing. */
+    /** Fails the benchmark if queries were refused, because its figures would be invalid. */
     @TearDown(Level.Trial)
-    public void look() {
-      if (desk.refused > 0) {
-        throw new IllegalStateException(desk.refused + " queries were refused");
+    public void checkNoRefusals() {
+      if (harness.refused > 0) {
+        throw new IllegalStateException(harness.refused + " queries were refused");
       }
     }
 
-    void ends() {
+    void endBatch() {
       for (int i = 0; i < BATCH && ids[i] != null; i++) {
-        desk.end(ids[i]);
+        harness.end(ids[i]);
       }
     }
   }
 
-  /** Before each batch of arrivals those of the one before are served. */
+  /** Serves the previous batch of queries before each batch of arrivals. */
   @State(Scope.Thread)
   public static class Served extends Gateway {
     @Setup(Level.Invocation)
     public void serve() {
-      ends();
+      endBatch();
       for (int i = 0; i < BATCH; i++) {
-        desk.step();
+        harness.step();
       }
-      desk.wake();
-      desk.answerProbes();
+      harness.wake();
+      harness.answerHealthChecks();
     }
   }
 
-  /** Before each batch of ends, as many queries came. */
+  /** Lets a batch of queries arrive before each batch of ends. */
   @State(Scope.Thread)
-  public static class Asked extends Gateway {
+  public static class Arrived extends Gateway {
     @Setup(Level.Invocation)
-    public void ask() {
-      arrivals();
+    public void arrive() {
+      arriveBatch();
     }
   }
 
-  /** Once, as many queries came, and stay. */
+  /** Lets a batch of queries arrive once per iteration; they stay outstanding. */
   @State(Scope.Thread)
-  public static class Out extends Gateway {
+  public static class Outstanding extends Gateway {
     @Setup(Level.Iteration)
-    public void ask() {
-      ends();
-      arrivals();
+    public void arrive() {
+      endBatch();
+      arriveBatch();
     }
   }
 
-  /**
-   * A query's whole life, with its part of ticks and probes, as one gateway has 724 of them in a
-   * second.
-   */
+  /** A query from arrival to end, with its share of ticks and probes at 724 queries a second. */
   @Benchmark
   public void query(Gateway g) {
-    g.desk.query();
+    g.harness.query();
   }
 
   @Benchmark
   @OperationsPerInvocation(BATCH)
   public void arrive(Served g) {
     for (int i = 0; i < BATCH; i++) {
-      g.ids[i] = g.desk.arrive();
+      g.ids[i] = g.harness.arrive();
     }
   }
 
   @Benchmark
   @OperationsPerInvocation(BATCH)
-  public void end(Asked g) {
+  public void end(Arrived g) {
     for (int i = 0; i < BATCH; i++) {
-      g.desk.end(g.ids[i]);
+      g.harness.end(g.ids[i]);
     }
   }
 
   @Benchmark
   @OperationsPerInvocation(BATCH)
-  public void note(Out g) {
+  public void note(Outstanding g) {
     for (int i = 0; i < BATCH; i++) {
-      g.desk.note(g.ids[i]);
+      g.harness.note(g.ids[i]);
     }
   }
 
-  /** The tick that comes 40 times a second. */
+  /** The scheduler's tick, which is due 40 times a second. */
   @Benchmark
   public void wake(Gateway g) {
-    g.desk.now += 25_000_000;
-    g.desk.wake();
-    g.desk.answerProbes();
+    g.harness.now += 25_000_000;
+    g.harness.wake();
+    g.harness.answerHealthChecks();
   }
 
-  /** The report of one engine. */
+  /** A load report of one engine. */
   @Benchmark
   public void probed(Gateway g) {
-    g.desk.report();
+    g.harness.report();
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionProfile.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionProfile.java
@@ -12,17 +12,17 @@
 import jdk.jfr.consumer.RecordingFile;
 
 /**
- * In which lines of the decisions the processor time of queries goes: sampled by the virtual
- * machine's own recorder. Arguments: engines, whether engines report, queries.
+ * Profiles the scheduler by source line while it handles queries, with samples of the JDK Flight
+ * Recorder. Arguments: number of engines, whether engines report, number of queries.
  */
 public final class DecisionProfile {
   private static final double PERCENT = 100;
-  private static final double LEAST = 1; // percent of the samples that a line is told from
+  private static final double MIN_PERCENT = 1; // of the samples, for a line to be printed
 
   private DecisionProfile() {}
 
   public static void main(String[] args) throws Exception {
-    SchedulerBenchmarkHarness desk =
+    SchedulerBenchmarkHarness harness =
         new SchedulerBenchmarkHarness(Integer.parseInt(args[0]), Boolean.parseBoolean(args[1]));
     int queries = Integer.parseInt(args[2]);
     Path file = Files.createTempFile("reachloom-profile", ".jfr");
@@ -30,7 +30,7 @@
       recording.enable("jdk.ExecutionSample").withPeriod(Duration.ofMillis(10));
       recording.start();
       for (int i = 0; i < queries; i++) {
-        desk.query();
+        harness.query();
       }
       recording.stop();
       recording.dump(file);
@@ -40,9 +40,9 @@
     for (RecordedEvent event : RecordingFile.readAllEvents(file)) {
       List<RecordedFrame> frames =
           event.getStackTrace() == null ? List.of() : event.getStackTrace().getFrames();
-      // The line that called into the library, and the one that called that: a lambda says little
-      // by itself.
-      List<String> own =
+      // The innermost line of the scheduler and its caller; lambdas are skipped because their
+      // generated names say little.
+      List<String> schedulerLines =
           frames.stream()
               .filter(
                   f ->
@@ -51,9 +51,9 @@
               .map(f -> f.getMethod().getName() + ":" + f.getLineNumber())
               .limit(2)
               .toList();
-      if (!own.isEmpty()) {
+      if (!schedulerLines.isEmpty()) {
         samples++;
-        lines.merge(String.join(" < ", own), 1, Integer::sum);
+        lines.merge(String.join(" < ", schedulerLines), 1, Integer::sum);
       }
     }
     Files.delete(file);
@@ -61,7 +61,7 @@
     System.out.printf("engines %s, reports %s, %d samples%n", args[0], args[1], all);
     lines.entrySet().stream()
         .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
-        .filter(e -> PERCENT * e.getValue() / all >= LEAST)
+        .filter(e -> PERCENT * e.getValue() / all >= MIN_PERCENT)
         .forEach(e -> System.out.printf("%5.1f%%  %s%n", PERCENT * e.getValue() / all, e.getKey()));
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/FitLines.java
+++ b/lab/src/test/java/reachloom/lab/slopes/FitLines.java
@@ -13,11 +13,11 @@
 import reachloom.lab.slopes.Fit.Point;
 
 /**
- * Fits each figure of {@link GossipSlope}'s lines by the number of instances, and by its logarithm;
- * the lines of several seeds are averaged. Arguments: files.
+ * Fits each figure in the output of {@link GossipSlope} to the number of instances and to its
+ * logarithm; figures of several seeds are averaged. Arguments: output files of {@link GossipSlope}.
  */
 public final class FitLines {
-  private static final Set<String> ORIGIN =
+  private static final Set<String> PARAMETERS =
       Set.of("part", "instances", "cap", "loss", "seed", "load_average", "period_ms");
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -31,7 +31,7 @@
         line.fields()
             .forEachRemaining(
                 f -> {
-                  if (!ORIGIN.contains(f.getKey())) {
+                  if (!PARAMETERS.contains(f.getKey())) {
                     String name =
                         line.get("part").asText()
                             + " cap "
--- a/lab/src/test/java/reachloom/lab/slopes/FitTest.java
+++ b/lab/src/test/java/reachloom/lab/slopes/FitTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import reachloom.lab.slopes.Fit.Point;
 
-/** Lines through figures: what lies on one, what is off it, and where it ends. */
+/** Tests fitted lines: coefficients, deviations, knee and bend. */
 class FitTest {
-  private static final double SMALL = 1e-9;
+  private static final double TOLERANCE = 1e-9;
 
   @Test
-  void figuresOnALineGiveIt() {
+  void fitsPointsOnLine() {
     Fit fit =
         Fit.of(
             List.of(
@@ -22,24 +22,24 @@
                 new Point(2, 7, false),
                 new Point(4, 11, false),
                 new Point(8, 19, false)));
-    assertEquals(3, fit.a(), SMALL);
-    assertEquals(2, fit.b(), SMALL);
-    assertEquals(0, fit.residual(), SMALL);
-    assertEquals(0, fit.knee(), SMALL);
+    assertEquals(3, fit.a(), TOLERANCE);
+    assertEquals(2, fit.b(), TOLERANCE);
+    assertEquals(0, fit.residual(), TOLERANCE);
+    assertEquals(0, fit.knee(), TOLERANCE);
     assertEquals(4, fit.sizes());
   }
 
   @Test
-  void theMostThatIsOffIsAShareOfTheLine() {
+  void residualIsLargestRelativeDeviation() {
     Fit fit =
         Fit.of(List.of(new Point(0, 9, false), new Point(1, 12, false), new Point(2, 9, false)));
-    assertEquals(10, fit.a(), SMALL);
-    assertEquals(0, fit.b(), SMALL);
-    assertEquals(0.2, fit.residual(), SMALL);
+    assertEquals(10, fit.a(), TOLERANCE);
+    assertEquals(0, fit.b(), TOLERANCE);
+    assertEquals(0.2, fit.residual(), TOLERANCE);
   }
 
   @Test
-  void aFigureFarAboveTheLineIsTheKneeAndNotInIt() {
+  void kneeIsExcludedFromLine() {
     Fit fit =
         Fit.of(
             List.of(
@@ -48,16 +48,16 @@
                 new Point(3, 3, false),
                 new Point(4, 6, false),
                 new Point(5, 5, false)));
-    assertEquals(4, fit.knee(), SMALL);
+    assertEquals(4, fit.knee(), TOLERANCE);
     assertEquals(3, fit.sizes());
-    assertEquals(1, fit.b(), SMALL);
+    assertEquals(1, fit.b(), TOLERANCE);
   }
 
   @Test
-  void whatCouldNotKeepUpIsTheKneeThoughItCostsNoMore() {
+  void saturatedPointIsKnee() {
     Fit fit =
         Fit.of(List.of(new Point(1, 1, false), new Point(2, 2, false), new Point(3, 2.5, true)));
-    assertEquals(3, fit.knee(), SMALL);
+    assertEquals(3, fit.knee(), TOLERANCE);
     assertEquals(2, fit.sizes());
   }
 
@@ -70,46 +70,46 @@
   }
 
   @Test
-  void pointsOnALineGiveThatLineAndNoResidual() {
+  void pointsOnLineHaveNoDeviation() {
     Fit fit = Fit.of(points(60, 126, 150, 306, 300, 606, 630, 1_266));
-    assertEquals(6, fit.a(), SMALL);
-    assertEquals(2, fit.b(), SMALL);
-    assertEquals(0, fit.rms(), SMALL);
-    assertEquals(1, fit.r2(), SMALL);
-    assertEquals(2_006, fit.at(1_000), SMALL);
+    assertEquals(6, fit.a(), TOLERANCE);
+    assertEquals(2, fit.b(), TOLERANCE);
+    assertEquals(0, fit.rms(), TOLERANCE);
+    assertEquals(1, fit.r2(), TOLERANCE);
+    assertEquals(2_006, fit.at(1_000), TOLERANCE);
   }
 
   @Test
-  void theResidualIsTheRootOfTheMeanSquare() {
-    // By hand: values 0.7, 0.9, 1.1, 1.3 on the line, so off by 0.3, -0.9, 0.9, -0.3; variance 2 in
-    // all.
+  void rmsIsRootMeanSquareDeviation() {
+    // Values on the line are 0.7, 0.9, 1.1, 1.3, so deviations are 0.3, -0.9, 0.9, -0.3; the sum
+    // of squared differences from the mean is 2.
     Fit fit = Fit.of(points(0, 1, 1, 0, 2, 2, 3, 1));
-    assertEquals(0.7, fit.a(), SMALL);
-    assertEquals(0.2, fit.b(), SMALL);
-    assertEquals(Math.sqrt(1.8 / 4), fit.rms(), SMALL);
-    assertEquals(0.1, fit.r2(), SMALL);
+    assertEquals(0.7, fit.a(), TOLERANCE);
+    assertEquals(0.2, fit.b(), TOLERANCE);
+    assertEquals(Math.sqrt(1.8 / 4), fit.rms(), TOLERANCE);
+    assertEquals(0.1, fit.r2(), TOLERANCE);
   }
 
   @Test
-  void whatDoesNotGrowIsExplainedWhole() {
+  void constantValuesAreFullyExplained() {
     Fit fit = Fit.of(points(1, 5, 2, 5, 3, 5));
-    assertEquals(0, fit.b(), SMALL);
-    assertEquals(1, fit.r2(), SMALL);
+    assertEquals(0, fit.b(), TOLERANCE);
+    assertEquals(1, fit.r2(), TOLERANCE);
   }
 
   @Test
-  void oneSizeGivesNoLine() {
+  void rejectsFewerThanTwoSizes() {
     assertThrows(IllegalArgumentException.class, () -> Fit.of(points(5, 1)));
     assertThrows(IllegalArgumentException.class, () -> Fit.of(points(5, 1, 5, 2)));
     assertThrows(IllegalArgumentException.class, () -> Fit.of(List.of()));
   }
 
   @Test
-  void figuresBendWhereTheSlopeChangesMost() {
+  void bendIsWhereSlopeChangesMost() {
     assertTrue(Double.isNaN(Fit.bend(points(60, 60, 150, 150, 300, 300, 630, 630))));
     assertTrue(Double.isNaN(Fit.bend(points(60, 5, 150, 5, 300, 5))));
-    assertEquals(300, Fit.bend(points(60, 60, 150, 150, 300, 300, 630, 1_290)), SMALL);
-    assertEquals(150, Fit.bend(points(60, 1, 150, 2, 300, 2, 630, 2)), SMALL);
+    assertEquals(300, Fit.bend(points(60, 60, 150, 150, 300, 300, 630, 1_290)), TOLERANCE);
+    assertEquals(150, Fit.bend(points(60, 1, 150, 2, 300, 2, 630, 2)), TOLERANCE);
     assertTrue(Double.isNaN(Fit.bend(points(1, 1, 2, 2))));
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
@@ -17,35 +17,35 @@
 import reachloom.membership.MembershipUpdate;
 
 /**
- * What gossip costs a member, and how soon news is with all, by the number of instances: in
- * simulated time, with the real modules and codec. One line of JSON for each part, as soon as it is
- * known. Sizes are built one after another and then measured in turns, so that a busy machine
- * disturbs them alike.
+ * Measures what gossip costs a member and how fast an update reaches all members, by the number of
+ * instances, in simulated time and with the real modules and codec. Prints one line of JSON for
+ * each part as soon as it is measured. Sizes are built one after another and then measured in
+ * turns, so that load on the machine disturbs them equally.
  *
  * <p>Arguments: sizes (with commas), cap in bytes a second, loss, seed, and the period in ms
  * (1000).
  */
 public final class GossipSlope {
   private static final long SECOND = VirtualCluster.SECOND;
-  private static final int STEPS = 10; // looks at how far news has come, in a period
+  private static final int STEPS_PER_PERIOD = 10; // checks of how far an update has spread
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final int SEEDS = 3;
-  private static final int LONGEST_START = 300; // periods
-  private static final int CALMING = 30; // periods after all agree, before anything is measured
+  private static final int MAX_START_PERIODS = 300;
+  private static final int CALM_PERIODS = 30; // between agreement and the measurement
   private static final int ROUNDS = 6;
-  private static final int ROUND = 10; // simulated seconds
-  private static final int ITEMS = 10; // pieces of news, one after another
-  private static final int BURST = 10; // ... and at once, each of another member
-  private static final int LONGEST_NEWS = 120; // periods
+  private static final int ROUND_SECONDS = 10; // simulated
+  private static final int SINGLE_UPDATES = 10; // one after another
+  private static final int BURST_UPDATES = 10; // at once, each of another member
+  private static final int MAX_SPREAD_PERIODS = 120;
   private static final double MAX_SHARE = 0.99;
 
-  /** The serial collector leaves some of the dead in place but for each fourth time. */
+  /** The serial collector removes all unreachable objects only in every fourth collection. */
   private static final int COLLECTIONS = 4;
 
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** One size: its cluster, and what was counted in it. */
+  /** A cluster of one size with its counters. */
   private static final class Size {
     private final int instances;
     private final long period;
@@ -68,8 +68,8 @@
       receivedBefore = new long[instances];
     }
 
-    /** Plays one simulated second, and notes what each member sent and received in it. */
-    void second() {
+    /** Runs one simulated second and records the bytes that each member sent and received. */
+    void runSecond() {
       for (int i = 0; i < instances; i++) {
         before[i] = cluster.nodes.get(i).bytes;
         receivedBefore[i] = cluster.nodes.get(i).receivedBytes;
@@ -85,7 +85,7 @@
       }
     }
 
-    void countAnew() {
+    void resetCounters() {
       sent.clear();
       received.clear();
       cpu = 0;
@@ -94,32 +94,33 @@
       receivedDatagrams = cluster.nodes.stream().mapToLong(n -> n.receivedDatagrams).sum();
     }
 
-    /** What was counted since, by member and simulated second. */
-    Map<String, Object> counted() {
-      Map<String, Object> of = new LinkedHashMap<>();
+    /** Returns the figures per member and simulated second since the counters were reset. */
+    Map<String, Object> figures() {
+      Map<String, Object> figures = new LinkedHashMap<>();
       double memberSeconds = sent.size();
-      tell(of, "sent_bytes_per_s", sent);
-      tell(of, "received_bytes_per_s", received);
-      of.put(
+      addDistribution(figures, "sent_bytes_per_s", sent);
+      addDistribution(figures, "received_bytes_per_s", received);
+      figures.put(
           "sent_datagrams_per_s",
           round(
               (cluster.nodes.stream().mapToLong(n -> n.datagrams).sum() - datagrams)
                   / memberSeconds));
-      of.put(
+      figures.put(
           "received_datagrams_per_s",
           round(
               (cluster.nodes.stream().mapToLong(n -> n.receivedDatagrams).sum() - receivedDatagrams)
                   / memberSeconds));
-      of.put("cpu_us_per_member_s", round(cpu / 1e3 / memberSeconds));
-      of.put("allocated_bytes_per_member_s", round(allocated / memberSeconds));
-      return of;
+      figures.put("cpu_us_per_member_s", round(cpu / 1e3 / memberSeconds));
+      figures.put("allocated_bytes_per_member_s", round(allocated / memberSeconds));
+      return figures;
     }
 
-    private static void tell(Map<String, Object> of, String name, List<Long> values) {
+    private static void addDistribution(
+        Map<String, Object> figures, String name, List<Long> values) {
       long[] sorted = values.stream().mapToLong(x -> x).sorted().toArray();
-      of.put(name + "_mean", round(Arrays.stream(sorted).average().orElse(0)));
-      of.put(name + "_p99", sorted[(int) (sorted.length * MAX_SHARE)]);
-      of.put(name + "_max", sorted[sorted.length - 1]);
+      figures.put(name + "_mean", round(Arrays.stream(sorted).average().orElse(0)));
+      figures.put(name + "_p99", sorted[(int) (sorted.length * MAX_SHARE)]);
+      figures.put(name + "_max", sorted[sorted.length - 1]);
     }
   }
 
@@ -133,73 +134,73 @@
     long period = (args.length > 4 ? Long.parseLong(args[4]) : 1_000) * MILLISECOND;
     List<Size> built = new ArrayList<>();
     for (int instances : sizes) {
-      long heap = heap();
+      long heapBefore = heapBytes();
       Size s = new Size(instances, cap, loss, seed, period);
       Map<String, Object> figures = start(s);
-      figures.put("heap_bytes_per_member", (heap() - heap) / instances);
+      figures.put("heap_bytes_per_member", (heapBytes() - heapBefore) / instances);
       built.add(s);
-      say("start", s, cap, loss, seed, figures);
+      print("start", s, cap, loss, seed, figures);
     }
     for (Size s : built) {
-      s.cluster.agenda.runUntil(s.cluster.agenda.now() + CALMING * s.period);
-      s.countAnew();
+      s.cluster.agenda.runUntil(s.cluster.agenda.now() + CALM_PERIODS * s.period);
+      s.resetCounters();
     }
     for (int i = 0; i < ROUNDS; i++) {
       for (Size s : built) {
-        for (int j = 0; j < ROUND; j++) {
-          s.second();
+        for (int j = 0; j < ROUND_SECONDS; j++) {
+          s.runSecond();
         }
       }
     }
     for (Size s : built) {
-      say("steady", s, cap, loss, seed, s.counted());
+      print("steady", s, cap, loss, seed, s.figures());
     }
     for (Size s : built) {
-      say("news", s, cap, loss, seed, news(s, new SplittableRandom(seed + 1)));
+      print("news", s, cap, loss, seed, measureSpread(s, new SplittableRandom(seed + 1)));
     }
   }
 
-  /** All start at once, until each holds exactly the others for present. */
+  /** Runs the start of all members at once until they agree on the membership. */
   private static Map<String, Object> start(Size s) {
-    s.countAnew();
+    s.resetCounters();
     long from = s.cluster.agenda.now();
-    while (!s.cluster.agreed() && s.cluster.agenda.now() < from + LONGEST_START * s.period) {
-      s.second();
+    while (!s.cluster.agreed() && s.cluster.agenda.now() < from + MAX_START_PERIODS * s.period) {
+      s.runSecond();
     }
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put(
         "settled_periods", s.cluster.agreed() ? (s.cluster.agenda.now() - from) / s.period : -1);
-    figures.putAll(s.counted());
+    figures.putAll(s.figures());
     figures.put("any_second_most_bytes", s.cluster.maxBytesPerSecond(false));
     return figures;
   }
 
   /**
-   * A member has news of itself: how many periods until half, 99% and all of the live members hold
-   * it.
+   * Measures the periods until half, 99% and all live members hold an update of a member, and until
+   * a crash is detected.
    */
-  private static Map<String, Object> news(Size s, SplittableRandom random) {
+  private static Map<String, Object> measureSpread(Size s, SplittableRandom random) {
     Map<String, Object> figures = new LinkedHashMap<>();
     List<double[]> single = new ArrayList<>();
-    for (int i = 0; i < ITEMS; i++) {
-      single.addAll(spread(s, List.of(s.cluster.nodes.get(random.nextInt(s.instances)))));
+    for (int i = 0; i < SINGLE_UPDATES; i++) {
+      single.addAll(spreadPeriods(s, List.of(s.cluster.nodes.get(random.nextInt(s.instances)))));
     }
-    tell(figures, "news", single);
-    List<Node> several = new ArrayList<>();
-    while (several.size() < BURST) {
+    addSpread(figures, "news", single);
+    List<Node> burst = new ArrayList<>();
+    while (burst.size() < BURST_UPDATES) {
       Node n = s.cluster.nodes.get(random.nextInt(s.instances));
-      if (!several.contains(n)) {
-        several.add(n);
+      if (!burst.contains(n)) {
+        burst.add(n);
       }
     }
-    tell(figures, "burst_of_10", spread(s, several));
+    addSpread(figures, "burst_of_10", spreadPeriods(s, burst));
     Node down = s.cluster.nodes.get(SEEDS + random.nextInt(s.instances - SEEDS));
     down.up = false;
     long at = s.cluster.agenda.now();
     long first = -1;
     while (s.cluster.countHolding(down, MemberState.DEAD) < MAX_SHARE * (s.instances - 1)
-        && s.cluster.agenda.now() < at + LONGEST_NEWS * s.period) {
-      s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS);
+        && s.cluster.agenda.now() < at + MAX_SPREAD_PERIODS * s.period) {
+      s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS_PER_PERIOD);
       first =
           first < 0 && s.cluster.countHolding(down, MemberState.SUSPECT) > 0
               ? s.cluster.agenda.now()
@@ -213,43 +214,49 @@
   }
 
   /**
-   * Each of them renews its own entry; gives for each the periods until half, 99% and all hold it.
+   * Lets each of the nodes renew its own entry; returns for each the periods until half, 99% and
+   * all members hold it.
    */
-  private static List<double[]> spread(Size s, List<Node> of) {
+  private static List<double[]> spreadPeriods(Size s, List<Node> updated) {
     long at = s.cluster.agenda.now();
-    long[] wanted = new long[of.size()];
-    double[][] after = new double[of.size()][3];
-    for (int i = 0; i < of.size(); i++) {
-      Node n = of.get(i);
+    long[] expected = new long[updated.size()];
+    double[][] after = new double[updated.size()][3];
+    for (int i = 0; i < updated.size(); i++) {
+      Node n = updated.get(i);
       long old = n.gossip.membership().incarnation();
-      Node teller = s.cluster.nodes.get((s.cluster.nodes.indexOf(n) + 1) % s.instances);
-      // Somebody has its address wrong: it tells the right one, in an incarnation that goes before.
+      Node peer = s.cluster.nodes.get((s.cluster.nodes.indexOf(n) + 1) % s.instances);
+      // A peer reports a wrong address of the node, so the node publishes the right one in a newer
+      // incarnation.
       n.gossip.receive(
           s.cluster.agenda.now() + n.skew,
           new Packet(
-              teller.name,
-              teller.address,
-              teller.gossip.membership().incarnation(),
+              peer.name,
+              peer.address,
+              peer.gossip.membership().incarnation(),
               new MembershipMessage.Nack(-1),
               List.of(new MembershipUpdate(n.name, n.address ^ 1, old, MemberState.ALIVE, "")),
               List.of()));
-      wanted[i] = n.gossip.membership().incarnation();
-      if (wanted[i] == old) {
-        throw new IllegalStateException("no news of " + n.name);
+      expected[i] = n.gossip.membership().incarnation();
+      if (expected[i] == old) {
+        throw new IllegalStateException(n.name + " did not renew its entry");
       }
       Arrays.fill(after[i], -1);
     }
-    while (s.cluster.agenda.now() < at + LONGEST_NEWS * s.period
+    while (s.cluster.agenda.now() < at + MAX_SPREAD_PERIODS * s.period
         && Arrays.stream(after).anyMatch(a -> a[2] < 0)) {
-      s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS);
+      s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS_PER_PERIOD);
       double periods = (s.cluster.agenda.now() - at) / (double) s.period;
-      for (int i = 0; i < of.size(); i++) {
+      for (int i = 0; i < updated.size(); i++) {
         int holding = 1;
         for (Node n : s.cluster.nodes) {
           holding +=
-              n != of.get(i)
-                      && n.gossip.membership().member(of.get(i).name).orElseThrow().incarnation()
-                          >= wanted[i]
+              n != updated.get(i)
+                      && n.gossip
+                              .membership()
+                              .member(updated.get(i).name)
+                              .orElseThrow()
+                              .incarnation()
+                          >= expected[i]
                   ? 1
                   : 0;
         }
@@ -263,7 +270,7 @@
     return List.of(after);
   }
 
-  private static void tell(Map<String, Object> figures, String name, List<double[]> all) {
+  private static void addSpread(Map<String, Object> figures, String name, List<double[]> all) {
     String[] shares = {"50", "99", "100"};
     for (int i = 0; i < shares.length; i++) {
       int share = i;
@@ -277,7 +284,7 @@
     }
   }
 
-  private static long heap() throws InterruptedException {
+  private static long heapBytes() throws InterruptedException {
     for (int i = 0; i < COLLECTIONS; i++) {
       System.gc();
     }
@@ -285,7 +292,7 @@
     return r.totalMemory() - r.freeMemory();
   }
 
-  private static void say(
+  private static void print(
       String part, Size s, int cap, double loss, long seed, Map<String, Object> figures)
       throws Exception {
     Map<String, Object> line = new LinkedHashMap<>();
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -18,16 +18,16 @@
 import reachloom.scheduler.api.EngineEndpoint;
 
 /**
- * What the list of engines takes, by its length: bytes, processor time of the thread to read and to
- * apply it, bytes kept. The sizes are measured in turns. Times are those of the thread's processor:
- * the first read, as a process that starts has it, and the median of the later ones.
+ * Measures the cost of the engine list by its length: its size in bytes, the thread's processor
+ * time to read and to apply it, and the heap that it retains. The sizes are measured in turns.
+ * Times are medians of the thread's processor time over the second half of the rounds.
  */
 public final class ListSlope {
   private static final int[] SIZES = {60, 150, 300, 630};
   private static final int ROUNDS = 300;
-  private static final int KEPT = 50; // copies that are held to see what one takes
+  private static final int RETAINED_COPIES = 50; // held at once to measure the heap of one
 
-  /** The serial collector leaves some of the dead in place but for each fourth time. */
+  /** The serial collector removes all unreachable objects only in every fourth collection. */
   private static final int COLLECTIONS = 4;
 
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -36,18 +36,18 @@
     private final int engines;
     private final byte[] text;
     private final Path file;
-    private final byte[] whole;
+    private final byte[] fullFrame;
     private final Map<String, List<Long>> cpu = new LinkedHashMap<>();
-    private SchedulerBenchmarkHarness desk;
+    private SchedulerBenchmarkHarness harness;
     private EngineList list;
     private EndpointWatch watch = new EndpointWatch(1, 1);
-    private long number = 1;
+    private long revision = 1;
 
     Size(int engines, Path folder) throws Exception {
       this.engines = engines;
       text = Lists.configuration(engines);
       file = Files.write(folder.resolve("list-" + engines + ".json"), text);
-      whole = Lists.whole(1, engines);
+      fullFrame = Lists.fullList(1, engines);
     }
 
     private interface Work {
@@ -67,42 +67,45 @@
 
     static EndpointListEvent decode(byte[] frame) {
       EndpointListEvent[] read = new EndpointListEvent[1];
-      String fault =
-          new ChangeLogDecoder(Lists.bounds().get(0), Lists.bounds().get(1))
+      String error =
+          new ChangeLogDecoder(Lists.zoneAndKindCounts().get(0), Lists.zoneAndKindCounts().get(1))
               .feed(frame, 0, frame.length, c -> read[0] = c);
-      if (fault != null) {
-        throw new IllegalStateException(fault);
+      if (error != null) {
+        throw new IllegalStateException(error);
       }
       return read[0];
     }
 
     void round() throws Exception {
-      if (desk == null) {
-        desk = new SchedulerBenchmarkHarness(engines, false);
+      if (harness == null) {
+        harness = new SchedulerBenchmarkHarness(engines, false);
         list = new EngineList();
-        list.update(true, decode(whole).members());
+        list.update(true, decode(fullFrame).members());
       }
       count("read the file, us", this::read);
       EndpointListEvent[] all = new EndpointListEvent[1];
-      count("decode a whole frame, us", () -> all[0] = decode(Lists.whole(++number, engines)));
-      watch.onFrame(number, true, false);
-      List<EngineEndpoint> infos = all[0].members().stream().map(EngineMember::endpoint).toList();
+      count("decode a whole frame, us", () -> all[0] = decode(Lists.fullList(++revision, engines)));
+      watch.onFrame(revision, true, false);
+      List<EngineEndpoint> endpoints =
+          all[0].members().stream().map(EngineMember::endpoint).toList();
       count(
           "apply a whole list in the decisions, us",
-          () -> desk.choice.onEndpoints(desk.now, true, infos));
+          () -> harness.scheduler.onEndpoints(harness.now, true, endpoints));
       count("apply a whole list in the gateway, us", () -> list.update(true, all[0].members()));
-      desk.step();
-      byte[] frame = Lists.one(++number, (int) (number % engines));
+      harness.step();
+      byte[] frame = Lists.singleChange(++revision, (int) (revision % engines));
       EndpointListEvent[] one = new EndpointListEvent[1];
       count("decode one change, us", () -> one[0] = decode(frame));
-      watch.onFrame(number, false, false);
+      watch.onFrame(revision, false, false);
       count(
           "apply one change in the decisions, us",
           () ->
-              desk.choice.onEndpoints(
-                  desk.now, false, one[0].members().stream().map(EngineMember::endpoint).toList()));
+              harness.scheduler.onEndpoints(
+                  harness.now,
+                  false,
+                  one[0].members().stream().map(EngineMember::endpoint).toList()));
       count("apply one change in the gateway, us", () -> list.update(false, one[0].members()));
-      desk.step();
+      harness.step();
     }
   }
 
@@ -115,8 +118,8 @@
       for (int engines : SIZES) {
         sizes.add(new Size(engines, folder));
       }
-      bytes(sizes);
-      kept(sizes);
+      measureBytes(sizes);
+      measureRetainedHeap(sizes);
       for (int i = 0; i < ROUNDS; i++) {
         for (Size s : sizes) {
           s.round();
@@ -129,7 +132,7 @@
               s.cpu.get(what).stream().skip(ROUNDS / 2).mapToLong(x -> x).sorted().toArray();
           points.add(new Point(s.engines, sorted[sorted.length / 2] / 1e3));
         }
-        tell(what, points);
+        print(what, points);
       }
     } finally {
       try (var files = Files.walk(folder)) {
@@ -140,25 +143,24 @@
         "load average %.1f%n", ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
   }
 
-  private static void bytes(List<Size> sizes) throws Exception {
+  private static void measureBytes(List<Size> sizes) throws Exception {
     List<Point> known = new ArrayList<>();
     List<Point> frame = new ArrayList<>();
     for (Size s : sizes) {
       known.add(new Point(s.engines, Lists.knownBytes(s.text)));
-      frame.add(new Point(s.engines, s.whole.length));
+      frame.add(new Point(s.engines, s.fullFrame.length));
     }
-    tell("known as JSON, bytes", known);
-    tell("whole frame, bytes", frame);
+    print("known as JSON, bytes", known);
+    print("whole frame, bytes", frame);
     System.out.printf(
-        "one change, bytes: %d; quiet frame, bytes: 13, one a second%n", Lists.one(1, 1).length);
+        "one change, bytes: %d; quiet frame, bytes: 13, one a second%n",
+        Lists.singleChange(1, 1).length);
   }
 
-  /**
-   * Bytes that stay: several copies are made and held, and the heap is looked at after a
-   * collection.
-   */
-  private static void kept(List<Size> sizes) throws Exception {
-    for (int i = 0; i < KEPT; i++) { // what the first reads leave behind for good is not the list's
+  /** Measures retained heap: holds several copies and reads the heap after collections. */
+  private static void measureRetainedHeap(List<Size> sizes) throws Exception {
+    // The first reads retain heap that is not part of the list.
+    for (int i = 0; i < RETAINED_COPIES; i++) {
       for (Size s : sizes) {
         s.read();
       }
@@ -167,44 +169,46 @@
     List<Point> decisions = new ArrayList<>();
     List<Point> gateway = new ArrayList<>();
     for (Size s : sizes) {
-      config.add(new Point(s.engines, keptBy(s::read)));
+      config.add(new Point(s.engines, retainedBytes(s::read)));
     }
     for (Size s : sizes) {
-      List<EngineEndpoint> infos =
+      List<EngineEndpoint> endpoints =
           s.read().knownEngines().stream().map(EngineMember::endpoint).toList();
-      decisions.add(new Point(s.engines, keptBy(() -> SchedulerBenchmarkHarness.listed(infos))));
+      decisions.add(
+          new Point(
+              s.engines, retainedBytes(() -> SchedulerBenchmarkHarness.listed(endpoints))));
     }
     for (Size s : sizes) {
       List<EngineMember> members = s.read().knownEngines();
       gateway.add(
           new Point(
               s.engines,
-              keptBy(
+              retainedBytes(
                   () -> {
                     EngineList list = new EngineList();
                     list.update(true, members);
                     return list;
                   })));
     }
-    tell("kept of the configuration, bytes", config);
-    tell("kept in the decisions, bytes", decisions);
-    tell("kept in the gateway's list, bytes", gateway);
+    print("kept of the configuration, bytes", config);
+    print("kept in the decisions, bytes", decisions);
+    print("kept in the gateway's list, bytes", gateway);
   }
 
-  private interface Made {
-    Object one() throws Exception;
+  private interface Factory {
+    Object create() throws Exception;
   }
 
-  private static double keptBy(Made made) throws Exception {
-    Object[] held = new Object[KEPT];
-    held[0] = made.one(); // and what the first one leaves behind for good
+  private static double retainedBytes(Factory factory) throws Exception {
+    Object[] held = new Object[RETAINED_COPIES];
+    held[0] = factory.create(); // the first one retains heap that the others share
     long before = heap();
-    for (int i = 1; i < KEPT; i++) {
-      held[i] = made.one();
+    for (int i = 1; i < RETAINED_COPIES; i++) {
+      held[i] = factory.create();
     }
-    double kept = (double) (heap() - before) / (KEPT - 1);
+    double bytes = (double) (heap() - before) / (RETAINED_COPIES - 1);
     java.lang.ref.Reference.reachabilityFence(held);
-    return kept;
+    return bytes;
   }
 
   private static long heap() throws InterruptedException {
@@ -215,7 +219,7 @@
     return r.totalMemory() - r.freeMemory();
   }
 
-  private static void tell(String what, List<Point> points) {
+  private static void print(String what, List<Point> points) {
     Fit fit = Fit.of(points);
     System.out.printf("%-42s", what);
     points.forEach(p -> System.out.printf(" %4.0f: %10.1f", p.size(), p.value()));
--- a/lab/src/test/java/reachloom/lab/slopes/Lists.java
+++ b/lab/src/test/java/reachloom/lab/slopes/Lists.java
@@ -9,20 +9,20 @@
 import java.util.List;
 import reachloom.config.GatewayConfig;
 
-/** Lists of so many engines, as a configuration and as frames of the change log. */
+/** Builds engine lists of a given length, as a configuration and as change log frames. */
 final class Lists {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int ZONES = 10;
-  private static final int HEAD = 13; // length, number, kind
-  private static final int RECORD = 27;
-  private static final byte WHOLE = 1;
+  private static final int HEADER_BYTES = 13; // length, number, kind
+  private static final int RECORD_BYTES = 27;
+  private static final byte FULL_LIST = 1;
   private static final byte CHANGES = 2;
   private static final int PORT = 41_000;
-  private static final long BORN = 1_700_000_000_000L; // milliseconds
+  private static final long STARTED_MS = 1_700_000_000_000L;
 
   private Lists() {}
 
-  /** A configuration file with that many engines in {@code known}. */
+  /** Returns a configuration file with a number of engines in {@code known}. */
   static byte[] configuration(int engines) throws IOException {
     try (InputStream sample = GatewayConfig.class.getResourceAsStream("sample.json")) {
       ObjectNode root = (ObjectNode) JSON.readTree(sample);
@@ -43,31 +43,31 @@
             .put("block", 0)
             .put("health", "in_service")
             .put("share", 1)
-            .put("born_ms", BORN);
+            .put("born_ms", STARTED_MS);
       }
       return JSON.writeValueAsBytes(root);
     }
   }
 
-  /** The bytes of {@code known} alone. */
+  /** Returns the number of bytes of {@code known}. */
   static int knownBytes(byte[] configuration) throws IOException {
     return JSON.writeValueAsBytes(JSON.readTree(configuration).get("known")).length;
   }
 
-  /** A frame that tells the whole list. */
-  static byte[] whole(long number, int engines) {
-    return frame(number, WHOLE, 0, engines, BORN);
+  /** Returns a frame with the full list. */
+  static byte[] fullList(long number, int engines) {
+    return frame(number, FULL_LIST, 0, engines, STARTED_MS);
   }
 
-  /** A frame that tells of one engine that started anew. */
-  static byte[] one(long number, int engine) {
-    return frame(number, CHANGES, engine, 1, BORN + number);
+  /** Returns a frame with one engine that restarted. */
+  static byte[] singleChange(long number, int engine) {
+    return frame(number, CHANGES, engine, 1, STARTED_MS + number);
   }
 
-  private static byte[] frame(long number, byte kind, int first, int records, long born) {
+  private static byte[] frame(long number, byte kind, int first, int records, long startedMs) {
     ByteBuffer out =
-        ByteBuffer.allocate(HEAD + RECORD * records)
-            .putInt(HEAD - Integer.BYTES + RECORD * records)
+        ByteBuffer.allocate(HEADER_BYTESER_BYTES + RECORD_BYTES * records)
+            .putInt(HEADER_BYTESER_BYTES - Integer.BYTES + RECORD_BYTES * records)
             .putLong(number)
             .put(kind);
     for (int i = first; i < first + records; i++) {
@@ -79,13 +79,13 @@
           .put((byte) 0)
           .putShort((short) 0)
           .putInt(1_000)
-          .putLong(born);
+          .putLong(startedMs);
     }
     return out.array();
   }
 
-  /** Zones and kinds that the frames name. */
-  static List<Integer> bounds() {
+  /** Returns the numbers of zones and of engine kinds that the frames use. */
+  static List<Integer> zoneAndKindCounts() {
     return List.of(ZONES, 1);
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/SchedulerBenchmarkHarness.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SchedulerBenchmarkHarness.java
@@ -28,25 +28,24 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * One gateway of 580 at 724 queries a second, on a clock of its own, with so many engines that are
- * all well: what the benchmarks of the decisions ask it. Each query is served after it was out for
- * some time.
+ * Drives the scheduler of one gateway out of 580 for benchmarks: 724 queries a second on a
+ * simulated clock, with engines that are all healthy. Each query is served after some time.
  */
 final class SchedulerBenchmarkHarness implements SchedulerActions {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final long SECOND = 1_000 * MILLISECOND;
   private static final int GATEWAYS = 580;
-  private static final int RATE = 724; // queries a second, the mean of the size planned for
-  private static final long TICK = 25 * MILLISECOND;
+  private static final int QUERIES_PER_SECOND = 724; // mean at the planned size
+  private static final long TICK_INTERVAL = 25 * MILLISECOND;
   private static final double PROBE_PRICE = 0.08; // as in the rig's conditions
   private static final int CORES = 8;
-  private static final double MEMORY = 16_384;
+  private static final double MEMORY_MB = 16_384;
   private static final int ZONES = 10;
-  private static final long SPENT = 40 * MILLISECOND;
-  private static final LoadReport WELL = new LoadReport(0.5, 0, 0.4, 0);
-  private static final int WARM = 4_000;
+  private static final long RUN_TIME = 40 * MILLISECOND;
+  private static final LoadReport HEALTHY = new LoadReport(0.5, 0, 0.4, 0);
+  private static final int WARM_UP_QUERIES = 4_000;
 
-  final QueryScheduler choice = new QueryScheduler(this);
+  final QueryScheduler scheduler = new QueryScheduler(this);
   final List<EngineEndpoint> list = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(1);
   private final Map<String, String> sent = new LinkedHashMap<>();
@@ -54,28 +53,28 @@
   long now = 1_000 * SECOND;
   private long lastWake = now;
   private long count;
-  long asked;
-  long answered;
+  long probesRequested;
+  long probesAnswered;
   long refused;
 
   SchedulerBenchmarkHarness(int engines, boolean reports) {
-    this(some(engines), reports);
-    for (int i = 0; i < WARM; i++) { // what is learned and remembered is as after some seconds
+    this(engines(engines), reports);
+    for (int i = 0; i < WARM_UP_QUERIES; i++) { // state as after some seconds of queries
       query();
     }
   }
 
-  /** One that has just been told that list, and got no query. */
+  /** Returns a harness whose scheduler has applied the list and received no query. */
   static SchedulerBenchmarkHarness listed(List<EngineEndpoint> engines) {
     return new SchedulerBenchmarkHarness(engines, false);
   }
 
-  private static List<EngineEndpoint> some(int engines) {
-    List<EngineEndpoint> some = new ArrayList<>();
-    for (int i = 0; i < engines; i++) {
-      some.add(engine(i, 0));
+  private static List<EngineEndpoint> engines(int count) {
+    List<EngineEndpoint> engines = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      engines.add(engine(i, 0));
     }
-    return some;
+    return engines;
   }
 
   private SchedulerBenchmarkHarness(List<EngineEndpoint> engines, boolean reports) {
@@ -114,7 +113,7 @@
                 2,
                 false,
                 false));
-    choice.onStart(
+    scheduler.onStart(
         now,
         1,
         new SchedulerSettings(
@@ -128,13 +127,13 @@
             PROBE_PRICE,
             0.08,
             classes,
-            List.of(new EngineKind(CORES, MEMORY)),
+            List.of(new EngineKind(CORES, MEMORY_MB)),
             List.of(new TenantQuota(0)),
             new SchedulerLimits(4, true, reports, false, true, 2 * SECOND),
             new SchedulingRules(
                 20 * MILLISECOND, 0.3, 10 * SECOND, 2.5, SECOND, 0, 10 * SECOND, 5, 0.2),
             new EngineCapabilities(false, false, reports, SECOND / 2, 0.5, OvercommitPolicy.WAIT)));
-    choice.onEndpoints(now, true, list);
+    scheduler.onEndpoints(now, true, list);
   }
 
   static EngineEndpoint engine(int number, long since) {
@@ -142,62 +141,63 @@
         String.format("s-%08x", number + 1), EngineState.UP, 0, number % ZONES, 0, 1, since);
   }
 
-  /** The clock goes on to the next query; what is due by then is done. */
+  /** Advances the clock to the next query and runs what is due by then. */
   void step() {
-    now += SECOND / RATE;
-    if (now - lastWake >= TICK) {
+    now += SECOND / QUERIES_PER_SECOND;
+    if (now - lastWake >= TICK_INTERVAL) {
       wake();
     }
-    answerProbes();
+    answerHealthChecks();
   }
 
   void wake() {
     lastWake = now;
-    choice.onTimer(now, 0);
+    scheduler.onTimer(now, 0);
   }
 
-  void answerProbes() {
+  void answerHealthChecks() {
     while (!probes.isEmpty()) {
-      answered++;
-      choice.onHealthCheck(now, probes.poll(), true, WELL);
+      probesAnswered++;
+      scheduler.onHealthCheck(now, probes.poll(), true, HEALTHY);
     }
   }
 
-  /** A probe of some engine is answered. */
+  /** Delivers a load report of a random engine. */
   void report() {
-    choice.onHealthCheck(now, list.get(random.nextInt(list.size())).name(), true, WELL);
+    scheduler.onHealthCheck(now, list.get(random.nextInt(list.size())).name(), true, HEALTHY);
   }
 
   String arrive() {
     String id = "q" + count++;
-    choice.onQuery(now, new Query(id, 0, 0, null, 5 * SECOND, 30 * MILLISECOND, 100, -1, false));
+    scheduler.onQuery(now, new Query(id, 0, 0, null, 5 * SECOND, 30 * MILLISECOND, 100, -1, false));
     return id;
   }
 
   void note(String id) {
     String engine = sent.get(id);
     if (engine != null) {
-      choice.onProgress(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, 0.5));
+      scheduler.onProgress(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, 0.5));
     }
   }
 
   void end(String id) {
     String engine = sent.remove(id);
     if (engine != null) {
-      choice.onAttemptEnded(
-          now, new AttemptResult(id, 0, engine, AttemptOutcome.SERVED, SPENT, true, 30, 100, null));
+      scheduler.onAttemptEnded(
+          now,
+          new AttemptResult(id, 0, engine, AttemptOutcome.SERVED, RUN_TIME, true, 30, 100, null));
     }
   }
 
   private final ArrayDeque<String> open = new ArrayDeque<>();
-  private static final int OPEN = 32; // at 724 a second, each out for some 40 ms
+  private static final int MAX_OPEN = 32; // 724 a second, each open for about 40 ms
 
-  /** All that one query asks of the decisions, and its part of the clock's ticks and of probes. */
+  /** Makes all calls of one query, with its share of ticks and health checks. */
   void query() {
     step();
     open.addLast(arrive());
-    answerProbes();
-    if (open.size() > OPEN) {
+    answerHealthChecks();
+    if (open.size() > MAX_OPEN) {
       String id = open.removeFirst();
       note(id);
       end(id);
@@ -221,23 +221,23 @@
 
   @Override
   public void checkHealth(String engine) {
-    asked++;
+    probesRequested++;
     probes.add(engine);
   }
 
   @Override
   public void setResources(String query, double grantMb, int priority) {
-    // not heeded here
+    // the engines use neither value
   }
 
   @Override
   public void cancelAttempt(String query, int attempt) {
-    // all are served
+    // all attempts are served
   }
 
   @Override
   public void setTimer(long delay, long token) {
-    // the clock here is driven by the queries
+    // the queries advance the clock
   }
 
   @Override
@@ -247,6 +247,6 @@
 
   @Override
   public void log(String line) {
-    // nothing is read from it
+    // the log is not read
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/SignatureCost.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SignatureCost.java
@@ -5,12 +5,12 @@
 import java.util.Arrays;
 
 /**
- * Processor time of the thread for one signature and for one check of it, in microseconds: they
- * take so long that on a busy machine the time by the clock tells more of the others.
+ * Measures the thread's processor time for signing and for verifying, in microseconds. Both take so
+ * long that on a busy machine wall-clock time would mostly show the load of other processes.
  */
 public final class SignatureCost {
-  private static final int TIMES = 1_200;
-  private static final int WARM = 400;
+  private static final int REPETITIONS = 1_200;
+  private static final int WARM_UP = 400;
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
   private SignatureCost() {}
@@ -21,20 +21,20 @@
     sender.news = 10;
     sender.make();
     try {
-      double[] sign = new double[TIMES];
-      double[] verify = new double[TIMES];
-      for (int i = 0; i < TIMES; i++) {
+      double[] sign = new double[REPETITIONS];
+      double[] verify = new double[REPETITIONS];
+      for (int i = 0; i < REPETITIONS; i++) {
         long start = THREADS.getCurrentThreadCpuTime();
         benchmark.sign(sender);
         long between = THREADS.getCurrentThreadCpuTime();
         if (!benchmark.verify(sender)) {
-          throw new IllegalStateException("a signature that does not hold");
+          throw new IllegalStateException("the signature of the datagram is invalid");
         }
         sign[i] = (between - start) / 1e3;
         verify[i] = (THREADS.getCurrentThreadCpuTime() - between) / 1e3;
       }
-      tell("sign", sign);
-      tell("verify", verify);
+      print("sign", sign);
+      print("verify", verify);
     } finally {
       sender.remove();
     }
@@ -42,8 +42,8 @@
         "load average %.1f%n", ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
   }
 
-  private static void tell(String what, double[] times) {
-    double[] sorted = Arrays.copyOfRange(times, WARM, TIMES);
+  private static void print(String what, double[] times) {
+    double[] sorted = Arrays.copyOfRange(times, WARM_UP, REPETITIONS);
     Arrays.sort(sorted);
     System.out.printf(
         "%s: first %.0f us, least %.0f, median %.0f, mean %.0f%n",
--- a/lab/src/test/java/reachloom/lab/slopes/SlopesCommandTest.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SlopesCommandTest.java
@@ -17,7 +17,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Measurements of small size: what is asked is answered and counted; the figures are not judged.
+ * Runs small measurements: statements are answered and the figures are reported. The values
+ * themselves are not tested.
  */
 @Timeout(120)
 class SlopesCommandTest {
@@ -38,7 +39,7 @@
   }
 
   @Test
-  void statementsAreAnsweredAndTheirProcessorTimeIsCounted() throws Exception {
+  void reportsProcessorTimeOfAnsweredStatements() throws Exception {
     JsonNode f =
         run(
             "--rates",
@@ -65,7 +66,7 @@
   }
 
   @Test
-  void eachConnectionOfAClientTakesOneDescriptor() throws Exception {
+  void clientConnectionTakesOneDescriptor() throws Exception {
     JsonNode f =
         run(
             "--what",
@@ -81,14 +82,14 @@
             "--engines",
             "2");
     assertEquals(80, f.get("80 idle").get("connections").asInt(), f.toString());
-    int most = f.get("80 idle").get("descriptors").asInt();
-    assertEquals(60, most - f.get("20 idle").get("descriptors").asInt(), f.toString());
+    int descriptors = f.get("80 idle").get("descriptors").asInt();
+    assertEquals(60, descriptors - f.get("20 idle").get("descriptors").asInt(), f.toString());
   }
 
   @Test
-  void clientsThatRestBeyondTheSettingAreEndedAndConnectAnew() throws Exception {
-    // Their gaps are 5 s on average, and the bound is a second: few statements find their
-    // connection there.
+  void closesIdleClientsAfterTimeoutAndClientsReconnect() throws Exception {
+    // The mean gap is 5 s and the idle timeout is 1 s, so for most statements the connection is
+    // closed when they are due.
     JsonNode f =
         run(
             "--what",
@@ -132,7 +133,7 @@
         "--believed | -1",
         "--jar | /none.jar"
       })
-  void optionsThatCantBeUsedAreNamed(String option, String value) throws Exception {
+  void rejectsInvalidOptionWithItsName(String option, String value) throws Exception {
     SlopesCommand command = new SlopesCommand();
     CommandLine line =
         new DefaultParser().parse(command.options(), new String[] {option + "=" + value});
--- a/lab/src/test/java/reachloom/lab/slopes/SubsetAnalysisTest.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SubsetAnalysisTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Who keeps to an engine at the size planned for, and at sizes smaller than what a gateway keeps
- * to.
+ * Tests the number of gateways that have an engine in their subset, at the planned size and with
+ * fewer engines than the size of a subset.
  */
 class SubsetAnalysisTest {
   @Test
-  void engineAndZoneAreKeptToEvenlyAtTheSizePlannedFor() {
+  void spreadsGatewaysEvenlyOverEnginesAndZonesAtPlannedSize() {
     Map<String, Object> row = SubsetAnalysis.of(580, 630);
     assertEquals(7.37, row.get("keepers_mean"));
     assertTrue(
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void fewEnginesAreKeptToByAll() {
+  void assignsAllGatewaysToFewEngines() {
     Map<String, Object> row = SubsetAnalysis.of(5, 6);
     assertEquals(5, row.get("keepers_min"));
     assertEquals(5, row.get("keepers_max"));
