--- a/lab/src/main/java/reachloom/lab/slopes/Measurement.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Measurement.java
@@ -28,7 +28,7 @@
   /** The share of a core at which one thread is saturated. */
   private static final double SATURATED_CORES = 0.9;
 
-  /** Answers lag if this share of the sent statements, or MIN_LAG_PER_S, are missing. */
+  /** Answers lag if more than this share, and more than MIN_LAG_PER_S, are missing. */
   private static final double LAG_SHARE = 0.05;
 
   private static final double MIN_LAG_PER_S = 5;
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionAllocation.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionAllocation.java
@@ -56,7 +56,7 @@
           BATCH,
           () -> {
             for (int i = 0; i < BATCH; i++) {
-              harness.note(ids[i]);
+              harness.reportProgress(ids[i]);
             }
           });
       count(
@@ -70,14 +70,14 @@
       for (int i = 0; i < BATCH; i++) {
         harness.step();
       }
-      count(3, 1, harness::wake);
+      count(3, 1, harness::tick);
       harness.answerHealthChecks();
       count(
           4,
           BATCH,
           () -> {
             for (int i = 0; i < BATCH; i++) {
-              harness.report();
+              harness.reportLoad();
             }
           });
     }
@@ -117,10 +117,10 @@
         print(reports, CALLS[c] + " cpu us", cpu);
       }
       for (int i = 0; i < SIZES.length; i++) {
-        SchedulerBenchmarkHarness d = sizes.get(i).harness;
+        SchedulerBenchmarkHarness harness = sizes.get(i).harness;
         System.out.printf(
             "reports=%b engines=%d probes asked %d answered %d refused %d%n",
-            reports, SIZES[i], d.probesRequested, d.probesAnswered, d.refused);
+            reports, SIZES[i], harness.probesRequested, harness.probesAnswered, harness.refused);
       }
     }
     System.out.printf(
--- a/lab/src/test/java/reachloom/lab/slopes/DecisionBenchmark.java
+++ b/lab/src/test/java/reachloom/lab/slopes/DecisionBenchmark.java
@@ -82,7 +82,7 @@
       for (int i = 0; i < BATCH; i++) {
         harness.step();
       }
-      harness.wake();
+      harness.tick();
       harness.answerHealthChecks();
     }
   }
@@ -132,7 +132,7 @@
   @OperationsPerInvocation(BATCH)
   public void note(Outstanding g) {
     for (int i = 0; i < BATCH; i++) {
-      g.harness.note(g.ids[i]);
+      g.harness.reportProgress(g.ids[i]);
     }
   }
 
@@ -140,13 +140,13 @@
   @Benchmark
   public void wake(Gateway g) {
     g.harness.now += 25_000_000;
-    g.harness.wake();
+    g.harness.tick();
     g.harness.answerHealthChecks();
   }
 
   /** A load report of one engine. */
   @Benchmark
   public void probed(Gateway g) {
-    g.harness.report();
+    g.harness.reportLoad();
   }
 }
--- a/lab/src/test/java/reachloom/lab/slopes/Lists.java
+++ b/lab/src/test/java/reachloom/lab/slopes/EngineLists.java
@@ -10,7 +10,7 @@
 import reachloom.config.GatewayConfig;
 
 /** Builds engine lists of a given length, as a configuration and as change log frames. */
-final class Lists {
+final class EngineLists {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int ZONES = 10;
   private static final int HEADER_BYTES = 13; // length, number, kind
@@ -20,7 +20,7 @@
   private static final int PORT = 41_000;
   private static final long STARTED_MS = 1_700_000_000_000L;
 
-  private Lists() {}
+  private EngineLists() {}
 
   /** Returns a configuration file with a number of engines in {@code known}. */
   static byte[] configuration(int engines) throws IOException {
@@ -66,8 +66,8 @@
 
   private static byte[] frame(long number, byte kind, int first, int records, long startedMs) {
     ByteBuffer out =
-        ByteBuffer.allocate(HEADER_BYTESER_BYTES + RECORD_BYTES * records)
-            .putInt(HEADER_BYTESER_BYTES - Integer.BYTES + RECORD_BYTES * records)
+        ByteBuffer.allocate(HEADER_BYTES + RECORD_BYTES * records)
+            .putInt(HEADER_BYTES - Integer.BYTES + RECORD_BYTES * records)
             .putLong(number)
             .put(kind);
     for (int i = first; i < first + records; i++) {
--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -45,9 +45,9 @@
 
     Size(int engines, Path folder) throws Exception {
       this.engines = engines;
-      text = Lists.configuration(engines);
+      text = EngineLists.configuration(engines);
       file = Files.write(folder.resolve("list-" + engines + ".json"), text);
-      fullFrame = Lists.fullList(1, engines);
+      fullFrame = EngineLists.fullList(1, engines);
     }
 
     private interface Work {
@@ -68,7 +68,8 @@
     static EndpointListEvent decode(byte[] frame) {
       EndpointListEvent[] read = new EndpointListEvent[1];
       String error =
-          new ChangeLogDecoder(Lists.zoneAndKindCounts().get(0), Lists.zoneAndKindCounts().get(1))
+          new ChangeLogDecoder(
+                  EngineLists.zoneAndKindCounts().get(0), EngineLists.zoneAndKindCounts().get(1))
               .feed(frame, 0, frame.length, c -> read[0] = c);
       if (error != null) {
         throw new IllegalStateException(error);
@@ -84,7 +85,9 @@
       }
       count("read the file, us", this::read);
       EndpointListEvent[] all = new EndpointListEvent[1];
-      count("decode a whole frame, us", () -> all[0] = decode(Lists.fullList(++revision, engines)));
+      count(
+          "decode a whole frame, us",
+          () -> all[0] = decode(EngineLists.fullList(++revision, engines)));
       watch.onFrame(revision, true, false);
       List<EngineEndpoint> endpoints =
           all[0].members().stream().map(EngineMember::endpoint).toList();
@@ -93,7 +96,7 @@
           () -> harness.scheduler.onEndpoints(harness.now, true, endpoints));
       count("apply a whole list in the gateway, us", () -> list.update(true, all[0].members()));
       harness.step();
-      byte[] frame = Lists.singleChange(++revision, (int) (revision % engines));
+      byte[] frame = EngineLists.singleChange(++revision, (int) (revision % engines));
       EndpointListEvent[] one = new EndpointListEvent[1];
       count("decode one change, us", () -> one[0] = decode(frame));
       watch.onFrame(revision, false, false);
@@ -147,14 +150,14 @@
     List<Point> known = new ArrayList<>();
     List<Point> frame = new ArrayList<>();
     for (Size s : sizes) {
-      known.add(new Point(s.engines, Lists.knownBytes(s.text)));
+      known.add(new Point(s.engines, EngineLists.knownBytes(s.text)));
       frame.add(new Point(s.engines, s.fullFrame.length));
     }
     print("known as JSON, bytes", known);
     print("whole frame, bytes", frame);
     System.out.printf(
         "one change, bytes: %d; quiet frame, bytes: 13, one a second%n",
-        Lists.singleChange(1, 1).length);
+        EngineLists.singleChange(1, 1).length);
   }
 
   /** Measures retained heap: holds several copies and reads the heap after collections. */
--- a/lab/src/test/java/reachloom/lab/slopes/SchedulerBenchmarkHarness.java
+++ b/lab/src/test/java/reachloom/lab/slopes/SchedulerBenchmarkHarness.java
@@ -51,7 +51,7 @@
   private final Map<String, String> sent = new LinkedHashMap<>();
   private final ArrayDeque<String> probes = new ArrayDeque<>();
   long now = 1_000 * SECOND;
-  private long lastWake = now;
+  private long lastTick = now;
   private long count;
   long probesRequested;
   long probesAnswered;
@@ -144,14 +144,14 @@
   /** Advances the clock to the next query and runs what is due by then. */
   void step() {
     now += SECOND / QUERIES_PER_SECOND;
-    if (now - lastWake >= TICK_INTERVAL) {
-      wake();
+    if (now - lastTick >= TICK_INTERVAL) {
+      tick();
     }
     answerHealthChecks();
   }
 
-  void wake() {
-    lastWake = now;
+  void tick() {
+    lastTick = now;
     scheduler.onTimer(now, 0);
   }
 
@@ -163,7 +163,7 @@
   }
 
   /** Delivers a load report of a random engine. */
-  void report() {
+  void reportLoad() {
     scheduler.onHealthCheck(now, list.get(random.nextInt(list.size())).name(), true, HEALTHY);
   }
 
@@ -173,7 +173,7 @@
     return id;
   }
 
-  void note(String id) {
+  void reportProgress(String id) {
     String engine = sent.get(id);
     if (engine != null) {
       scheduler.onProgress(now, new ProgressReport(id, 0, engine, ProgressKind.PROGRESS, 0.5));
@@ -199,7 +199,7 @@
     answerHealthChecks();
     if (open.size() > MAX_OPEN) {
       String id = open.removeFirst();
-      note(id);
+      reportProgress(id);
       end(id);
     }
   }
