--- a/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ListSlope.java
@@ -178,8 +178,7 @@
       List<EngineEndpoint> endpoints =
           s.read().knownEngines().stream().map(EngineMember::endpoint).toList();
       decisions.add(
-          new Point(
-              s.engines, retainedBytes(() -> SchedulerBenchmarkHarness.listed(endpoints))));
+          new Point(s.engines, retainedBytes(() -> SchedulerBenchmarkHarness.listed(endpoints))));
     }
     for (Size s : sizes) {
       List<EngineMember> members = s.read().knownEngines();
