--- a/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualCluster.java
@@ -46,13 +46,15 @@
   public final class Node extends EncodingTransport {
     public final String name;
     public final long address;
-    private final Set<String> knowsCertificate = new LinkedHashSet<>();
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> receiversKnowingCertificate = new LinkedHashSet<>();
+    private final Set<String> knownSenders = new LinkedHashSet<>();
     private final ArrayDeque<long[]> lastSecond = new ArrayDeque<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private long lastSecondBytes;
     public GossipProtocol gossip;
     public boolean up = true;
+
+    /** Whether each datagram to or from it is delayed further, by up to half a period. */
     public boolean slow;
 
     /** Nanoseconds by which the clock of this instance differs from the simulated time. */
@@ -102,13 +104,14 @@
 
     @Override
     protected int certificateBytes(String receiver) {
-      return knowsCertificate.contains(receiver) ? 0 : CERTIFICATE_BYTES;
+      return receiversKnowingCertificate.contains(receiver) ? 0 : CERTIFICATE_BYTES;
     }
 
     @Override
     public void send(String to, long at, Packet packet) {
       Packet sentPacket = lie.apply(packet);
-      byte[] certificate = knowsCertificate.contains(to) ? null : new byte[CERTIFICATE_BYTES];
+      byte[] certificate =
+          receiversKnowingCertificate.contains(to) ? null : new byte[CERTIFICATE_BYTES];
       byte[] encoded =
           GossipCodec.encode(
               new DatagramEnvelope(
@@ -116,7 +119,7 @@
                   seq++,
                   clock() / MILLISECOND,
                   Optional.ofNullable(certificate),
-                  known.contains(to) ? 1 : 0),
+                  knownSenders.contains(to) ? 1 : 0),
               sentPacket);
       count(encoded.length + GossipCodec.SIGNATURE_BYTES + GossipCodec.UDP_HEADER_BYTES);
       deliver(this, at, encoded);
@@ -163,7 +166,10 @@
   /** Called for each instance that starts, before its first tick. */
   public Consumer<Node> onStart = n -> {};
 
-  /** Live instances that an instance declared dead; restarts and real crashes are not counted. */
+  /**
+   * How often a running instance was found to hold another running one dead. An instance that is
+   * down is not counted; a restarted one is, for each instance that still holds it dead.
+   */
   public long falseDeaths;
 
   /** Creates an empty cluster. */
@@ -198,8 +204,8 @@
     List<Long> seedAddresses =
         nodes.stream().limit(seeds).filter(s -> s != n).map(s -> s.address).toList();
     n.up = true;
-    n.knowsCertificate.clear();
-    n.known.clear();
+    n.receiversKnowingCertificate.clear();
+    n.knownSenders.clear();
     n.waiting.clear();
     int runNumber = ++n.runNumber;
     n.gossip =
@@ -259,14 +265,14 @@
       byte[] datagram = java.util.Arrays.copyOf(bytes, bytes.length + GossipCodec.SIGNATURE_BYTES);
       var header = GossipCodec.decodeHeader(datagram);
       Packet p = GossipCodec.decodeContent(datagram, header);
-      if (header.envelope().certificate().isEmpty() && !to.known.contains(p.sender())) {
+      if (header.envelope().certificate().isEmpty() && !to.knownSenders.contains(p.sender())) {
         return; // the sender's certificate is unknown, so the signature can't be verified
       }
-      to.known.add(p.sender());
+      to.knownSenders.add(p.sender());
       if (header.envelope().knownCertificate() != 0) {
-        to.knowsCertificate.add(p.sender());
+        to.receiversKnowingCertificate.add(p.sender());
       } else {
-        to.knowsCertificate.remove(p.sender());
+        to.receiversKnowingCertificate.remove(p.sender());
       }
       to.gossip.receive(to.clock(), p);
     } catch (RejectedDatagramException e) {
@@ -284,9 +290,9 @@
     }
   }
 
-  private final Set<Long> heldDead = new HashSet<>();
+  private final Set<Long> falselyHeldDead = new HashSet<>();
 
-  /** Counts each live instance that an instance holds dead, once until it is refuted. */
+  /** Counts each pair of live instances of which one holds the other dead, once until refuted. */
   private void countFalseDeaths() {
     for (Node n : nodes) {
       if (!n.up) {
@@ -296,9 +302,9 @@
         Node of = byAddress.get(m.address());
         long pair = n.address << Integer.SIZE ^ m.address();
         if (m.state() == MemberState.DEAD && of != null && of.up) {
-          falseDeaths += heldDead.add(pair) ? 1 : 0;
-        } else if (!heldDead.isEmpty()) {
-          heldDead.remove(pair);
+          falseDeaths += falselyHeldDead.add(pair) ? 1 : 0;
+        } else if (!falselyHeldDead.isEmpty()) {
+          falselyHeldDead.remove(pair);
         }
       }
     }
@@ -320,7 +326,7 @@
     return count;
   }
 
-  /** Returns whether each live instance's members are exactly as many as the live instances. */
+  /** Returns whether each live instance has as many members as there are live instances. */
   public boolean agreed() {
     long live = nodes.stream().filter(n -> n.up).count();
     return nodes.stream().filter(n -> n.up).allMatch(n -> n.gossip.membership().size() == live);
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualRun.java
@@ -17,22 +17,24 @@
   private static final long SECOND = VirtualCluster.SECOND;
   private static final long STEP = SECOND / 10;
   private static final int SEEDS = 3;
-  private static final int MAX_SETTLE_PERIODS = 180; // until all instances know each other
+
+  /** The most periods to wait until all instances agree, or until a crash is known. */
+  private static final int MAX_SETTLE_PERIODS = 180;
+
   /** A crash is known when this share of the live members holds the instance dead. */
   private static final double KNOWN_SHARE = 0.99;
 
-
-  /** The false reports that a lying instance sends about engines. */
+  /** The false reports that a lying instance sends, about the first 16 engines at most. */
   public enum Lie {
     /** Reports one healthy engine as bad. */
     ONE,
     /** Reports all engines as bad. */
     ALL,
-    /** Reports all engines but one as bad. */
+    /** Reports all engines but one as bad, and that one as healthy. */
     FRIEND,
     /** Reports one engine as bad in every other interval of two seconds. */
     FLAP,
-    /** Reports sick engines as healthy. */
+    /** Reports all engines as healthy, including the sick ones. */
     PRAISE
   }
 
@@ -73,7 +75,7 @@
             ? new VirtualService(cluster, plan.engines, true, plan.seed, plan.rate)
             : null;
     makeLiars(cluster, service);
-    slowInstances(cluster);
+    makeInstancesSlow(cluster);
     long falseBefore = cluster.falseDeaths;
     cluster.run(plan.seconds * SECOND / 4);
     makeEnginesSick(service);
@@ -93,7 +95,10 @@
     return result;
   }
 
-  /** Returns a cluster in which all instances know each other, and records how long it took. */
+  /**
+   * Starts a cluster and runs it until all instances know each other; records the periods that this
+   * took, or -1 if they did not agree in time.
+   */
   private VirtualCluster settled() {
     VirtualCluster c = new VirtualCluster(plan.seed, plan.period, plan.cap, plan.loss);
     c.add(plan.instances, SEEDS);
@@ -105,7 +110,7 @@
     return c;
   }
 
-  private void slowInstances(VirtualCluster c) {
+  private void makeInstancesSlow(VirtualCluster c) {
     int slow = (int) Math.round(plan.slow * plan.instances);
     for (int i = 0; i < slow; i++) {
       c.nodes.get(plan.instances - 1 - i).slow = true;
@@ -166,8 +171,8 @@
   }
 
   /**
-   * Crashes instances one after another; measures the time until the first suspicion and until the
-   * crash is known.
+   * Crashes instances one after another; measures the periods until the first suspicion, and from
+   * then until the crash is known.
    */
   private void crashInstances(VirtualCluster c) {
     List<Double> detectPeriods = new ArrayList<>();
@@ -198,7 +203,7 @@
     result.put("spread_periods_p99", round(highest(spreadPeriods)));
   }
 
-  /** Returns the largest value, which is the 99th percentile of so few values. */
+  /** Returns the largest value, which is reported as the 99th percentile of the few values. */
   private static double highest(List<Double> values) {
     return values.stream().mapToDouble(x -> x).max().orElse(0);
   }
@@ -216,7 +221,10 @@
     result.put("join_periods", c.agreed() ? periods : -1);
   }
 
-  /** Repeats the run with gossip off, and without liars, with the same arrivals. */
+  /**
+   * Repeats the run with the same arrivals: once without peer reports and liars and, if this run
+   * had liars, once with peer reports and without liars.
+   */
   private void compare(VirtualService service) {
     result.put("asked", service.asked());
     result.put("service", round(service.service()));
@@ -249,7 +257,7 @@
     VirtualRun run = new VirtualRun(p);
     VirtualCluster c = run.settled();
     VirtualService s = new VirtualService(c, p.engines, gossip, p.seed, p.rate);
-    run.slowInstances(c);
+    run.makeInstancesSlow(c);
     c.run(p.seconds * SECOND / 4);
     run.makeEnginesSick(s);
     run.crashInstances(c);
--- a/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
+++ b/lab/src/main/java/reachloom/lab/gossip/VirtualService.java
@@ -39,7 +39,7 @@
   private static final int CORES = 8;
   private static final double MEAN_RUN_SECONDS = 0.05;
   private static final long PROGRESS_PERIOD = 500 * MILLISECOND;
-  private static final double MAX_RUN_TIME = 6; // multiples of the mean
+  private static final double MAX_RUN_MULTIPLE = 6; // of the mean, on an engine with a free core
 
   private static final class Engine {
     private final String name;
@@ -123,7 +123,10 @@
     return asked == 0 ? 1 : (double) servedInTime / asked;
   }
 
-  /** Returns the queries that were sent to a sick engine and not served within the goal time. */
+  /**
+   * Returns the number of ended queries that were sent to a sick engine and not served within the
+   * goal time.
+   */
   long lostToSick() {
     return lostToSick;
   }
@@ -247,7 +250,7 @@
       }
       e.running++;
       double slow = Math.max(1, (double) e.running / CORES);
-      double multiple = Math.min(-Math.log(1 - times.nextDouble()), MAX_RUN_TIME);
+      double multiple = Math.min(-Math.log(1 - times.nextDouble()), MAX_RUN_MULTIPLE);
       double time = multiple * MEAN_RUN_SECONDS * slow;
       long until = now() + (long) (time * SECOND);
       for (long at = now() + PROGRESS_PERIOD; at < until; at += PROGRESS_PERIOD) {
--- a/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
+++ b/lab/src/test/java/reachloom/lab/gossip/VirtualClusterTest.java
@@ -124,7 +124,7 @@
     n.up = false;
     c.run(60 * SECOND);
     assertEquals(11, c.countHolding(n, MemberState.DEAD));
-    n.skew = -20 * SECOND; // its new incarnation is lower than its previous one
+    n.skew = -20 * SECOND; // the first incarnation after a start is the clock's seconds
     c.start(n, 3);
     awaitAgreement(c, 60);
     assertEquals(
