--- a/lab/src/main/java/reachloom/lab/slopes/GatewayRig.java
+++ b/lab/src/main/java/reachloom/lab/slopes/GatewayRig.java
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Returns the heap in use after a full collection in MB, as {@code jcmd} reports it, or -1 if
-   * {@code jcmd} is not installed.
+   * Returns the heap in use after a full collection in MB, as {@code jcmd} reports it for the
+   * serial collector, or -1 if the Java installation has no {@code jcmd}.
    */
   double liveHeapMb() throws IOException, InterruptedException {
     Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
--- a/lab/src/main/java/reachloom/lab/slopes/Measurement.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Measurement.java
@@ -28,7 +28,10 @@
   /** The share of a core at which one thread is saturated. */
   private static final double SATURATED_CORES = 0.9;
 
-  /** Answers lag if more than this share, and more than MIN_LAG_PER_S, are missing. */
+  /**
+   * Answers lag, or rejections count, above this share of the statements sent and above
+   * MIN_LAG_PER_S.
+   */
   private static final double LAG_SHARE = 0.05;
 
   private static final double MIN_LAG_PER_S = 5;
@@ -97,7 +100,10 @@
     return Math.max(1, engines * PLANNED_GATEWAYS / PLANNED_ENGINES);
   }
 
-  /** Sends statements of each class until the code that they run through is compiled. */
+  /**
+   * Sends statements of each class for the warm-up time in total, so that the code that they run
+   * through is compiled.
+   */
   private void warm(GatewayRig rig) throws InterruptedException {
     rig.clients().open(CONNECTIONS);
     for (String c : SlopesCommand.CLASSES) {
@@ -113,7 +119,8 @@
   }
 
   /**
-   * Waits until no statement is outstanding, then one second more for the gateway's remaining work.
+   * Waits until no statement is outstanding, at most DRAIN_TIMEOUT_S, then one second more for the
+   * gateway's remaining work.
    */
   private static void drain(GatewayRig rig) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(DRAIN_TIMEOUT_S);
@@ -143,8 +150,9 @@
   }
 
   /**
-   * Returns whether the gateway was at its limit: it rejected statements, or one of its threads was
-   * busy all the time, counting its waits for a processor if answers lagged.
+   * Returns whether the gateway was at its limit: more statements were rejected than {@link
+   * #maxLagPerSecond} allows, or the event loop or the socket threads used more than {@link
+   * #SATURATED_CORES}, where waits for a processor count as use if answers lagged.
    */
   static boolean saturated(Map<String, Object> row) {
     return number(row, "cores_loop") > SATURATED_CORES
@@ -155,6 +163,7 @@
                 || number(row, "cores_sockets") + number(row, "sockets_waited") > SATURATED_CORES);
   }
 
+  /** Returns the statements a second that were refused, failed or not sent. */
   private static double rejectedPerSecond(Map<String, Object> row) {
     return (number(row, "refused") + number(row, "failed") + number(row, "unsent"))
         / number(row, "seconds");
@@ -205,7 +214,10 @@
     System.err.println(name + ": " + fit);
   }
 
-  /** Returns for each size the row with the median of a figure over the rounds. */
+  /**
+   * Returns for each size the row with the median of a figure over the rounds in which the rig was
+   * not starved, or the row with the least figure if it was starved in all of them.
+   */
   private static List<Map<String, Object>> medianRows(
       List<List<Map<String, Object>>> rounds, String key) {
     List<Map<String, Object>> medians = new ArrayList<>();
@@ -346,8 +358,8 @@
   }
 
   /**
-   * Waits until the gateway has released its client connections; returns its number of open file
-   * descriptors.
+   * Waits until the gateway has released its client connections, at most RELEASE_TIMEOUT_MS;
+   * returns its number of open file descriptors.
    */
   private static int awaitRelease(GatewayRig rig, int base)
       throws IOException, InterruptedException {
--- a/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
+++ b/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
@@ -33,8 +33,10 @@
   private static final int MAX_FRAME_BYTES = 64 * 1024;
   private static final String STATEMENT = "select a, b, c from lab_1.t where a = 1";
   private static final int TIMEOUT_S = 60;
-  private static final int MAX_CONCURRENT_CONNECTS =
-      100; // connects beyond the listen backlog would be dropped
+
+  /** The gateway's system would drop connects beyond the listen backlog. */
+  private static final int MAX_CONCURRENT_CONNECTS = 100;
+
   private static final int MAX_LATENCY_MS = 60_000;
   private static final AttributeKey CONNECTION = new AttributeKey(PacedClients.class, "of");
 
@@ -48,10 +50,11 @@
 
   /**
    * Numbers of statements by outcome, of connects and of closed connections; latencies in
-   * milliseconds. {@code lost} counts statements whose connection closed, and failed connects;
-   * {@code unsent} statements that were due while their connection had as many outstanding as the
-   * protocol allows; {@code ended} connections that were closed. {@code maxDelayMs} is the longest
-   * delay of a statement behind its schedule.
+   * milliseconds. {@code sent} counts statements that were due, including the unsent ones; {@code
+   * lost} statements whose connection closed, and failed connects; {@code unsent} statements that
+   * were due while their connection had as many outstanding as the protocol allows; {@code ended}
+   * connections closed by either side, except those of {@link #paceConnects}. {@code maxDelayMs} is
+   * the longest delay of a statement behind its schedule.
    */
   record Outcome(
       long sent,
@@ -273,7 +276,7 @@
         });
   }
 
-  /** Closes all connections. */
+  /** Closes all connections of {@link #open} and stops all schedules. */
   void closeAll() throws InterruptedException {
     runOnTimer(
         () -> {
--- a/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
+++ b/lab/src/test/java/reachloom/lab/slopes/GossipSlope.java
@@ -37,7 +37,7 @@
   private static final int SINGLE_UPDATES = 10; // one after another
   private static final int BURST_UPDATES = 10; // at once, each of another member
   private static final int MAX_SPREAD_PERIODS = 120;
-  private static final double MAX_SHARE = 0.99;
+  private static final double SHARE_99 = 0.99;
 
   /** The serial collector removes all unreachable objects only in every fourth collection. */
   private static final int COLLECTIONS = 4;
@@ -119,7 +119,7 @@
         Map<String, Object> figures, String name, List<Long> values) {
       long[] sorted = values.stream().mapToLong(x -> x).sorted().toArray();
       figures.put(name + "_mean", round(Arrays.stream(sorted).average().orElse(0)));
-      figures.put(name + "_p99", sorted[(int) (sorted.length * MAX_SHARE)]);
+      figures.put(name + "_p99", sorted[(int) (sorted.length * SHARE_99)]);
       figures.put(name + "_max", sorted[sorted.length - 1]);
     }
   }
@@ -176,8 +176,8 @@
   }
 
   /**
-   * Measures the periods until half, 99% and all live members hold an update of a member, and until
-   * a crash is detected.
+   * Measures the periods until half, 99% and all live members hold an update of a member, until a
+   * crash is first suspected, and from then until 99% of them hold the crashed member dead.
    */
   private static Map<String, Object> measureSpread(Size s, SplittableRandom random) {
     Map<String, Object> figures = new LinkedHashMap<>();
@@ -198,7 +198,7 @@
     down.up = false;
     long at = s.cluster.agenda.now();
     long first = -1;
-    while (s.cluster.countHolding(down, MemberState.DEAD) < MAX_SHARE * (s.instances - 1)
+    while (s.cluster.countHolding(down, MemberState.DEAD) < SHARE_99 * (s.instances - 1)
         && s.cluster.agenda.now() < at + MAX_SPREAD_PERIODS * s.period) {
       s.cluster.agenda.runUntil(s.cluster.agenda.now() + s.period / STEPS_PER_PERIOD);
       first =
@@ -263,7 +263,7 @@
         double share = holding / (double) s.instances;
         double[] a = after[i];
         a[0] = a[0] < 0 && share >= 0.5 ? periods : a[0];
-        a[1] = a[1] < 0 && share >= MAX_SHARE ? periods : a[1];
+        a[1] = a[1] < 0 && share >= SHARE_99 ? periods : a[1];
         a[2] = a[2] < 0 && share >= 1 ? periods : a[2];
       }
     }
