--- a/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
+++ b/lab/src/main/java/reachloom/lab/gossip/SocketRun.java
@@ -27,7 +27,7 @@
 /**
  * Runs gossip among real gateways, each in a process of its own on loopback, with engine stand-ins
  * and real queries, and repeats the run with gossip off. Some engines hang; junk datagrams may be
- * sent to one gateway's gossip port.
+ * sent to one gateway's gossip port, and the run is then repeated with gossip and without junk.
  */
 final class SocketRun {
   private static final long PERIOD_NANOS = 500_000_000;
@@ -73,7 +73,7 @@
     long inTime = outcome.all.stream().mapToLong(HistoryChecker.Row::inTime).sum();
     figures.put("asked" + suffix, asked);
     figures.put("service" + suffix, Math.round(1e4 * inTime / Math.max(1, asked)) / 1e4);
-    // Healthy engines answer nearly all queries in time, so a late query met a sick engine.
+    // Healthy engines answer nearly all queries in time, so late ones count as lost to sick ones.
     figures.put(
         "lost_to_sick" + suffix,
         outcome.withSickEngines.stream().mapToLong(r -> r.asked() - r.inTime()).sum());
@@ -81,11 +81,12 @@
     figures.put("rules_broken" + suffix, outcome.rulesBroken);
   }
 
-  /** The results of all queries, of the queries after engines hung, and the broken rules. */
+  /**
+   * The results of all queries after the settling time, of those from the moment at which engines
+   * hang, and the broken rules.
+   */
   private record Outcome(
-      List<HistoryChecker.Row> all,
-      List<HistoryChecker.Row> withSickEngines,
-      Object rulesBroken) {}
+      List<HistoryChecker.Row> all, List<HistoryChecker.Row> withSickEngines, Object rulesBroken) {}
 
   private Outcome run(boolean gossip, int junk, Map<String, Object> statusFigures)
       throws Exception {
--- a/lab/src/main/java/reachloom/lab/slopes/Fit.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Fit.java
@@ -7,15 +7,15 @@
  * A straight line a + b n fitted by least squares to values measured at several sizes n. {@code
  * residual} is the largest deviation of a value from the line, as a share of the line's value at
  * that size, {@code rms} the root mean square of the deviations, {@code r2} the share of the
- * variance that the line explains. {@code knee} is the first size whose value departs from the
- * line, or 0 if there is none; that size and all larger ones are excluded from the fit. {@code
- * sizes} is the number of values in the fit.
+ * variance that the line explains. {@code knee} is the first size that was saturated or whose value
+ * is too far above the line, or 0 if there is none; that size and all larger ones are excluded from
+ * the fit. {@code sizes} is the number of values in the fit.
  */
 record Fit(double a, double b, double residual, double rms, double r2, double knee, int sizes) {
   /** A value is a knee if it exceeds the line through the smaller sizes by more than this share. */
   private static final double KNEE_DEVIATION = 0.25;
 
-  /** The fewest points that a knee can be detected from: a line through fewer proves nothing. */
+  /** The fewest points whose line can show a knee: a line through fewer proves nothing. */
   private static final int MIN_POINTS = 3;
 
   private static final double MIN_DIVISOR = 1e-12;
@@ -81,7 +81,8 @@
 
   /**
    * Returns the size at which the curve through the points bends most, whether or not it is a knee:
-   * where the slope after the size is at least twice, or at most half, the slope before it. Returns
+   * where the slope after the size is at least twice, or at most half, the slope before it, or
+   * where the slope changes its sign or to or from 0, which counts as the strongest bend. Returns
    * NaN if there is no such size. The points are in order of size, each size once.
    */
   static double bend(List<Point> points) {
--- a/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
+++ b/lab/src/main/java/reachloom/lab/slopes/PacedClients.java
@@ -75,7 +75,9 @@
     private boolean connecting;
     private Runnable onConnected;
     private int seq;
-    private long schedule; // statements of an older schedule are not sent
+
+    /** The number of the current schedule; statements of earlier schedules are not sent. */
+    private long schedule;
   }
 
   private final InetSocketAddress gateway;
--- a/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SlopesCommand.java
@@ -50,7 +50,7 @@
             "connections: idle, or a statement every 5 s at even or random gaps (idle,even)")
         .addOption(null, "seconds", true, "seconds that each size is measured (6)")
         .addOption(null, "settle", true, "seconds before each measurement (2)")
-        .addOption(null, "rounds", true, "rounds over all rates; the median round is reported (1)")
+        .addOption(null, "rounds", true, "rounds over all rates; lines fit their medians (1)")
         .addOption(null, "warm", true, "seconds of warm-up statements (9)")
         .addOption(
             null,
--- a/lab/src/test/java/reachloom/lab/slopes/ConfigurationSteps.java
+++ b/lab/src/test/java/reachloom/lab/slopes/ConfigurationSteps.java
@@ -90,16 +90,16 @@
         for (int i = 0; i < times; i++) {
           FakeChangeLog next = logs.get((i + 1) % 2);
           int hellos = next.hellos.size();
-          long lines = countReloads(gateway.log);
-          long written = System.nanoTime();
+          long reloads = countReloads(gateway.log);
+          long beforeWrite = System.nanoTime();
           gateway.configure(
               text.replace(
                   ":" + one.address().getPort() + "\"", ":" + next.address().getPort() + "\""));
-          long start = prefix.isEmpty() ? System.nanoTime() : written;
+          long start = prefix.isEmpty() ? System.nanoTime() : beforeWrite;
           if (prefix.isEmpty()) {
             gateway.hangUp();
           }
-          await(() -> countReloads(gateway.log) > lines);
+          await(() -> countReloads(gateway.log) > reloads);
           reloaded[i] = (System.nanoTime() - start) / 1e6;
           await(() -> next.hellos.size() > hellos);
           greeted[i] = (System.nanoTime() - start) / 1e6;
@@ -133,7 +133,8 @@
     long until = System.nanoTime() + TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > until) {
-        throw new IllegalStateException("the gateway did not apply the configuration within 30 s");
+        throw new IllegalStateException(
+            "no reload logged, or no message at the new change log, within 30 s");
       }
       Thread.sleep(1);
     }
--- a/lab/src/test/java/reachloom/lab/slopes/MeasurementTest.java
+++ b/lab/src/test/java/reachloom/lab/slopes/MeasurementTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tells a saturated gateway from a rig that was starved by the machine. */
+/** Tests whether rows count as saturated gateways or as rigs starved by the machine. */
 class MeasurementTest {
   private static Map<String, Object> row(Object... changes) {
     Map<String, Object> row =
