--- a/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
+++ b/lab/src/main/java/reachloom/lab/scale/VirtualControl.java
@@ -252,9 +252,9 @@
     this.plan = plan;
     random = new SplittableRandom(plan.seed);
     cluster = new VirtualCluster(plan.seed, GOSSIP_PERIOD_NANOS, plan.cap, plan.loss);
-    cluster.way = (from, to) -> region(from) == region(to) ? 0 : INTER_REGION_DELAY_NANOS;
+    cluster.extraDelay = (from, to) -> region(from) == region(to) ? 0 : INTER_REGION_DELAY_NANOS;
     cluster.capOf = n -> index(n) < plan.control ? plan.controlCap : plan.cap;
-    cluster.starts =
+    cluster.onStart =
         n -> members.computeIfAbsent(n, k -> new Member(n, index(n) < plan.control)).start();
     document = new byte[plan.document];
     for (int i = 0; i < document.length; i++) {
