--- a/lab/src/main/java/reachloom/lab/slopes/Measurement.java
+++ b/lab/src/main/java/reachloom/lab/slopes/Measurement.java
@@ -150,9 +150,9 @@
   }
 
   /**
-   * Returns whether the gateway was at its limit: more statements were rejected than {@link
-   * #maxLagPerSecond} allows, or the event loop or the socket threads used more than {@link
-   * #SATURATED_CORES}, where waits for a processor count as use if answers lagged.
+   * Returns whether the gateway was at its limit: more statements were rejected than the lag limit
+   * allows, or the event loop or the socket threads used more than SATURATED_CORES, where waits for
+   * a processor count as use if answers lagged.
    */
   static boolean saturated(Map<String, Object> row) {
     return number(row, "cores_loop") > SATURATED_CORES
