--- a/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/reachloom/lab/cluster/HistoryCheckerTest.java
@@ -132,13 +132,13 @@
   void reportsAttemptOnDrainingEngineAfterGrace() {
     model.replace(java.util.List.of(model.engines.get(1)), SECOND);
     advance(0.5);
-    long near = accept(LOOKUP, 0);
-    checker.attemptEnded(receiveAttempt(near, 1), time.now());
-    checker.answered(near, Answer.SERVED, time.now());
+    long withinGrace = accept(LOOKUP, 0);
+    checker.attemptEnded(receiveAttempt(withinGrace, 1), time.now());
+    checker.answered(withinGrace, Answer.SERVED, time.now());
     advance(0.1);
-    long after = accept(LOOKUP, 0);
-    checker.attemptEnded(receiveAttempt(after, 1), time.now());
-    checker.answered(after, Answer.SERVED, time.now());
+    long afterGrace = accept(LOOKUP, 0);
+    checker.attemptEnded(receiveAttempt(afterGrace, 1), time.now());
+    checker.answered(afterGrace, Answer.SERVED, time.now());
     assertEquals(Map.of("drain", 1), broken());
   }
 
--- a/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/reachloom/lab/fleet/VirtualFleetTest.java
@@ -103,8 +103,8 @@
       int gateways, int engines, int zones, double skew, double large, int believed)
       throws FaultSchedule.InvalidScriptException {
     // Gateway counts in the settings that are wrong by a factor of three; no skew and high skew;
-    // few engines; few gateways; each gateway alone in its zone; one engine; two of 60 engines
-    // with twice the cores.
+    // few engines; few gateways; each gateway alone in its zone; one engine; a share of 0.04 of
+    // large engines, of which ClusterPlan.isLarge makes none among 20 engines in each zone.
     ClusterPlan plan = new ClusterPlan(gateways, engines, zones, 14, 0.6, skew, large, believed, 5);
     Map<String, Object> f = play(plan, "calm");
     assertRulesKept(f);
@@ -114,8 +114,9 @@
 
   @Test
   void busyGatewaysUseCapacityThatOthersLeave() throws FaultSchedule.InvalidScriptException {
-    // Half of the engines are cold and traffic is uneven: with an equal limit for each gateway, a
-    // twentieth of the queries was refused although engines were idle.
+    // The script replaces half of the engines, which are cold at first, and traffic is uneven: an
+    // equal limit for each gateway would refuse a twentieth of the queries although engines are
+    // idle.
     Map<String, Object> f = play(new ClusterPlan(100, 30, 3, 14, 0.7, 0.8, 0, 100, 5), "release");
     assertRulesKept(f);
     assertTrue(number(f, "refused_while_idle") < 0.025, f.toString());
