--- a/standin/src/main/java/reachloom/standin/model/EngineModel.java
+++ b/standin/src/main/java/reachloom/standin/model/EngineModel.java
@@ -51,8 +51,9 @@
 
   /**
    * Receives the events of one query. At most one of {@code served}, {@code error} and {@code died}
-   * is called; an engine that hangs calls none of them, nor is any called after {@link #cancel} has
-   * ended the query.
+   * is called. An engine that hangs calls neither {@code served} nor {@code progress}, but {@code
+   * died} if it goes down. None is called after {@link #cancel} has ended the query; an {@code
+   * error}, which follows 2 ms after the query was accepted, cannot be cancelled.
    */
   public interface QueryListener {
     void served(double work, double memoryMb);
@@ -144,8 +145,11 @@
   // ---- Queries and load reports ----
 
   /**
-   * Accepts a query, or returns false if the engine is full or down or runs a query of this id; a
-   * query that is not accepted never runs.
+   * Accepts a query. Returns false if the engine is full or down, runs a query of this id, or is
+   * cold and crashes under this query's work; a query that is not accepted never runs.
+   *
+   * @param work in core-seconds
+   * @param width the number of threads of the query
    */
   public boolean submit(
       String query, double work, int width, double queryMemoryMb, QueryListener listener) {
@@ -217,7 +221,7 @@
     scheduleCompletion();
   }
 
-  /** Divides the speed of each thread by a factor. */
+  /** Sets the factor by which each thread runs slower than at full speed; 1 is no slowdown. */
   public void setSlowdown(double factor) {
     advance();
     slowdown = factor;
@@ -261,7 +265,7 @@
             * spec.cores
             * (spec.fallTime / SECOND)
             / spec.meanWork;
-    // Three standard deviations on top: random variation alone does not crash the engine.
+    // Three standard deviations and 3 on top: random variation alone does not crash the engine.
     double limit = allowed + 3 * Math.sqrt(allowed) + 3;
     peakColdLoad = Math.max(peakColdLoad, recentWorkSum / spec.meanWork / limit);
     if (recentWorkSum / spec.meanWork > limit) {
@@ -316,7 +320,8 @@
 
   /**
    * Returns the time since which the engine has been healthy and warm with a free core without a
-   * break; {@code Long.MAX_VALUE} if it is not so now.
+   * break; {@code Long.MAX_VALUE} if it is not so now. After warm-up the time counts only from the
+   * next start or end of a query or change of condition.
    */
   public long idleCoreSince() {
     return idleCoreSince;
