--- a/lab/src/main/java/reachloom/lab/cluster/ClusterPlan.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterPlan.java
@@ -65,7 +65,10 @@
     return (engine - 1) % zones;
   }
 
-  /** Returns whether an engine is of the large kind; these are spread evenly over the zones. */
+  /**
+   * Returns whether an engine is of the large kind; these are spread evenly over the zones. Their
+   * number in each zone is the share of the zone's engines, rounded down.
+   */
   public boolean isLarge(int engine) {
     int place = (engine - 1) % engines / zones;
     return Math.floor((place + 1) * large) > Math.floor(place * large);
--- a/lab/src/main/java/reachloom/lab/cluster/Fault.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Fault.java
@@ -8,14 +8,15 @@
  * @param kind what happens to the component
  * @param share the fraction of the components that it affects
  * @param zone the zone whose components it affects; -1 for all zones
- * @param far the engines' zone of an affected link; -1 for links between the zone and all others
+ * @param far the engines' zone of an affected link; -1 for the links between the zone and all
+ *     others, or for all links if {@code zone} is -1 as well
  * @param by the kind's parameter: the factor by which engines slow down, the share of errors, the
  *     factor on the load, the delay in milliseconds, the maximum number of connections of an
  *     engine, the number of control machines lost, the number of configuration changes issued one
  *     after another, the failing calls per thousand, or the seconds by which a wall clock is
  *     stepped
- * @param lasts how long it lasts for each component
- * @param within the time over which the components are affected one after another
+ * @param lasts how long it lasts for each component; a wall clock stays stepped if this is 0
+ * @param within the time over which gateways are affected, or engines replaced, one after another
  */
 public record Fault(
     double at,
--- a/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
@@ -181,7 +181,8 @@
     for (int g = 0; g < model.plan.zones(); g++) {
       for (int e = 0; e < model.plan.zones(); e++) {
         // With a far zone only the link from one zone's gateways to the other zone's engines;
-        // otherwise the links between the zone and all other zones in both directions.
+        // with a zone alone the links between it and all other zones in both directions; with
+        // neither all links.
         boolean affected =
             t.far() >= 0
                 ? g == t.zone() && e == t.far()
--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -12,8 +12,9 @@
 
 /**
  * Records the history of a run as engines and clients observe it, and checks it against the rules
- * that gateways must keep. It does not know the gateways' decisions. All methods run on the
- * scheduler's thread; events are in order of time, except for delays in the network.
+ * that gateways must keep. It does not know the gateways' decisions. All methods but {@link
+ * #allAnswered} run on the scheduler's thread; events are in order of time, except for delays in
+ * the network.
  */
 public final class HistoryChecker {
   /** Tolerance added to each time limit, in nanoseconds, as the platform's protocol allows. */
@@ -40,6 +41,7 @@
     /** When the gateway sent the attempt, computed from the link's delay. */
     final long sentAt;
 
+    /** Whether the engine accepted the attempt. */
     final boolean ran;
 
     /** When the attempt ended or was cancelled; {@code Long.MAX_VALUE} while it runs. */
@@ -60,7 +62,7 @@
   static final class QueryRecord {
     final Arrival arrival;
 
-    /** The gateway to which the client sent the query; -1 if there was none. */
+    /** The gateway to which the client sent the query. */
     final int gateway;
 
     final long acceptedAt;
@@ -101,13 +103,17 @@
 
   private record Interval(long from, long to) {}
 
+  /** Two zones, a zone and an engine, or a gateway and -1. */
   private record Key(int a, int b) {}
 
   private final ClusterModel model;
   private final ClusterPlan plan;
   private final Map<Long, QueryRecord> queries = new HashMap<>();
 
-  /** Queries without a gateway: theirs was down and its front end had not noticed it yet. */
+  /**
+   * Queries without a gateway: theirs was down and the front end had not noticed it yet, or all
+   * gateways were down.
+   */
   private final List<Arrival> unplaced = new ArrayList<>();
 
   private final Map<Key, List<Interval>> halts = new HashMap<>();
@@ -239,6 +245,8 @@
    * Records an attempt whose request an engine has received completely, and checks it.
    *
    * @param gateway the sending gateway; -1 if the engine does not know it
+   * @param sentAt when the gateway sent the attempt, in nanoseconds
+   * @param ran whether the engine accepted the attempt
    * @return the attempt; null if its query is unknown
    */
   public Attempt attemptReceived(
@@ -392,7 +400,7 @@
 
   /**
    * Checks the number of further attempts of one gateway within each window against the number of
-   * queries that it accepted in the window.
+   * queries that it accepted in the window; reports at most one violation for the gateway.
    */
   private void checkFurther(List<QueryRecord> of) {
     List<Long> further =
@@ -425,7 +433,11 @@
 
   /**
    * Returns all figures. {@code service} is the worth of the queries that were served within their
-   * goal time, as a fraction of the worth of all queries.
+   * goal time, as a fraction of the worth of all queries that arrived since {@code settled} and of
+   * all queries that could be sent to no gateway. Rules are checked for earlier queries as well.
+   *
+   * @param now the time of the call, in nanoseconds; queries whose time limit is later may be open
+   * @param settled the arrival time from which queries count, in nanoseconds
    */
   public Map<String, Object> figures(long now, long settled) {
     checkAtEnd(now);
--- a/lab/src/main/java/reachloom/lab/cluster/ListServer.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ListServer.java
@@ -73,7 +73,7 @@
    * Creates a server that does not listen yet.
    *
    * @param enginePort the port of all engines
-   * @param log supplies the events sent so far
+   * @param log supplies all events published so far, also those that a follower still lacks
    */
   public ListServer(
       TaskScheduler time,
--- a/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -137,7 +137,10 @@
     }
   }
 
-  /** Counts the windows in which a healthy engine, warm or cold, is sent nothing but others are. */
+  /**
+   * Counts the consecutive windows in which a healthy, listed engine, warm or cold, is sent nothing
+   * while others are, and keeps the longest such period.
+   */
   private void checkUnused() {
     boolean anySent = samples.values().stream().anyMatch(s -> s.sent > s.sentBefore);
     for (EngineModel e : model.engines.values()) {
@@ -162,9 +165,9 @@
             .mapToDouble(s -> s.usedInSecond / s.windows)
             .toArray();
     double mean = Arrays.stream(used).average().orElse(0);
-    double square = Arrays.stream(used).map(u -> (u - mean) * (u - mean)).average().orElse(0);
+    double variance = Arrays.stream(used).map(u -> (u - mean) * (u - mean)).average().orElse(0);
     if (mean > 0.05) {
-      variation.add(Math.sqrt(square) / mean);
+      variation.add(Math.sqrt(variance) / mean);
     }
     samples.values()
         .forEach(
--- a/lab/src/main/java/reachloom/lab/cluster/Processes.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Processes.java
@@ -107,7 +107,8 @@
 
   /**
    * Creates a class-data-sharing archive of the classes that a start loads, as the deployment's
-   * build does; it shortens each of up to 200 starts.
+   * build does; it shortens each of up to 200 starts. If it cannot be created, gateways start
+   * without it.
    */
   public void archive() throws IOException, InterruptedException {
     Path file = folder.resolve("classes.jsa");
@@ -174,7 +175,10 @@
     return words;
   }
 
-  /** Starts a gateway unless it runs, without waiting until it is ready. */
+  /**
+   * Starts a gateway without waiting until it is ready; does nothing if it runs already or after
+   * {@link #close}.
+   */
   synchronized void start(int gateway) throws IOException {
     if (closing || running.get(gateway) != null && running.get(gateway).isAlive()) {
       return;
@@ -235,7 +239,10 @@
     return ready;
   }
 
-  /** Starts a gateway again on another thread, and runs an action once it is ready. */
+  /**
+   * Starts a gateway again on another thread, and runs an action once it is ready; the action does
+   * not run if the gateway is not ready within 60 s.
+   */
   void restart(int gateway, Runnable then) {
     try {
       starters.execute(
