--- a/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
+++ b/lab/src/main/java/reachloom/lab/cluster/FaultInjector.java
@@ -52,8 +52,8 @@
         gateways,
         workload,
         checker,
-        t -> {
-          throw new IllegalStateException("this fleet cannot inject " + t);
+        fault -> {
+          throw new IllegalStateException("this fleet cannot inject " + fault);
         });
   }
 
@@ -81,12 +81,12 @@
 
   /** Schedules all faults of a script relative to a start time; none begins after the run's end. */
   public void play(FaultSchedule script, long start, BooleanSupplier isRunning) {
-    for (Fault t : script.faults()) {
+    for (Fault fault : script.faults()) {
       model.time.at(
-          start + t.start(),
+          start + fault.start(),
           () -> {
             if (isRunning.getAsBoolean()) {
-              begin(t);
+              begin(fault);
             }
           });
     }
@@ -96,52 +96,53 @@
     model.time.at(model.time.now() + wait, action);
   }
 
-  private void begin(Fault t) {
-    switch (t.who()) {
-      case GATEWAYS -> injectIntoGateways(t);
-      case ENGINES -> injectIntoEngines(t, model.draw(t.share(), t.zone()));
-      case LINK -> injectIntoLinks(t);
-      case LIST -> injectIntoViews(t);
+  private void begin(Fault fault) {
+    switch (fault.who()) {
+      case GATEWAYS -> injectIntoGateways(fault);
+      case ENGINES -> injectIntoEngines(fault, model.draw(fault.share(), fault.zone()));
+      case LINK -> injectIntoLinks(fault);
+      case LIST -> injectIntoViews(fault);
       case LOAD -> {
-        workload.surge(t.zone(), t.by());
-        schedule(t.length(), () -> workload.surge(t.zone(), 1));
+        workload.surge(fault.zone(), fault.by());
+        schedule(fault.length(), () -> workload.surge(fault.zone(), 1));
       }
-      default -> otherFaults.accept(t);
+      default -> otherFaults.accept(fault);
     }
   }
 
   /** Affects the gateways drawn all at once, or one after another over the fault's spread. */
-  private void injectIntoGateways(Fault t) {
-    List<Integer> some = drawGateways(t.share(), t.zone());
+  private void injectIntoGateways(Fault fault) {
+    List<Integer> some = drawGateways(fault.share(), fault.zone());
     for (int i = 0; i < some.size(); i++) {
       int g = some.get(i);
       schedule(
-          t.spread() * i / some.size(),
+          fault.spread() * i / some.size(),
           () -> {
-            switch (t.kind()) {
+            switch (fault.kind()) {
               case KILL -> {
                 gateways.kill(g);
-                schedule(t.length(), () -> gateways.start(g));
+                schedule(fault.length(), () -> gateways.start(g));
               }
               case TERMINATE -> {
                 gateways.terminate(g);
-                schedule(t.length(), () -> gateways.start(g));
+                schedule(fault.length(), () -> gateways.start(g));
               }
               case FAIL_CALLS -> {
-                gateways.failCalls(g, (int) t.by());
-                schedule(t.length(), () -> gateways.failCalls(g, 0));
+                gateways.failCalls(g, (int) fault.by());
+                schedule(fault.length(), () -> gateways.failCalls(g, 0));
               }
               case CLOCK_FORWARD, CLOCK_BACK -> {
-                gateways.stepClock(g, t.kind() == Fault.Kind.CLOCK_BACK ? -t.by() : t.by());
-                if (t.length() > 0) {
-                  schedule(t.length(), () -> gateways.stepClock(g, 0));
+                gateways.stepClock(
+                    g, fault.kind() == Fault.Kind.CLOCK_BACK ? -fault.by() : fault.by());
+                if (fault.length() > 0) {
+                  schedule(fault.length(), () -> gateways.stepClock(g, 0));
                 }
               }
               default -> {
                 gateways.halt(g, true);
                 checker.halted(g, true);
                 schedule(
-                    t.length(),
+                    fault.length(),
                     () -> {
                       gateways.halt(g, false);
                       checker.halted(g, false);
@@ -166,39 +167,39 @@
     return all;
   }
 
-  private void injectIntoEngines(Fault t, List<EngineModel> some) {
-    switch (t.kind()) {
-      case HANG -> model.setCondition(some, Condition.HANGING, 0, t.length());
-      case ERR -> model.setCondition(some, Condition.FAILING, t.by(), t.length());
-      case SLOW -> model.slow(some, t.by(), t.length());
-      case CROWD -> model.limitConnections(some, (int) t.by(), t.length());
-      case CRASH -> model.crash(some, t.length());
-      default -> model.replace(some, t.spread());
+  private void injectIntoEngines(Fault fault, List<EngineModel> some) {
+    switch (fault.kind()) {
+      case HANG -> model.setCondition(some, Condition.HANGING, 0, fault.length());
+      case ERR -> model.setCondition(some, Condition.FAILING, fault.by(), fault.length());
+      case SLOW -> model.slow(some, fault.by(), fault.length());
+      case CROWD -> model.limitConnections(some, (int) fault.by(), fault.length());
+      case CRASH -> model.crash(some, fault.length());
+      default -> model.replace(some, fault.spread());
     }
   }
 
-  private void injectIntoLinks(Fault t) {
+  private void injectIntoLinks(Fault fault) {
     for (int g = 0; g < model.plan.zones(); g++) {
       for (int e = 0; e < model.plan.zones(); e++) {
         // With a far zone only the link from one zone's gateways to the other zone's engines;
         // with a zone alone the links between it and all other zones in both directions; with
         // neither all links.
         boolean affected =
-            t.far() >= 0
-                ? g == t.zone() && e == t.far()
-                : t.zone() < 0 || (g == t.zone()) != (e == t.zone());
-        if (affected && t.kind() == Fault.Kind.RESET) {
+            fault.far() >= 0
+                ? g == fault.zone() && e == fault.far()
+                : fault.zone() < 0 || (g == fault.zone()) != (e == fault.zone());
+        if (affected && fault.kind() == Fault.Kind.RESET) {
           model.reset(g, e);
         } else if (affected) {
           ClusterModel.Link link = model.link(g, e);
-          setImpaired(link, t, true);
+          setImpaired(link, fault, true);
           checker.impaired(g, e, true);
           int from = g;
           int to = e;
           schedule(
-              t.length(),
+              fault.length(),
               () -> {
-                setImpaired(link, t, false);
+                setImpaired(link, fault, false);
                 checker.impaired(from, to, false);
               });
         }
@@ -206,9 +207,9 @@
     }
   }
 
-  private static void setImpaired(ClusterModel.Link link, Fault t, boolean now) {
-    switch (t.kind()) {
-      case DELAY -> link.delay = now ? (long) (t.by() * ClusterPlan.MILLISECOND) : 0;
+  private static void setImpaired(ClusterModel.Link link, Fault fault, boolean now) {
+    switch (fault.kind()) {
+      case DELAY -> link.delay = now ? (long) (fault.by() * ClusterPlan.MILLISECOND) : 0;
       case CUT_OUT -> link.cutOut = now;
       case CUT_IN -> link.cutIn = now;
       default -> {
@@ -218,21 +219,21 @@
     }
   }
 
-  private void injectIntoViews(Fault t) {
+  private void injectIntoViews(Fault fault) {
     for (ClusterModel.View v : model.views) {
-      if (t.zone() < 0 || v.zone == t.zone()) {
-        switch (t.kind()) {
+      if (fault.zone() < 0 || v.zone == fault.zone()) {
+        switch (fault.kind()) {
           case LATE -> {
-            v.setDelay((long) (t.by() * ClusterPlan.MILLISECOND));
-            schedule(t.length(), () -> v.setDelay(0));
+            v.setDelay((long) (fault.by() * ClusterPlan.MILLISECOND));
+            schedule(fault.length(), () -> v.setDelay(0));
           }
           case STALE -> {
             v.setStale(true);
-            schedule(t.length(), () -> v.setStale(false));
+            schedule(fault.length(), () -> v.setStale(false));
           }
           default -> {
             v.setDown(true);
-            schedule(t.length(), () -> v.setDown(false));
+            schedule(fault.length(), () -> v.setDown(false));
           }
         }
       }
--- a/lab/src/main/java/reachloom/lab/cluster/Processes.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Processes.java
@@ -48,7 +48,7 @@
   private final Path jar;
   private final int heapMb;
   private final IntFunction<String> configuration;
-  private final IntFunction<List<String>> words;
+  private final IntFunction<List<String>> arguments;
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final List<Process> running = new ArrayList<>();
   private final Set<Integer> killed = new HashSet<>();
@@ -66,7 +66,7 @@
    * @param folder the folder for logs and other files
    * @param jar the gateway's jar; null to run the gateway from the class path
    * @param configuration returns a gateway's configuration; called at each start
-   * @param words returns a gateway's additional command-line arguments; called at each start
+   * @param arguments returns a gateway's additional command-line arguments; called at each start
    */
   public Processes(
       Path folder,
@@ -74,21 +74,21 @@
       int gateways,
       int heapMb,
       IntFunction<String> configuration,
-      IntFunction<List<String>> words)
+      IntFunction<List<String>> arguments)
       throws IOException {
     this.folder = folder;
     this.jar = jar;
     this.heapMb = heapMb;
     this.configuration = configuration;
-    this.words = words;
-    List<ServerSocket> taken = new ArrayList<>(); // open together, so that no two ports are equal
+    this.arguments = arguments;
+    List<ServerSocket> sockets = new ArrayList<>(); // open together, so that no two ports are equal
     for (int g = 0; g < gateways; g++) {
       ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-      taken.add(s);
+      sockets.add(s);
       addresses.add((InetSocketAddress) s.getLocalSocketAddress());
       running.add(null);
     }
-    for (ServerSocket s : taken) {
+    for (ServerSocket s : sockets) {
       s.close();
     }
     watcher =
@@ -163,16 +163,16 @@
   }
 
   private List<String> command(String... more) {
-    List<String> words = new ArrayList<>();
-    words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    words.addAll(JVM_FLAGS);
-    words.addAll(List.of("-Xms" + Math.min(16, heapMb) + "m", "-Xmx" + heapMb + "m"));
-    words.addAll(List.of(more));
-    words.addAll(
+    List<String> command = new ArrayList<>();
+    command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    command.addAll(JVM_FLAGS);
+    command.addAll(List.of("-Xms" + Math.min(16, heapMb) + "m", "-Xmx" + heapMb + "m"));
+    command.addAll(List.of(more));
+    command.addAll(
         jar == null
             ? List.of("-cp", System.getProperty("java.class.path"), "reachloom.Main")
             : List.of("-jar", jar.toString()));
-    return words;
+    return command;
   }
 
   /**
@@ -190,7 +190,7 @@
             ? command()
             : command("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off", "-Xlog:cds+dynamic=off");
     command.add("serve");
-    command.addAll(words.apply(gateway));
+    command.addAll(arguments.apply(gateway));
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -296,12 +296,12 @@
 
   /** Makes all running gateways reload their configuration (SIGHUP). */
   synchronized void hangUp() {
-    List<String> words = new ArrayList<>(List.of("kill", "-HUP"));
+    List<String> command = new ArrayList<>(List.of("kill", "-HUP"));
     running.stream()
         .filter(p -> p != null && p.isAlive())
-        .forEach(p -> words.add(Long.toString(p.pid())));
-    if (words.size() > 2) {
-      signal(words, "the gateways");
+        .forEach(p -> command.add(Long.toString(p.pid())));
+    if (command.size() > 2) {
+      signal(command, "the gateways");
     }
   }
 
@@ -314,11 +314,11 @@
     }
   }
 
-  private static void signal(List<String> words, String whom) {
+  private static void signal(List<String> command, String target) {
     try {
-      new ProcessBuilder(words).start().waitFor();
+      new ProcessBuilder(command).start().waitFor();
     } catch (IOException e) {
-      System.err.println("lab: " + whom + " could not be signalled: " + e.getMessage());
+      System.err.println("lab: " + target + " could not be signalled: " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
