--- a/lab/src/main/java/reachloom/lab/cluster/Fault.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Fault.java
@@ -16,7 +16,8 @@
  *     after another, the failing calls per thousand, or the seconds by which a wall clock is
  *     stepped
  * @param lasts how long it lasts for each component; a wall clock stays stepped if this is 0
- * @param within the time over which gateways are affected, or engines replaced, one after another
+ * @param within the time over which gateways are affected, engines replaced or configuration
+ *     changes issued, one after another
  */
 public record Fault(
     double at,
@@ -40,7 +41,12 @@
     CONFIGURATION
   }
 
-  /** What a fault does. */
+  /**
+   * What a fault does. Of those whose names say little: {@code CROWD} limits the connections that
+   * an engine accepts; {@code LATE} delays the events of the endpoint list; {@code STALE} holds
+   * them back; {@code DOWN} also makes the list unreachable; {@code PART} cuts the links between
+   * regions and the list beyond the first region; {@code LOSE} kills control machines.
+   */
   public enum Kind {
     KILL(Who.GATEWAYS),
     TERMINATE(Who.GATEWAYS),
