--- a/decisions/src/main/java/reachloom/balancing/EngineSubset.java
+++ b/decisions/src/main/java/reachloom/balancing/EngineSubset.java
@@ -9,12 +9,12 @@
 
 /**
  * Deterministic subsetting: the order in which a gateway prefers engines. All engines are placed on
- * a ring in the order of a hash of their names, each on an arc as long as its weight; a gateway starts at
- * the position of its number in a low-discrepancy sequence (multiples of the golden ratio). Every
- * engine thus gets gateways in proportion to its weight, without messages between gateways; subsets
- * of neighbouring gateways differ, and one engine more or less changes each subset by one engine at
- * most. Source: Google's SRE book, chapter 20; the low-discrepancy form is from "Reinventing
- * Backend Subsetting at Google", ACM Queue 2023.
+ * a ring in the order of a hash of their names, each on an arc as long as its weight; a gateway
+ * starts at the position of its number in a low-discrepancy sequence (multiples of the golden
+ * ratio). Every engine thus gets gateways in proportion to its weight, without messages between
+ * gateways; subsets of neighbouring gateways differ, and one engine more or less changes each
+ * subset by one engine at most. Source: Google's SRE book, chapter 20; the low-discrepancy form is
+ * from "Reinventing Backend Subsetting at Google", ACM Queue 2023.
  */
 public final class EngineSubset {
   private static final double GOLDEN_RATIO = 0.6180339887498949;
--- a/decisions/src/main/java/reachloom/discovery/IncarnationTimes.java
+++ b/decisions/src/main/java/reachloom/discovery/IncarnationTimes.java
@@ -7,9 +7,9 @@
  * an incremental event has started recently; a start time outside of these bounds corrects the
  * offset, so that the engine counts as just started.
  *
- * <p>Limits: if an event arrives later than {@link #MAX_EVENT_DELAY_NANOS}, the engine counts as warming
- * up for too long. The offset is not corrected if an engine is only in the complete list at the
- * start of this process and the wall clock was ahead.
+ * <p>Limits: if an event arrives later than {@link #MAX_EVENT_DELAY_NANOS}, the engine counts as
+ * warming up for too long. The offset is not corrected if an engine is only in the complete list at
+ * the start of this process and the wall clock was ahead.
  */
 public final class IncarnationTimes {
   /**
@@ -30,7 +30,8 @@
    */
   public long toLocalNanos(long nowNanos, long startedUnixNanos, boolean isIncremental) {
     long startedNanos = startedUnixNanos + clockOffsetNanos;
-    if (startedNanos > nowNanos || isIncremental && startedNanos < nowNanos - MAX_EVENT_DELAY_NANOS) {
+    if (startedNanos > nowNanos
+        || isIncremental && startedNanos < nowNanos - MAX_EVENT_DELAY_NANOS) {
       clockOffsetNanos = nowNanos - startedUnixNanos;
       return nowNanos;
     }
--- a/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
+++ b/decisions/src/main/java/reachloom/gossip/DatagramRateLimiter.java
@@ -63,8 +63,10 @@
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private final Map<String, SequenceWindow> senders =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
-  private final TokenBucket othersLimit = new TokenBucket(CHECKS_PER_SECOND_OF_OTHERS, CHECKS_PER_SECOND_OF_OTHERS);
-  private final TokenBucket totalLimit = new TokenBucket(TOTAL_CHECKS_PER_SECOND, TOTAL_CHECKS_PER_SECOND);
+  private final TokenBucket othersLimit =
+      new TokenBucket(CHECKS_PER_SECOND_OF_OTHERS, CHECKS_PER_SECOND_OF_OTHERS);
+  private final TokenBucket totalLimit =
+      new TokenBucket(TOTAL_CHECKS_PER_SECOND, TOTAL_CHECKS_PER_SECOND);
   private final double checksPerMember;
   private long acceptedCount;
 
@@ -82,7 +84,8 @@
   public DatagramRateLimiter(long periodNanos, boolean revisions) {
     double perSecond =
         CHECKS_PER_MEMBER_AND_PERIOD * Math.max(1, (double) SECOND_NANOS / periodNanos);
-    checksPerMember = Math.min(TOTAL_CHECKS_PER_SECOND, perSecond + (revisions ? CHUNK_CHECKS_PER_SECOND : 0));
+    checksPerMember =
+        Math.min(TOTAL_CHECKS_PER_SECOND, perSecond + (revisions ? CHUNK_CHECKS_PER_SECOND : 0));
   }
 
   /**
--- a/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
+++ b/decisions/src/main/java/reachloom/gossip/GossipProtocol.java
@@ -139,7 +139,7 @@
    * Adds an engine that is in use.
    *
    * @param incarnation the start time of its process; a changed one clears the engine's outcomes
-   * and level
+   *     and level
    */
   public void addEngine(String engine, long incarnation) {
     Long before = engines.put(engine, incarnation);
@@ -336,7 +336,8 @@
     List<RevisionMessage> allMessages = new ArrayList<>(payload.messages());
     allMessages.addAll(messages);
     int bytes =
-        transport.messageBytes(to, message) + transport.payloadBytes(membership.place(), allMessages);
+        transport.messageBytes(to, message)
+            + transport.payloadBytes(membership.place(), allMessages);
     if (!membership.bandwidth().hasRoom(nowNanos, Purpose.REVISION, bytes)) {
       return false;
     }
--- a/decisions/src/main/java/reachloom/gossip/Packet.java
+++ b/decisions/src/main/java/reachloom/gossip/Packet.java
@@ -11,7 +11,7 @@
  *
  * @param sender the sender's name
  * @param address the address that the sender listens on: IPv4 address and port in the lowest 48
- * bits
+ *     bits
  * @param place the sender's region (upper byte) and zone (lower byte); 0 if it does not state them
  * @param incarnation the sender's incarnation
  * @param message the message itself
--- a/decisions/src/main/java/reachloom/membership/AntiEntropySync.java
+++ b/decisions/src/main/java/reachloom/membership/AntiEntropySync.java
@@ -69,13 +69,13 @@
    * the next request is brought forward.
    */
   void onMemberAdded(long nowNanos) {
-        if (++newMembers >= EARLY_SYNC_NEW_MEMBERS) {
+    if (++newMembers >= EARLY_SYNC_NEW_MEMBERS) {
       unchangedRounds = 0;
       scheduleNoLaterThan(nowNanos + periodNanos / 2 + random.nextLong(periodNanos));
     }
   }
 
-    private void scheduleNoLaterThan(long atNanos) {
+  private void scheduleNoLaterThan(long atNanos) {
     nextSyncAtNanos = Math.min(nextSyncAtNanos, atNanos);
   }
 
@@ -88,7 +88,7 @@
     if (nowNanos < nextSyncAtNanos || members.presentCount() == 0) {
       return;
     }
-        boolean followUp =
+    boolean followUp =
         incomplete && truncatedResponder != null && truncatedResponder.state == MemberState.ALIVE;
     List<Member> drawn = followUp ? List.of(truncatedResponder) : members.drawAlive(1);
     if (!drawn.isEmpty()) {
@@ -129,7 +129,7 @@
       digests.add(MemberDigest.of(salt, member));
       lastName = member.name();
     }
-        boolean reachesEnd = lastName.isEmpty() || members.isLast(lastName);
+    boolean reachesEnd = lastName.isEmpty() || members.isLast(lastName);
     return new MembershipMessage.SyncRequest(afterName, reachesEnd ? "" : lastName, salt, digests);
   }
 
@@ -178,12 +178,12 @@
   }
 
   private MembershipMessage.SyncResponse response(List<Member> differing, int maxBytes) {
-        List<MembershipUpdate> included = new ArrayList<>();
+    List<MembershipUpdate> included = new ArrayList<>();
     int remainingBytes = maxBytes;
     for (Member member : differing) {
       MembershipUpdate update = member.toUpdate();
       int updateBytes = messenger.updateBytes(update);
-            if (updateBytes > remainingBytes) {
+      if (updateBytes > remainingBytes) {
         return new MembershipMessage.SyncResponse(true, included);
       }
       included.add(update);
@@ -204,14 +204,14 @@
       Member responder,
       MembershipMessage.SyncResponse response,
       Consumer<MembershipUpdate> apply) {
-        int countBefore = members.storedCount();
+    int countBefore = members.storedCount();
     response.updates().forEach(apply);
     boolean addedMembers = members.storedCount() > countBefore;
     // A response with new members suggests that more members are still unknown.
     incomplete = response.truncated() || !requestPending || addedMembers;
     truncatedResponder = response.truncated() ? responder : null;
     if (incomplete) {
-            long minDelayNanos = periodNanos / FOLLOW_UP_DELAY_DIVISOR;
+      long minDelayNanos = periodNanos / FOLLOW_UP_DELAY_DIVISOR;
       scheduleNoLaterThan(nowNanos + minDelayNanos + random.nextLong(periodNanos / 2));
     }
     requestPending = false;
--- a/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
+++ b/decisions/src/main/java/reachloom/membership/BandwidthLimiter.java
@@ -46,7 +46,7 @@
 
   private static final long SECOND_NANOS = 1_000_000_000;
 
-   private final int maxBytesPerSecond;
+  private final int maxBytesPerSecond;
   private final SlidingWindowSum sentBytes = new SlidingWindowSum(SECOND_NANOS);
   private final SlidingWindowSum piggybackBytes = new SlidingWindowSum(SECOND_NANOS);
 
@@ -68,16 +68,17 @@
    * @param maxBytes the maximum size of a packet
    */
   public int maxWithPiggyback(long nowNanos, int bytes, int maxBytes) {
-        double remainingBytes =
+    double remainingBytes =
         Math.min(
             maxBytesPerSecond * PIGGYBACK_SHARE - piggybackBytes.sum(nowNanos),
             maxBytesPerSecond * MAX_SHARE_WITH_PIGGYBACK - sentBytes.sum(nowNanos) - bytes);
-    return Math.max(bytes, (int) Math.min(maxBytes, bytes + Math.min(remainingBytes, maxPiggybackBytes())));
+    return Math.max(
+        bytes, (int) Math.min(maxBytes, bytes + Math.min(remainingBytes, maxPiggybackBytes())));
   }
 
   /** Returns the maximum size, in bytes, of a datagram that is sent for the sake of its updates. */
   public int maxSyncBytes(long nowNanos, int bytes, int maxBytes) {
-        int remainingBytes = (int) (maxBytesPerSecond * Purpose.SYNC.share - sentBytes.sum(nowNanos));
+    int remainingBytes = (int) (maxBytesPerSecond * Purpose.SYNC.share - sentBytes.sum(nowNanos));
     return Math.max(bytes, Math.min(maxBytes, remainingBytes));
   }
 
--- a/decisions/src/main/java/reachloom/membership/FailureDetector.java
+++ b/decisions/src/main/java/reachloom/membership/FailureDetector.java
@@ -14,7 +14,7 @@
  * MembershipService}.
  */
 final class FailureDetector {
-    private static final double DIRECT_PING_TIMEOUT_PERIODS = 0.4;
+  private static final double DIRECT_PING_TIMEOUT_PERIODS = 0.4;
   private static final double RELAYED_PING_TIMEOUT_PERIODS = 0.3; // for the target of a relay
   private static final int RELAY_COUNT = 3; // k of SWIM: relays of an indirect ping
   private static final int MAX_RELAYED_PINGS = 64; // pending pings on behalf of other members
@@ -55,7 +55,7 @@
   private final LocalHealth health;
   private final SuspicionTracker suspicions;
   private final Map<Long, RelayedPing> relayedPings = new LinkedHashMap<>();
-   private PendingPing pending;
+  private PendingPing pending;
   private long nextPingAtNanos;
 
   /** Whether pings are sent; false until this node knows the members. */
@@ -140,7 +140,7 @@
         new MembershipMessage.PingRequest(sequenceNumber, target.name(), target.address);
     List<Member> relays =
         members.draw(RELAY_COUNT, member -> member != target && member.state == MemberState.ALIVE);
-        int sentCount = 0;
+    int sentCount = 0;
     for (Member relay : relays) {
       sentCount += messenger.send(nowNanos, Purpose.PROBE, relay, request) ? 1 : 0;
     }
--- a/decisions/src/main/java/reachloom/membership/JoinProtocol.java
+++ b/decisions/src/main/java/reachloom/membership/JoinProtocol.java
@@ -9,11 +9,10 @@
  * Joins nodes to the cluster: a node pings the seeds of its settings until they are members, sends
  * a sample of the members to each joining node, and periodically pings members that it considers
  * failed, so that the halves of a partitioned cluster merge again. Confined to the thread that
- * calls
- * {@link MembershipService}.
+ * calls {@link MembershipService}.
  */
 final class JoinProtocol {
-    private static final int RECONNECT_INTERVAL_PERIODS = 4; // of pings to failed members and seeds
+  private static final int RECONNECT_INTERVAL_PERIODS = 4; // of pings to failed members and seeds
   private static final double MEAN_UNSOLICITED_WELCOMES = 4; // per joining node
   private static final int MAX_BACKOFF_DOUBLINGS = 1; // of the interval between pings to seeds
 
@@ -113,7 +112,8 @@
     List<MembershipUpdate> sample = new ArrayList<>();
     for (Member other :
         members.draw(
-                        count, candidate -> candidate != joiningMember && candidate.state == MemberState.ALIVE)) {
+            count,
+            candidate -> candidate != joiningMember && candidate.state == MemberState.ALIVE)) {
       int updateBytes = messenger.updateBytes(other.toUpdate());
       remainingBytes -= updateBytes;
       if (remainingBytes >= 0) {
--- a/decisions/src/main/java/reachloom/membership/LocalHealth.java
+++ b/decisions/src/main/java/reachloom/membership/LocalHealth.java
@@ -9,7 +9,7 @@
 final class LocalHealth {
   private static final int MAX_SCORE = 8; // Lifeguard's bound
 
-   private int score;
+  private int score;
 
   /** Raises the score after an event that a healthy node would not have seen. */
   void worsen(int amount) {
--- a/decisions/src/main/java/reachloom/membership/LocalMember.java
+++ b/decisions/src/main/java/reachloom/membership/LocalMember.java
@@ -1,11 +1,11 @@
 package reachloom.membership;
 
 /**
- * This node as a member: its name, address, incarnation, region and zone. Confined to
- * the thread that calls {@link MembershipService}.
+ * This node as a member: its name, address, incarnation, region and zone. Confined to the thread
+ * that calls {@link MembershipService}.
  */
 final class LocalMember {
-   private final String name;
+  private final String name;
   private final long address;
   private long incarnation;
   private int place;
--- a/decisions/src/main/java/reachloom/membership/MemberMessenger.java
+++ b/decisions/src/main/java/reachloom/membership/MemberMessenger.java
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Sends a message with an update that precedes all queued ones. If this node's view of
-   * the receiver may be wrong ({@link #updateAboutReceiver}), the update about the receiver takes
-   * the place of the given one, so that the receiver can refute it.
+   * Sends a message with an update that precedes all queued ones. If this node's view of the
+   * receiver may be wrong ({@link #updateAboutReceiver}), the update about the receiver takes the
+   * place of the given one, so that the receiver can refute it.
    */
   boolean send(
       long nowNanos,
--- a/decisions/src/main/java/reachloom/membership/MemberTable.java
+++ b/decisions/src/main/java/reachloom/membership/MemberTable.java
@@ -161,7 +161,8 @@
     long retentionNanos = ABSENT_RETENTION_PERIODS * periodNanos;
     members
         .values()
-        .removeIf(member -> !member.state.present() && nowNanos - member.sinceNanos > retentionNanos);
+        .removeIf(
+            member -> !member.state.present() && nowNanos - member.sinceNanos > retentionNanos);
   }
 
   /** Sets a member's state and incarnation, and starts or ends its suspicion accordingly. */
--- a/decisions/src/main/java/reachloom/membership/MembershipService.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipService.java
@@ -8,16 +8,16 @@
 
 /**
  * Maintains one node's list of the members of a cluster, after SWIM (Das, Gupta, Motivala, DSN
- * 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018). It coordinates
- * {@link FailureDetector}, {@link SuspicionTracker}, {@link JoinProtocol}, {@link AntiEntropySync}
- * and {@link UpdateProcessor}.
+ * 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018). It coordinates {@link
+ * FailureDetector}, {@link SuspicionTracker}, {@link JoinProtocol}, {@link AntiEntropySync} and
+ * {@link UpdateProcessor}.
  *
  * <p>Differences from these papers: a node does not accept another node's verdict that a member has
  * failed or left. Such an update counts as one more accusation, and each node runs the timeout for
  * a refutation by itself. A node that lies can therefore cause a healthy member to be suspected,
- * but not to be removed from the list. The first packet from the member itself, whose
- * sender is authenticated, corrects an address that other members reported for the same
- * incarnation. A reported incarnation that is too high stays until the member exceeds it.
+ * but not to be removed from the list. The first packet from the member itself, whose sender is
+ * authenticated, corrects an address that other members reported for the same incarnation. A
+ * reported incarnation that is too high stays until the member exceeds it.
  *
  * <p>All times are nanoseconds of the caller's clock, which must not go back. Not thread-safe: all
  * methods are called from one thread. The same events and seed give the same messages in the same
--- a/decisions/src/main/java/reachloom/membership/MembershipUpdate.java
+++ b/decisions/src/main/java/reachloom/membership/MembershipUpdate.java
@@ -5,7 +5,7 @@
  *
  * @param member the member's name, not empty
  * @param address the address that the member listens on: IPv4 address and port in the lowest 48
- * bits
+ *     bits
  * @param incarnation the incarnation that the state refers to
  * @param state the state of the member
  * @param accuser the member that accuses it; empty for none
--- a/decisions/src/main/java/reachloom/membership/MessageSender.java
+++ b/decisions/src/main/java/reachloom/membership/MessageSender.java
@@ -9,7 +9,7 @@
    *
    * @param to the receiver's name; empty if it is unknown which node listens at the address
    * @param address the address that the receiver listens on: IPv4 address and port in the lowest 48
-   * bits
+   *     bits
    * @param maxBytes the maximum size of the datagram; the rest may be filled with peer reports
    * @return the size of the datagram on the wire, in bytes
    */
--- a/decisions/src/main/java/reachloom/membership/SuspicionTracker.java
+++ b/decisions/src/main/java/reachloom/membership/SuspicionTracker.java
@@ -4,8 +4,8 @@
 
 /**
  * Tracks suspected members, their accusers, and the timeouts within which they must refute (SWIM's
- * suspicion subprotocol with the timeouts of Lifeguard). Confined to the thread that calls
- * {@link MembershipService}.
+ * suspicion subprotocol with the timeouts of Lifeguard). Confined to the thread that calls {@link
+ * MembershipService}.
  */
 final class SuspicionTracker {
   private static final int FINAL_PINGS = 2; // by this node, to a suspect whose timeout has expired
--- a/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
@@ -58,7 +58,9 @@
       members.transition(nowNanos, member, MemberState.ALIVE, self.incarnation());
     } else if (self.place() != 0 && member.place == 0 && sameIncarnation) {
       members.setPlace(nowNanos, member, self.place());
-    } else if (member.lastPacketAtNanos == 0 && sameIncarnation && member.address != self.address()) {
+    } else if (member.lastPacketAtNanos == 0
+        && sameIncarnation
+        && member.address != self.address()) {
       members.correctAddress(member, self.address());
     }
   }
@@ -81,7 +83,7 @@
    *
    * @param reporter the member that sent the update
    * @param disseminate whether a new member is passed on to others; false for the members of a
-   * synchronized table
+   *     synchronized table
    */
   void apply(long nowNanos, MembershipUpdate update, String reporter, boolean disseminate) {
     if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_CLOCK_LEAD_SECONDS) {
--- a/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
+++ b/decisions/src/main/java/reachloom/peerreport/OutcomeWindow.java
@@ -28,7 +28,7 @@
      * none.
      *
      * @param queryActive false if the query ended before the attempt did, for example because its
-     * client disconnected: a cancelled attempt is then no evidence about the engine
+     *     client disconnected: a cancelled attempt is then no evidence about the engine
      */
     public static Optional<Observation> of(AttemptOutcome outcome, boolean queryActive) {
       return switch (outcome) {
--- a/decisions/src/main/java/reachloom/peerreport/PeerReport.java
+++ b/decisions/src/main/java/reachloom/peerreport/PeerReport.java
@@ -5,7 +5,7 @@
  *
  * @param engine the engine's name
  * @param incarnation the start time of the engine's process in the endpoint list, so that another
- * process at the same address does not inherit the report
+ *     process at the same address does not inherit the report
  * @param served attempts that were served
  * @param failed attempts that failed with an error, a reset or a failed connection
  * @param timedOut attempts that got no response
--- a/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
+++ b/decisions/src/main/java/reachloom/peerreport/WeightedQuorum.java
@@ -221,7 +221,8 @@
       return;
     }
     // A report from before this node's latest failure may have been true at its time.
-    boolean outdated = stored.atNanos() <= ownOutcomes.lastFailureAtNanos(engine, own.incarnation());
+    boolean outdated =
+        stored.atNanos() <= ownOutcomes.lastFailureAtNanos(engine, own.incarnation());
     if (failing && vouches(stored.report()) && outdated) {
       return;
     }
@@ -287,8 +288,7 @@
    * Limits the number of accused engines to a share of all: those with the highest levels stay
    * accused.
    */
-  private static List<Assessment> limitAccusations(
-      List<Assessment> assessments, int engineCount) {
+  private static List<Assessment> limitAccusations(List<Assessment> assessments, int engineCount) {
     int maxAccused = (int) (engineCount * MAX_ACCUSED_SHARE);
     List<Assessment> order = new ArrayList<>(assessments);
     order.sort(
--- a/decisions/src/main/java/reachloom/revision/ConsensusNode.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -122,9 +122,9 @@
    * Submits a document to be issued. It supersedes a submitted document that is not proposed yet.
    *
    * @param document the document; copied
-   * @param client receives the result, possibly from within this call; receives a second one if
-   *     the first is not final ({@link ProposalResult#isFinal}), unless the request is dropped as
-   *     the oldest of more than four unresolved ones
+   * @param client receives the result, possibly from within this call; receives a second one if the
+   *     first is not final ({@link ProposalResult#isFinal}), unless the request is dropped as the
+   *     oldest of more than four unresolved ones
    */
   public void propose(long nowNanos, byte[] document, Consumer<ProposalResult> client) {
     beginEvent(nowNanos);
--- a/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
+++ b/decisions/src/main/java/reachloom/revision/RevisionAntiEntropy.java
@@ -40,6 +40,7 @@
   private final PeerTable peers;
   private final PeerMessenger messenger;
   private final NoticeSender notices;
+
   /** By name of the peer. */
   private final TreeMap<String, PendingQuery> pendingQueries = new TreeMap<>();
 
--- a/decisions/src/main/java/reachloom/scheduler/AdmissionController.java
+++ b/decisions/src/main/java/reachloom/scheduler/AdmissionController.java
@@ -7,9 +7,7 @@
  * wait plus own service time exceeds its deadline is rejected (load shedding); others are queued.
  */
 final class AdmissionController {
-  /**
-   * Ticks of the scheduler that a query needs beyond its service time to wait for load reports.
-   */
+  /** Ticks of the scheduler that a query needs beyond its service time to wait for load reports. */
   private static final int REPORT_MARGIN_TICKS = 2;
 
   private final KeyOrdering keyOrdering;
--- a/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptMonitor.java
@@ -103,7 +103,8 @@
 
   private void abandonUnresponsive(long nowNanos, EngineRecord engine) {
     long lastSignalNanos = Math.max(engine.signals.lastSignalNanos, clock.stalledUntilNanos());
-    boolean engineIsUnresponsive = nowNanos - lastSignalNanos > ENGINE_TIMEOUT_PERIODS * periodNanos;
+    boolean engineIsUnresponsive =
+        nowNanos - lastSignalNanos > ENGINE_TIMEOUT_PERIODS * periodNanos;
     boolean engineResponds = nowNanos - lastSignalNanos < periodNanos;
     for (AttemptRecord attempt : engine.inFlight.attempts()) {
       long silentNanos = nowNanos - lastSignalOf(attempt);
--- a/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
+++ b/decisions/src/main/java/reachloom/scheduler/WaitPredictor.java
@@ -2,8 +2,7 @@
 
 /**
  * Predicts how long a query that does not fit would wait: the queued work divided by the total
- * limit of its eligible engines, plus the time that the other queries of its key
- * still need.
+ * limit of its eligible engines, plus the time that the other queries of its key still need.
  */
 final class WaitPredictor {
   private final PendingQueue pending;
--- a/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/QueryClass.java
@@ -12,8 +12,8 @@
  * @param latePriorityWeight the weight that a later answer earns
  * @param idempotency whether an attempt may be repeated
  * @param deduplicationScope which engines recognize the idempotency key
- * @param idempotencyWindowNanos how long after the first attempt engines recognize
- *     the idempotency key
+ * @param idempotencyWindowNanos how long after the first attempt engines recognize the idempotency
+ *     key
  * @param ordered whether queries of one key run one after another, in order of arrival
  * @param streams whether answers are streamed
  * @param engineKinds kinds of engines that may run it; empty for all
--- a/decisions/src/main/java/reachloom/scheduler/api/SchedulerActions.java
+++ b/decisions/src/main/java/reachloom/scheduler/api/SchedulerActions.java
@@ -42,7 +42,9 @@
    */
   void setTimer(long delayNanos, long token);
 
-  /** Sends a health check to an engine; {@link SchedulerEvents#onHealthCheck} reports its result. */
+  /**
+   * Sends a health check to an engine; {@link SchedulerEvents#onHealthCheck} reports its result.
+   */
   void checkHealth(String engine);
 
   /** Subscribes to the endpoint list. */
--- a/decisions/src/test/java/reachloom/balancing/BalancingTest.java
+++ b/decisions/src/test/java/reachloom/balancing/BalancingTest.java
@@ -124,7 +124,8 @@
 
   @Test
   void estimatesLargerShareForGatewayWithMuchTraffic() {
-    // 30,000 of 100,000 MB are in use, 3,000 of them by this gateway: ten such gateways would make up
+    // 30,000 of 100,000 MB are in use, 3,000 of them by this gateway: ten such gateways would make
+    // up
     // the fleet.
     assertEquals(10, estimator(200, 0.3, 3_000).inversePoolShare(100_000), 1);
   }
--- a/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
+++ b/decisions/src/test/java/reachloom/discovery/EndpointWatchTest.java
@@ -24,8 +24,12 @@
     assertEquals(FrameAction.APPLY, event(6));
     assertEquals(FrameAction.IGNORE, event(6));
     assertEquals(FrameAction.IGNORE, event(2));
-    assertEquals(FrameAction.IGNORE, watch.onFrame(1, true, false), "an older complete list is ignored as well");
-    assertEquals(FrameAction.IGNORE, heartbeat(3), "a heartbeat with an older number changes nothing");
+    assertEquals(
+        FrameAction.IGNORE,
+        watch.onFrame(1, true, false),
+        "an older complete list is ignored as well");
+    assertEquals(
+        FrameAction.IGNORE, heartbeat(3), "a heartbeat with an older number changes nothing");
     assertEquals(6, watch.lastEventNumber());
     assertEquals(FrameAction.APPLY, watch.onFrame(9, true, false), "a complete list has no gap");
     assertEquals(9, watch.requestAfter());
@@ -71,7 +75,8 @@
     event(8);
     watch.onRequestSent();
     event(1);
-    assertEquals(FrameAction.IGNORE, heartbeat(1), "a heartbeat may precede the rest of the answer");
+    assertEquals(
+        FrameAction.IGNORE, heartbeat(1), "a heartbeat may precede the rest of the answer");
     assertEquals(FrameAction.IGNORE, heartbeat(1));
     assertEquals(5, watch.lastEventNumber(), "the current list stays in use");
     assertEquals(5, watch.requestAfter());
--- a/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
+++ b/decisions/src/test/java/reachloom/discovery/IncarnationTimesTest.java
@@ -16,28 +16,34 @@
   void keepsPlausibleStartTime() {
     assertEquals(NOW - 7 * SECOND, times.toLocalNanos(NOW, NOW - 7 * SECOND, true));
     assertEquals(
-        NOW - HOUR, times.toLocalNanos(NOW, NOW - HOUR, false), "a complete list contains old engines as well");
+        NOW - HOUR,
+        times.toLocalNanos(NOW, NOW - HOUR, false),
+        "a complete list contains old engines as well");
   }
 
   @Test
   void newEngineHasJustStartedIfLocalClockIsAhead() {
     long localNow = NOW + HOUR;
     assertEquals(localNow, times.toLocalNanos(localNow, NOW - 2 * SECOND, true));
-    assertEquals(localNow + 5 * SECOND, times.toLocalNanos(localNow + 6 * SECOND, NOW + 3 * SECOND, true));
+    assertEquals(
+        localNow + 5 * SECOND, times.toLocalNanos(localNow + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
   void startInFutureCountsAsNowIfLocalClockIsBehind() {
     long localNow = NOW - HOUR;
     assertEquals(localNow, times.toLocalNanos(localNow, NOW - 2 * SECOND, false));
-    assertEquals(localNow + 5 * SECOND, times.toLocalNanos(localNow + 6 * SECOND, NOW + 3 * SECOND, true));
+    assertEquals(
+        localNow + 5 * SECOND, times.toLocalNanos(localNow + 6 * SECOND, NOW + 3 * SECOND, true));
   }
 
   @Test
   void correctsOffsetAgainAfterDelayedEvent() {
     assertEquals(NOW, times.toLocalNanos(NOW, NOW - 30 * SECOND, true));
     assertEquals(
-        NOW + SECOND, times.toLocalNanos(NOW + SECOND, NOW, true), "would be in the future with the previous offset");
+        NOW + SECOND,
+        times.toLocalNanos(NOW + SECOND, NOW, true),
+        "would be in the future with the previous offset");
     assertEquals(NOW + 2 * SECOND, times.toLocalNanos(NOW + 3 * SECOND, NOW + SECOND, true));
   }
 }
--- a/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
+++ b/decisions/src/test/java/reachloom/gossip/DatagramRateLimiterTest.java
@@ -110,7 +110,10 @@
     int admitted = 0;
     int admittedWithoutRevisions = 0;
     for (int i = 0; i < 200; i++) {
-      admitted += admit(limiterWithRevisions, now, new Arrival(1, true, true, false, "p", now, i)) == null ? 1 : 0;
+      admitted +=
+          admit(limiterWithRevisions, now, new Arrival(1, true, true, false, "p", now, i)) == null
+              ? 1
+              : 0;
       admittedWithoutRevisions += admit(1, true, now, i) == null ? 1 : 0;
     }
     assertEquals(20, admittedWithoutRevisions);
--- a/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
+++ b/decisions/src/test/java/reachloom/membership/MembershipServiceTest.java
@@ -82,7 +82,8 @@
   }
 
   private void receive(String from, MembershipMessage message, MembershipUpdate... updates) {
-    service.receive(now, from, address(from), START_NANOS / SECOND_NANOS, message, List.of(updates));
+    service.receive(
+        now, from, address(from), START_NANOS / SECOND_NANOS, message, List.of(updates));
   }
 
   private static long address(String name) {
@@ -175,11 +176,19 @@
     receive("liar", new MembershipMessage.Ack(-1), update("a", 0, MemberState.DEAD, "liar"));
     assertEquals(MemberState.SUSPECT, state("a"));
     receive("liar", new MembershipMessage.Ack(-1), update("b", 0, MemberState.LEFT, ""));
-    assertEquals(MemberState.SUSPECT, state("b"), "a leave reported by another member is an accusation only");
+    assertEquals(
+        MemberState.SUSPECT,
+        state("b"),
+        "a leave reported by another member is an accusation only");
     advance(SECOND_NANOS);
     receive("a", new MembershipMessage.Ack(-1), update("a", 1, MemberState.ALIVE, ""));
     service.receive(
-        now, "a", address("a"), START_NANOS / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
+        now,
+        "a",
+        address("a"),
+        START_NANOS / SECOND_NANOS + 1,
+        new MembershipMessage.Ack(-1),
+        List.of());
     assertEquals(MemberState.ALIVE, state("a"), "the accusation was refuted");
   }
 
@@ -277,7 +286,12 @@
     Sent finalPing = sent.stream().filter(s -> s.to().equals("a")).findFirst().orElseThrow();
     assertEquals(MemberState.SUSPECT, finalPing.updates().get(0).state());
     service.receive(
-        now, "a", address("a"), START_NANOS / SECOND_NANOS + 1, new MembershipMessage.Ack(-1), List.of());
+        now,
+        "a",
+        address("a"),
+        START_NANOS / SECOND_NANOS + 1,
+        new MembershipMessage.Ack(-1),
+        List.of());
     advance(5 * SECOND_NANOS);
     assertEquals(MemberState.ALIVE, state("a"));
   }
@@ -361,7 +375,9 @@
         new MembershipUpdate(
             "a", address("a"), START_NANOS / SECOND_NANOS, MemberState.ALIVE, "", 0x0309));
     assertEquals(
-        0x0102, service.member("a").orElseThrow().place(), "a report of another member sets an unknown place only");
+        0x0102,
+        service.member("a").orElseThrow().place(),
+        "a report of another member sets an unknown place only");
     assertEquals(0, service.member("b").orElseThrow().place());
     service.receive(
         now,
@@ -372,7 +388,8 @@
         new MembershipMessage.Ack(-1),
         List.of());
     assertEquals(0x0201, service.member("b").orElseThrow().place());
-    assertEquals("b", changes.get(changes.size() - 1).member(), "the place is reported as a change");
+    assertEquals(
+        "b", changes.get(changes.size() - 1).member(), "the place is reported as a change");
     service.receive(
         now,
         "a",
@@ -381,7 +398,10 @@
         START_NANOS / SECOND_NANOS + 1,
         new MembershipMessage.Ack(-1),
         List.of());
-    assertEquals(0x0201, service.member("a").orElseThrow().place(), "a restarted member may have another place");
+    assertEquals(
+        0x0201,
+        service.member("a").orElseThrow().place(),
+        "a restarted member may have another place");
   }
 
   @Test
@@ -411,12 +431,18 @@
   void ignoresOldUpdateAfterLeave() {
     join("a", "b");
     service.receive(
-        now, "a", address("a"), START_NANOS / SECOND_NANOS, new MembershipMessage.Leave(), List.of());
+        now,
+        "a",
+        address("a"),
+        START_NANOS / SECOND_NANOS,
+        new MembershipMessage.Leave(),
+        List.of());
     assertEquals(MemberState.LEFT, state("a"));
     receive("b", new MembershipMessage.Ack(-1), update("a", 0, MemberState.ALIVE, ""));
     assertEquals(MemberState.LEFT, state("a"));
     advanceAcknowledging(700 * SECOND_NANOS, "a");
-    assertTrue(service.member("a").isEmpty(), "a member that left is removed after the retention time");
+    assertTrue(
+        service.member("a").isEmpty(), "a member that left is removed after the retention time");
   }
 
   @Test
--- a/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
+++ b/decisions/src/test/java/reachloom/peerreport/WeightedQuorumTest.java
@@ -170,7 +170,8 @@
     engines.put("e1", 77L);
     assertEquals(0, level("e1"));
     ownOutcomes.record(now, "e1", 77, Observation.SERVED);
-    ownOutcomes.record(now, "e1", 0, Observation.TIMED_OUT); // an attempt at the old process ends late
+    ownOutcomes.record(
+        now, "e1", 0, Observation.TIMED_OUT); // an attempt at the old process ends late
     assertEquals(new PeerReport("e1", 77, 1, 0, 0, 0), ownOutcomes.summary(now, "e1", 77, 3));
   }
 
@@ -190,7 +191,9 @@
     assertEquals(
         Optional.of(Observation.TIMED_OUT), Observation.of(AttemptOutcome.CANCELLED, true));
     assertEquals(
-        Optional.empty(), Observation.of(AttemptOutcome.CANCELLED, false), "its client has disconnected");
+        Optional.empty(),
+        Observation.of(AttemptOutcome.CANCELLED, false),
+        "its client has disconnected");
     assertEquals(
         Optional.empty(),
         Observation.of(AttemptOutcome.FULL, true),
@@ -232,9 +235,7 @@
         "attempts served earlier do not hide the failures");
     now += 15 * SECOND_NANOS;
     assertEquals(
-        2,
-        ownOutcomes.reportsToSend(now, 1).get(0).timedOut(),
-        "a streak outlasts the window");
+        2, ownOutcomes.reportsToSend(now, 1).get(0).timedOut(), "a streak outlasts the window");
     ownOutcomes.record(now, "e0", 0, Observation.SERVED);
     assertEquals(1, ownOutcomes.reportsToSend(now, 1).get(0).served());
   }
--- a/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
+++ b/decisions/src/test/java/reachloom/revision/ConsensusNodeTest.java
@@ -77,8 +77,7 @@
       List<ProposalResult> two = net.node(2).propose("two");
       assertTrue(
           net.await(
-              20 * SECOND,
-              () -> hasFinalResult(one) && hasFinalResult(two) && net.hasConverged()),
+              20 * SECOND, () -> hasFinalResult(one) && hasFinalResult(two) && net.hasConverged()),
           "seed " + seed);
       assertConsistent(net, "one", one);
       assertConsistent(net, "two", two);
--- a/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/QuerySchedulerTest.java
@@ -62,7 +62,8 @@
       harness.arrive("q" + i, QUICK, 0);
       String engine = harness.takeActions().get(0).split(" ")[2];
       forwarded.merge(engine, 1, Integer::sum);
-      harness.served("q" + i, engine, i == 0 ? 0.1 : 0.0004); // the first query waits for a connection
+      harness.served(
+          "q" + i, engine, i == 0 ? 0.1 : 0.0004); // the first query waits for a connection
       harness.advance(5 * MILLISECOND);
       harness.takeActions();
     }
@@ -118,7 +119,10 @@
       harness.report("a", 1);
       harness.advance(100 * MILLISECOND);
     }
-    assertEquals(1, count(harness.takeActions(), "reject"), "one queued query, rejected after a tenth of its remaining time");
+    assertEquals(
+        1,
+        count(harness.takeActions(), "reject"),
+        "one queued query, rejected after a tenth of its remaining time");
   }
 
   @Test
@@ -187,7 +191,8 @@
     String engine = sent.get(0).substring("forward first ".length());
     harness.end("first", 0, engine, AttemptOutcome.TIMEOUT, 1, true);
     harness.advance(400 * MILLISECOND);
-    assertEquals(0, count(harness.takeActions(), "forward second"), "the key is blocked after a timeout");
+    assertEquals(
+        0, count(harness.takeActions(), "forward second"), "the key is blocked after a timeout");
     harness.advance(200 * MILLISECOND);
     assertEquals(1, count(harness.takeActions(), "forward second"));
   }
@@ -199,11 +204,23 @@
     harness.arrive("early", KEYED, 0.1);
     harness.arrive("late", KEYED, 0.1);
     List<String> sent = harness.takeActions();
-    harness.end("early", 0, sent.get(0).substring("forward early ".length()), AttemptOutcome.ERROR, 0, false);
+    harness.end(
+        "early",
+        0,
+        sent.get(0).substring("forward early ".length()),
+        AttemptOutcome.ERROR,
+        0,
+        false);
     assertEquals(1, count(harness.takeActions(), "forward early"));
     harness.advance(15 * SECOND);
     harness.takeActions();
-    harness.end("late", 0, sent.get(1).substring("forward late ".length()), AttemptOutcome.ERROR, 15, false);
+    harness.end(
+        "late",
+        0,
+        sent.get(1).substring("forward late ".length()),
+        AttemptOutcome.ERROR,
+        15,
+        false);
     assertEquals(List.of("reject late 1s"), harness.takeActions());
   }
 
@@ -217,7 +234,8 @@
     assertEquals(1, count(harness.takeActions(), "forward q"));
     assertTrue(harness.scheduler.mayStart(harness.nowNanos, "q", 1));
     assertFalse(
-        harness.scheduler.mayStart(harness.nowNanos + harness.idempotencyWindowNanos, "q", 1), "the engines no longer recognize its key");
+        harness.scheduler.mayStart(harness.nowNanos + harness.idempotencyWindowNanos, "q", 1),
+        "the engines no longer recognize its key");
   }
 
   @Test
@@ -232,7 +250,8 @@
     harness.arrive("r", LONG, 1);
     harness.takeActions();
     harness.end("r", 0, "a", AttemptOutcome.UNREACHED, 0.1, false);
-    assertEquals(1, count(harness.takeActions(), "forward r"), "an attempt that did not run may be retried");
+    assertEquals(
+        1, count(harness.takeActions(), "forward r"), "an attempt that did not run may be retried");
   }
 
   @Test
@@ -271,7 +290,8 @@
     harness.end("q", 0, "a", AttemptOutcome.FULL, 0, false);
     assertEquals(1, count(harness.takeActions(), "forward q"));
     harness.end("r", 0, "a", AttemptOutcome.FULL, 0, false);
-    assertEquals(List.of("reject r 1s"), harness.takeActions(), "the retry budget of one is used up");
+    assertEquals(
+        List.of("reject r 1s"), harness.takeActions(), "the retry budget of one is used up");
   }
 
   @Test
@@ -301,7 +321,12 @@
       harness.arrive("q" + i, QUICK, 0.1);
       String engine = harness.takeActions().get(0).substring(("forward q" + i + " ").length());
       harness.end(
-          "q" + i, 0, engine, engine.equals("a") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, 0.1, true);
+          "q" + i,
+          0,
+          engine,
+          engine.equals("a") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
+          0.1,
+          true);
     }
     for (int i = 0; i < 30; i++) {
       harness.arrive("r" + i, QUICK, 0.1);
@@ -317,7 +342,8 @@
       harness.arrive("bad" + i, QUICK, 0.1);
       for (int n = 0; n < 5; n++) {
         String sent = harness.actions.get(harness.actions.size() - 1);
-        harness.end("bad" + i, n, sent.substring(sent.length() - 1), AttemptOutcome.ERROR, 0.001, false);
+        harness.end(
+            "bad" + i, n, sent.substring(sent.length() - 1), AttemptOutcome.ERROR, 0.001, false);
       }
       assertEquals("reject bad" + i + " 1s", harness.actions.get(harness.actions.size() - 1));
     }
@@ -346,7 +372,10 @@
     for (int i = 10; i < 40; i++) {
       harness.arrive("q" + i, QUICK, 0.1);
     }
-    assertEquals(0, harness.actions.stream().filter(l -> l.endsWith(" a")).count(), harness.actions.toString());
+    assertEquals(
+        0,
+        harness.actions.stream().filter(l -> l.endsWith(" a")).count(),
+        harness.actions.toString());
   }
 
   @Test
@@ -363,7 +392,8 @@
     for (int i = 10; i < 60; i++) {
       harness.arrive("q" + i, QUICK, 0.1);
     }
-    assertTrue(harness.actions.stream().anyMatch(l -> l.endsWith(" a")), "the engine is not ejected");
+    assertTrue(
+        harness.actions.stream().anyMatch(l -> l.endsWith(" a")), "the engine is not ejected");
   }
 
   @Test
@@ -388,7 +418,8 @@
     assertEquals(1, count(harness.actions, "cancel lost 0"), harness.actions.toString());
     assertEquals(0, count(harness.takeActions(), "cancel o" + (other - 1)));
     harness.end("lost", 0, engine, AttemptOutcome.CANCELLED, 1, false);
-    assertEquals(List.of("forward lost " + (engine.equals("a") ? "b" : "a")), harness.takeActions());
+    assertEquals(
+        List.of("forward lost " + (engine.equals("a") ? "b" : "a")), harness.takeActions());
   }
 
   @Test
@@ -424,13 +455,15 @@
     harness.start(up("a"), up("b"));
     for (int i = 0; i < 30; i++) { // the service time of the class becomes its cost
       harness.arrive("l" + i, LONG, 1);
-      harness.served("l" + i, harness.takeActions().get(0).substring(("forward l" + i + " ").length()), 1);
+      harness.served(
+          "l" + i, harness.takeActions().get(0).substring(("forward l" + i + " ").length()), 1);
     }
     harness.arrive("bad", LONG, 1);
     String engine = harness.takeActions().get(0).substring("forward bad ".length());
     harness.advance(SECOND);
     harness.progress("bad", engine, 0.3);
-    assertEquals(0, count(harness.takeActions(), "cancel"), "three times the predicted time is no bad plan");
+    assertEquals(
+        0, count(harness.takeActions(), "cancel"), "three times the predicted time is no bad plan");
     harness.advance(300 * MILLISECOND);
     harness.progress("bad", engine, 0.1);
     assertEquals(List.of("cancel bad 0"), harness.takeActions());
@@ -465,7 +498,8 @@
     }
     assertTrue(count(harness.takeActions(), "reject big") > 20);
     harness.arrive("small", LONG, 1, 1, null);
-    assertEquals(0, count(harness.takeActions(), "reject"), "a query within its tenant's quota is queued");
+    assertEquals(
+        0, count(harness.takeActions(), "reject"), "a query within its tenant's quota is queued");
   }
 
   @Test
@@ -485,7 +519,8 @@
     harness.start(up("a"), up("b"));
     harness.arrive("q", LONG, 0.5);
     String engine = harness.takeActions().get(0).substring("forward q ".length());
-    harness.scheduler.onProgress(harness.nowNanos, new ProgressReport("q", 0, engine, ProgressKind.LOAD_WAIT, 2));
+    harness.scheduler.onProgress(
+        harness.nowNanos, new ProgressReport("q", 0, engine, ProgressKind.LOAD_WAIT, 2));
     assertEquals(List.of("cancel q 0"), harness.takeActions());
     harness.end("q", 0, engine, AttemptOutcome.CANCELLED, 0.1, false);
     assertEquals(List.of("forward q " + (engine.equals("a") ? "b" : "a")), harness.takeActions());
@@ -500,14 +535,16 @@
       harness.arrive("q" + i, LONG, 1);
     }
     assertEquals(40, count(harness.takeActions(), "forward"));
-    harness.scheduler.onProgress(harness.nowNanos, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
+    harness.scheduler.onProgress(
+        harness.nowNanos, new ProgressReport("q0", 0, "a", ProgressKind.MEMORY_WAIT, 1));
     for (int round = 0; round < 3; round++) {
       harness.advance(400 * MILLISECOND);
       for (int i = 1; i < 40; i++) {
         harness.progress("q" + i, "a", 0.5);
       }
     }
-    assertEquals(List.of(), harness.takeActions(), "q0 waits for memory at the engine and is not lost");
+    assertEquals(
+        List.of(), harness.takeActions(), "q0 waits for memory at the engine and is not lost");
     harness.arrive("next", LONG, 1);
     assertEquals(0, count(harness.takeActions(), "forward"), "queued");
   }
@@ -520,7 +557,10 @@
     for (int i = 0; i < 20; i++) {
       harness.arrive("l" + i, LONG, 2);
     }
-    assertEquals(9, count(harness.takeActions(), "forward"), "950 of 1000 MB are planned for queries of 100 MB");
+    assertEquals(
+        9,
+        count(harness.takeActions(), "forward"),
+        "950 of 1000 MB are planned for queries of 100 MB");
   }
 
   @Test
@@ -553,14 +593,18 @@
       harness.start(pool(30, 0));
       for (int i = 0; i < 20; i++) {
         harness.arrive("f" + i, QUICK, 0.1);
-        harness.end("f" + i, 0, harness.takeActions().get(0).split(" ")[2], AttemptOutcome.FULL, 0, true);
+        harness.end(
+            "f" + i, 0, harness.takeActions().get(0).split(" ")[2], AttemptOutcome.FULL, 0, true);
       }
       harness.advance(600 * MILLISECOND);
       harness.takeActions();
       for (int i = 0; i < 10; i++) {
         harness.arrive("q" + i, LONG, 1);
       }
-      assertEquals(gateways == 300 ? 1 : 10, count(harness.takeActions(), "forward"), gateways + " gateways");
+      assertEquals(
+          gateways == 300 ? 1 : 10,
+          count(harness.takeActions(), "forward"),
+          gateways + " gateways");
     }
   }
 
@@ -579,7 +623,8 @@
     harness.report(checks.get(1).substring("check ".length()), 0.5);
     assertEquals(List.of(), harness.takeActions());
     harness.advance(50 * MILLISECOND);
-    assertEquals(List.of("forward q " + checks.get(1).substring("check ".length())), harness.takeActions());
+    assertEquals(
+        List.of("forward q " + checks.get(1).substring("check ".length())), harness.takeActions());
   }
 
   private static SchedulerHarness gatewayWithHealthCheckPrice(double price) {
@@ -606,7 +651,8 @@
             .filter(a -> a.startsWith("check"))
             .forEach(a -> harness.report(a.split(" ")[1], 0.95));
         harness.advance(50 * MILLISECOND);
-        List<String> more = harness.takeActions(); // an engine with a check in flight is not checked again
+        List<String> more =
+            harness.takeActions(); // an engine with a check in flight is not checked again
         more.stream()
             .filter(a -> a.startsWith("check"))
             .forEach(a -> harness.report(a.split(" ")[1], 0.95));
@@ -652,7 +698,8 @@
       }
       // Ten queries per second pay for periodic checks at the low price but not at the high one.
       assertTrue(
-          price < 0.05 ? checks > 2_000 : checks < 400, checks + " checks in 40 s at price " + price);
+          price < 0.05 ? checks > 2_000 : checks < 400,
+          checks + " checks in 40 s at price " + price);
     }
   }
 
@@ -665,7 +712,9 @@
     harness.arrive("usual", QUICK, 0.1);
     harness.advance(50 * MILLISECOND);
     harness.takeActions();
-    harness.scheduler.onQuery(harness.nowNanos, new Query("late", QUICK, 0, null, 45 * MILLISECOND, MILLISECOND, 100, 3, true));
+    harness.scheduler.onQuery(
+        harness.nowNanos,
+        new Query("late", QUICK, 0, null, 45 * MILLISECOND, MILLISECOND, 100, 3, true));
     assertEquals(
         1,
         count(harness.takeActions(), "forward late "),
@@ -723,7 +772,9 @@
       harness.arrive("q" + i, QUICK, 0.1);
     }
     assertEquals(
-        List.of("reject q5 5s"), harness.takeActions(), "the sixth query is over the quota, the others are queued");
+        List.of("reject q5 5s"),
+        harness.takeActions(),
+        "the sixth query is over the quota, the others are queued");
   }
 
   @Test
@@ -737,7 +788,8 @@
     harness.advance(SECOND);
     assertEquals(List.of(), harness.takeActions(), "progress reports may not have been read yet");
     harness.advance(500 * MILLISECOND);
-    assertEquals(List.of("cancel q 0"), harness.takeActions(), "no signal for 2.5 periods since the stall");
+    assertEquals(
+        List.of("cancel q 0"), harness.takeActions(), "no signal for 2.5 periods since the stall");
   }
 
   @Test
@@ -761,9 +813,11 @@
       harness.arrive("q" + i, SchedulerHarness.QUICK, 0.2);
     }
     assertEquals(List.of("forward q0 b", "forward q1 b", "forward q2 b"), harness.takeActions());
-    harness.listEndpoints(SchedulerHarness.up("a"), SchedulerHarness.engine("b", EngineState.DRAINING, 0, 0));
+    harness.listEndpoints(
+        SchedulerHarness.up("a"), SchedulerHarness.engine("b", EngineState.DRAINING, 0, 0));
     harness.arrive("alone", SchedulerHarness.QUICK, 0.2);
-    assertEquals(List.of("forward alone a"), harness.takeActions(), "the only remaining engine is used");
+    assertEquals(
+        List.of("forward alone a"), harness.takeActions(), "the only remaining engine is used");
     harness.arrive("second", SchedulerHarness.QUICK, 0.2);
     assertEquals(List.of(), harness.takeActions(), "a suspected engine gets one query at a time");
     harness.served("alone", "a", 0.2);
@@ -814,12 +868,14 @@
       harness.gateways = 50;
       harness.memoryMb = 80_000; // enough not to limit any query
       String[] names = IntStream.range(0, 10).mapToObj(i -> "e" + i).toArray(String[]::new);
-      harness.start(IntStream.range(0, 10).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
+      harness.start(
+          IntStream.range(0, 10).mapToObj(i -> up("e" + i)).toArray(EngineEndpoint[]::new));
       for (int k = 0; k < (run == 0 ? 5 : 25); k++) {
         harness.arrive("own" + k, LONG, 5);
       }
       harness.advance(100 * MILLISECOND);
-      List<String> own = harness.takeActions().stream().filter(a -> a.startsWith("forward")).toList();
+      List<String> own =
+          harness.takeActions().stream().filter(a -> a.startsWith("forward")).toList();
       for (int i = 0; i < 100; i++) { // all engines are busy in the second half
         harness.scheduler.onHealthCheck(
             harness.nowNanos, names[i % 10], true, new LoadReport(i < 50 ? 0.5 : 1, 0, 0.03, 0));
@@ -853,13 +909,13 @@
       harness.advance(25 * MILLISECOND);
     }
     long usedCount = used.stream().distinct().count();
-    assertTrue(
-        usedCount <= 8 && usedCount >= 4, "used " + usedCount + " engines");
+    assertTrue(usedCount <= 8 && usedCount >= 4, "used " + usedCount + " engines");
     // With more in flight than these engines can serve, the gateway uses others as well.
     for (int i = 0; i < 200; i++) {
       harness.arrive("w" + i, LONG, 1);
     }
-    long usedUnderLoad = harness.takeActions().stream().map(a -> a.split(" ")[2]).distinct().count();
+    long usedUnderLoad =
+        harness.takeActions().stream().map(a -> a.split(" ")[2]).distinct().count();
     assertTrue(usedUnderLoad > 40, "used " + usedUnderLoad + " engines");
   }
 }
--- a/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
+++ b/decisions/src/test/java/reachloom/scheduler/SchedulerHarness.java
@@ -23,8 +23,8 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * The scheduler of one gateway with a simulated clock: short methods deliver events, and the actions
- * are recorded as lines of text.
+ * The scheduler of one gateway with a simulated clock: short methods deliver events, and the
+ * actions are recorded as lines of text.
  */
 final class SchedulerHarness implements SchedulerActions {
   static final long MILLISECOND = 1_000_000;
@@ -143,7 +143,8 @@
                 retryBudgetWindowNanos,
                 retryBudgetBase,
                 retryBudgetPerQuery),
-            new EngineCapabilities(memoryGrants, true, loadReports, progressPeriodNanos, 0.5, overcommitPolicy)));
+            new EngineCapabilities(
+                memoryGrants, true, loadReports, progressPeriodNanos, 0.5, overcommitPolicy)));
     listEndpoints(engines);
     return this;
   }
@@ -167,14 +168,21 @@
   void arrive(String id, int queryClass, double costSeconds, int tenant, String key) {
     long remainingNanos = queryClass == QUICK ? 5 * SECOND : 20 * SECOND;
     long costNanos = (long) (costSeconds * SECOND);
-    scheduler.onQuery(nowNanos, new Query(id, queryClass, tenant, key, remainingNanos, costNanos, 100, 3, false));
+    scheduler.onQuery(
+        nowNanos, new Query(id, queryClass, tenant, key, remainingNanos, costNanos, 100, 3, false));
   }
 
   void end(
-      String id, int attempt, String engine, AttemptOutcome outcome, double seconds, boolean queryFinished) {
+      String id,
+      int attempt,
+      String engine,
+      AttemptOutcome outcome,
+      double seconds,
+      boolean queryFinished) {
     long elapsedNanos = (long) (seconds * SECOND);
     scheduler.onAttemptEnded(
-        nowNanos, new AttemptResult(id, attempt, engine, outcome, elapsedNanos, queryFinished, 0, 0, null));
+        nowNanos,
+        new AttemptResult(id, attempt, engine, outcome, elapsedNanos, queryFinished, 0, 0, null));
   }
 
   void served(String id, String engine, double seconds) {
@@ -234,7 +242,11 @@
   @Override
   public void reject(String query, long retryAfterNanos) {
     actions.add(
-        "reject " + query + " " + retryAfterNanos / SECOND + (retryAfterNanos % SECOND == 0 ? "s" : "?"));
+        "reject "
+            + query
+            + " "
+            + retryAfterNanos / SECOND
+            + (retryAfterNanos % SECOND == 0 ? "s" : "?"));
   }
 
   @Override
--- a/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
+++ b/decisions/src/test/java/reachloom/scheduler/SlowStartTest.java
@@ -22,8 +22,7 @@
   private static final long WARM_UP_NANOS = 10 * SECOND;
 
   /** Runs a fleet with one warming engine; returns the times at which queries were forwarded. */
-  private static List<Long> run(
-      int gateways, boolean numbered, boolean skewed, boolean restarts) {
+  private static List<Long> run(int gateways, boolean numbered, boolean skewed, boolean restarts) {
     List<SchedulerHarness> fleet = new ArrayList<>();
     long start = new SchedulerHarness().nowNanos;
     for (int g = 0; g < gateways; g++) {
@@ -33,7 +32,9 @@
     for (long at = start; at < start + WARM_UP_NANOS - STEP_NANOS; at += STEP_NANOS) {
       for (int g = 0; g < gateways; g++) {
         SchedulerHarness harness = fleet.get(g);
-        if (restarts && (at - start) / STEP_NANOS % 12 == g % 12) { // each gateway more than three times per second
+        if (restarts
+            && (at - start) / STEP_NANOS % 12
+                == g % 12) { // each gateway more than three times per second
           fleet.set(g, newGateway(g, gateways, numbered, start, at));
           harness = fleet.get(g);
         }
@@ -70,8 +71,8 @@
   }
 
   /**
-   * Returns the largest number of queries in any window of one second, relative to n + 2 * sqrt(n) +
-   * 2, where n is the budget in queries.
+   * Returns the largest number of queries in any window of one second, relative to n + 2 * sqrt(n)
+   * + 2, where n is the budget in queries.
    */
   private static double maxBudgetShare(List<Long> sent, long start) {
     sent.sort(null);
@@ -81,7 +82,8 @@
         first++;
       }
       double age = (sent.get(i) - start) / (double) WARM_UP_NANOS;
-      double n = 2.5 * (0.3 + 0.7 * Math.min(1, age) * Math.min(1, age)) * 0.85 * 8 / WORK_CORE_SECONDS;
+      double n =
+          2.5 * (0.3 + 0.7 * Math.min(1, age) * Math.min(1, age)) * 0.85 * 8 / WORK_CORE_SECONDS;
       worst = Math.max(worst, (i - first + 1) / (n + 2 * Math.sqrt(n) + 2));
     }
     return worst;
@@ -101,7 +103,8 @@
         }
       }
       assertTrue(
-          run(gateways, true, false, false).size() > 200, "the engine is used while it is warming up");
+          run(gateways, true, false, false).size() > 200,
+          "the engine is used while it is warming up");
     }
   }
 
@@ -119,7 +122,8 @@
       harness.selfIndex = g;
       harness.seed = 1000 + g;
       List<EngineEndpoint> engines =
-          new ArrayList<>(List.of(SchedulerHarness.engine("a", EngineState.UP, 0, harness.nowNanos)));
+          new ArrayList<>(
+              List.of(SchedulerHarness.engine("a", EngineState.UP, 0, harness.nowNanos)));
       for (char name = 'b'; name <= 'j'; name++) {
         engines.add(SchedulerHarness.up(String.valueOf(name)));
       }
@@ -166,7 +170,8 @@
 
   @Test
   void attemptMayNotStartAfterItsSlot() {
-    SchedulerHarness harness = newGateway(0, 2, true, new SchedulerHarness().nowNanos, new SchedulerHarness().nowNanos);
+    SchedulerHarness harness =
+        newGateway(0, 2, true, new SchedulerHarness().nowNanos, new SchedulerHarness().nowNanos);
     String id = null;
     for (int i = 0; id == null; i++) {
       harness.arrive("q" + i, QUICK, WORK_CORE_SECONDS);
@@ -191,7 +196,8 @@
     String first = harness.takeActions().get(0).split(" ")[2];
     assertTrue(harness.scheduler.mayStart(harness.nowNanos, "q", 0));
     String other = first.equals("a") ? "b" : "a";
-    harness.listEndpoints(SchedulerHarness.engine(first, EngineState.DRAINING, 0, 0), SchedulerHarness.up(other));
+    harness.listEndpoints(
+        SchedulerHarness.engine(first, EngineState.DRAINING, 0, 0), SchedulerHarness.up(other));
     assertFalse(harness.scheduler.mayStart(harness.nowNanos, "q", 0), "its engine is draining");
     harness.end("q", 0, first, AttemptOutcome.NOT_SENT, 0, false);
     assertEquals(List.of("forward q " + other), harness.takeActions());
--- a/gateway/src/main/java/reachloom/Main.java
+++ b/gateway/src/main/java/reachloom/Main.java
@@ -32,7 +32,9 @@
   private static final int HELP_WIDTH_COLUMNS = 100;
   private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
-  /** The jar of commands that only operators use, so that the gateway's jar has none of their code. */
+  /**
+   * The jar of commands that only operators use, so that the gateway's jar has none of their code.
+   */
   private static final String TOOLS_JAR = "reachloom-tools.jar";
 
   private static final Map<String, String> TOOL_CLASSES =
@@ -138,7 +140,9 @@
     }
   }
 
-  /** Returns the present name of a command, and prints a warning if the given name is deprecated. */
+  /**
+   * Returns the present name of a command, and prints a warning if the given name is deprecated.
+   */
   static String currentName(String command, PrintStream err) {
     String name = DEPRECATED_COMMANDS.get(command);
     if (name == null) {
@@ -155,7 +159,9 @@
     return new GatewayServer(config, environment, settingsFile).run();
   }
 
-  /** Runs a tool from the tools jar in the directory of this jar, or else in the build directory. */
+  /**
+   * Runs a tool from the tools jar in the directory of this jar, or else in the build directory.
+   */
   private static int runTool(String tool, String[] args, PrintStream out, PrintStream err)
       throws IOException {
     try {
--- a/gateway/src/main/java/reachloom/config/ConfigException.java
+++ b/gateway/src/main/java/reachloom/config/ConfigException.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * Thrown if a configuration is invalid. The message is one line for an operator: the location of the
- * fault, and what is wrong there.
+ * Thrown if a configuration is invalid. The message is one line for an operator: the location of
+ * the fault, and what is wrong there.
  */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/gateway/src/main/java/reachloom/config/GatewayConfig.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfig.java
@@ -25,8 +25,8 @@
  * @param seed the seed of its random numbers
  * @param maxSockets the maximum number of open sockets
  * @param changeLog the address of the change log
- * @param lastEventNumber the number of the last event of the change log that is contained in
- *     {@code knownEngines}
+ * @param lastEventNumber the number of the last event of the change log that is contained in {@code
+ *     knownEngines}
  * @param knownEngines the endpoint list as of that event
  * @param settings the settings of the scheduler
  * @param names the names of the classes, tenants, zones, kinds and load report fields that the
--- a/gateway/src/main/java/reachloom/config/LocalSettings.java
+++ b/gateway/src/main/java/reachloom/config/LocalSettings.java
@@ -10,8 +10,8 @@
 
 /**
  * The settings that an installation makes for a gateway in addition to the platform's
- * configuration. A feature without settings is off. The file itself is optional; without it no class
- * that reads XML is loaded. Immutable.
+ * configuration. A feature without settings is off. The file itself is optional; without it no
+ * class that reads XML is loaded. Immutable.
  *
  * @param gossip the gossip settings; empty if the gateway does not participate in gossip
  * @param clientIdleTimeoutNanos how long a client's connection may be idle, in nanoseconds; empty
@@ -53,7 +53,8 @@
     addIfDifferent(keys, "gossip cluster", current.cluster(), changed.cluster());
     addIfDifferent(keys, "gossip listen", current.listen(), changed.listen());
     addIfDifferent(keys, "gossip periodMs", current.periodNanos(), changed.periodNanos());
-    addIfDifferent(keys, "gossip bytesPerSecond", current.bytesPerSecond(), changed.bytesPerSecond());
+    addIfDifferent(
+        keys, "gossip bytesPerSecond", current.bytesPerSecond(), changed.bytesPerSecond());
     addIfDifferent(keys, "gossip configuration", current.configuration(), changed.configuration());
     return keys;
   }
--- a/gateway/src/main/java/reachloom/config/MergePatch.java
+++ b/gateway/src/main/java/reachloom/config/MergePatch.java
@@ -13,8 +13,8 @@
 
 /**
  * A JSON Merge Patch (RFC 7396) that is applied to the configuration of each gateway of an
- * installation: a value replaces the existing value of its key, objects are merged, and null removes a
- * key. Keys that are specific to one gateway are not allowed.
+ * installation: a value replaces the existing value of its key, objects are merged, and null
+ * removes a key. Keys that are specific to one gateway are not allowed.
  *
  * @param patch the patch document
  */
--- a/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
+++ b/gateway/src/main/java/reachloom/config/SchedulerSettingsReader.java
@@ -16,8 +16,8 @@
 import reachloom.scheduler.api.TenantQuota;
 
 /**
- * Reads the settings of the scheduler from JSON. Only this class maps the keys of that object to the
- * names of the code. A setting that is absent means "none" or "not allowed".
+ * Reads the settings of the scheduler from JSON. Only this class maps the keys of that object to
+ * the names of the code. A setting that is absent means "none" or "not allowed".
  */
 public final class SchedulerSettingsReader {
   private static final Map<String, Idempotency> IDEMPOTENCIES =
--- a/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
+++ b/gateway/src/main/java/reachloom/gateway/EngineConnectionPool.java
@@ -21,9 +21,9 @@
 import reachloom.scheduler.api.EngineState;
 
 /**
- * The connections to engines, by engine name. The pool updates them with the endpoint list,
- * assigns them to attempts and health checks, and closes connections that are idle or broken, or on
- * which a response stays incomplete for too long.
+ * The connections to engines, by engine name. The pool updates them with the endpoint list, assigns
+ * them to attempts and health checks, and closes connections that are idle or broken, or on which a
+ * response stays incomplete for too long.
  *
  * <p>A connection belongs to one incarnation of an engine: after a restart, an engine gets new
  * connections. The number of connections is limited per engine and in total. Confined to the event
--- a/gateway/src/main/java/reachloom/gateway/EventLoop.java
+++ b/gateway/src/main/java/reachloom/gateway/EventLoop.java
@@ -30,6 +30,7 @@
 
   /** The longest wait after a stall for the sockets to be read. */
   private static final long MAX_SOCKET_DRAIN_NANOS = 15 * NANOS_PER_MILLI;
+
   private static final long MAX_WAIT_NANOS = 1_000 * NANOS_PER_MILLI;
 
   /** Bytes of unhandled messages at which reading from the sockets blocks. */
@@ -133,9 +134,7 @@
       task = null;
     }
     // Only the tasks queued now, so that a flood of messages can't delay deadlines.
-    for (int remaining = queue.size();
-        task != null;
-        task = remaining-- > 0 ? queue.poll() : null) {
+    for (int remaining = queue.size(); task != null; task = remaining-- > 0 ? queue.poll() : null) {
       run(task);
     }
     long now = now();
--- a/gateway/src/main/java/reachloom/gateway/GatewayService.java
+++ b/gateway/src/main/java/reachloom/gateway/GatewayService.java
@@ -93,7 +93,8 @@
     int maxClients = config.maxSockets() / SOCKET_SHARE_DIVISOR;
     int maxTransient = maxClients / TRANSIENT_CONNECTION_DIVISOR;
     sockets = new Sockets(maxClients + maxTransient);
-    closing = new LingeringClose(loop, sockets, config.transport().dialTimeoutNanos(), maxTransient);
+    closing =
+        new LingeringClose(loop, sockets, config.transport().dialTimeoutNanos(), maxTransient);
     engines = engineClient(config.maxSockets() / SOCKET_SHARE_DIVISOR);
     clientTable = new ClientConnectionTable(maxClients + maxTransient);
     requests = new RequestRegistry(loop, clientTable, config.transport().maxOpenRequests());
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/GatewayServer.java
@@ -335,7 +335,8 @@
 
   private void endOnceClosed(long latestNanos) {
     if (gateway.closingConnections() > 0 && loop.now() < latestNanos) {
-      loop.deadlines().add(loop.now() + SHUTDOWN_POLL_INTERVAL_NANOS, () -> endOnceClosed(latestNanos));
+      loop.deadlines()
+          .add(loop.now() + SHUTDOWN_POLL_INTERVAL_NANOS, () -> endOnceClosed(latestNanos));
       return;
     }
     LOG.log(Level.INFO, "{0} has stopped", config.name());
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/WarmUp.java
@@ -85,7 +85,8 @@
       "select a.id, a.state /* sales_1.x */ from sales_17.orders a "
           + "join staging.parts p on p.id = a.id where a.name = 'it''s from sales_2.y' -- sales_3.z";
 
-  private record ForwardedAttempt(String query, int attempt, String engine, long forwardedAtNanos) {}
+  private record ForwardedAttempt(
+      String query, int attempt, String engine, long forwardedAtNanos) {}
 
   private final GatewayConfig config;
   private final SchedulerEvents scheduler;
--- a/gateway/src/main/java/reachloom/gateway/state/GenerationalSlots.java
+++ b/gateway/src/main/java/reachloom/gateway/state/GenerationalSlots.java
@@ -33,9 +33,7 @@
     free = new int[size];
   }
 
-  /**
-   * Puts a value into a free slot and returns its handle; {@link #NONE} if the table is full.
-   */
+  /** Puts a value into a free slot and returns its handle; {@link #NONE} if the table is full. */
   public long add(T value) {
     int slot;
     if (freeCount > 0) {
--- a/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ChangeLogDecoder.java
@@ -121,7 +121,10 @@
     }
   }
 
-  /** Returns the state with that number; an unknown state counts as draining, so that no new requests are sent. */
+  /**
+   * Returns the state with that number; an unknown state counts as draining, so that no new
+   * requests are sent.
+   */
   private static EngineState state(byte number) {
     return switch (number) {
       case STATE_UP -> EngineState.UP;
--- a/gateway/src/main/java/reachloom/gateway/wire/ClientCall.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/ClientCall.java
@@ -41,7 +41,9 @@
     }
   }
 
-  /** Cancels the call with the sequence number {@code target}: the client waits no longer for it. */
+  /**
+   * Cancels the call with the sequence number {@code target}: the client waits no longer for it.
+   */
   record Interrupt(int seq, int target) implements ClientCall {
     @Override
     public <C> void dispatch(Handler<C> handler, C context) {
@@ -70,8 +72,8 @@
   }
 
   /**
-   * Bytes that are not a valid call. {@link ClientCallDecoder} reports them as a fault, which closes
-   * the connection, so that none is ever dispatched.
+   * Bytes that are not a valid call. {@link ClientCallDecoder} reports them as a fault, which
+   * closes the connection, so that none is ever dispatched.
    */
   record Broken(String why) implements ClientCall {
     @Override
--- a/gateway/src/main/java/reachloom/gateway/wire/Decoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Decoder.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes a stream of bytes into messages. It buffers an incomplete message, up to a bound. Confined
- * to the thread that serves the sockets.
+ * Decodes a stream of bytes into messages. It buffers an incomplete message, up to a bound.
+ * Confined to the thread that serves the sockets.
  *
  * @param <M> the type of the messages
  */
--- a/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/DecodingHandler.java
@@ -32,8 +32,7 @@
    * @param peer the role of the remote side in log lines
    * @param decoderFactory creates the decoder of each connection
    */
-  public DecodingHandler(
-      String peer, Supplier<Decoder<M>> decoderFactory, Listener<M> listener) {
+  public DecodingHandler(String peer, Supplier<Decoder<M>> decoderFactory, Listener<M> listener) {
     this.peer = peer;
     this.decoderFactory = decoderFactory;
     this.listener = listener;
@@ -45,8 +44,8 @@
   }
 
   /**
-   * Runs an action once all bytes that were passed to the connection are written. The action runs on
-   * the calling thread or the one that serves the sockets, and may run twice.
+   * Runs an action once all bytes that were passed to the connection are written. The action runs
+   * on the calling thread or the one that serves the sockets, and may run twice.
    */
   static void runOnceWritten(IoSession session, Runnable action) {
     session.setAttribute(WRITTEN_ACTION, action);
--- a/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/EngineResponseDecoder.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes the responses of engines: a line {@code ID STATUS FIELDS LENGTH}, a body of {@code LENGTH}
- * bytes, and a line end. Lines end with CR and LF; fields are {@code NAME=VALUE}, separated by
- * commas, or a hyphen for none. Not thread-safe: each connection has its own decoder.
+ * Decodes the responses of engines: a line {@code ID STATUS FIELDS LENGTH}, a body of {@code
+ * LENGTH} bytes, and a line end. Lines end with CR and LF; fields are {@code NAME=VALUE}, separated
+ * by commas, or a hyphen for none. Not thread-safe: each connection has its own decoder.
  */
 public final class EngineResponseDecoder implements Decoder<EngineResponse> {
   private static final int MAX_LINE_BYTES = 4096;
--- a/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/LocalFailures.java
@@ -19,9 +19,7 @@
   private static final Logger LOG = System.getLogger(LocalFailures.class.getName());
   private static final long LOG_INTERVAL_NANOS = 1_000_000_000;
 
-  /**
-   * Delay before a retry, so that a call that fails repeatedly does not occupy the processor.
-   */
+  /** Delay before a retry, so that a call that fails repeatedly does not occupy the processor. */
   private static final long RETRY_DELAY_MS = 2;
 
   /** The messages of ENOBUFS, ENOMEM, EINTR and EAGAIN. */
--- a/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/Numbers.java
@@ -7,8 +7,8 @@
   private Numbers() {}
 
   /**
-   * Parses a non-negative integer of decimal digits; returns {@code otherwise} if the text is null or
-   * malformed.
+   * Parses a non-negative integer of decimal digits; returns {@code otherwise} if the text is null
+   * or malformed.
    */
   public static long parseNonNegative(String text, long otherwise) {
     if (text == null || text.isEmpty() || text.length() > MAX_DIGITS) {
--- a/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
+++ b/gateway/src/main/java/reachloom/gateway/wire/TableGroup.java
@@ -20,15 +20,15 @@
   private static final Set<String> TABLE_KEYWORDS =
       Set.of(
           "from", "join", "into", "update", "table", "using", "copy", "truncate", "only", "view");
-  
+
   /** Keywords that a list of tables follows. */
   private static final Set<String> TABLE_LIST_KEYWORDS =
       Set.of("from", "using", "table", "truncate", "only");
-  
+
   /** Keywords that begin a subquery. */
   private static final Set<String> QUERY_KEYWORDS =
       Set.of("select", "with", "insert", "update", "delete", "merge", "values");
-  
+
   /**
    * Keywords that are no function names: a bracket after them is no argument list. Those that do
    * not introduce a table, except AS, also end a list of tables.
@@ -63,6 +63,7 @@
           "by",
           "having",
           "returning");
+
   private static final String STAGING = "staging";
   private static final int MAX_DIGITS = 9;
   private static final int MAX_NESTING = 256;
@@ -158,7 +159,9 @@
   private String bare() {
     int from = position;
     while (position < end
-        && (isNameStart((char) text[position]) || isDigit((char) text[position]) || text[position] == '$')) {
+        && (isNameStart((char) text[position])
+            || isDigit((char) text[position])
+            || text[position] == '$')) {
       position++;
     }
     return new Bytes(text, from, position - from).text();
@@ -204,7 +207,9 @@
         position = Math.min(end, position + 2);
       } else if (isDigit((char) c)) {
         while (position < end
-            && (isDigit((char) text[position]) || isNameStart((char) text[position]) || text[position] == '.')) {
+            && (isDigit((char) text[position])
+                || isNameStart((char) text[position])
+                || text[position] == '.')) {
           position++;
         }
       } else if (c <= ' ' && c >= 0) {
--- a/gateway/src/main/java/reachloom/gossip/net/CertificateCache.java
+++ b/gateway/src/main/java/reachloom/gossip/net/CertificateCache.java
@@ -8,8 +8,8 @@
 import reachloom.gossip.wire.GossipCodec;
 
 /**
- * Caches the verified certificates of members by name and evicts the least recently used one when it
- * is full. Thread-safe: the receiving thread and the event loop use it under this object's lock.
+ * Caches the verified certificates of members by name and evicts the least recently used one when
+ * it is full. Thread-safe: the receiving thread and the event loop use it under this object's lock.
  */
 final class CertificateCache {
   private static final int MAX_CERTIFICATES = 2_048;
--- a/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
+++ b/gateway/src/main/java/reachloom/gossip/net/IssuerSignatures.java
@@ -15,7 +15,8 @@
 /**
  * Signs and verifies the votes of issuers with Ed25519 (RFC 8032). Votes are verified by the
  * certificates that the settings name; a trusted authority must have issued each of them for the
- * issuer's name. Immutable and thread-safe: it is replaced as a whole when certificates are reloaded.
+ * issuer's name. Immutable and thread-safe: it is replaced as a whole when certificates are
+ * reloaded.
  */
 final class IssuerSignatures implements SignatureScheme {
   /**
@@ -58,7 +59,8 @@
         }
         if (!self.trusts(certificate, atMillis) || self.isRevoked(certificate)) {
           throw new ConfigException(
-              issuer.certificateFile() + ": not issued by a trusted authority, not valid now, or revoked");
+              issuer.certificateFile()
+                  + ": not issued by a trusted authority, not valid now, or revoked");
         }
         keys.put(issuer.name(), certificate.getPublicKey());
       } catch (IOException e) {
@@ -75,7 +77,8 @@
     try {
       return self.sign(content(chain));
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("signing failed, although the key was checked when it was read", e);
+      throw new IllegalStateException(
+          "signing failed, although the key was checked when it was read", e);
     }
   }
 
--- a/gateway/src/main/java/reachloom/gossip/net/PacketSender.java
+++ b/gateway/src/main/java/reachloom/gossip/net/PacketSender.java
@@ -56,7 +56,9 @@
     nextSequenceNumber = clockNanos.getAsLong();
   }
 
-  /** Replaces key and certificate; members hold the previous certificate and are sent the new one. */
+  /**
+   * Replaces key and certificate; members hold the previous certificate and are sent the new one.
+   */
   void setIdentity(NodeIdentity next) {
     identity = next;
     certificateHolders.clear();
--- a/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
+++ b/gateway/src/main/java/reachloom/gossip/net/RevisionService.java
@@ -77,7 +77,8 @@
             .map(issuer -> new Peer(issuer.name(), PackedAddress.pack(issuer.address()), 0))
             .toList();
     DisseminationMember self =
-        new DisseminationMember(name, configuration.place(), issuers, configuration.quorum(), signatureScheme());
+        new DisseminationMember(
+            name, configuration.place(), issuers, configuration.quorum(), signatureScheme());
     dissemination =
         new RevisionDissemination(self, new SplittableRandom(seed), sender, this, loop.now());
   }
--- a/gateway/src/main/java/reachloom/gossip/net/StatusReport.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusReport.java
@@ -13,8 +13,7 @@
 import reachloom.peerreport.WeightedQuorum.Assessment;
 
 /**
- * The status of an instance for operators, as lines of ASCII. Confined to the event loop's
- * thread.
+ * The status of an instance for operators, as lines of ASCII. Confined to the event loop's thread.
  */
 final class StatusReport {
   /** Limit of a page in bytes, so that it fits into a datagram. */
--- a/gateway/src/main/java/reachloom/gossip/net/StatusResponder.java
+++ b/gateway/src/main/java/reachloom/gossip/net/StatusResponder.java
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Sends the requested page to the source of the request. Sends nothing if there is no such page or
-   * the bandwidth limit is reached, so that the client repeats the request. The answer has the time
-   * of sending of the request, which is fresh by the client's clock even if that clock differs from
-   * this machine's.
+   * Sends the requested page to the source of the request. Sends nothing if there is no such page
+   * or the bandwidth limit is reached, so that the client repeats the request. The answer has the
+   * time of sending of the request, which is fresh by the client's clock even if that clock differs
+   * from this machine's.
    *
    * @param datagram the request with its sender's address and time
    * @param request the message of the request
--- a/gateway/src/main/java/reachloom/gossip/wire/DatagramHeaderCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/DatagramHeaderCodec.java
@@ -14,9 +14,9 @@
  *          incarnation:8 knownCertificate:4 [certificate: length:2 bytes]
  * </pre>
  *
- * <p>The certificate is present if the lowest bit of the flags is set. The version changes only when
- * older readers can't decode a datagram; additions that they can skip keep the version. Stateless
- * and thread-safe.
+ * <p>The certificate is present if the lowest bit of the flags is set. The version changes only
+ * when older readers can't decode a datagram; additions that they can skip keep the version.
+ * Stateless and thread-safe.
  */
 final class DatagramHeaderCodec {
   private static final int MAGIC = 'R' << Byte.SIZE | 'G';
--- a/gateway/src/main/java/reachloom/gossip/wire/EncodingTransport.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/EncodingTransport.java
@@ -13,8 +13,8 @@
   protected abstract String sender();
 
   /**
-   * Returns the size in bytes of the certificate that a datagram to {@code receiver} has to include,
-   * 0 if the receiver is known to hold it.
+   * Returns the size in bytes of the certificate that a datagram to {@code receiver} has to
+   * include, 0 if the receiver is known to hold it.
    */
   protected abstract int certificateBytes(String receiver);
 
--- a/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/RevisionMessageWriter.java
@@ -48,7 +48,9 @@
 
   @Override
   public void onAcknowledgement(RevisionMessage.Acknowledgement message) {
-    out.put(RevisionMessageCodec.ACKNOWLEDGEMENT).putLong(message.number()).putLong(message.fingerprint());
+    out.put(RevisionMessageCodec.ACKNOWLEDGEMENT)
+        .putLong(message.number())
+        .putLong(message.fingerprint());
     GossipCodec.putText(out, message.refusal());
   }
 
--- a/gateway/src/main/java/reachloom/gossip/wire/WireFields.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/WireFields.java
@@ -8,8 +8,8 @@
  * Reads and writes the basic fields of datagrams: texts, names, socket addresses and slices, all
  * big-endian.
  *
- * <p>Readers throw {@link BufferUnderflowException} for fields that are truncated or invalid; {@link
- * GossipCodec} turns that into a rejection reason. Stateless and thread-safe.
+ * <p>Readers throw {@link BufferUnderflowException} for fields that are truncated or invalid;
+ * {@link GossipCodec} turns that into a rejection reason. Stateless and thread-safe.
  */
 final class WireFields {
   /** Longest name of a member, an engine or an issuer, in bytes. */
--- a/gateway/src/main/java/reachloom/revision/net/ConsensusStateCodec.java
+++ b/gateway/src/main/java/reachloom/revision/net/ConsensusStateCodec.java
@@ -130,7 +130,8 @@
   ConsensusState decode(byte[] stored) throws StateFormatException {
     int length = stored.length - CHECKSUM_BYTES;
     if (length < FORMAT.length || !Arrays.equals(FORMAT, Arrays.copyOf(stored, FORMAT.length))) {
-      throw new StateFormatException("format", "is not an issuer state file of this format version");
+      throw new StateFormatException(
+          "format", "is not an issuer state file of this format version");
     }
     byte[] checksum = Arrays.copyOfRange(stored, length, stored.length);
     if (!Arrays.equals(checksum(stored, length), checksum)) {
@@ -190,7 +191,8 @@
 
   private static void checkDocument(String field, boolean fits) throws StateFormatException {
     if (!fits) {
-      throw new StateFormatException(field, "contains a document that does not match its revision, or trailing bytes");
+      throw new StateFormatException(
+          field, "contains a document that does not match its revision, or trailing bytes");
     }
   }
 
@@ -224,7 +226,9 @@
       Optional<byte[]> signature = readBlock(in, MAX_SIGNATURE_BYTES);
       votes.add(
           new Vote(
-              voter, signature.orElseThrow(() -> new IOException("vote of '" + voter + "' has no signature"))));
+              voter,
+              signature.orElseThrow(
+                  () -> new IOException("vote of '" + voter + "' has no signature"))));
     }
     return List.copyOf(votes);
   }
--- a/gateway/src/main/java/reachloom/revision/net/FileStore.java
+++ b/gateway/src/main/java/reachloom/revision/net/FileStore.java
@@ -54,7 +54,7 @@
    * Creates the store of an issuer that has never voted.
    *
    * @throws StoreException if the store already exists, another process uses the directory, or the
-   * store cannot be written
+   *     store cannot be written
    */
   public static FileStore create(Path directory, String issuer, String cluster)
       throws StoreException {
@@ -65,7 +65,7 @@
    * Opens a store. A directory without a state file counts as a lost store, and loads as empty.
    *
    * @throws StoreException if another process uses the store, its state cannot be read, or the
-   * state belongs to another issuer
+   *     state belongs to another issuer
    */
   public static FileStore open(Path directory, String issuer, String cluster)
       throws StoreException {
--- a/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
+++ b/gateway/src/main/java/reachloom/revision/net/IssuerServer.java
@@ -26,8 +26,7 @@
  *
  * <p>These components are confined to the thread that calls {@link #run}, which runs the event
  * loop; only the gossip transport has threads of its own. {@link #reload} and {@link #stop} may be
- * called
- * from any thread.
+ * called from any thread.
  */
 public final class IssuerServer {
   private static final Logger LOG = System.getLogger(IssuerServer.class.getName());
@@ -72,7 +71,10 @@
               identity.name(),
               node.revisions().issuers(),
               new ConsensusEnvironment(
-                  node.revisions().signatureScheme(), store, node.revisions().dissemination(), node.gossip()),
+                  node.revisions().signatureScheme(),
+                  store,
+                  node.revisions().dissemination(),
+                  node.gossip()),
               new SplittableRandom(seed),
               loop.now());
       node.revisions().setConsensusNode(consensus);
@@ -113,7 +115,8 @@
             .gossip()
             .orElseThrow(() -> new ConfigException(file + ": gossip is not enabled"));
     if (settings.configuration().isEmpty()) {
-      throw new ConfigException(file + ": gossip: configuration, which names the issuers, is missing");
+      throw new ConfigException(
+          file + ": gossip: configuration, which names the issuers, is missing");
     }
     return settings;
   }
@@ -206,7 +209,10 @@
     try {
       next = readSettings(settingsFile);
     } catch (ConfigException e) {
-      LOG.log(Level.WARNING, "cannot reload the settings, the previous ones stay in effect: {0}", e.getMessage());
+      LOG.log(
+          Level.WARNING,
+          "cannot reload the settings, the previous ones stay in effect: {0}",
+          e.getMessage());
       return;
     }
     loop.post(
--- a/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
+++ b/gateway/src/main/java/reachloom/simulator/PeerReportExchange.java
@@ -139,8 +139,7 @@
 
   private byte[] message(long nowNanos) {
     ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
-    for (PeerReport report :
-        outcomes.reportsToSend(nowNanos, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
+    for (PeerReport report : outcomes.reportsToSend(nowNanos, MAX_MESSAGE_BYTES / REPORT_BYTES)) {
       if (report.served() == 0) { // only failures are worth the price of a message
         long ageMillis = report.ageNanos() / NANOS_PER_MILLISECOND;
         out.putInt(fingerprint(report.engine(), report.incarnation()))
--- a/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
@@ -199,7 +199,8 @@
   }
 
   /** Delivers an event. If the instance fails, it is removed and the failure is reported. */
-  private void deliver(long nowNanos, String name, JsonNode item, Instance instance, JsonGenerator reply)
+  private void deliver(
+      long nowNanos, String name, JsonNode item, Instance instance, JsonGenerator reply)
       throws MalformedBatchException {
     instance.actions().writeTo(reply);
     try {
@@ -289,7 +290,8 @@
     }
   }
 
-  private void engines(long nowNanos, JsonNode item, Instance instance) throws MalformedBatchException {
+  private void engines(long nowNanos, JsonNode item, Instance instance)
+      throws MalformedBatchException {
     String how = text(item, "how", "BackendsChanged");
     if (how.equals("unavailable")) {
       instance.events().onEndpointsUnavailable(nowNanos);
--- a/gateway/src/test/java/reachloom/DeployFileTest.java
+++ b/gateway/src/test/java/reachloom/DeployFileTest.java
@@ -29,7 +29,8 @@
     assertTrue(run.startsWith("exec java "), run);
     assertTrue(run.endsWith(" -jar gateway/target/reachloom.jar serve"), run);
     assertFalse(
-        Pattern.compile("[|&;<>`$()]").matcher(run).find(), "a shell would have to keep running: " + run);
+        Pattern.compile("[|&;<>`$()]").matcher(run).find(),
+        "a shell would have to keep running: " + run);
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
+++ b/gateway/src/test/java/reachloom/config/ConfigurationGoldenTest.java
@@ -24,10 +24,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Configuration, settings and merge patch files under {@code golden/config}: a valid file must yield
- * exactly the values in the {@code .values} file of its name, an invalid one exactly its line in
- * {@code error-lines.txt}. The resources were written by commit 09d85ed; operators and tools rely on
- * both.
+ * Configuration, settings and merge patch files under {@code golden/config}: a valid file must
+ * yield exactly the values in the {@code .values} file of its name, an invalid one exactly its line
+ * in {@code error-lines.txt}. The resources were written by commit 09d85ed; operators and tools
+ * rely on both.
  *
  * <p>Values are compared by position, without the names of types and components, so that renames in
  * the code do not change the resources.
--- a/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/reachloom/config/GatewayConfigTest.java
@@ -89,7 +89,8 @@
   @Test
   void messagesNameInvalidKey() {
     Map<String[], String> messageByChange = new LinkedHashMap<>();
-    messageByChange.put(new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"here\""}, "listen: ");
+    messageByChange.put(
+        new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"here\""}, "listen: ");
     messageByChange.put(
         new String[] {"\"listen\":\"127.0.0.4:4100\"", "\"listen\":\"127.0.0.4:99999\""},
         "listen: ");
@@ -97,7 +98,8 @@
     messageByChange.put(new String[] {"fc1f30d27a5be964", "xyz"}, "seed: ");
     messageByChange.put(new String[] {"\"changelog\"", "\"chanjelog\""}, "changelog: is missing");
     messageByChange.put(new String[] {"\"known\"", "\"knwon\""}, "known: is missing");
-    messageByChange.put(new String[] {"{\"seq\":3,\"results\"", "{\"seq\":-1,\"results\""}, "known.seq: ");
+    messageByChange.put(
+        new String[] {"{\"seq\":3,\"results\"", "{\"seq\":-1,\"results\""}, "known.seq: ");
     messageByChange.put(
         new String[] {"\"results\":[", "\"results\":5,\"x\":["}, "known.results: is not a list");
     messageByChange.put(
@@ -106,7 +108,8 @@
     messageByChange.put(
         new String[] {"\"site\":\"east\"", "\"site\":\"west\""},
         "known.results[0].fleet.hosts[0].site");
-    messageByChange.put(new String[] {"s-00c41f7a", "c41f7a"}, "known.results[0].fleet.hosts[0].host: ");
+    messageByChange.put(
+        new String[] {"s-00c41f7a", "c41f7a"}, "known.results[0].fleet.hosts[0].host: ");
     messageByChange.put(new String[] {"\"sockets\":512", "\"sockets\":0"}, "limits.sockets: ");
     messageByChange.put(
         new String[] {"\"keepalive\":5000000000", "\"keepalive\":\"5s\""},
--- a/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
+++ b/gateway/src/test/java/reachloom/config/LocalSettingsParserTest.java
@@ -15,9 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The settings of an installation: defaults, error messages, and rejection of hostile files.
- */
+/** The settings of an installation: defaults, error messages, and rejection of hostile files. */
 class LocalSettingsParserTest {
   private static final String GOSSIP =
       """
@@ -92,7 +90,8 @@
     assertEquals(2, configuration.quorum());
     assertEquals(folder.resolve("c3.crt"), configuration.issuers().get(2).certificateFile());
     assertTrue(read(GOSSIP).gossip().orElseThrow().configuration().isEmpty());
-    String duplicate = errorOf(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"c3\"", "\"c1\"")));
+    String duplicate =
+        errorOf(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"c3\"", "\"c1\"")));
     assertEquals(folder.resolve("s.xml") + ":10: issuer: name: 'c1' stands here twice", duplicate);
     String region = errorOf(GOSSIP.replace("</gossip>", CONFIGURATION.replace("\"2\"", "\"0\"")));
     assertTrue(
@@ -181,7 +180,9 @@
     String huge =
         "<reachloom xmlns=\"urn:reachloom:settings:1\">" + " ".repeat(1 << 20) + "</reachloom>";
     assertTrue(
-        assertThrows(ConfigException.class, () -> readDocument(huge)).getMessage().contains("larger"));
+        assertThrows(ConfigException.class, () -> readDocument(huge))
+            .getMessage()
+            .contains("larger"));
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/config/MergePatchTest.java
+++ b/gateway/src/test/java/reachloom/config/MergePatchTest.java
@@ -12,9 +12,7 @@
 
 /** Merge patches for all gateways: the rules of RFC 7396, and rejected documents. */
 class MergePatchTest {
-  /**
-   * The examples of RFC 7396, appendix A, whose patch is an object: target, patch and result.
-   */
+  /** The examples of RFC 7396, appendix A, whose patch is an object: target, patch and result. */
   private static final String[][] EXAMPLES = {
     {"{'a':'b'}", "{'a':'c'}", "{'a':'c'}"},
     {"{'a':'b'}", "{'b':'c'}", "{'a':'b','b':'c'}"},
--- a/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ClientConnectionOrderingTest.java
@@ -185,7 +185,8 @@
     FakeEngine.daemon(
         () -> {
           try (ThriftClient filler = new ThriftClient(gateway.config.listen())) {
-            byte[] interrupt = bytes(ThriftMessages.interrupt(1, 1)); // of no request: gets no response
+            byte[] interrupt =
+                bytes(ThriftMessages.interrupt(1, 1)); // of no request: gets no response
             byte[] batch = new byte[interrupt.length * 10_000];
             for (int at = 0; at < batch.length; at += interrupt.length) {
               System.arraycopy(interrupt, 0, batch, at, interrupt.length);
@@ -337,7 +338,8 @@
         }
       }
       for (int i = 0; i < 100; i++) {
-        assertEquals(FakeEngine.ROW, client.run("select 1", "verb", HELD_CLASS, "limit", "20000").body());
+        assertEquals(
+            FakeEngine.ROW, client.run("select 1", "verb", HELD_CLASS, "limit", "20000").body());
       }
       Set<Integer> answered = new HashSet<>();
       DataInputStream in = new DataInputStream(slow.getInputStream());
@@ -349,7 +351,8 @@
         Reply reply = ThriftMessages.reply(frame);
         assertEquals(result, reply.body());
         answered.add(reply.seq());
-        assertEquals(FakeEngine.ROW, client.run("select 1", "verb", HELD_CLASS, "limit", "20000").body());
+        assertEquals(
+            FakeEngine.ROW, client.run("select 1", "verb", HELD_CLASS, "limit", "20000").body());
       }
       assertEquals(requests, answered.size());
     }
@@ -378,7 +381,8 @@
     }
   }
 
-  private void assertServesAfterIdlePeriod(String text, FakeChangeLog log, FakeEngine replacement) throws Exception {
+  private void assertServesAfterIdlePeriod(String text, FakeChangeLog log, FakeEngine replacement)
+      throws Exception {
     Path own = Files.createDirectory(folder.resolve("idle"));
     try (GatewayProcess process = new GatewayProcess(own, text);
         ThriftClient idleClient = process.ready()) {
@@ -400,7 +404,9 @@
           idleClient.run("select 1", "limit", "20000").kind(),
           "a client that was idle is served");
       assertEquals(
-          hellos, log.hellos.size(), "the change log connection is kept, since the log sent events");
+          hellos,
+          log.hellos.size(),
+          "the change log connection is kept, since the log sent events");
       log.add(2, replacement, 0);
       log.add(1, other, 2);
       try (ThriftClient client = process.ready()) {
--- a/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ConnectionCloseTest.java
@@ -145,7 +145,8 @@
     nextEvent(Query.class);
     assertTrue(nextEvent(String.class).startsWith("clientGone "));
     runOnLoop(() -> actions.checkHealth(ENGINE));
-    assertEquals(List.of("INFO p1"), connection.readLinesUntil("INFO"), "received events are handled first");
+    assertEquals(
+        List.of("INFO p1"), connection.readLinesUntil("INFO"), "received events are handled first");
     client.close();
   }
 
@@ -214,7 +215,8 @@
       for (ThriftClient f : fillers) {
         f.close();
       }
-      // The gateway has closed the connection, since the rest of the request could not be withdrawn.
+      // The gateway has closed the connection, since the rest of the request could not be
+      // withdrawn.
       await(() -> tableSize("connections") == 0);
       int requests = 0;
       String line;
--- a/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EndpointListOrderingTest.java
@@ -77,7 +77,8 @@
   }
 
   private String text(InetSocketAddress listen, PausedPeer changeLog) {
-    return GatewayProcess.config(listen, changeLog.address(), draining.address(), staying.address());
+    return GatewayProcess.config(
+        listen, changeLog.address(), draining.address(), staying.address());
   }
 
   /** Sends a heartbeat of the change log; returns false if the connection is broken. */
@@ -134,8 +135,7 @@
 
   @ParameterizedTest
   @EnumSource(FirstEvent.class)
-  void drainingEngineGetsNoRequestsWhileLogAddressChanges(FirstEvent first)
-      throws Exception {
+  void drainingEngineGetsNoRequestsWhileLogAddressChanges(FirstEvent first) throws Exception {
     try (PausedPeer newLog = new PausedPeer()) {
       GatewayConfig next = config(text(config.listen(), newLog));
       CountDownLatch resume = pauseLoop();
@@ -158,7 +158,8 @@
         }
         Connection newConnection = newLog.accept();
         assertEquals(1, newConnection.readEventNumber());
-        newConnection.write(listFrame(2, ChangeLogClientTest.CHANGES, ChangeLogClientTest.DRAINING));
+        newConnection.write(
+            listFrame(2, ChangeLogClientTest.CHANGES, ChangeLogClientTest.DRAINING));
         assertEquals(
             EngineState.DRAINING, ((EngineMember) nextEvent(List.class).get(0)).endpoint().state());
         before = draining.count("ASK");
@@ -174,8 +175,7 @@
   }
 
   @Test
-  void reconnectsAfterSilenceWithinListAndAppliesOnlyCompleteList()
-      throws Exception {
+  void reconnectsAfterSilenceWithinListAndAppliesOnlyCompleteList() throws Exception {
     // The log sends heartbeats for long, as one that sends something each second.
     for (int i = 0; i < 14; i++) {
       assertTrue(sendsHeartbeat());
@@ -199,7 +199,8 @@
     for (byte b : frame) {
       again.write(new byte[] {b});
     }
-    assertEquals(EngineState.DRAINING, ((EngineMember) nextEvent(List.class).get(0)).endpoint().state());
+    assertEquals(
+        EngineState.DRAINING, ((EngineMember) nextEvent(List.class).get(0)).endpoint().state());
     assertDrainingEngineUnused(draining.count("ASK"));
   }
 }
--- a/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/EngineConnectionOrderingTest.java
@@ -125,7 +125,8 @@
         .array();
   }
 
-  private Query submitQuery(ThriftClient client, String statement, String... changes) throws Exception {
+  private Query submitQuery(ThriftClient client, String statement, String... changes)
+      throws Exception {
     client.execute(statement, changes);
     return gateway.nextEvent(Query.class);
   }
@@ -142,13 +143,13 @@
 
   @ParameterizedTest
   @EnumSource(Kill.class)
-  void unwrittenAttemptIsUnreachedWhenEngineDiesAfterAccept(Kill kill)
-      throws Exception {
+  void unwrittenAttemptIsUnreachedWhenEngineDiesAfterAccept(Kill kill) throws Exception {
     startGatewayAndLog();
     try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
       Query query = submitQuery(client, "select 1", "verb", "once");
       // The connection is established and lost before the loop handles either event.
-      CountDownLatch resume = gateway.pauseLoopAfter(() -> gateway.actions.forward(query.id(), ENGINE, 0));
+      CountDownLatch resume =
+          gateway.pauseLoopAfter(() -> gateway.actions.forward(query.id(), ENGINE, 0));
       gateway.awaitQueued(1);
       kill.of(engine);
       gateway.awaitQueued(2);
@@ -163,8 +164,7 @@
 
   @ParameterizedTest
   @EnumSource(Kill.class)
-  void writtenAttemptIsResetWhenEngineDiesAfterAccept(Kill kill)
-      throws Exception {
+  void writtenAttemptIsResetWhenEngineDiesAfterAccept(Kill kill) throws Exception {
     startGatewayAndLog();
     try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
       Query query = submitQuery(client, "select 1", "verb", "once");
@@ -185,8 +185,8 @@
 
   @ParameterizedTest
   @CsvSource({"once,FAILED,0", "quick,ANSWER,1", "keyed,ANSWER,1"})
-  void retriesUnreadRequestOfKilledEngineByClassRule(
-      String verb, String kind, int asks) throws Exception {
+  void retriesUnreadRequestOfKilledEngineByClassRule(String verb, String kind, int asks)
+      throws Exception {
     gateway = new OrderingHarness(folder, config(engine.address()), QueryScheduler::new);
     Connection log = expectSubscription(changeLog.accept());
     try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
@@ -220,9 +220,12 @@
             killUnread(accepted, true);
           } else {
             assertEquals(
-                1, new DataInputStream(accepted.getInputStream()).readLong(), "after the same event");
+                1,
+                new DataInputStream(accepted.getInputStream()).readLong(),
+                "after the same event");
             accepted.getOutputStream().write(up(3, other.address(), 0));
-            assertEquals("s-00000003", ((EngineEndpoint) gateway.nextEvent(List.class).get(0)).name());
+            assertEquals(
+                "s-00000003", ((EngineEndpoint) gateway.nextEvent(List.class).get(0)).name());
           }
         }
       }
@@ -231,9 +234,7 @@
     assertTrue(System.nanoTime() - start < 9_000_000_000L);
   }
 
-  /**
-   * Ends a connection on which the gateway has sent data, without reading or sending anything.
-   */
+  /** Ends a connection on which the gateway has sent data, without reading or sending anything. */
   private static void killUnread(Socket socket, boolean reset) throws Exception {
     Connection connection = new Connection(socket);
     await(() -> connection.availableBytes() > 0);
@@ -245,13 +246,14 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void partialResponseOfEndedConnectionEndsOnlyItsAttempt(boolean reset)
-      throws Exception {
+  void partialResponseOfEndedConnectionEndsOnlyItsAttempt(boolean reset) throws Exception {
     startGatewayAndLog();
     try (ThriftClient client = new ThriftClient(gateway.config.listen())) {
       String complete = answer("0123456789abcdef", "a\tb\tc\n");
       for (int cut :
-          new int[] {1, 16, 19, 40, complete.indexOf('\n'), complete.length() - 5, complete.length() - 1}) {
+          new int[] {
+            1, 16, 19, 40, complete.indexOf('\n'), complete.length() - 5, complete.length() - 1
+          }) {
         Query query = submitQuery(client, "select 1", "verb", "once");
         gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0));
         Connection first = engine.accept();
@@ -262,8 +264,10 @@
         AttemptResult end = nextEnd();
         assertEquals(AttemptOutcome.RESET, end.outcome());
         assertEquals(0, end.attempt());
-        gateway.runOnLoop(() -> gateway.actions.cancelAttempt(query.id(), 0)); // no effect: it has ended
-        gateway.runOnLoop(() -> gateway.actions.forward(query.id(), ENGINE, 0)); // under the same id
+        gateway.runOnLoop(
+            () -> gateway.actions.cancelAttempt(query.id(), 0)); // no effect: it has ended
+        gateway.runOnLoop(
+            () -> gateway.actions.forward(query.id(), ENGINE, 0)); // under the same id
         Connection second = engine.accept();
         assertTrue(second.readRequest().startsWith("ASK " + query.id()));
         second.write(answer(query.id(), "x\ty\tz\n"));
--- a/gateway/src/test/java/reachloom/gateway/FaultyCallsTest.java
+++ b/gateway/src/test/java/reachloom/gateway/FaultyCallsTest.java
@@ -21,9 +21,7 @@
 import reachloom.standin.GatewayProcess;
 import reachloom.standin.ThriftClient;
 
-/**
- * Guards against lost requests and connections when system calls of the gateway process fail.
- */
+/** Guards against lost requests and connections when system calls of the gateway process fail. */
 @Timeout(90)
 class FaultyCallsTest {
   private static final int REQUESTS = 200;
--- a/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
+++ b/gateway/src/test/java/reachloom/gateway/GatewayServiceTest.java
@@ -142,7 +142,8 @@
     changeLog.close();
   }
 
-  private Query submitQuery(ThriftClient client, String statement, String... changes) throws Exception {
+  private Query submitQuery(ThriftClient client, String statement, String... changes)
+      throws Exception {
     client.execute(statement, changes);
     return nextEvent(Query.class);
   }
@@ -157,7 +158,8 @@
   void socketsAndSimulatorReportSameEvents() throws Exception {
     List<Object> sockets = new ArrayList<>();
     try (ThriftClient client = new ThriftClient(config.listen())) {
-      Query query = submitQuery(client, "select 1 /* note */ from sales_3.a", "txn", "00000000000000ab");
+      Query query =
+          submitQuery(client, "select 1 /* note */ from sales_3.a", "txn", "00000000000000ab");
       sockets.add(
           new Query(
               query.id(),
@@ -240,9 +242,7 @@
       Query query = submitQuery(client, "select 1 /* hang */");
       runOnLoop(() -> actions.forward(query.id(), "s-00000099", 0));
       assertEquals(
-          AttemptOutcome.UNREACHED,
-          nextEvent(AttemptResult.class).outcome(),
-          "an unknown engine");
+          AttemptOutcome.UNREACHED, nextEvent(AttemptResult.class).outcome(), "an unknown engine");
       runOnLoop(() -> actions.forward(query.id(), "s-00000001", 30_000_000));
       AttemptResult late = nextEvent(AttemptResult.class);
       assertEquals(AttemptOutcome.TIMEOUT, late.outcome());
@@ -260,7 +260,9 @@
       }
       runOnLoop(() -> actions.forward(second.id(), "s-00000001", 0));
       assertEquals(
-          AttemptOutcome.NOT_SENT, nextEvent(AttemptResult.class).outcome(), "beyond the limit of attempts");
+          AttemptOutcome.NOT_SENT,
+          nextEvent(AttemptResult.class).outcome(),
+          "beyond the limit of attempts");
     }
   }
 
--- a/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
+++ b/gateway/src/test/java/reachloom/gateway/HandoffQueueTest.java
@@ -67,7 +67,8 @@
       queue.add(i);
     }
     assertEquals(3, queue.size());
-    assertEquals(List.of(0, 1, 2), List.of(queue.poll(), queue.poll(NANOS_PER_MILLI), queue.poll(0)));
+    assertEquals(
+        List.of(0, 1, 2), List.of(queue.poll(), queue.poll(NANOS_PER_MILLI), queue.poll(0)));
     long before = System.nanoTime();
     assertNull(queue.poll(20 * NANOS_PER_MILLI));
     assertTrue(System.nanoTime() - before >= 20 * NANOS_PER_MILLI);
@@ -97,7 +98,8 @@
               queue.add(7);
             });
     producer.start();
-    assertEquals(7, queue.poll(200 * NANOS_PER_MILLI), "received when the wait is over, at the latest");
+    assertEquals(
+        7, queue.poll(200 * NANOS_PER_MILLI), "received when the wait is over, at the latest");
     assertTrue(strategy.suspended.await(10, TimeUnit.SECONDS));
     assertNull(queue.poll(100 * NANOS_PER_MILLI), "the next poll waits without an element");
     assertEquals(2, strategy.parkCount.get(), "one park per wait");
--- a/gateway/src/test/java/reachloom/gateway/IdleTimeoutTest.java
+++ b/gateway/src/test/java/reachloom/gateway/IdleTimeoutTest.java
@@ -45,8 +45,7 @@
 
   /** Tests both gateways in parallel, since each client has to be idle for the default timeout. */
   @Test
-  void appliesDefaultAndConfiguredIdleTimeouts()
-      throws Exception {
+  void appliesDefaultAndConfiguredIdleTimeouts() throws Exception {
     Path file = settings("<clients idleTimeoutMs=\"600000\"/>");
     Path empty =
         Files.writeString(
@@ -73,7 +72,10 @@
         assertEquals(FakeEngine.ROW, clientOfDefault.run("select 1").body());
         assertTrue(clientOfDefault.ended(), "closed gracefully: a reset would throw an exception");
         long idleNanos = System.nanoTime() - from;
-        assertTrue(idleNanos >= DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS / 2 && idleNanos < DEFAULT_TIMEOUT_NANOS + 4 * TOLERANCE_NANOS, idleNanos + " ns");
+        assertTrue(
+            idleNanos >= DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS / 2
+                && idleNanos < DEFAULT_TIMEOUT_NANOS + 4 * TOLERANCE_NANOS,
+            idleNanos + " ns");
         sleepUntil(from, DEFAULT_TIMEOUT_NANOS + TOLERANCE_NANOS);
         assertEquals(FakeEngine.ROW, client.run("select 1").body(), "the connection is still open");
         settings("<clients idleTimeoutMs=\"1000\"/>");
@@ -87,7 +89,10 @@
         long from = System.nanoTime();
         assertTrue(next.ended());
         long idleNanos = System.nanoTime() - from;
-        assertTrue(idleNanos >= NANOS_PER_SECOND * 9 / 10 && idleNanos < DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS, idleNanos + " ns");
+        assertTrue(
+            idleNanos >= NANOS_PER_SECOND * 9 / 10
+                && idleNanos < DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS,
+            idleNanos + " ns");
       }
     }
   }
@@ -115,7 +120,10 @@
         long from = System.nanoTime();
         assertTrue(client.ended());
         long idleNanos = System.nanoTime() - from;
-        assertTrue(idleNanos >= NANOS_PER_SECOND * 3 / 2 && idleNanos < DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS, idleNanos + " ns");
+        assertTrue(
+            idleNanos >= NANOS_PER_SECOND * 3 / 2
+                && idleNanos < DEFAULT_TIMEOUT_NANOS - TOLERANCE_NANOS,
+            idleNanos + " ns");
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/ServeTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ServeTest.java
@@ -65,7 +65,8 @@
     try (ThriftClient client = new ThriftClient(gateway.listen)) {
       assertEquals(FakeEngine.ROW, client.run("select 1 from sales_1.a").body());
       String three = FakeEngine.ROW.repeat(6);
-      assertEquals(three, client.run("select 1 /* pages */ from sales_1.a").body(), "pages in order");
+      assertEquals(
+          three, client.run("select 1 /* pages */ from sales_1.a").body(), "pages in order");
       await(() -> engine.count("FREE") == 1);
       String ask = "ASK [0-9a-f]{16} queue=quick,budget=\\d+ \\d+";
       assertTrue(engine.commands.stream().anyMatch(l -> l.matches(ask)));
@@ -141,16 +142,20 @@
         {"unique", "a\r\nQUIT x"}
       };
       for (String[] change : bad) {
-        assertTrue(Set.of("BUSY", "FAILED").contains(client.run("select 1", change).kind()), change[0]);
+        assertTrue(
+            Set.of("BUSY", "FAILED").contains(client.run("select 1", change).kind()), change[0]);
       }
       assertEquals(
-          "FAILED", client.run("select 1", "verb", "keyed").kind(), "a class that requires a key, without one");
+          "FAILED",
+          client.run("select 1", "verb", "keyed").kind(),
+          "a class that requires a key, without one");
       client.unknown();
       assertEquals("EXCEPTION", client.reply().kind());
       assertEquals(0, engine.count("ASK"));
       client.execute("select 1 /* late */", "txn", "00000000000000aa");
       client.execute("select 1", "txn", "00000000000000aa");
-      assertEquals(Set.of("ANSWER", "FAILED"), Set.of(client.reply().kind(), client.reply().kind()));
+      assertEquals(
+          Set.of("ANSWER", "FAILED"), Set.of(client.reply().kind(), client.reply().kind()));
       assertEquals(1, engine.count("ASK"));
     }
   }
@@ -191,7 +196,8 @@
       for (String malformation : List.of("noise", "stops")) {
         int hanging = client.execute("select 1 /* hang */", "verb", "once", "limit", "10000");
         long start = System.nanoTime();
-        int bad = client.execute("select 1 /* " + malformation + " */", "verb", "once", "limit", "10000");
+        int bad =
+            client.execute("select 1 /* " + malformation + " */", "verb", "once", "limit", "10000");
         List<ThriftMessages.Reply> replies = List.of(client.reply(), client.reply());
         long ms = (System.nanoTime() - start) / 1_000_000;
         assertEquals(Set.of(hanging, bad), Set.of(replies.get(0).seq(), replies.get(1).seq()));
@@ -227,7 +233,8 @@
     try (ThriftClient client = new ThriftClient(gateway.listen)) {
       assertTrue(client.check());
       client.raw(new byte[] {0, 0, 1});
-      assertThrows(IOException.class, client::reply, "also a client that has sent a message before");
+      assertThrows(
+          IOException.class, client::reply, "also a client that has sent a message before");
     }
   }
 
@@ -319,7 +326,10 @@
       gateway.hangUp(); // the same file again
       assertEquals(late, client.reply().seq());
       await(() -> moved.hellos.contains(1L));
-      assertEquals(1, moved.hellos.size(), "one connection, although the same configuration is loaded twice");
+      assertEquals(
+          1,
+          moved.hellos.size(),
+          "one connection, although the same configuration is loaded twice");
       moved.add(2, other, 0);
       moved.add(1, engine, 2);
       changeLog.add(2, other, 2); // sent by the old log, which is no longer followed
@@ -422,7 +432,8 @@
       assertEquals(hanging, client.reply().seq());
       long answered = System.nanoTime();
       Thread.sleep(40);
-      if (System.nanoTime() - answered < 80_000_000) { // otherwise this machine was too busy to judge
+      if (System.nanoTime() - answered
+          < 80_000_000) { // otherwise this machine was too busy to judge
         String again = client.run("select 1").kind();
         assertTrue(
             Set.of("BUSY", "FAILED").contains(again),
@@ -430,7 +441,8 @@
       }
     }
     assertEquals(0, gateway.exit());
-    assertTrue(Files.readString(gateway.log).contains("has stopped"), "the last log line is written");
+    assertTrue(
+        Files.readString(gateway.log).contains("has stopped"), "the last log line is written");
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
+++ b/gateway/src/test/java/reachloom/gateway/ShutdownOrderingTest.java
@@ -251,8 +251,7 @@
   }
 
   @Test
-  void idleTimeoutNeverResetsClientsWithRequestsInTransit()
-      throws Exception {
+  void idleTimeoutNeverResetsClientsWithRequestsInTransit() throws Exception {
     List<ThriftClient> idleClients = new ArrayList<>();
     try {
       for (int i = 0; i < 8; i++) {
--- a/gateway/src/test/java/reachloom/gateway/StateCleanupTest.java
+++ b/gateway/src/test/java/reachloom/gateway/StateCleanupTest.java
@@ -65,7 +65,8 @@
         try (ThriftClient client = new ThriftClient(config.listen())) {
           client.execute("select 1 /* hang */"); // gets no response
           served +=
-              client.run("select 1", "verb", i % 2 == 0 ? "quick" : "keyed", "unique", "k" + i)
+              client
+                      .run("select 1", "verb", i % 2 == 0 ? "quick" : "keyed", "unique", "k" + i)
                       .kind()
                       .equals("ANSWER")
                   ? 1
@@ -91,7 +92,8 @@
       assertEquals(1, sizes.get("engines"));
       assertTrue(sizes.get("connections") <= 8, sizes.toString());
       assertTrue(sizes.get("deadlines") < 30, sizes.toString());
-      assertEquals(remainingEngine, schedulerTable(QueryScheduler::engineNames), "engines of the scheduler");
+      assertEquals(
+          remainingEngine, schedulerTable(QueryScheduler::engineNames), "engines of the scheduler");
       assertEquals(Set.of(), schedulerTable(QueryScheduler::queryIds));
       assertEquals(Set.of(), schedulerTable(QueryScheduler::pendingQueryIds));
       loop.post(0, loop::end);
--- a/gateway/src/test/java/reachloom/gateway/SteppedClockTest.java
+++ b/gateway/src/test/java/reachloom/gateway/SteppedClockTest.java
@@ -98,7 +98,9 @@
     try {
       while (true) {
         Connection connection = peer.accept();
-        for (String line = connection.readRequest(); line != null; line = connection.readRequest()) {
+        for (String line = connection.readRequest();
+            line != null;
+            line = connection.readRequest()) {
           if (line.startsWith("ASK")) {
             requests.incrementAndGet();
             connection.write(line.split(" ")[1] + " OK fetches=1 6\r\na\tb\tc\n\r\n");
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/ConfigurationReloaderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/ConfigurationReloaderTest.java
@@ -60,7 +60,8 @@
     assertEquals(5001, appliedPort());
     Files.writeString(
         file,
-        content.replaceFirst("\"changelog\"\\s*:\\s*\"[^\"]*\"", "\"changelog\":\"127.0.0.1:5009\""));
+        content.replaceFirst(
+            "\"changelog\"\\s*:\\s*\"[^\"]*\"", "\"changelog\":\"127.0.0.1:5009\""));
     configuration.reload();
     assertEquals(2, applied.size());
     assertEquals(5001, appliedPort());
--- a/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
+++ b/gateway/src/test/java/reachloom/gateway/lifecycle/WarmUpTest.java
@@ -33,7 +33,9 @@
         WarmUp warmUp = new WarmUp(GatewayConfig.fromFile(file, Map.of()), QueryScheduler::new);
         int[] remaining = {QUERIES};
         int served = warmUp.simulateQueries(() -> remaining[0]-- > 0);
-        assertTrue(served > QUERIES / 2, served + " of " + QUERIES + " served with objectives of " + objectiveNanos + " ns");
+        assertTrue(
+            served > QUERIES / 2,
+            served + " of " + QUERIES + " served with objectives of " + objectiveNanos + " ns");
       }
     }
   }
--- a/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
+++ b/gateway/src/test/java/reachloom/gateway/state/TablesTest.java
@@ -34,7 +34,10 @@
         "before the connection whose first request may be in transit");
     idle.openRequests.put(1, null);
     clients.touch(idle, 40);
-    assertSame(fresh, clients.evictable(50).orElseThrow(), "a connection with an open request is never evicted");
+    assertSame(
+        fresh,
+        clients.evictable(50).orElseThrow(),
+        "a connection with an open request is never evicted");
     clients.messageReceived(fresh, 100);
     idle.openRequests.clear();
     clients.touch(idle, 110);
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogDecoderTest.java
@@ -40,7 +40,8 @@
             frame(0, 0, 0).array(),
             record(frame(4, 1, 1), 0xc41f7a, 0, 2, 1).array(),
             record(record(frame(5, 2, 2), 1, 1, 0, 0), 2, 2, 0, 0).array());
-    List<EndpointListEvent> read = DecoderAssertions.decodeInAnySplit(stream, ChangeLogDecoderTest::decoder, c -> c);
+    List<EndpointListEvent> read =
+        DecoderAssertions.decodeInAnySplit(stream, ChangeLogDecoderTest::decoder, c -> c);
     assertEquals(
         List.of(true, false, false), read.stream().map(EndpointListEvent::isHeartbeat).toList());
     assertEquals(
--- a/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ChangeLogGoldenTest.java
@@ -25,8 +25,8 @@
 
 /**
  * Compares the bytes between a gateway and the change log with those that version 09d85ed wrote and
- * read. The stored files represent all deployed change logs: a failure means that the wire format has
- * changed; the files must never be regenerated.
+ * read. The stored files represent all deployed change logs: a failure means that the wire format
+ * has changed; the files must never be regenerated.
  */
 class ChangeLogGoldenTest {
   private static final String FOLDER = "change-log";
@@ -37,7 +37,13 @@
   private static final EngineMember UP =
       member(
           new EngineEndpoint(
-              "s-00c41f7a", EngineState.UP, 1, 2, 2, 1.5, 1_700_000_000_123L * NANOS_PER_MILLISECOND),
+              "s-00c41f7a",
+              EngineState.UP,
+              1,
+              2,
+              2,
+              1.5,
+              1_700_000_000_123L * NANOS_PER_MILLISECOND),
           "127.1.2.3",
           41_000);
   private static final EngineMember DRAINING =
@@ -48,7 +54,13 @@
   private static final EngineMember REMOVED =
       member(
           new EngineEndpoint(
-              "s-ffffffff", EngineState.REMOVED, 0, 1, 65_535, 4_294_967.295, 7 * NANOS_PER_MILLISECOND),
+              "s-ffffffff",
+              EngineState.REMOVED,
+              0,
+              1,
+              65_535,
+              4_294_967.295,
+              7 * NANOS_PER_MILLISECOND),
           "255.255.255.255",
           65_535);
   private static final EngineMember UNKNOWN_STATE =
@@ -80,7 +92,8 @@
 
   private static EngineMember member(EngineEndpoint endpoint, String address, int port) {
     try {
-      return new EngineMember(endpoint, new InetSocketAddress(InetAddress.getByName(address), port));
+      return new EngineMember(
+          endpoint, new InetSocketAddress(InetAddress.getByName(address), port));
     } catch (UnknownHostException e) {
       throw new IllegalArgumentException(e);
     }
@@ -100,11 +113,11 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("frames")
-  void decodesStoredFramesInAnySplit(
-      String name, EndpointListEvent expected) {
+  void decodesStoredFramesInAnySplit(String name, EndpointListEvent expected) {
     byte[] stored = GoldenHex.read(FOLDER, name);
     assertEquals(
-        List.of(expected), DecoderAssertions.decodeInAnySplit(stored, ChangeLogGoldenTest::decoder, change -> change));
+        List.of(expected),
+        DecoderAssertions.decodeInAnySplit(stored, ChangeLogGoldenTest::decoder, change -> change));
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineLinesGoldenTest.java
@@ -101,12 +101,14 @@
             Map.of("fetches", "1"),
             ("x".repeat(5994) + "\tb\tcd\n").getBytes(UTF_8)));
     read.put(
-        "rows", response(EngineResponse.Status.PAGE, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
+        "rows",
+        response(EngineResponse.Status.PAGE, Map.of("fetch_no", "2"), ROWS.getBytes(UTF_8)));
     read.put("busy", response(EngineResponse.Status.BUSY, Map.of()));
     read.put(
         "busy-with-report",
         response(EngineResponse.Status.BUSY, Map.of("use", "util:1;queue:12;x0:0.9;x1:0.75")));
-    read.put("err", response(EngineResponse.Status.ERROR, Map.of(), "no such table".getBytes(UTF_8)));
+    read.put(
+        "err", response(EngineResponse.Status.ERROR, Map.of(), "no such table".getBytes(UTF_8)));
     read.put("void", response(EngineResponse.Status.NOT_RUN, Map.of()));
     read.put(
         "note-so-far",
@@ -163,13 +165,17 @@
   @MethodSource("responses")
   void decodesStoredResponsesInAnySplit(String name, Fields expected) {
     byte[] stored = GoldenHex.read(RESPONSES_FOLDER, name);
-    assertEquals(List.of(expected), DecoderAssertions.decodeInAnySplit(stored, EngineResponseDecoder::new, Fields::new));
+    assertEquals(
+        List.of(expected),
+        DecoderAssertions.decodeInAnySplit(stored, EngineResponseDecoder::new, Fields::new));
   }
 
   @Test
   void decodesConcatenatedStoredResponses() {
     byte[][] stored =
-        RESPONSES.keySet().stream().map(name -> GoldenHex.read(RESPONSES_FOLDER, name)).toArray(byte[][]::new);
+        RESPONSES.keySet().stream()
+            .map(name -> GoldenHex.read(RESPONSES_FOLDER, name))
+            .toArray(byte[][]::new);
     List<Fields> read = new ArrayList<>();
     byte[] stream = DecoderAssertions.concat(stored);
     String fault =
--- a/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/EngineResponseDecoderTest.java
@@ -44,7 +44,8 @@
             "p1|UP|{use=util:0.5;queue:2}|",
             "8a|BUSY|{}|",
             "8b|OTHER|{}|xyz"),
-        DecoderAssertions.decodeInAnySplit(stream, EngineResponseDecoder::new, EngineResponseDecoderTest::view));
+        DecoderAssertions.decodeInAnySplit(
+            stream, EngineResponseDecoder::new, EngineResponseDecoderTest::view));
   }
 
   @Test
--- a/gateway/src/test/java/reachloom/gateway/wire/ThriftTest.java
+++ b/gateway/src/test/java/reachloom/gateway/wire/ThriftTest.java
@@ -111,7 +111,8 @@
 
   @Test
   void rejectsOtherVersionHugeSizesAndDeepNesting() {
-    byte[] otherVersion = end(text(ByteBuffer.allocate(64), "check").put((byte) 1).putInt(1).put((byte) 0));
+    byte[] otherVersion =
+        end(text(ByteBuffer.allocate(64), "check").put((byte) 1).putInt(1).put((byte) 0));
     assertInstanceOf(ClientCall.Broken.class, ThriftReader.read(otherVersion));
     byte[] huge =
         end(
@@ -146,8 +147,10 @@
 
   @Test
   void decodesFramesInAnySplit() {
-    byte[] stream = DecoderAssertions.concat(frame(execute(1)), frame(execute(2)), frame(new byte[2000]));
-    List<Integer> lengths = DecoderAssertions.decodeInAnySplit(stream, () -> new FrameDecoder(1, 4096), f -> f.length);
+    byte[] stream =
+        DecoderAssertions.concat(frame(execute(1)), frame(execute(2)), frame(new byte[2000]));
+    List<Integer> lengths =
+        DecoderAssertions.decodeInAnySplit(stream, () -> new FrameDecoder(1, 4096), f -> f.length);
     assertEquals(List.of(execute(1).length, execute(2).length, 2000), lengths);
   }
 
--- a/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
+++ b/gateway/src/test/java/reachloom/gossip/net/StatusGoldenTest.java
@@ -38,9 +38,9 @@
  * commit 09d85ed wrote: operators read it, and scripts extract values from it. Only this test uses
  * the keys and certificates in that folder.
  *
- * <p>The node's events happen {@link #AGE_SECONDS} in the past of its clock, so that its state is the
- * same in each run. Values that depend on the time of the run are replaced by words in braces: the
- * incarnation, the wall clock and, for the status over the network, the counters of datagrams.
+ * <p>The node's events happen {@link #AGE_SECONDS} in the past of its clock, so that its state is
+ * the same in each run. Values that depend on the time of the run are replaced by words in braces:
+ * the incarnation, the wall clock and, for the status over the network, the counters of datagrams.
  */
 class StatusGoldenTest {
   private static final Path ROOT = Path.of("src/test/resources/golden/status");
@@ -127,7 +127,8 @@
       List<PeerReport> reports) {
     long address = address(sender);
     gossip()
-        .receive(nowNanos, new Packet(sender, address, place, 5, message, updates, reports, List.of()));
+        .receive(
+            nowNanos, new Packet(sender, address, place, 5, message, updates, reports, List.of()));
   }
 
   private static long address(String member) {
@@ -163,7 +164,8 @@
     referenceNanos = loop.now() / SECOND_NANOS * SECOND_NANOS;
     nowNanos = referenceNanos - AGE_SECONDS * SECOND_NANOS;
     for (int i = 2; i <= 14; i++) {
-      receive("g" + i, i == 8 ? PLACE : 0, new MembershipMessage.PayloadOnly(), List.of(), List.of());
+      receive(
+          "g" + i, i == 8 ? PLACE : 0, new MembershipMessage.PayloadOnly(), List.of(), List.of());
     }
     receive("g5", 0, new MembershipMessage.Leave(), List.of(), List.of());
     suspect("g2", "g4");
@@ -231,7 +233,8 @@
   void reportsRevisionAndPlacesOfIssuer() throws Exception {
     GossipSettings withoutConfiguration = settings("g1.crt");
     ConfigurationSettings.Issuer issuer =
-        new ConfigurationSettings.Issuer("g1", withoutConfiguration.listen(), ROOT.resolve("g1.crt"));
+        new ConfigurationSettings.Issuer(
+            "g1", withoutConfiguration.listen(), ROOT.resolve("g1.crt"));
     open(withoutConfiguration.withConfiguration(new ConfigurationSettings(PLACE, List.of(issuer))));
     nowNanos = loop.now();
     referenceNanos = nowNanos;
--- a/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
+++ b/gateway/src/test/java/reachloom/gossip/wire/GossipCodecTest.java
@@ -93,8 +93,7 @@
   }
 
   /** Encodes a packet as a complete datagram whose signature is zeros. */
-  private static byte[] datagram(
-      Packet packet, byte[] certificate, boolean knowsCertificate) {
+  private static byte[] datagram(Packet packet, byte[] certificate, boolean knowsCertificate) {
     byte[] signed =
         GossipCodec.encode(
             new DatagramEnvelope(
@@ -192,7 +191,8 @@
   void omitsSectionsOfAbsentPlaceAndRevisionMessages() {
     Packet p = packet(new MembershipMessage.PayloadOnly());
     byte[] bytes = datagram(p, null, false);
-    int reportSection = bytes.length - GossipCodec.SIGNATURE_BYTES - GossipCodec.peerReportSize(REPORT) - 3;
+    int reportSection =
+        bytes.length - GossipCodec.SIGNATURE_BYTES - GossipCodec.peerReportSize(REPORT) - 3;
     assertEquals(3, bytes[reportSection], "peer reports are the last section");
     assertEquals(
         1 + 3 + 6 + 8 + 1 + 3,
--- a/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
+++ b/gateway/src/test/java/reachloom/revision/net/StoredDataGoldenTest.java
@@ -295,8 +295,7 @@
   /**
    * Opens a store with these bytes as its state, and returns the error message without the path.
    */
-  private String openingError(byte[] stateBytes, String issuer, String cluster)
-      throws IOException {
+  private String openingError(byte[] stateBytes, String issuer, String cluster) throws IOException {
     Path store = Files.createTempDirectory(folder, "invalid");
     Path file = Files.write(store.resolve(STATE_FILE), stateBytes);
     StoreException thrown =
@@ -477,8 +476,8 @@
     "c1, c1,        00f86699b03066f4, 2126-11-08T13:25:20Z",
     "c2, c2,        00c155043ed3cbc9, 2126-11-08T13:25:21Z"
   })
-  void readsAndWritesCertificatesWithSameBytes(
-      String file, String name, String serial, Instant end) throws Exception {
+  void readsAndWritesCertificatesWithSameBytes(String file, String name, String serial, Instant end)
+      throws Exception {
     Path path = KEYS.resolve(file + ".crt");
     X509Certificate certificate = NodeIdentity.certificate(Pem.read(path, "CERTIFICATE"));
     assertEquals(name, NodeIdentity.commonName(certificate));
--- a/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
+++ b/gateway/src/test/java/reachloom/simulator/PeerReportExchangeTest.java
@@ -135,8 +135,18 @@
     String message =
         "{\"cmd\":\"NeighbourSays\",\"gatewayId\":\"g0\",\"neighbour\":1,\"raw\":\"" + raw + "\"}";
     batch(SECOND, defineList(1, 0, "up"), newInstance(0, true, 0), backendsChanged(1, "full"));
-    batch(2 * SECOND, defineList(2, SECOND, "up"), backendsChanged(2, "update"), message, deadlineHit());
-    batch(3 * SECOND, defineList(3, SECOND, "removed"), backendsChanged(3, "update"), message, deadlineHit());
+    batch(
+        2 * SECOND,
+        defineList(2, SECOND, "up"),
+        backendsChanged(2, "update"),
+        message,
+        deadlineHit());
+    batch(
+        3 * SECOND,
+        defineList(3, SECOND, "removed"),
+        backendsChanged(3, "update"),
+        message,
+        deadlineHit());
     batch(
         4 * SECOND,
         "{\"cmd\":\"NeighbourSays\",\"gatewayId\":\"g0\",\"neighbour\":2,\"raw\":\"AAAA\"}");
--- a/gateway/src/test/java/reachloom/simulator/SimulatorAdapterProbe.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterProbe.java
@@ -8,7 +8,9 @@
 import reachloom.scheduler.api.SchedulerActions;
 import reachloom.scheduler.api.SchedulerEvents;
 
-/** Gives tests of other packages access to {@link SimulatorAdapter} with a scheduler of their own. */
+/**
+ * Gives tests of other packages access to {@link SimulatorAdapter} with a scheduler of their own.
+ */
 public final class SimulatorAdapterProbe {
   private SimulatorAdapterProbe() {}
 
--- a/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/reachloom/simulator/SimulatorAdapterTest.java
@@ -124,7 +124,8 @@
     serve(batch(1, START, unknown, unknown));
     assertEquals(0, status);
     assertEquals(
-        "reachloom: event 'Unknown' is not known and skipped\n", err.toString(StandardCharsets.UTF_8));
+        "reachloom: event 'Unknown' is not known and skipped\n",
+        err.toString(StandardCharsets.UTF_8));
   }
 
   @Test
--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -257,9 +257,7 @@
 
   // ---- Faults ----
 
-  /**
-   * Draws at random a share of the ready and healthy engines of a zone, or of all zones for -1.
-   */
+  /** Draws at random a share of the ready and healthy engines of a zone, or of all zones for -1. */
   List<EngineModel> draw(double share, int zone) {
     List<EngineModel> some =
         new ArrayList<>(
--- a/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
@@ -67,8 +67,7 @@
       port = free.getLocalPort();
     }
     prepare(
-        engines,
-        new DecodingHandler<>("gateway", EngineCommandDecoder::new, new EngineListener()));
+        engines, new DecodingHandler<>("gateway", EngineCommandDecoder::new, new EngineListener()));
     for (EngineModel e : model.engines.values()) {
       bind(e);
     }
--- a/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/reachloom/lab/cluster/HistoryChecker.java
@@ -516,8 +516,7 @@
                   times.recordValue(
                       Math.max(
                           0,
-                          Math.min(
-                              MAX_LATENCY_MICROS, (q.answeredAt - q.arrival.at()) / 1_000))));
+                          Math.min(MAX_LATENCY_MICROS, (q.answeredAt - q.arrival.at()) / 1_000))));
       long inTime = of.stream().filter(QueryRecord::inTime).count();
       rows.add(
           new Row(
--- a/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
+++ b/lab/src/main/java/reachloom/lab/cluster/LoadImbalance.java
@@ -169,7 +169,8 @@
     if (mean > 0.05) {
       variation.add(Math.sqrt(variance) / mean);
     }
-    samples.values()
+    samples
+        .values()
         .forEach(
             s -> {
               s.usedInSecond = 0;
--- a/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ProcessFleet.java
@@ -206,12 +206,7 @@
           workload = new Workload(plan, start);
           clients = new Clients(model, checker, processes.addresses(), processes::wasKilled);
           new FaultInjector(
-                  model,
-                  totalGateways(),
-                  this,
-                  workload,
-                  checker,
-                  this::injectInstallationFault)
+                  model, totalGateways(), this, workload, checker, this::injectInstallationFault)
               .play(script, start, () -> time.now() < end);
           if (sideProcesses != null) {
             sideProcesses.begin(checker, start, end);
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -545,9 +545,7 @@
             t.engine.cancel(o.arrival.id());
             checker.attemptEnded(t.recorded, time.now());
             schedule(
-                incarnation,
-                () -> finish(o, attempt, AttemptOutcome.RESET, 0, 0),
-                SAME_ZONE_DELAY);
+                incarnation, () -> finish(o, attempt, AttemptOutcome.RESET, 0, 0), SAME_ZONE_DELAY);
           }
         }
       }
@@ -574,9 +572,7 @@
       if (o != null && !o.attempts.get(attempt).ended) {
         cancelAtEngine(o, o.attempts.get(attempt));
         schedule(
-            incarnation,
-            () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0),
-            CANCEL_LINGER);
+            incarnation, () -> finish(o, attempt, AttemptOutcome.CANCELLED, 0, 0), CANCEL_LINGER);
       }
     }
 
--- a/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
+++ b/lab/src/main/java/reachloom/lab/gossip/GossipCommand.java
@@ -20,10 +20,10 @@
 public final class GossipCommand implements Command {
   private static final long MILLISECOND = 1_000_000; // nanoseconds
   private static final int MAX_VIRTUAL_ENGINES = 1_000;
+
   /** The most engines in mode sockets, where each engine is a listener in this process. */
   private static final int MAX_ENGINES = 200;
 
-
   @Override
   public String purpose() {
     return "gossip between instances under failures, in simulated time";
@@ -119,8 +119,8 @@
     }
   }
 
-  private static int report(
-      CommandLine line, String mode, Object plan, Map<String, Object> figures) throws IOException {
+  private static int report(CommandLine line, String mode, Object plan, Map<String, Object> figures)
+      throws IOException {
     Map<String, Object> origin = new LinkedHashMap<>();
     origin.put("mode", mode);
     origin.put("plan", plan);
--- a/lab/src/main/java/reachloom/lab/gossip/package-info.java
+++ b/lab/src/main/java/reachloom/lab/gossip/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Measures gossip under failures, with a simulated clock and network and on loopback sockets.
- */
+/** Measures gossip under failures, with a simulated clock and network and on loopback sockets. */
 package reachloom.lab.gossip;
--- a/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
+++ b/lab/src/main/java/reachloom/lab/scale/ResourceMonitor.java
@@ -182,8 +182,7 @@
   synchronized void sample() {
     List<Long> real = realPids.get();
     double all =
-        ownMemoryMb =
-            Math.max(ownMemoryMb, Usage.residentMegabytes(ProcessHandle.current().pid()));
+        ownMemoryMb = Math.max(ownMemoryMb, Usage.residentMegabytes(ProcessHandle.current().pid()));
     for (long pid : real) {
       double mb = Usage.residentMegabytes(pid);
       realMemoryMb = Math.max(realMemoryMb, mb);
@@ -199,8 +198,7 @@
     }
     totalMemoryMb = Math.max(totalMemoryMb, all);
     // The other two: the laboratory, and the shell that kills the gateways once it has ended.
-    processes =
-        Math.max(processes, real.size() + processesByNumber.size() + machines.size() + 2);
+    processes = Math.max(processes, real.size() + processesByNumber.size() + machines.size() + 2);
   }
 
   /**
--- a/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
+++ b/lab/src/main/java/reachloom/lab/scale/SyntheticGateway.java
@@ -145,9 +145,9 @@
     }
     usedEngines =
         new EngineSubset(number)
-            .order(upEngines.stream().map(e -> new EngineSubset.WeightedEngine(e, 1)).toList())
-            .keySet()
-            .stream()
+                .order(upEngines.stream().map(e -> new EngineSubset.WeightedEngine(e, 1)).toList())
+                .keySet()
+                .stream()
                 .limit(MAX_USED_ENGINES)
                 .toList();
   }
--- a/lab/src/main/java/reachloom/lab/slopes/SubsetAnalysis.java
+++ b/lab/src/main/java/reachloom/lab/slopes/SubsetAnalysis.java
@@ -10,8 +10,8 @@
 /**
  * Computes how many gateways have each engine in their subset, from the real preference order of
  * each gateway and without sockets. This gives the connections at an engine while all engines have
- * capacity, and the connections that are opened when one of ten zones returns after its engines
- * had been replaced by others.
+ * capacity, and the connections that are opened when one of ten zones returns after its engines had
+ * been replaced by others.
  */
 final class SubsetAnalysis {
   private static final int SUBSET_SIZE = 8; // engines of a gateway, as in the scheduler
--- a/lab/src/test/java/reachloom/lab/LabShapeTest.java
+++ b/lab/src/test/java/reachloom/lab/LabShapeTest.java
@@ -59,8 +59,7 @@
   void packageDependenciesHaveNoCycles() throws IOException {
     Map<String, Set<String>> remaining = dependencies();
     assertTrue(
-        remaining.containsKey("command") && remaining.containsKey("cluster"),
-        remaining.toString());
+        remaining.containsKey("command") && remaining.containsKey("cluster"), remaining.toString());
     assertEquals(
         Set.of(),
         remaining.get("command"),
--- a/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/reachloom/lab/scale/ScaleRunTest.java
@@ -76,10 +76,7 @@
           mean(run.changeLog(0, 2), run.changeLog(0, 3)),
           f);
       assertRatesAgree(
-          "gossip",
-          mean(run.gossip(0), run.gossip(1)),
-          mean(run.gossip(2), run.gossip(3)),
-          f);
+          "gossip", mean(run.gossip(0), run.gossip(1)), mean(run.gossip(2), run.gossip(3)), f);
       assertEquals(2, f.get("changes"), f.toString());
       assertEquals(0L, f.get("config_never"), f.toString());
       assertEquals(0L, f.get("list_never"), f.toString());
--- a/standin/src/main/java/reachloom/standin/model/EngineModel.java
+++ b/standin/src/main/java/reachloom/standin/model/EngineModel.java
@@ -343,8 +343,7 @@
     double elapsed = (now - advancedAt) / SECOND;
     advancedAt = now;
     workPerThread += elapsed * threadSpeed();
-    busyCoreSeconds +=
-        elapsed * (condition == Condition.DOWN ? 0 : Math.min(threads, spec.cores));
+    busyCoreSeconds += elapsed * (condition == Condition.DOWN ? 0 : Math.min(threads, spec.cores));
   }
 
   /** Schedules the end of the next job; a later call replaces the scheduled end. */
--- a/tools/src/main/java/reachloom/tools/CommandLineTool.java
+++ b/tools/src/main/java/reachloom/tools/CommandLineTool.java
@@ -30,8 +30,8 @@
   private static final int USAGE_COLUMNS = 100;
 
   /**
-   * The action of a command. A checked exception ends it with {@link #FAILED} or
-   * {@link #BAD_USAGE}; an unchecked one is passed on.
+   * The action of a command. A checked exception ends it with {@link #FAILED} or {@link
+   * #BAD_USAGE}; an unchecked one is passed on.
    */
   interface Action {
     /** Runs the command with the given options; returns the exit status. */
@@ -53,7 +53,7 @@
    * @param out receives help that was requested
    * @param err receives errors, and usage if no known command is named
    * @param failureText returns the text to print for an exception that ends a command with {@link
-   * #FAILED}
+   *     #FAILED}
    */
   CommandLineTool(
       String program, PrintStream out, PrintStream err, Function<Exception, String> failureText) {
@@ -111,7 +111,8 @@
     commands.forEach(
         (name, command) ->
             new HelpFormatter()
-                .printHelp(writer, USAGE_COLUMNS, program + " " + name, "", command.options(), 1, 2, ""));
+                .printHelp(
+                    writer, USAGE_COLUMNS, program + " " + name, "", command.options(), 1, 2, ""));
     writer.flush();
   }
 
--- a/tools/src/main/java/reachloom/tools/GossipTool.java
+++ b/tools/src/main/java/reachloom/tools/GossipTool.java
@@ -111,7 +111,8 @@
     byte[] certificate =
         new CertificateIssuer(name, keys.getPrivate())
             .issueSelfSigned(keys.getPublic(), days(options, "3650"));
-    writeSecret(withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
+    writeSecret(
+        withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
     write(withSuffix(pathPrefix, ".crt"), Pem.text(CERTIFICATE, certificate));
     out.println(pathPrefix + ".crt: " + certificate.length + " bytes");
     return CommandLineTool.OK;
@@ -121,7 +122,8 @@
       throws ParseException, IOException, GeneralSecurityException {
     String pathPrefix = CommandLineTool.required(options, "out");
     KeyPair keys = generateKeys();
-    writeSecret(withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
+    writeSecret(
+        withSuffix(pathPrefix, ".key"), Pem.text(PRIVATE_KEY, keys.getPrivate().getEncoded()));
     write(withSuffix(pathPrefix, ".pub"), Pem.text(PUBLIC_KEY, keys.getPublic().getEncoded()));
     out.println(pathPrefix + ".key, " + pathPrefix + ".pub");
     return CommandLineTool.OK;
@@ -198,7 +200,9 @@
     String name = CommandLineTool.required(options, "name");
     if (!NAME.matcher(name).matches()) {
       throw new ParseException(
-          "--name: '" + name + "' must be 1 to 32 letters, digits, dots, dashes or underscores, "
+          "--name: '"
+              + name
+              + "' must be 1 to 32 letters, digits, dots, dashes or underscores, "
               + "the first a letter or digit");
     }
     return name;
--- a/tools/src/test/java/reachloom/tools/KeyFilesGoldenTest.java
+++ b/tools/src/test/java/reachloom/tools/KeyFilesGoldenTest.java
@@ -92,7 +92,8 @@
     X509Certificate created = certificate("new.crt");
     assertEquals(golden.getPublicKey().getAlgorithm(), created.getPublicKey().getAlgorithm());
     assertSameStructure(golden, created);
-    assertArrayEquals(golden.getExtensionValue("2.5.29.19"), created.getExtensionValue("2.5.29.19"));
+    assertArrayEquals(
+        golden.getExtensionValue("2.5.29.19"), created.getExtensionValue("2.5.29.19"));
     assertEquals(
         PosixFilePermissions.fromString("rw-------"),
         Files.getPosixFilePermissions(folder.resolve("new.key")));
@@ -107,7 +108,8 @@
       assertEquals(golden.get(0), created.get(0));
       assertEquals(golden.get(golden.size() - 1), created.get(created.size() - 1));
       assertEquals(
-          golden.stream().map(String::length).toList(), created.stream().map(String::length).toList());
+          golden.stream().map(String::length).toList(),
+          created.stream().map(String::length).toList());
     }
   }
 
@@ -122,9 +124,11 @@
     assertEquals(golden.getVersion(), created.getVersion());
     assertEquals(golden.getSigAlgOID(), created.getSigAlgOID());
     assertArrayEquals(
-        golden.getIssuerX500Principal().getEncoded(), created.getIssuerX500Principal().getEncoded());
+        golden.getIssuerX500Principal().getEncoded(),
+        created.getIssuerX500Principal().getEncoded());
     assertArrayEquals(
-        golden.getSubjectX500Principal().getEncoded(), created.getSubjectX500Principal().getEncoded());
+        golden.getSubjectX500Principal().getEncoded(),
+        created.getSubjectX500Principal().getEncoded());
     assertEquals(golden.getCriticalExtensionOIDs(), created.getCriticalExtensionOIDs());
     assertEquals(golden.getNonCriticalExtensionOIDs(), created.getNonCriticalExtensionOIDs());
     assertEquals(golden.getBasicConstraints(), created.getBasicConstraints());
--- a/tools/src/test/java/reachloom/tools/LoopbackCluster.java
+++ b/tools/src/test/java/reachloom/tools/LoopbackCluster.java
@@ -233,8 +233,7 @@
   static void await(BooleanSupplier condition) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
     while (!condition.getAsBoolean()) {
-      assertEquals(
-          true, System.nanoTime() < deadlineNanos, "not within " + AWAIT_TIMEOUT_S + " s");
+      assertEquals(true, System.nanoTime() < deadlineNanos, "not within " + AWAIT_TIMEOUT_S + " s");
       Thread.sleep(20);
     }
   }
--- a/tools/src/test/java/reachloom/tools/RevisionToolTest.java
+++ b/tools/src/test/java/reachloom/tools/RevisionToolTest.java
@@ -78,11 +78,11 @@
         duplicateKey::err);
     CommandResult ownSetting = cluster.issue("c1", "{\"listen\": \"127.0.0.1:1\"}");
     assertTrue(
-        ownSetting.err().contains("document.json: listen: is each gateway's own"),
-        ownSetting::err);
+        ownSetting.err().contains("document.json: listen: is each gateway's own"), ownSetting::err);
     String largest = "{\"x\": \"" + "y".repeat(16 * 1024 - 9) + "\"}";
     CommandResult tooLarge =
-        cluster.issue("c1", largest.replace("yy", "yyy").substring(0, 1) + " " + largest.substring(1));
+        cluster.issue(
+            "c1", largest.replace("yy", "yyy").substring(0, 1) + " " + largest.substring(1));
     assertEquals(2, tooLarge.status());
     assertTrue(tooLarge.err().contains("has 16385 bytes; 1 to 16384 are allowed"), tooLarge::err);
     assertEquals(0, cluster.newest("g1"));
@@ -122,7 +122,8 @@
     cluster.awaitIssuer("c1");
     CommandResult outcome = cluster.issue("c1", "{\"lost\": 1}");
     assertEquals(1, outcome.status(), outcome::toString);
-    assertTrue(outcome.err().contains("NO_MAJORITY") && outcome.err().contains("withdrawn"), outcome::err);
+    assertTrue(
+        outcome.err().contains("NO_MAJORITY") && outcome.err().contains("withdrawn"), outcome::err);
     cluster.start("c2");
     outcome = cluster.issue("c1", "{\"back\": 1}");
     assertEquals(0, outcome.status(), outcome::toString);
@@ -148,7 +149,8 @@
   void refusesCorruptForeignOrLockedStore() throws Exception {
     cluster.init();
     CommandResult again =
-        LoopbackCluster.revision("init", "--settings", cluster.path("c1.xml"), "--store", cluster.path("c1"));
+        LoopbackCluster.revision(
+            "init", "--settings", cluster.path("c1.xml"), "--store", cluster.path("c1"));
     assertEquals(2, again.status());
     assertTrue(again.err().contains("issuer.state: already exists"), again::err);
     cluster.start("c1");
@@ -161,7 +163,9 @@
       CommandResult truncated = serve("c2");
       assertEquals(2, truncated.status());
       assertTrue(
-          truncated.err().contains(state + ": is ") && truncated.err().contains("the file is not used"), truncated::err);
+          truncated.err().contains(state + ": is ")
+              && truncated.err().contains("the file is not used"),
+          truncated::err);
       assertEquals(length, Files.size(state), "the state file is not changed");
     }
     byte[] altered = good.clone();
@@ -175,7 +179,8 @@
     assertTrue(
         serve("c2").err().contains("belongs to issuer 'c1' of 'test', not to 'c2' of 'test'"));
     CommandResult member =
-        LoopbackCluster.revision("serve", "--settings", cluster.path("g1.xml"), "--store", cluster.path("g1"));
+        LoopbackCluster.revision(
+            "serve", "--settings", cluster.path("g1.xml"), "--store", cluster.path("g1"));
     assertTrue(member.err().contains("'g1' is not among the issuers"), member::err);
   }
 
@@ -192,7 +197,9 @@
     cluster.start("c2");
     cluster.awaitIssuer("c2");
     CommandResult outcome = cluster.issue("c2", "{\"a\": 1}");
-    assertTrue(outcome.err().contains("ABSTAINS") && outcome.err().contains("lost its store"), outcome::err);
+    assertTrue(
+        outcome.err().contains("ABSTAINS") && outcome.err().contains("lost its store"),
+        outcome::err);
     assertFalse(Files.exists(folder.resolve("c2/issuer.state")));
   }
 
