--- a/decisions/src/main/java/reachloom/membership/FailureDetector.java
+++ b/decisions/src/main/java/reachloom/membership/FailureDetector.java
@@ -14,8 +14,8 @@
  * MembershipService}.
  */
 final class FailureDetector {
-  private static final double DIRECT_PING_TIMEOUT_PERIODS = 0.4;
-  private static final double RELAYED_PING_TIMEOUT_PERIODS = 0.3; // for the target of a relay
+  private static final double DIRECT_PING_TIMEOUT_PERIODS = 0.4; // then indirect pings
+  private static final double RELAYED_PING_TIMEOUT_PERIODS = 0.3; // then the relay sends a Nack
   private static final int RELAY_COUNT = 3; // k of SWIM: relays of an indirect ping
   private static final int MAX_RELAYED_PINGS = 64; // pending pings on behalf of other members
   private static final int MAX_ACCUSED_PINGS_PER_PERIOD = 2; // to members accused by this node
@@ -270,7 +270,10 @@
     }
   }
 
-  /** Pings a member on behalf of the requester. */
+  /**
+   * Pings a member on behalf of the requester; ignores requests to ping this node itself, and those
+   * beyond {@link #MAX_RELAYED_PINGS}.
+   */
   void onPingRequest(long nowNanos, Member requester, MembershipMessage.PingRequest request) {
     if (relayedPings.size() >= MAX_RELAYED_PINGS || request.target().equals(localName)) {
       return;
--- a/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
+++ b/decisions/src/main/java/reachloom/membership/UpdateProcessor.java
@@ -8,7 +8,9 @@
  */
 final class UpdateProcessor {
   private static final long SECOND_NANOS = 1_000_000_000;
-  private static final long MAX_CLOCK_LEAD_SECONDS = 60; // of a received incarnation
+
+  /** By which a received incarnation, in seconds, may be ahead of this node's clock. */
+  private static final long MAX_CLOCK_LEAD_SECONDS = 60;
 
   private final LocalMember local;
   private final LocalHealth health;
@@ -37,7 +39,7 @@
 
   /**
    * Processes a member's own packet, which proves that it is alive and states its address and
-   * incarnation.
+   * incarnation. Returns the member; empty if it is unknown and the table has no room for it.
    */
   Optional<Member> onPacketReceived(long nowNanos, MembershipUpdate self) {
     Optional<Member> known = members.find(self.member());
--- a/decisions/src/main/java/reachloom/revision/ConsensusNode.java
+++ b/decisions/src/main/java/reachloom/revision/ConsensusNode.java
@@ -15,9 +15,9 @@
  * issuer may propose; a higher ballot preempts a lower one.
  *
  * <p>The protocol tolerates issuers that crash, pause, or lose messages. It does not tolerate
- * Byzantine issuers: one that sends false messages can block the others, and, since issuers trust
- * its report of what it has accepted, can cause two proved revisions with one number (a fork),
- * which members reject.
+ * Byzantine issuers: one that sends false messages can block the others, and, since acceptors trust
+ * its word on what others have accepted, and proposers its report of what it has accepted itself,
+ * can cause two proved revisions with one number (a fork), which members reject.
  *
  * <p>Times are nanoseconds of the clock that the caller passes in. All calls come from the thread
  * of the issuer's event loop, and results are reported on that thread.
--- a/decisions/src/main/java/reachloom/revision/TransferQueue.java
+++ b/decisions/src/main/java/reachloom/revision/TransferQueue.java
@@ -8,10 +8,10 @@
 
 /**
  * Sends the documents and deltas that other members have requested, chunk by chunk as far as the
- * byte budget of the current second allows. Transfers are served in order of request, each for its
- * whole window. There is one transfer per member, and a limit of chunks per second and member.
- * Times are nanoseconds of the clock that the caller passes in; confined to the thread of {@link
- * RevisionDissemination}.
+ * byte budget of the current second allows. Transfers are served in order of request, continued
+ * ones first, each for its whole window. There is one transfer per member, and a limit of chunks
+ * per second and member. Times are nanoseconds of the clock that the caller passes in; confined to
+ * the thread of {@link RevisionDissemination}.
  */
 final class TransferQueue {
   /** The chunks that answer one request. */
@@ -60,7 +60,7 @@
 
   /**
    * Queues the answer to a request. It replaces an earlier one of the same member and keeps its
-   * position.
+   * position; an answer that continues a transfer ({@code from} above 0) goes first.
    *
    * @param baseNumber the base revision of the delta; 0 for a whole document
    * @param from the first requested chunk; nothing is queued if there is no such chunk
--- a/decisions/src/main/java/reachloom/scheduler/AdmissionController.java
+++ b/decisions/src/main/java/reachloom/scheduler/AdmissionController.java
@@ -3,8 +3,10 @@
 import java.util.Optional;
 
 /**
- * Admission control at arrival: a query that fits is forwarded immediately; a query whose predicted
- * wait plus own service time exceeds its deadline is rejected (load shedding); others are queued.
+ * Admission control at arrival: a query that fits is forwarded immediately, unless it is queued to
+ * wait for load reports. Of the others, a query whose predicted wait plus own service time exceeds
+ * its deadline is rejected (load shedding), as is one over its tenant's quota that need not wait
+ * for its key; the rest are queued.
  */
 final class AdmissionController {
   /** Ticks of the scheduler that a query needs beyond its service time to wait for load reports. */
--- a/decisions/src/main/java/reachloom/scheduler/AttemptMigration.java
+++ b/decisions/src/main/java/reachloom/scheduler/AttemptMigration.java
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Whether the completed share is far behind the prediction for this engine. The engine's latency
-   * ratio is part of the prediction, so that a slow engine does not look like a bad plan.
+   * Whether the completed share is far behind the prediction for this engine, and a new attempt is
+   * worth its start and can end before the deadline. The engine's latency ratio is part of the
+   * prediction, so that a slow engine does not look like a bad plan.
    */
   private boolean hasBadPlan(long nowNanos, AttemptRecord attempt) {
     QueryRecord query = attempt.query;
--- a/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/reachloom/scheduler/ConcurrencyLimiter.java
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Applies the growth that the limit of an inactive engine has missed, and lets each tick adjust
-   * it while the engine is active.
+   * Applies the growth that the limit of an inactive engine has missed, if the engine is calm, and
+   * lets each tick adjust it while the engine is active.
    */
   void activate(long nowNanos, EngineRecord engine) {
     Limit limit = engine.limit;
--- a/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
+++ b/decisions/src/main/java/reachloom/scheduler/CostEstimator.java
@@ -15,7 +15,10 @@
   /** Minimum weight of the newest query in the averages of its class. */
   private static final double NEWEST_WEIGHT = 0.02;
 
-  /** Work of a class without any known cost, as a share of its deadline; high for slow start. */
+  /**
+   * Work of a class without any known cost, as a share of its deadline; high, so that {@link
+   * SlowStart} sends too little work rather than too much.
+   */
   private static final double UNKNOWN_WORK_DEADLINE_SHARE = 0.25;
 
   /** Factor from expected to reserved memory: running out costs more than spare memory. */
--- a/decisions/src/main/java/reachloom/scheduler/EngineEligibility.java
+++ b/decisions/src/main/java/reachloom/scheduler/EngineEligibility.java
@@ -27,7 +27,10 @@
     this.limiter = limiter;
   }
 
-  /** Whether placement, health, retry rules and slow start allow the query on an engine. */
+  /**
+   * Whether an engine is listed as up, and placement, health, retry rules and slow start allow the
+   * query on it.
+   */
   boolean isEligible(long nowNanos, QueryRecord query, EngineRecord engine) {
     return engine.isListedUp()
         && outliers.allows(nowNanos, engine)
--- a/decisions/src/main/java/reachloom/scheduler/HealthCheckScheduler.java
+++ b/decisions/src/main/java/reachloom/scheduler/HealthCheckScheduler.java
@@ -77,7 +77,9 @@
 
   /**
    * Checks two random engines on behalf of a query, or two others if those checked before have no
-   * capacity. Does nothing if periodic checks keep all reports recent.
+   * capacity. Does nothing if one of those has capacity, periodic checks keep all reports recent or
+   * engines send none, the query is not worth the checks or does not fit the pool, or the budget
+   * can't pay for them.
    *
    * @return whether the query should wait for the reports
    */
@@ -107,7 +109,10 @@
     attempt.query.reportRequest.engines.clear();
   }
 
-  /** Checks an engine that peers suspect, if it is up and the budget allows. */
+  /**
+   * Checks an engine that peers suspect, if it is up, engines send load reports and the budget
+   * allows.
+   */
   void onSuspected(long nowNanos, EngineRecord engine) {
     if (engine.isUp() && budget.enginesReport() && budget.canPay(1)) {
       check(nowNanos, engine);
--- a/decisions/src/main/java/reachloom/scheduler/LoadScore.java
+++ b/decisions/src/main/java/reachloom/scheduler/LoadScore.java
@@ -5,9 +5,9 @@
 import reachloom.scheduler.api.SchedulerSettings;
 
 /**
- * The load that an engine would have with a query: threads per core of this gateway, scaled to the
- * fleet, multiplied by the engine's latency ratio, its health, its reported load and, in another
- * zone, the price of crossing zones.
+ * The load that an engine would have with a query: threads per core of this gateway, divided by its
+ * share of the pool, plus one; multiplied by the engine's latency ratio, its health, its reported
+ * load and, in another zone, the price of crossing zones.
  */
 final class LoadScore {
   /** Relative load per unit of the price of crossing zones. */
--- a/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
+++ b/decisions/src/main/java/reachloom/scheduler/RetryBudget.java
@@ -10,7 +10,7 @@
  * holds by the clock of an observer.
  */
 final class RetryBudget implements ForwardingListener {
-  /** In ticks of the platform's clock. */
+  /** By which the windows are shorter or longer, in ticks of the platform's clock. */
   private static final int WINDOW_MARGIN_CLOCK_TICKS = 2;
 
   private final SchedulingRules rules;
