--- a/gateway/src/main/java/reachloom/config/GatewayConfigParser.java
+++ b/gateway/src/main/java/reachloom/config/GatewayConfigParser.java
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Applies the change log events of the configuration to an empty list, and returns the number of
-   * the last one.
+   * Applies the change log events of the configuration to an empty list. Returns the number of the
+   * last event, or {@code known.seq} if that is higher.
    */
   private static long foldEvents(JsonNode known, Names names, Map<String, EngineMember> engines)
       throws ConfigException {
--- a/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
+++ b/gateway/src/main/java/reachloom/gateway/AttemptLifecycle.java
@@ -21,9 +21,9 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * Delay before the end of a cancelled attempt is reported. The cancellation reaches its engine on
-   * another connection than the next attempt uses: an attempt forwarded to another engine at once
-   * could start before the cancellation arrives, and both would run.
+   * Delay before the end of an attempt that its engine may still run is reported. The cancellation
+   * reaches its engine on another connection than the next attempt uses: an attempt forwarded to
+   * another engine at once could start before the cancellation arrives, and both would run.
    */
   private static final long CANCEL_REPORT_DELAY_NANOS = 5 * NANOS_PER_MILLI;
 
@@ -113,7 +113,8 @@
 
   /**
    * Ends an attempt; ignores one that has ended. The end is reported to the scheduler at once, or
-   * after {@link #CANCEL_REPORT_DELAY_NANOS} if the engine may still run the attempt.
+   * after {@link #CANCEL_REPORT_DELAY_NANOS} if the engine may still run the attempt and the
+   * request is open.
    */
   void finish(EngineAttempt attempt, AttemptOutcome outcome) {
     if (attempt.ended) {
--- a/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
+++ b/gateway/src/main/java/reachloom/gateway/lifecycle/LineLogger.java
@@ -7,8 +7,9 @@
 import reachloom.time.WallClock;
 
 /**
- * Writes each log record to standard error as one line, unbuffered. The platform's own logging
- * resets itself on SIGTERM, before the shutdown is logged.
+ * Writes each log record to standard error as one line, unbuffered, followed by the stack trace of
+ * its exception, if any. The platform's own logging resets itself on SIGTERM, before the shutdown
+ * is logged.
  */
 public final class LineLogger extends System.LoggerFinder {
   private static final PrintStream ERR = System.err;
--- a/gateway/src/main/java/reachloom/gossip/net/CertificateCache.java
+++ b/gateway/src/main/java/reachloom/gossip/net/CertificateCache.java
@@ -23,7 +23,8 @@
 
   /**
    * Returns the {@link GossipCodec#certificateChecksum} of the cached certificate of a member, 0 if
-   * there is none. It tells the member whether to send its certificate again.
+   * there is none or it can't be encoded. It tells the member whether to send its certificate
+   * again.
    */
   synchronized int checksum(String member) {
     X509Certificate certificate = certificates.get(member);
--- a/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
+++ b/gateway/src/main/java/reachloom/gossip/wire/GossipCodec.java
@@ -177,7 +177,8 @@
    * Decodes the header of a complete datagram, signature included. No field is authenticated yet.
    *
    * @throws RejectedDatagramException with {@link RejectionReason#FORM} or {@link
-   *     RejectionReason#VERSION} if the header can't be decoded
+   *     RejectionReason#VERSION} if the datagram is too short or too long, or its header can't be
+   *     decoded
    */
   public static DatagramHeader decodeHeader(byte[] datagram) throws RejectedDatagramException {
     if (datagram.length > MAX_DATAGRAM_BYTES
--- a/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
+++ b/lab/src/main/java/reachloom/lab/cluster/ClusterModel.java
@@ -13,7 +13,7 @@
 
 /**
  * A model of the cluster around the gateways: the engines, the endpoint list as each zone receives
- * it, and the links between zones. It is accessed only on the scheduler's thread.
+ * it, and the links between zones. It is accessed only on the {@link TaskScheduler}'s thread.
  */
 public final class ClusterModel {
   static final int READY = 0;
--- a/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
+++ b/lab/src/main/java/reachloom/lab/cluster/EngineHosts.java
@@ -24,7 +24,7 @@
 /**
  * The engines and the change logs on loopback sockets. Each engine has one address for the gateways
  * of each zone, so that the link between two zones can be impaired. As with TCP, messages on a cut
- * link are delivered once the link is healthy again, unless the connection was closed meanwhile.
+ * link are delivered once the cut ends, unless the connection was closed meanwhile.
  */
 public final class EngineHosts implements AutoCloseable {
   private static final int SOCKET_THREADS = 3;
@@ -175,7 +175,10 @@
     return model.link(c.zone, model.plan.zoneOfEngine(c.engine.id));
   }
 
-  /** Runs the effect of a message once it has passed the link; messages of a link stay in order. */
+  /**
+   * Runs the effect of a message once it has passed the link. While messages of the link are held,
+   * further ones are held behind them, in both directions.
+   */
   private void deliver(ClusterModel.Link link, boolean cut, Runnable arrival) {
     if (cut || heldMessages.containsKey(link)) {
       heldMessages.computeIfAbsent(link, l -> new ArrayDeque<>()).addLast(arrival);
@@ -189,7 +192,7 @@
     }
   }
 
-  /** Delivers the held messages of a link in order once the link is not cut. */
+  /** Delivers the held messages of a link in order once neither direction is cut. */
   private void deliverWhenHealed(ClusterModel.Link link) {
     model.time.at(
         model.time.now() + 20 * ClusterPlan.MILLISECOND,
--- a/lab/src/main/java/reachloom/lab/cluster/Workload.java
+++ b/lab/src/main/java/reachloom/lab/cluster/Workload.java
@@ -31,7 +31,10 @@
     }
   }
 
-  /** The query classes: many short queries, a few long ones, and loads that must not run twice. */
+  /**
+   * The query classes: many short queries, a few long ones, loads that are idempotent by their key,
+   * and changes that must not run twice.
+   */
   public static final List<Kind> KINDS =
       List.of(
           new Kind("lookup", "repeatable", 0.82, 0.06, 1, 100, SECOND / 2, 1.5, 3 * SECOND, 1),
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -48,8 +48,8 @@
   private static final long MAX_LIST_DELAY = 100 * ClusterPlan.MILLISECOND;
 
   /**
-   * Timeouts fire this long before the deadline, or a tenth of the time to the deadline if that is
-   * less, as on sockets.
+   * Timeouts fire this long before the deadline, or a tenth of the time from the query's arrival to
+   * its deadline if that is less, as on sockets.
    */
   private static final long DEADLINE_MARGIN = 80 * ClusterPlan.MILLISECOND;
 
@@ -376,7 +376,10 @@
       return (engineZone == zone ? SAME_ZONE_DELAY : CROSS_ZONE_DELAY) + link.delay;
     }
 
-    /** Opens a connection if necessary; returns how long it takes to be established. */
+    /**
+     * Opens a connection if necessary; returns how long it takes to be established, 0 if it already
+     * is, or {@link VirtualFleet#CLOSED} if the engine closes it at once.
+     */
     private long connect(int engine, long delay) {
       if (!links.containsKey(engine)
           && connectionsByEngine.getOrDefault(engine, 0) >= model.mostConnections(engine)) {
--- a/standin/src/main/java/reachloom/standin/FakeChangeLog.java
+++ b/standin/src/main/java/reachloom/standin/FakeChangeLog.java
@@ -12,7 +12,7 @@
 
 /**
  * A change log on loopback. It sends each client the events after the number in the client's hello,
- * and an empty frame every heartbeat period, one second by default.
+ * and while there are none to send, an empty frame every heartbeat period, one second by default.
  */
 public final class FakeChangeLog implements AutoCloseable {
   public final List<Long> hellos = new CopyOnWriteArrayList<>();
--- a/standin/src/main/java/reachloom/standin/FakeEngine.java
+++ b/standin/src/main/java/reachloom/standin/FakeEngine.java
@@ -22,9 +22,9 @@
 /**
  * An engine on loopback that speaks the engine line protocol. Words in a statement's text select
  * how it responds: {@code busy}, {@code err}, {@code hang}, {@code die}, {@code late}, {@code
- * pages}, {@code badpage}, {@code copies} (each answer is sent twice, after one with an unknown
- * id), {@code noise}, {@code stops} (after half of the answer), {@code note}, {@code allnotes},
- * {@code garbage}, {@code slow first}.
+ * pages}, {@code badpage}, {@code copies} (each answer is sent twice, the first one after an answer
+ * with an unknown id), {@code noise}, {@code stops} (after half of the answer), {@code note},
+ * {@code allnotes}, {@code garbage}, {@code slow first}.
  */
 public final class FakeEngine implements AutoCloseable {
   public static final String ROW = "a\tb\tc\n";
@@ -58,7 +58,10 @@
     keptCommands = 0; // a long run would keep too many command lines
   }
 
-  /** Sets whether accepted requests get no answer; probes are still answered. */
+  /**
+   * Sets whether plain statements get no answer; probes are still answered. Has an effect only if a
+   * mean service time is set.
+   */
   public void hang(boolean now) {
     hung = now;
   }
@@ -82,7 +85,7 @@
     return sockets.size();
   }
 
-  /** Returns how many connections the engine has not closed. */
+  /** Returns how many connections neither side has closed. */
   public long open() {
     return sockets.stream().filter(s -> !s.isClosed()).count();
   }
