--- a/gateway/src/main/java/reachloom/gateway/RequestHandler.java
+++ b/gateway/src/main/java/reachloom/gateway/RequestHandler.java
@@ -36,7 +36,7 @@
   private final SchedulerEvents scheduler;
   private boolean ready;
 
-  /** The time by which every request must be closed; unlimited until the gateway shuts down. */
+  /** The latest deadline of requests that arrive; unlimited until the gateway shuts down. */
   private long latestDeadlineNanos = Long.MAX_VALUE;
 
   RequestHandler(
--- a/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/reachloom/simulator/SimulatorAdapter.java
@@ -198,7 +198,10 @@
     }
   }
 
-  /** Delivers an event. If the instance fails, it is removed and the failure is reported. */
+  /**
+   * Delivers an event. If the instance fails, it is removed, and the failure is reported to the
+   * simulator and on standard error.
+   */
   private void deliver(
       long nowNanos, String name, JsonNode item, Instance instance, JsonGenerator reply)
       throws MalformedBatchException {
--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -41,7 +41,7 @@
   private static final long PROBE_TIMEOUT = 250 * ClusterPlan.MILLISECOND;
   private static final long CANCEL_LINGER = 5 * ClusterPlan.MILLISECOND;
 
-  /** Time after which the front end before the gateways notices that one has died. */
+  /** Time after which the front end before the gateways notices that one has stopped. */
   private static final long FRONT_NOTICE = ClusterPlan.SECOND;
 
   private static final long SETTLE_TIME = 2 * ClusterPlan.SECOND;
