--- a/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/reachloom/lab/fleet/VirtualFleet.java
@@ -41,15 +41,15 @@
   private static final long PROBE_TIMEOUT = 250 * ClusterPlan.MILLISECOND;
   private static final long CANCEL_LINGER = 5 * ClusterPlan.MILLISECOND;
 
-  /** Time after which the front end before the gateways notices that one has died. */
+  /** Time after which the front end before the gateways notices that one has stopped. */
   private static final long FRONT_NOTICE = ClusterPlan.SECOND;
 
   private static final long SETTLE_TIME = 2 * ClusterPlan.SECOND;
   private static final long MAX_LIST_DELAY = 100 * ClusterPlan.MILLISECOND;
 
   /**
-   * Timeouts fire this long before the deadline, or a tenth of the time to the deadline if that is
-   * less, as on sockets.
+   * Timeouts fire this long before the deadline, or a tenth of the time from the query's arrival to
+   * its deadline if that is less, as on sockets.
    */
   private static final long DEADLINE_MARGIN = 80 * ClusterPlan.MILLISECOND;
 
@@ -376,7 +376,10 @@
       return (engineZone == zone ? SAME_ZONE_DELAY : CROSS_ZONE_DELAY) + link.delay;
     }
 
-    /** Opens a connection if necessary; returns how long it takes to be established. */
+    /**
+     * Opens a connection if necessary; returns how long it takes to be established, 0 if it already
+     * is, or {@link VirtualFleet#CLOSED} if the engine closes it at once.
+     */
     private long connect(int engine, long delay) {
       if (!links.containsKey(engine)
           && connectionsByEngine.getOrDefault(engine, 0) >= model.mostConnections(engine)) {
